--- a/src/bench/java/kelphollow/capacity/ControlCost.java
+++ b/src/bench/java/kelphollow/capacity/ControlCost.java
@@ -90,7 +90,7 @@
                 SEED).replay(SEED);
             Meter.Cost cost = Meter.median(WARM_UPS, RUNS, () -> {
                 for (int c = 0; c < calls; c++) {
-                    control.silentNodes();
+                    control.unresponsiveNodes();
                 }
             });
             at[i] = NODES[i];
--- a/src/bench/java/kelphollow/capacity/NodeListCost.java
+++ b/src/bench/java/kelphollow/capacity/NodeListCost.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.Locale;
 import kelphollow.decision.Control;
-import kelphollow.protocol.discovery.Members;
+import kelphollow.protocol.discovery.DiscoveryListParser;
 import kelphollow.protocol.json.Json;
 import kelphollow.routing.Attempt;
 import kelphollow.routing.Backend;
-import kelphollow.routing.Core;
+import kelphollow.routing.RequestRouter;
 import kelphollow.routing.Ticker;
 
 /**
- * A whole node list against a change of one node: bytes, time to parse, memory, time in {@code Core.learn}:
+ * A whole node list against a change of one node: bytes, time to parse, memory, time in {@code RequestRouter.learn}:
  * {@code mvn -B -q -Pbench test-compile exec:exec@list}.
  */
 public final class NodeListCost {
@@ -34,15 +34,15 @@
         return "{\"seq\":123456,\"whole\":" + whole + ",\"hosts\":[" + hosts + "]}";
     }
 
-    private static Members read(String text) {
+    private static DiscoveryListParser read(String text) {
         try {
-            return Members.read(Json.parse(text));
+            return DiscoveryListParser.read(Json.parse(text));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static Core core() {
+    private static RequestRouter router() {
         Ticker ticker = new Ticker() {
             @Override public double now() {
                 return ControlPlay.START;
@@ -59,7 +59,7 @@
 
             @Override public void retire(String node) {}
         };
-        return new Core(new Control(ControlPlay.settings(510), 1, ControlPlay.START), ticker, backend);
+        return new RequestRouter(new Control(ControlPlay.settings(510), 1, ControlPlay.START), ticker, backend);
     }
 
     private static double micros(Runnable task) {
@@ -80,15 +80,15 @@
         for (int i = 0; i < NODES.length; i++) {
             int nodes = at(at, i);
             String whole = json(0, nodes, true), change = json(0, 1, false);
-            Members all = read(whole), one = read(change);
-            Core core = core();
+            DiscoveryListParser all = read(whole), one = read(change);
+            RequestRouter router = router();
             columns[0][i] = whole.getBytes(StandardCharsets.UTF_8).length;
             columns[1][i] = change.getBytes(StandardCharsets.UTF_8).length;
             columns[2][i] = micros(() -> read(whole));
-            columns[3][i] = micros(() -> core.learn(all.members(), true, false));
-            columns[4][i] = micros(() -> core.learn(one.members(), false, false));
+            columns[3][i] = micros(() -> router.learn(all.members(), true, false));
+            columns[4][i] = micros(() -> router.learn(one.members(), false, false));
             columns[5][i] = Meter.retained(() -> {
-                Core kept = core();
+                RequestRouter kept = router();
                 kept.learn(read(whole).members(), true, false);
                 return kept;
             }) / 1e3;
--- a/src/bench/java/kelphollow/fleet/FaultFigures.java
+++ b/src/bench/java/kelphollow/fleet/FaultFigures.java
@@ -21,7 +21,8 @@
         double calm = seconds(args[3]), fault = seconds(args[4]), after = seconds(args[5]);
         DisseminationWorld world = new DisseminationWorld(Long.parseLong(args[6]),
             DisseminationWorld.Setup.of(size, args[2].equals("before")));
-        System.out.println("| second | fresh | right views | membership B/s | parts | compare | exchange | all: mean | max | drains kept |");
+        System.out.println(
+            "| second | fresh | right views | membership B/s | parts | compare | exchange | all: mean | max | drains kept |");
         world.fleet();
         if (args[0].equals("cold")) {
             play(world, after, "cold");
--- a/src/bench/java/kelphollow/membership/MembershipFigures.java
+++ b/src/bench/java/kelphollow/membership/MembershipFigures.java
@@ -23,8 +23,9 @@
     private MembershipFigures() {}
 
     public static void main(String[] args) throws IOException {
-        System.out.println("| size | loss | first sees death, rounds | all see it, rounds | suspicions of living a minute and "
-            + "instance | deaths of living | datagrams a second and instance |");
+        System.out.println(
+            "| size | loss | first sees death, rounds | all see it, rounds | suspicions of living a minute and "
+                + "instance | deaths of living | datagrams a second and instance |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
         Map<Double, List<Double>> all = new HashMap<>();
         for (int size : SIZES) {
@@ -49,16 +50,19 @@
                     double from = w.now;
                     w.kill("i4");
                     w.run(from + 60_000);
-                    List<FleetWorld.Seen> found = w.seen(Kind.FAILED, from).stream().filter(s -> s.of().equals("i4")).toList();
+                    List<FleetWorld.Seen> found = w.seen(Kind.FAILED, from).stream().filter(s -> s.of().equals("i4"))
+                        .toList();
                     first += (found.stream().mapToDouble(FleetWorld.Seen::at).min().orElse(Double.NaN) - from) / 500 / seeds;
                     last += (found.stream().mapToDouble(FleetWorld.Seen::at).max().orElse(Double.NaN) - from) / 500 / seeds;
                 }
-                System.out.printf(Locale.ROOT, "| %d | %.1f | %.1f | %.1f | %.2f | %.1f | %.1f |%n", size, loss, first, last, wrong,
+                System.out.printf(Locale.ROOT, "| %d | %.1f | %.1f | %.1f | %.2f | %.1f | %.1f |%n", size, loss, first, last,
+                    wrong,
                     dead, sent);
                 all.computeIfAbsent(loss, l -> new ArrayList<>()).add(last);
             }
         }
-        XYChart chart = new XYChartBuilder().width(800).height(420).title("Rounds until all see a death").xAxisTitle("instances")
+        XYChart chart = new XYChartBuilder().width(800).height(420).title("Rounds until all see a death").xAxisTitle(
+            "instances")
             .yAxisTitle("rounds").build();
         chart.getStyler().setXAxisLogarithmic(true);
         List<Double> sizes = new ArrayList<>();
--- a/src/bench/java/kelphollow/membership/MembershipSlopes.java
+++ b/src/bench/java/kelphollow/membership/MembershipSlopes.java
@@ -23,7 +23,7 @@
         System.out.println("| instances | datagrams a second and instance | share of a core an instance | all see a "
             + "death after ms "
             + "| false deaths |\n| --- | --- | --- | --- | --- |");
-        double[] at = new double[SIZES.length], sent = new double[SIZES.length], core = new double[SIZES.length];
+        double[] at = new double[SIZES.length], sent = new double[SIZES.length], router = new double[SIZES.length];
         double[] found = new double[SIZES.length];
         for (int i = 0; i < SIZES.length; i++) {
             int size = SIZES[i];
@@ -34,7 +34,7 @@
             Meter.Cost cost = Meter.median(0, 1, () -> world.run(SETTLES + MEASURED));
             at[i] = size;
             sent[i] = (world.messages - before) * 1_000.0 / MEASURED / size;
-            core[i] = cost.nanos() / 1e6 / MEASURED / size * 100;
+            router[i] = cost.nanos() / 1e6 / MEASURED / size * 100;
             world.kill("i4");
             double from = world.now;
             world.run(from + DETECTS);
@@ -42,10 +42,11 @@
             found[i] = dead.stream().filter(s -> s.of().equals("i4")).mapToDouble(FleetWorld.Seen::at).max()
                 .orElse(Double.NaN) - from;
             long wrong = dead.stream().filter(s -> !s.of().equals("i4")).count();
-            System.out.printf(Locale.ROOT, "| %d | %.1f | %.3f%% | %.0f | %d |%n", size, sent[i], core[i], found[i], wrong);
+            System.out.printf(Locale.ROOT, "| %d | %.1f | %.3f%% | %.0f | %d |%n", size, sent[i], router[i], found[i],
+                wrong);
         }
         System.out.println(LineFit.through(at, sent).text("datagrams a second", "instances", "1/s"));
-        System.out.println(LineFit.through(at, core).text("share of a core", "instances", "%"));
+        System.out.println(LineFit.through(at, router).text("share of a core", "instances", "%"));
         System.out.println(LineFit.through(at, found).text("all see a death", "instances", "ms"));
     }
 }
--- a/src/bench/java/kelphollow/program/DataPathCost.java
+++ b/src/bench/java/kelphollow/program/DataPathCost.java
@@ -164,11 +164,11 @@
     }
 
     private static byte[] get(int number, int nodes) {
-        String facts = "c=dump-read,t=padrao,d=1200,volume=v" + number % 1_000 + ",units=2,shard=" + number * 7 % nodes
+        String arrival = "c=dump-read,t=padrao,d=1200,volume=v" + number % 1_000 + ",units=2,shard=" + number * 7 % nodes
             + ",hosts=3";
         String id = "i" + number;
-        return ("*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$" + id.length() + "\r\n" + id + "\r\n$" + facts.length() + "\r\n"
-            + facts + "\r\n")
+        return ("*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$" + id.length() + "\r\n" + id + "\r\n$" + arrival.length() + "\r\n"
+            + arrival + "\r\n")
             .getBytes(StandardCharsets.US_ASCII);
     }
 
--- a/src/bench/java/kelphollow/program/SchedulerProcess.java
+++ b/src/bench/java/kelphollow/program/SchedulerProcess.java
@@ -12,10 +12,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import kelphollow.decision.ControlApi.NodeEntry;
-import kelphollow.decision.ControlApi.Phase;
-import kelphollow.protocol.discovery.Members;
-import kelphollow.routing.Member;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.protocol.discovery.DiscoveryListParser;
+import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.transport.WheelTicker;
 
 /**
@@ -34,15 +34,15 @@
     /** {@code args}: the stand-in nodes' port, the number of nodes, the limit of descriptors. */
     public static void main(String[] args) throws Exception {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        List<Member> members = new ArrayList<>();
+        List<ResolvedEndpoint> members = new ArrayList<>();
         InetSocketAddress standIn = new InetSocketAddress("127.0.0.1", Integer.parseInt(args[0]));
         for (int n = 0; n < Integer.parseInt(args[1]); n++) {
-            members.add(new Member(new NodeEntry("n" + n, "a", n, Phase.HEALTHY, 0), standIn));
+            members.add(new ResolvedEndpoint(new Endpoint("n" + n, "a", n, EndpointState.HEALTHY, 0), standIn));
         }
-        Map<String, Object> settings = Bench.part(Bench.example(), "settings");
+        Map<String, Object> settings = ServerHarness.part(ServerHarness.example(), "settings");
         Config config = new Config("capacity", null, new InetSocketAddress("127.0.0.1", 1), 1, Integer.parseInt(args[2]),
             DIAL_TIMEOUT,
-            IDLE_TIME, new Members(1, true, members), Config.settings(settings), Config.Operations.NONE);
+            IDLE_TIME, new DiscoveryListParser(1, true, members), Config.settings(settings), Config.Operations.NONE);
         Scheduler scheduler = Scheduler.of(config, loop, new WheelTicker(loop, TICK));
         System.out.println(scheduler.listen(new InetSocketAddress("127.0.0.1", 0)).getPort());
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in));
--- a/src/bench/java/kelphollow/store/CommitBench.java
+++ b/src/bench/java/kelphollow/store/CommitBench.java
@@ -82,7 +82,7 @@
         for (int i = 0; i < RECORDS; i++) {
             free.acquire();
             byte[] key = ByteBuffer.allocate(8).putLong(keys.incrementAndGet() % 100_000).array();
-            store.write(new Batch().put("outcomes", key, VALUE), Grade.SYNCED, Runnable::run, fault -> {
+            store.write(new Batch().put("outcomes", key, VALUE), Durability.SYNCED, Runnable::run, fault -> {
                 if (fault != null) {
                     throw new IllegalStateException(fault);
                 }
--- a/src/bench/java/kelphollow/store/CommitTurns.java
+++ b/src/bench/java/kelphollow/store/CommitTurns.java
@@ -24,7 +24,8 @@
 
     public static void main(String[] args) throws Exception {
         String where = System.getProperty("kelphollow.bench.folder");
-        Path folder = where == null ? Files.createTempDirectory("turns") : Files.createTempDirectory(Path.of(where), "turns");
+        Path folder = where == null ? Files.createTempDirectory("turns") : Files.createTempDirectory(Path.of(where),
+            "turns");
         Histogram bare = new Histogram(3), stored = new Histogram(3);
         try (Store store = Store.open(new FolderDisk(folder.resolve("a")), new FolderDisk(folder.resolve("b")),
             StoreOptions.USUAL.withCompactBytesPerSecond(1 << 20), System::currentTimeMillis);
@@ -42,7 +43,7 @@
                 for (int i = 0; i < IN_TURN; i++) {
                     byte[] bytes = ByteBuffer.allocate(8).putLong(key++ % 100_000).array();
                     long began = System.nanoTime();
-                    store.write(new Batch().put("outcomes", bytes, VALUE), Grade.SYNCED, Runnable::run, fault -> {
+                    store.write(new Batch().put("outcomes", bytes, VALUE), Durability.SYNCED, Runnable::run, fault -> {
                         if (fault != null) {
                             throw new IllegalStateException(fault);
                         }
--- a/src/bench/java/kelphollow/store/CompactionPauses.java
+++ b/src/bench/java/kelphollow/store/CompactionPauses.java
@@ -20,7 +20,8 @@
 
     public static void main(String[] args) throws Exception {
         String where = System.getProperty("kelphollow.bench.folder");
-        Path folder = where == null ? Files.createTempDirectory("bench") : Files.createTempDirectory(Path.of(where), "bench");
+        Path folder = where == null ? Files.createTempDirectory("bench") : Files.createTempDirectory(Path.of(where),
+            "bench");
         Histogram bare = turns(null);
         Histogram busy;
         try (Store store = Store.open(new FolderDisk(folder.resolve("a")), new FolderDisk(folder.resolve("b")),
@@ -63,7 +64,8 @@
             if (store != null) {
                 for (int j = 0; j < 4; j++) {
                     byte[] key = ByteBuffer.allocate(8).putLong((i * 4L + j) * 31 % 20_000).array();
-                    store.write(new Batch().put("outcomes", key, new byte[400]), Grade.BUFFERED, Runnable::run, f -> {});
+                    store.write(new Batch().put("outcomes", key, new byte[400]), Durability.BUFFERED, Runnable::run,
+                        f -> {});
                 }
             }
         }
--- a/src/main/java/kelphollow/adapter/Adapter.java
+++ b/src/main/java/kelphollow/adapter/Adapter.java
@@ -8,11 +8,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import kelphollow.protocol.json.Json;
 import kelphollow.decision.Control;
-import kelphollow.decision.ControlApi;
-import kelphollow.decision.ControlApi.Action;
-import kelphollow.decision.ControlApi.Event;
+import kelphollow.decision.ControlAction;
+import kelphollow.decision.ControlEvent;
+import kelphollow.protocol.json.Json;
 
 /** Turns wire batches into events of the module and its actions into wire replies. It decides nothing. */
 public final class Adapter {
@@ -27,7 +26,7 @@
 
     private final JsonFactory factory = new JsonFactory();
     private final Map<String, Control> instances = new LinkedHashMap<>();
-    private final Map<Integer, List<ControlApi.NodeEntry>> rosters = new LinkedHashMap<>();
+    private final Map<Integer, List<ControlEvent.Endpoint>> rosters = new LinkedHashMap<>();
 
     /** Answers one batch with one line. */
     byte[] answer(String line) throws BadInput {
@@ -53,7 +52,7 @@
 
     private void part(Map<?, ?> part, double now, JsonGenerator out) throws BadInput, IOException {
         String name = text(part.get("initiator_id"), "initiator_id");
-        List<Action> actions = new ArrayList<>();
+        List<ControlAction> actions = new ArrayList<>();
         String fault = null;
         for (Object item : list(part.get("input"), "input")) {
             List<?> message = list(item, "event");
@@ -87,7 +86,7 @@
                 }
                 continue;
             }
-            Event event = event(kind, message);
+            ControlEvent event = event(kind, message);
             if (event == null || fault != null) {
                 continue;
             }
@@ -103,7 +102,7 @@
         out.writeStartObject();
         out.writeStringField("initiator_id", name);
         out.writeArrayFieldStart("out");
-        for (Action action : actions) {
+        for (ControlAction action : actions) {
             write(action, out);
         }
         if (fault != null) {
@@ -118,58 +117,58 @@
         return name + " " + kind + ": " + e + (trace.length > 0 ? " at " + trace[0] : "");
     }
 
-    private List<ControlApi.NodeEntry> roster(List<?> message) throws BadInput {
-        List<ControlApi.NodeEntry> nodes = new ArrayList<>();
+    private List<ControlEvent.Endpoint> roster(List<?> message) throws BadInput {
+        List<ControlEvent.Endpoint> nodes = new ArrayList<>();
         for (Object row : list(at(message, 2), "rows")) {
             List<?> r = list(row, "row");
             String phase = text(at(r, 4), "phase");
-            nodes.add(new ControlApi.NodeEntry(text(at(r, 0), "target"), optionalText(at(r, 1)),
+            nodes.add(new ControlEvent.Endpoint(text(at(r, 0), "target"), optionalText(at(r, 1)),
                 (int) number(at(r, 3), "cohort"), switch (phase) {
-                    case "healthy" -> ControlApi.Phase.HEALTHY;
-                    case "cordoned" -> ControlApi.Phase.DRAINING;
-                    case "deregistered" -> ControlApi.Phase.GONE;
+                    case "healthy" -> ControlEvent.EndpointState.HEALTHY;
+                    case "cordoned" -> ControlEvent.EndpointState.DRAINING;
+                    case "deregistered" -> ControlEvent.EndpointState.REMOVED;
                     default -> throw new BadInput("unknown phase " + phase);
                 }, optional(at(r, 6), 0)));
         }
         return List.copyOf(nodes);
     }
 
-    private Event event(String kind, List<?> m) throws BadInput {
+    private ControlEvent event(String kind, List<?> m) throws BadInput {
         switch (kind) {
             case "ENDPOINTS" -> {
                 String form = text(at(m, 3), "form");
                 if (form.equals("Error")) {
-                    return new ControlApi.ListFailed(ControlApi.ListFailure.WATCH_BROKE);
+                    return new ControlEvent.EndpointPollFailed(ControlEvent.EndpointPollFailure.WATCH_BROKEN);
                 }
-                List<ControlApi.NodeEntry> nodes = rosters.get((int) number(at(m, 1), "page"));
+                List<ControlEvent.Endpoint> nodes = rosters.get((int) number(at(m, 1), "page"));
                 if (nodes == null) {
                     throw new BadInput("ENDPOINTS names list " + at(m, 1) + ", which was not sent");
                 }
                 return switch (form) {
-                    case "Partial" -> new ControlApi.NodeList(nodes, false, false);
-                    case "Complete" -> new ControlApi.NodeList(nodes, true, false);
-                    case "Persisted" -> new ControlApi.NodeList(nodes, true, true);
+                    case "Partial" -> new ControlEvent.EndpointsReceived(nodes, false, false);
+                    case "Complete" -> new ControlEvent.EndpointsReceived(nodes, true, false);
+                    case "Persisted" -> new ControlEvent.EndpointsReceived(nodes, true, true);
                     default -> throw new BadInput("unknown form " + form);
                 };
             }
             case "NEW_REQUEST" -> {
-                return new ControlApi.Arrival(text(at(m, 1), "corr"), text(at(m, 2), "type"),
+                return new ControlEvent.RequestArrived(text(at(m, 1), "corr"), text(at(m, 2), "type"),
                     optionalText(at(m, 3)), optionalText(at(m, 4)), number(at(m, 5), "deadline"),
                     optionalText(at(m, 6)), optional(at(m, 7), 1), (int) optional(at(m, 8), -1),
                     (int) optional(at(m, 9), 1));
             }
             case "VANISHED" -> {
-                return new ControlApi.ClientGone(text(at(m, 1), "corr"));
+                return new ControlEvent.ClientDisconnected(text(at(m, 1), "corr"));
             }
             case "OPENED" -> {
-                return new ControlApi.AnswerStarted(text(at(m, 1), "corr"), (int) number(at(m, 4), "send_no"));
+                return new ControlEvent.ResponseStarted(text(at(m, 1), "corr"), (int) number(at(m, 4), "send_no"));
             }
             case "REMINDER" -> {
-                return new ControlApi.TimerFired(text(at(m, 1), "cookie"));
+                return new ControlEvent.TimerFired(text(at(m, 1), "cookie"));
             }
             case "RESULT" -> {
                 double use = optional(at(m, 8), 0);
-                return new ControlApi.AttemptDone(text(at(m, 1), "corr"), (int) number(at(m, 3), "send_no"),
+                return new ControlEvent.AttemptEnded(text(at(m, 1), "corr"), (int) number(at(m, 3), "send_no"),
                     text(at(m, 4), "target"), outcome(text(at(m, 6), "verdict")), number(at(m, 5), "took"),
                     Boolean.TRUE.equals(at(m, 2)), false, optional(at(m, 7), 0), use - 1, report(at(m, 9)));
             }
@@ -200,36 +199,36 @@
         return report;
     }
 
-    private static ControlApi.Outcome outcome(String verdict) throws BadInput {
+    private static ControlEvent.AttemptOutcome outcome(String verdict) throws BadInput {
         return switch (verdict) {
-            case "pass" -> ControlApi.Outcome.SERVED;
-            case "fault" -> ControlApi.Outcome.ERROR;
-            case "no_room" -> ControlApi.Outcome.FULL;
-            case "too_slow" -> ControlApi.Outcome.TIMED_OUT;
-            case "no_route" -> ControlApi.Outcome.NO_CONNECTION;
-            case "cut" -> ControlApi.Outcome.RESET;
-            case "undone" -> ControlApi.Outcome.CANCELLED;
-            case "stale_send" -> ControlApi.Outcome.NOT_SENT;
+            case "pass" -> ControlEvent.AttemptOutcome.SERVED;
+            case "fault" -> ControlEvent.AttemptOutcome.ERROR;
+            case "no_room" -> ControlEvent.AttemptOutcome.AT_CAPACITY;
+            case "too_slow" -> ControlEvent.AttemptOutcome.TIMED_OUT;
+            case "no_route" -> ControlEvent.AttemptOutcome.CONNECT_FAILED;
+            case "cut" -> ControlEvent.AttemptOutcome.RESET;
+            case "undone" -> ControlEvent.AttemptOutcome.CANCELLED;
+            case "stale_send" -> ControlEvent.AttemptOutcome.NOT_SENT;
             default -> throw new BadInput("unknown verdict " + verdict);
         };
     }
 
-    private static void write(Action action, JsonGenerator out) throws IOException {
-        if (action instanceof ControlApi.Send a) {
+    private static void write(ControlAction action, JsonGenerator out) throws IOException {
+        if (action instanceof ControlAction.SendAttempt a) {
             if (a.timeout() > 0) {
                 message(out, "SEND", a.id(), a.node(), a.timeout());
             } else {
                 message(out, "SEND", a.id(), a.node());
             }
-        } else if (action instanceof ControlApi.SetTimer a) {
+        } else if (action instanceof ControlAction.SetTimer a) {
             message(out, "SET_TIMER", a.at(), a.name());
-        } else if (action instanceof ControlApi.Refuse a) {
-            message(out, "DENY", a.id(), a.after());
-        } else if (action instanceof ControlApi.Fail a) {
+        } else if (action instanceof ControlAction.RejectRequest a) {
+            message(out, "DENY", a.id(), a.retryAfter());
+        } else if (action instanceof ControlAction.FailRequest a) {
             message(out, "SURRENDER", a.id());
-        } else if (action instanceof ControlApi.Cancel a) {
+        } else if (action instanceof ControlAction.CancelAttempt a) {
             message(out, "UNDO_SEND", a.id(), a.attempt());
-        } else if (action instanceof ControlApi.Subscribe) {
+        } else if (action instanceof ControlAction.PollEndpoints) {
             message(out, "WATCH", true);
         }
     }
--- a/src/main/java/kelphollow/decision/Control.java
+++ b/src/main/java/kelphollow/decision/Control.java
@@ -1,10 +1,52 @@
 package kelphollow.decision;
 
-import java.util.*;
-import kelphollow.decision.ControlApi.*;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import kelphollow.decision.ControlAction.CancelAttempt;
+import kelphollow.decision.ControlAction.FailRequest;
+import kelphollow.decision.ControlAction.PollEndpoints;
+import kelphollow.decision.ControlAction.Reason;
+import kelphollow.decision.ControlAction.RejectRequest;
+import kelphollow.decision.ControlAction.SendAttempt;
+import kelphollow.decision.ControlAction.SetTimer;
+import kelphollow.decision.ControlEvent.AttemptEnded;
+import kelphollow.decision.ControlEvent.AttemptOutcome;
+import kelphollow.decision.ControlEvent.AttemptProgressed;
+import kelphollow.decision.ControlEvent.ClientDisconnected;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointLeaseRenewed;
+import kelphollow.decision.ControlEvent.EndpointPollFailed;
+import kelphollow.decision.ControlEvent.EndpointPollFailure;
+import kelphollow.decision.ControlEvent.EndpointSourceChanged;
+import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.decision.ControlEvent.EndpointsReceived;
+import kelphollow.decision.ControlEvent.LimitsRestored;
+import kelphollow.decision.ControlEvent.NodesSuspected;
+import kelphollow.decision.ControlEvent.RequestArrived;
+import kelphollow.decision.ControlEvent.ResponseStarted;
+import kelphollow.decision.ControlEvent.RetryBudgetChanged;
+import kelphollow.decision.ControlEvent.SettingsChanged;
+import kelphollow.decision.ControlEvent.ShutdownStarted;
+import kelphollow.decision.ControlEvent.TimerFired;
+import kelphollow.decision.ControlSettings.DeduplicationScope;
+import kelphollow.decision.ControlSettings.Idempotency;
+import kelphollow.decision.ControlSettings.Plan;
+import kelphollow.decision.ControlSettings.RequestClass;
+import kelphollow.decision.ControlSettings.Rules;
 
 /**
- * All decisions of one host's instance. Its interface is in {@code ControlApi.java}.
+ * All decisions of one host's instance. Its interface is {@link ControlSettings}, {@link ControlEvent} and
+ * {@link ControlAction}.
  *
  * <p>Reading order: the constants; {@link #on}, which takes every event; {@link #arrive} and {@link Tags}
  * (arrival-curve tags after pClock); {@link #pump} and {@link #pick} (what leaves next, and where to);
@@ -54,10 +96,10 @@
     static final int MANY_VOLUMES = 1_000;
     static final double VOLUME_MEMORY = 60_000;
 
-    private final Settings settings;
+    private final ControlSettings settings;
     private final Rules rules;
     private final Random random;
-    private final double startedAt, shortestAim;
+    private final double startedAt, shortestObjective;
     private final Map<String, RequestClass> classes = new LinkedHashMap<>();
     private final Map<String, Plan> plans = new LinkedHashMap<>();
     private final Map<String, Node> nodes = new LinkedHashMap<>();
@@ -66,49 +108,49 @@
     private final Map<String, Attempt> attempts = new LinkedHashMap<>();
     private final Map<String, KeyOrder> keyOrders = new LinkedHashMap<>();
     /** Requests held, by the cell that holds their data; -1 holds new objects that any node may take. */
-    private final Map<Integer, HeldQueue> held = new LinkedHashMap<>();
+    private final Map<Integer, PendingQueue> held = new LinkedHashMap<>();
     private final PriorityQueue<Due> dues = new PriorityQueue<>(
         Comparator.comparingDouble(Due::at).thenComparingLong(d -> d.request.order));
     /** Levels of limits that an earlier life left, until their volume is seen. */
     private final Map<String, Double> limitsLeft = new HashMap<>();
     /** Further attempts against requests taken, as the rules count them; and each node's bound, if any. */
-    private final RepeatBudget budget;
-    private RepeatsBounded repeats = new RepeatsBounded(0, 0);
+    private final RetryBudget budget;
+    private RetryBudgetChanged repeats = new RetryBudgetChanged(0, 0);
     private final Tags tags = new Tags();
-    private List<Action> out = new ArrayList<>();
+    private List<ControlAction> out = new ArrayList<>();
     private double now, wakeAt = Double.POSITIVE_INFINITY;
-    private final ListPace listPace;
+    private final EndpointPollSchedule listPace;
     private double leaveBy = Double.POSITIVE_INFINITY, listLeasedUntil = Double.POSITIVE_INFINITY;
-    private double largest, around, aroundAt, mostTries;
+    private double largest, around, aroundAt, maxAttempts;
     private long orders, planStamp;
 
     /** An instance that knows nothing but its settings; limits fill from now on. Call {@link #start} next. */
-    public Control(Settings settings, long seed, double now) {
+    public Control(ControlSettings settings, long seed, double now) {
         this.settings = settings;
         this.rules = settings.rules();
         this.random = new Random(seed * 0x9E3779B97F4A7C15L);   // hosts with near seeds must not draw alike
         this.startedAt = now;
-        this.listPace = new ListPace(settings.hosts(), rules.askEvery(), new SplittableRandom(seed));
-        this.budget = new RepeatBudget(rules.budgetWindow(), rules.budgetFree(), rules.budgetShare(),
+        this.listPace = new EndpointPollSchedule(settings.hosts(), rules.pollInterval(), new SplittableRandom(seed));
+        this.budget = new RetryBudget(rules.retryBudgetWindow(), rules.retryBudgetFree(), rules.retryBudgetShare(),
             settings.tick());
         this.now = now;
-        this.mostTries = settings.maxAttempts();
+        this.maxAttempts = settings.maxAttempts();
         require(settings.hosts() > 0, "hosts must be at least 1");
         require(settings.maxAttempts() > 0, "maxAttempts must be at least 1");
         require(!settings.classes().isEmpty(), "classes is empty");
         require(!settings.plans().isEmpty(), "plans is empty");
         double aim = Double.POSITIVE_INFINITY;
         for (RequestClass c : settings.classes()) {
-            require(c.aim() > 0, "aim of class " + c.name() + " must be above 0");
+            require(c.latencyObjective() > 0, "aim of class " + c.name() + " must be above 0");
             classes.put(c.name(), c);
-            aim = Math.min(aim, c.aim());
+            aim = Math.min(aim, c.latencyObjective());
         }
         for (Plan p : settings.plans()) {
             require(p.rate() > 0, "rate of plan " + p.name() + " must be above 0");
             require(p.limitRate() >= 0 && p.limitBurst() >= 0, "limit of plan " + p.name() + " is negative");
             plans.put(p.name(), p);
         }
-        this.shortestAim = aim;
+        this.shortestObjective = aim;
         this.around = aim / 3;
         this.aroundAt = now;
     }
@@ -118,59 +160,61 @@
     }
 
     /** Whether the list comes only when asked for; {@link #start} then says when to ask first. */
-    public boolean asksForList() { return settings.listMustBeAsked(); }
+    public boolean pollsEndpoints() {
+        return settings.endpointsPolled();
+    }
 
     /** The first actions of the instance. */
-    public List<Action> start() {
-        if (settings.listMustBeAsked()) listPace.started(now);
+    public List<ControlAction> start() {
+        if (settings.endpointsPolled()) listPace.started(now);
         askIfDue();
         planWake();
         return flush();
     }
 
     /** Takes one event at time {@code now} and answers with the actions it leads to, in order. */
-    public List<Action> on(double now, Event event) {
+    public List<ControlAction> on(double now, ControlEvent event) {
         this.now = Math.max(this.now, now);
-        if (event instanceof Arrival a) {
+        if (event instanceof RequestArrived a) {
             arrive(a);
-        } else if (event instanceof AttemptDone d) {
+        } else if (event instanceof AttemptEnded d) {
             done(d);
-        } else if (event instanceof NodeList l) {
+        } else if (event instanceof EndpointsReceived l) {
             learnList(l);
-        } else if (event instanceof ListFailed f) {
-            listPace.failed(this.now, f.failure() == ListFailure.TURNED_AWAY);
-        } else if (event instanceof Leaving l) {
-            leaveBy = l.by();
+        } else if (event instanceof EndpointPollFailed f) {
+            listPace.failed(this.now, f.failure() == EndpointPollFailure.REJECTED);
+        } else if (event instanceof ShutdownStarted l) {
+            leaveBy = l.deadline();
             for (Request r : open.values()) {
                 r.answerAt = r.streaming ? leaveBy : Math.min(r.answerAt, leaveBy);
                 dues.add(new Due(r.answerAt, r));
             }
-        } else if (event instanceof Retuned t) {
+        } else if (event instanceof SettingsChanged t) {
             t.classes().forEach(c -> classes.put(c.name(), c));
-            mostTries = Math.max(1, t.maxAttempts());
-        } else if (event instanceof LimitsLeft l) {
-            limitsLeft.putAll(l.levels());
-        } else if (event instanceof Doubted d) {
+            maxAttempts = Math.max(1, t.maxAttempts());
+        } else if (event instanceof LimitsRestored l) {
+            limitsLeft.putAll(l.tokens());
+        } else if (event instanceof NodesSuspected d) {
             for (Node n : nodes.values()) n.doubt(d.nodes().contains(n.id));
-        } else if (event instanceof RepeatsBounded b) {
+        } else if (event instanceof RetryBudgetChanged b) {
             repeats = b;
             for (Node n : nodes.values()) n.repeats = boundedRepeats();
-        } else if (event instanceof ListLeased l) {
-            listLeasedUntil = l.until();
-        } else if (event instanceof ListMoved) {
+        } else if (event instanceof EndpointLeaseRenewed l) {
+            listLeasedUntil = l.validUntil();
+        } else if (event instanceof EndpointSourceChanged) {
             listPace.moved(this.now);
-        } else if (event instanceof ClientGone g) {
+        } else if (event instanceof ClientDisconnected g) {
             Request r = open.get(g.id());
             if (r != null) {
                 callOff(r);
                 close(r);
             }
-        } else if (event instanceof AnswerStarted s) {
+        } else if (event instanceof ResponseStarted s) {
             Request r = open.get(s.id());
             if (r != null) r.streaming = true;
             Attempt a = attempts.get(s.id() + '#' + s.attempt());
-            if (a != null) a.node.flying.remove(s.id() + '#' + s.attempt());   // it no longer waits there
-        } else if (event instanceof Progress p) {
+            if (a != null) a.node.inFlight.remove(s.id() + '#' + s.attempt());   // it no longer waits there
+        } else if (event instanceof AttemptProgressed p) {
             heard(p.id(), p.attempt());
         } else if (event instanceof TimerFired && this.now >= wakeAt - settings.tick()) {
             wakeAt = Double.POSITIVE_INFINITY;   // a clock that rounds may fire it a little early
@@ -183,11 +227,11 @@
     }
 
     private void askIfDue() {
-        if (listPace.takeDue(now)) out.add(new Subscribe());
+        if (listPace.takeDue(now)) out.add(new PollEndpoints());
     }
 
     /** The units left in this host's part of each limited volume's store, less what is owed of its loan. */
-    public Map<String, Double> limitLevels() {
+    public Map<String, Double> limitTokens() {
         Map<String, Double> levels = new TreeMap<>();
         volumes.forEach((name, v) -> {
             if (v.plan.limitRate() > 0) levels.put(name, v.gate.fill(now) - v.gate.owed);
@@ -196,7 +240,7 @@
     }
 
     /** Nodes that failed to answer this instance itself, and how often it has tried each since. */
-    public Map<String, Integer> silentNodes() {
+    public Map<String, Integer> unresponsiveNodes() {
         Map<String, Integer> silent = new TreeMap<>();
         for (Node n : nodes.values()) if (n.suspect() && !n.doubted) silent.put(n.id, n.tries);
         return silent;
@@ -207,8 +251,8 @@
 
     int volumesKnown() { return volumes.size(); }
 
-    private RepeatBudget boundedRepeats() {
-        return new RepeatBudget(repeats.span(), 0, repeats.share(), settings.tick());
+    private RetryBudget boundedRepeats() {
+        return new RetryBudget(repeats.window(), 0, repeats.share(), settings.tick());
     }
 
     private void heard(String id, int number) {
@@ -216,8 +260,8 @@
         if (a != null) a.heardAt = now;
     }
 
-    private List<Action> flush() {
-        List<Action> actions = out;
+    private List<ControlAction> flush() {
+        List<ControlAction> actions = out;
         out = new ArrayList<>();
         return actions;
     }
@@ -237,23 +281,23 @@
 
     private record Due(double at, Request request) {}
 
-    private HeldQueue heldFor(Request r) { return held.computeIfAbsent(pinnedCell(r), c -> new HeldQueue()); }
+    private PendingQueue heldFor(Request r) { return held.computeIfAbsent(pinnedCell(r), c -> new PendingQueue()); }
 
     private static int pinnedCell(Request r) {
-        boolean pinned = r.in.cell() < 0 && r.maybeRanAt != null && r.kind.group() == Group.CELL;
+        boolean pinned = r.in.cell() < 0 && r.maybeRanAt != null && r.kind.deduplicationScope() == DeduplicationScope.CELL;
         return pinned ? r.maybeRanAt.cell : Math.max(-1, r.in.cell());
     }
 
-    private void arrive(Arrival a) {
+    private void arrive(RequestArrived a) {
         if (open.containsKey(a.id())) return;
         budget.add(now, true);
         RequestClass kind = classes.get(a.requestClass());
         Plan plan = plans.get(a.plan());
         if (kind == null || plan == null || !(a.units() >= 0)) {
-            out.add(new Refuse(a.id(), 0, Reason.UNKNOWN_CLASS));   // it never ran
+            out.add(new RejectRequest(a.id(), 0, Reason.UNKNOWN_CLASS));   // it never ran
             return;
         }
-        largest = Math.max(Math.max(largest, settings.unitMean()), a.units());
+        largest = Math.max(Math.max(largest, settings.meanUnits()), a.units());
         Request r = new Request();
         r.in = a;
         r.kind = kind;
@@ -264,7 +308,7 @@
         r.holdUntil = now + HOLD_PART * (a.deadline() - now);
         // What lacks from the class's deadline was spent on earlier tries; the aim counts from the first.
         double spent = Math.max(0, kind.deadline() - (a.deadline() - now));
-        r.aimAt = Math.min(now + kind.aim() - spent, r.answerAt);
+        r.objectiveAt = Math.min(now + kind.latencyObjective() - spent, r.answerAt);
         String name = a.volume() == null ? "" : a.volume();
         if (volumes.size() >= MANY_VOLUMES && !volumes.containsKey(name)) {
             // Guards memory against names that clients make up; a store that rested so long is full again.
@@ -274,26 +318,26 @@
         r.volume.gate.share(Math.max(1, a.hosts()), now);
         if (!limitsLeft.isEmpty()) r.volume.gate.left(limitsLeft.remove(name), now);
         open.put(a.id(), r);
-        if (r.volume.gate.fillsLate(a.units(), r.aimAt, now)) {
-            answer(r, Reason.LIMIT);
+        if (r.volume.gate.fillsLate(a.units(), r.objectiveAt, now)) {
+            answer(r, Reason.RATE_LIMITED);
             return;
         }
-        if (a.again() && !mayComeAgain(a)) {
-            answer(r, Reason.REPEATS_BOUND);
+        if (a.isRetry() && !mayComeAgain(a)) {
+            answer(r, Reason.RETRY_BUDGET_EXHAUSTED);
             return;
         }
-        r.late = now >= r.aimAt;
+        r.late = now >= r.objectiveAt;
         // A repeat past its aim is still of some use to an idle node; if none is, it is given up at once.
         if (r.late) r.holdUntil = now + settings.tick();
         if (!r.late) {
             tags.tag(r);
-            dues.add(new Due(r.aimAt, r));
+            dues.add(new Due(r.objectiveAt, r));
         }
         dues.add(new Due(r.answerAt, r));
         dues.add(new Due(r.holdUntil, r));
         if (kind.ordered() && a.key() != null) {
             if (keyOrders.size() > 2 * open.size() + 64) {   // rested keys would pile up over the weeks
-                keyOrders.values().removeIf(t -> t.waiting.isEmpty() && t.flying == 0 && now >= t.restUntil);
+                keyOrders.values().removeIf(t -> t.waiting.isEmpty() && t.inFlight == 0 && now >= t.restUntil);
             }
             keyOrders.computeIfAbsent(a.key(), k -> new KeyOrder()).waiting.add(r);
         }
@@ -301,7 +345,7 @@
     }
 
     /** A client's own retry takes its place in the node's repeats as it comes, whether it is sent or not. */
-    private boolean mayComeAgain(Arrival a) {
+    private boolean mayComeAgain(RequestArrived a) {
         List<Node> at = nodes.values().stream().filter(n -> n.cell == a.cell() && n.usable).toList();
         boolean may = at.stream().allMatch(n -> n.repeats.allows(now));
         if (may) at.forEach(n -> n.repeats.add(now, false));
@@ -311,7 +355,7 @@
     private boolean hasTurn(Request r) {
         if (!r.kind.ordered() || r.in.key() == null) return true;
         KeyOrder order = keyOrders.get(r.in.key());
-        return order.waiting.peek() == r && order.flying == 0 && now >= order.restUntil;
+        return order.waiting.peek() == r && order.inFlight == 0 && now >= order.restUntil;
     }
 
     // ---------------------------------------------------------------- tags
@@ -321,7 +365,7 @@
         final Plan plan;
         final Gate gate;
         final ArrayDeque<Request> busy = new ArrayDeque<>();
-        final UseShare use = new UseShare(now);
+        final UsageShare use = new UsageShare(now);
         double numTokens, maxS, minS, lastArrival = now, reserveLeft;
         double planLeft;
         long planStamp;
@@ -346,7 +390,7 @@
                 planLeft -= r.in.units();
                 return 1;
             }
-            return r.startTag <= r.arrived + 1000 ? settings.shareWorth() : settings.beyondWorth();
+            return r.startTag <= r.arrived + 1000 ? settings.quotaWeight() : settings.excessWeight();
         }
 
         /** Beyond the curve with the reserve spent: worth least, here and against other hosts' requests. */
@@ -366,10 +410,12 @@
             reserveLeft = Math.max(-units, reserveLeft - units);
         }
 
-        double part() { return use.part(1.0 / gate.hosts, settings.unitMean()); }
+        double part() { return use.part(1.0 / gate.hosts, settings.meanUnits()); }
 
         /** Rate of the arrival curve, units per second; its depth is one second of it. */
-        double rho() { return plan.rate() * part(); }
+        double rho() {
+            return plan.rate() * part();
+        }
 
         /**
          * Depth of the curve: one second of it, or one largest request. With many hosts a second of a part is
@@ -398,7 +444,7 @@
             }
             v.numTokens -= r.in.units();
             r.tokensSpent = true;
-            r.finishTag = r.startTag + r.kind.aim();
+            r.finishTag = r.startTag + r.kind.latencyObjective();
             if (v.busy.isEmpty()) v.minS = r.startTag;
             v.busy.add(r);
         }
@@ -442,10 +488,10 @@
             v.maxS -= step;
             for (Request q : v.busy) {
                 if (q.order > r.order && q.startTag > q.arrived) {
-                    HeldQueue h = heldFor(q);
+                    PendingQueue h = heldFor(q);
                     h.remove(q);
                     q.startTag = Math.max(q.arrived, q.startTag - step);
-                    q.finishTag = q.startTag + q.kind.aim();
+                    q.finishTag = q.startTag + q.kind.latencyObjective();
                     h.add(q);
                 }
             }
@@ -462,16 +508,16 @@
         final int cell;
         boolean usable, listed;
         double lastStart, toldAt;
-        final Map<String, Attempt> flying = new LinkedHashMap<>();
+        final Map<String, Attempt> inFlight = new LinkedHashMap<>();
         final ArrayDeque<double[]> sentUnits = new ArrayDeque<>();
         double window = WINDOW_START, latency, recent, perUnit, best = Double.POSITIVE_INFINITY;
         double bestAt = now, narrowedAt;
         double servedAt = now, sentAt = now, overtaken, trickleAt, errors;
-        RepeatBudget repeats = boundedRepeats();
+        RetryBudget repeats = boundedRepeats();
         int failures, tries;
         boolean missed, named, doubted;
 
-        Node(NodeEntry e) {
+        Node(Endpoint e) {
             id = e.node();
             zone = e.zone();
             cell = e.cell();
@@ -479,7 +525,7 @@
 
         /** Expected latency of a request of so many units. */
         double expected(double units) {
-            return Math.max(perUnit, expected() + (units - settings.unitMean()) * perUnit);
+            return Math.max(perUnit, expected() + (units - settings.meanUnits()) * perUnit);
         }
 
         /**
@@ -487,7 +533,7 @@
          * is out. Guards against acting on old news: with many hosts each hears of a node every few seconds.
          */
         double expected() {
-            for (Attempt a : flying.values()) {
+            for (Attempt a : inFlight.values()) {
                 if (a.heardAt > overtaken && !lost(a)) return Math.max(usual(), now - a.heardAt);
             }
             return usual();
@@ -501,7 +547,7 @@
          */
         private boolean lost(Attempt a) {
             if (now - a.heardAt <= CALM * usual()) return false;
-            for (Attempt first : flying.values()) {
+            for (Attempt first : inFlight.values()) {
                 if (first == a || a.heardAt <= overtaken) return true;
                 if (first.heardAt > overtaken) return false;
             }
@@ -510,12 +556,14 @@
 
         /** How long to wait for a safe request's answer so that a repeat can meet the aim; 0: no limit. */
         double patience(Request r) {
-            double took = expected(r.in.units()), spare = r.aimAt - now - took - 2 * settings.tick();
-            return r.kind.effect() == Effect.SAFE && !r.late && spare > CALM * took ? spare : 0;
+            double took = expected(r.in.units()), spare = r.objectiveAt - now - took - 2 * settings.tick();
+            return r.kind.idempotency() == Idempotency.IDEMPOTENT && !r.late && spare > CALM * took ? spare : 0;
         }
 
         /** Gone, and nothing is out there. Guards memory against nodes that come under ever new ids. */
-        boolean isDone() { return !listed && flying.isEmpty(); }
+        boolean isDone() {
+            return !listed && inFlight.isEmpty();
+        }
 
         boolean suspect() { return failures > 0; }
 
@@ -533,7 +581,7 @@
             named = isNamed;
         }
 
-        double target() { return Math.min(NEAR_BEST * best, shortestAim * AIM_PART); }
+        double target() { return Math.min(NEAR_BEST * best, shortestObjective * AIM_PART); }
 
         /**
          * Exception to the design: as a node's latency nears the aim, what is beyond the curve leaves at a
@@ -542,8 +590,8 @@
          */
         boolean pressed(Request r) {
             double part = r.volume.isBeyond(r) ? YIELD : 1;
-            boolean paced = !flying.isEmpty() || now < sentAt + YIELD_PACE * expected();
-            return paced && expected() > part * shortestAim;
+            boolean paced = !inFlight.isEmpty() || now < sentAt + YIELD_PACE * expected();
+            return paced && expected() > part * shortestObjective;
         }
 
         boolean takes(Request r) { return mayTake() && (!isCold() || coldAdmits(r)); }
@@ -552,8 +600,8 @@
             if (!usable || now >= listLeasedUntil || now < trickleAt) return false;
             double room = suspect() ? Math.min(1, window) : window;
             double most = Math.max(1, Math.floor(room));
-            if (flying.size() >= most) most += flying.values().stream().filter(this::lost).count();
-            if (flying.size() >= most) return false;
+            if (inFlight.size() >= most) most += inFlight.values().stream().filter(this::lost).count();
+            if (inFlight.size() >= most) return false;
             return room >= 1 || now >= sentAt + expected() / room;
         }
 
@@ -565,19 +613,19 @@
         private boolean coldAdmits(Request r) {
             double sent = sentWithin(), part = coldPart();
             if (sent + r.in.units() <= part) return true;
-            boolean free = sent == 0 || flying.isEmpty() && sent < SECOND * settings.unitMean();
+            boolean free = sent == 0 || inFlight.isEmpty() && sent < SECOND * settings.meanUnits();
             // What was held while the node was away leaves over as long as it may be held, not at once.
             double eased = r.arrived < toldAt ? Math.min(1, (now - toldAt) / (r.holdUntil - r.arrived)) : 1;
-            return part < settings.unitMean() && free && !r.late
-                && r.luck < eased * ADMISSION_CHANCE * ramp() * rules.fallMultiple();
+            return part < settings.meanUnits() && free && !r.late
+                && r.luck < eased * ADMISSION_CHANCE * ramp() * rules.overloadMultiple();
         }
 
         private double ramp() {
-            double share = Math.max(0.01, rules.coldShare());
-            return share + (1 - share) * Math.max(0, now - lastStart) / rules.coldTime();
+            double share = Math.max(0.01, rules.slowStartShare());
+            return share + (1 - share) * Math.max(0, now - lastStart) / rules.slowStartTime();
         }
 
-        boolean isCold() { return lastStart > 0 && now - lastStart < rules.coldTime(); }
+        boolean isCold() { return lastStart > 0 && now - lastStart < rules.slowStartTime(); }
 
         /**
          * This host's part of what a cold node bears in a span of the rule, as the ramp stands: the cold
@@ -588,14 +636,14 @@
             double[] bests = nodes.values().stream().filter(n -> !n.isCold() && n.latency > 0)
                 .mapToDouble(n -> n.best).sorted().toArray();
             double known = bests.length == 0 ? 0
-                : rules.fallMultiple() * rules.fallTime() * settings.unitMean() / bests[bests.length / 2];
-            double sure = rules.coldUnits() / Math.max(0.01, rules.coldShare());
+                : rules.overloadMultiple() * rules.overloadSpan() * settings.meanUnits() / bests[bests.length / 2];
+            double sure = rules.slowStartUnits() / Math.max(0.01, rules.slowStartShare());
             return Math.max(sure, known) * ramp() / settings.hosts();
         }
 
         double sentWithin() {
             double sum = 0;
-            while (!sentUnits.isEmpty() && sentUnits.peek()[0] < now - rules.fallTime() - settings.tick()) {
+            while (!sentUnits.isEmpty() && sentUnits.peek()[0] < now - rules.overloadSpan() - settings.tick()) {
                 sentUnits.poll();
             }
             for (double[] s : sentUnits) sum += s[1];
@@ -610,7 +658,7 @@
             errors *= 1 - LEARN;
             double units = Math.max(1, a.request.in.units()), each = took / units;
             perUnit = perUnit > 0 ? perUnit + (each < perUnit ? LEARN : LEARN / 5) * (each - perUnit) : each;
-            double mean = Math.max(each, took + (settings.unitMean() - units) * perUnit);
+            double mean = Math.max(each, took + (settings.meanUnits() - units) * perUnit);
             double before = servedAt;
             overtaken = Math.max(overtaken, a.sentAt);
             servedAt = now;
@@ -621,7 +669,7 @@
             best += (latency - best) * (1 - Math.exp(-(now - bestAt) / BEST_MEMORY));
             if (!(best <= latency)) best = latency;
             bestAt = now;
-            double norm = window <= 1 ? 2 * shortestAim * AIM_PART : target();
+            double norm = window <= 1 ? 2 * shortestObjective * AIM_PART : target();
             if (latency <= norm) {
                 if (a.wide) {
                     window = Math.min(WINDOW_CEILING, window + Math.min(window / 2, 1 / window));
@@ -633,12 +681,12 @@
         }
 
         /** A failed attempt that says something of the node: back off, then go on by a trickle. */
-        void failed(Outcome outcome) {
-            if (outcome == Outcome.ERROR) {
+        void failed(AttemptOutcome outcome) {
+            if (outcome == AttemptOutcome.ERROR) {
                 errors += LEARN * (1 - errors);
                 return;
             }
-            if (outcome.mayBeAlone() && !missed && !doubted) {
+            if (outcome.mayBeIsolated() && !missed && !doubted) {
                 missed = true;   // one answer or connection may be lost; that is not the end of the node
                 return;
             }
@@ -655,17 +703,19 @@
     }
 
     /** Latency over all nodes of late; into a guess when nothing was heard. */
-    private double around() { return fade(around, aroundAt, shortestAim / 3); }
+    private double around() {
+        return fade(around, aroundAt, shortestObjective / 3);
+    }
 
-    private void learnList(NodeList list) {
-        if (!list.persisted()) listPace.heard();
-        if (list.whole()) nodes.values().forEach(n -> n.usable = n.listed = false);
-        for (NodeEntry e : list.nodes()) {
+    private void learnList(EndpointsReceived list) {
+        if (!list.cached()) listPace.heard();
+        if (list.complete()) nodes.values().forEach(n -> n.usable = n.listed = false);
+        for (Endpoint e : list.endpoints()) {
             Node n = nodes.computeIfAbsent(e.node(), k -> new Node(e));
-            n.usable = e.phase() == Phase.HEALTHY;
-            n.listed = e.phase() != Phase.GONE;
-            if (e.born() > n.lastStart) {
-                n.lastStart = e.born();
+            n.usable = e.state() == EndpointState.HEALTHY;
+            n.listed = e.state() != EndpointState.REMOVED;
+            if (e.startedAt() > n.lastStart) {
+                n.lastStart = e.startedAt();
                 if (n.isCold()) {
                     n.toldAt = now;
                     n.window = Math.min(n.window, WINDOW_START);
@@ -681,9 +731,9 @@
 
     /** Sends what may leave now: each node's smallest finish tag first, new objects where they wait least. */
     private void pump() {
-        HeldQueue fresh = held.get(-1);
+        PendingQueue fresh = held.get(-1);
         for (Node n : nodes.values()) {
-            HeldQueue own = held.get(n.cell);
+            PendingQueue own = held.get(n.cell);
             boolean takesFresh = fresh != null && fresh.size() > 0 && welcomesFresh(n);
             if (own != null && own.onTime.size() > 1 && n.mayTake()) shed(own, n);
             while (n.usable && (own != null && own.size() > 0 || takesFresh && fresh.size() > 0)) {
@@ -706,9 +756,9 @@
     private Request pick(TreeSet<Request> queue, Node n) {
         if (!n.mayTake()) return null;
         for (Request r : queue) {
-            boolean inTime = now + n.expected(r.in.units()) <= r.aimAt;
+            boolean inTime = now + n.expected(r.in.units()) <= r.objectiveAt;
             if (n.pressed(r)) continue;
-            boolean idle = n.flying.isEmpty() && now > n.sentAt + LATE_PACE * n.expected();
+            boolean idle = n.inFlight.isEmpty() && now > n.sentAt + LATE_PACE * n.expected();
             boolean useful = inTime || !r.late && now + n.expected(r.in.units()) <= r.answerAt;
             if ((useful || idle) && n.takes(r) && mayLeave(r, n)) return r;
         }
@@ -720,17 +770,17 @@
      * in tag order, each that would come too late makes the least worthy so far, itself included, wait behind
      * the others. Guards against an overload in which the oldest go first and every one comes late.
      */
-    private void shed(HeldQueue own, Node n) {
-        double perUnit = n.expected() / (n.window * settings.unitMean());
+    private void shed(PendingQueue own, Node n) {
+        double perUnit = n.expected() / (n.window * settings.meanUnits());
         double ready = now;
         planStamp++;
         PriorityQueue<Request> kept = new PriorityQueue<>(
             Comparator.<Request>comparingDouble(r -> r.worth).thenComparingLong(r -> -r.order));
         List<Request> shed = new ArrayList<>();
         for (Request r : own.onTime) {
-            r.worth = r.kind.worth() * r.volume.plan.price() * r.volume.planned(r);
+            r.worth = r.kind.priorityWeight() * r.volume.plan.price() * r.volume.planned(r);
             kept.add(r);
-            if (ready + n.expected(r.in.units()) > r.aimAt) {
+            if (ready + n.expected(r.in.units()) > r.objectiveAt) {
                 Request least = kept.poll();
                 shed.add(least);
                 ready -= least == r ? 0 : (least.in.units() - r.in.units()) * perUnit;
@@ -742,12 +792,12 @@
     }
 
     private void leaveTagOrder(Request r) {
-        HeldQueue h = heldFor(r);
+        PendingQueue h = heldFor(r);
         h.remove(r);
         r.late = true;
         tags.giveBack(r);
         h.add(r);
-        if (r.tries == 0) answer(r, Reason.OVERLOAD);   // its client may find help elsewhere, or later
+        if (r.tries == 0) answer(r, Reason.LOAD_SHED);   // its client may find help elsewhere, or later
     }
 
     private boolean mayLeave(Request r, Node n) {
@@ -755,19 +805,19 @@
             return false;
         }
         if (r.tries > 0 && !(budget.allows(now) && n.repeats.allows(now))) return false;
-        return r.maybeRanSince < 0 || r.kind.effect() == Effect.SAFE || inGroup(r, n);
+        return r.maybeRanSince < 0 || r.kind.idempotency() == Idempotency.IDEMPOTENT || inGroup(r, n);
     }
 
     /** Until when nodes surely remember a keyed request that may have run; 0: it has not. */
     private double writeBy(Request r) {
-        boolean mayRepeat = r.kind.effect() == Effect.KEYED && r.maybeRanSince >= 0;
-        return mayRepeat ? r.maybeRanSince + r.kind.window() - settings.tick() : 0;
+        boolean mayRepeat = r.kind.idempotency() == Idempotency.IDEMPOTENCY_KEY && r.maybeRanSince >= 0;
+        return mayRepeat ? r.maybeRanSince + r.kind.idempotencyWindow() - settings.tick() : 0;
     }
 
     /** A keyed request that may have run goes only to nodes that drop its repeats, while they remember it. */
     private boolean inGroup(Request r, Node n) {
         if (now >= writeBy(r)) return false;
-        return switch (r.kind.group()) {
+        return switch (r.kind.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> n.zone != null && n.zone.equals(r.maybeRanAt.zone);
             case CELL -> n.cell == r.maybeRanAt.cell;
@@ -784,8 +834,8 @@
         double least = Double.POSITIVE_INFINITY;
         for (Node n : nodes.values()) {
             if (welcomesFresh(n) && n.takes(r)) {
-                HeldQueue own = held.get(n.cell);
-                double wait = n.expected() * (1 + n.flying.size() + (own == null ? 0 : own.onTime.size()));
+                PendingQueue own = held.get(n.cell);
+                double wait = n.expected() * (1 + n.inFlight.size() + (own == null ? 0 : own.onTime.size()));
                 if (wait < least) {
                     least = wait;
                     choice = n;
@@ -799,7 +849,7 @@
         heldFor(r).remove(r);
         tags.sent(r);
         if (!r.late) r.volume.drawReserve(r.in.units());
-        if (r.tries > 0 || !r.in.again()) n.repeats.add(now, r.tries == 0);
+        if (r.tries > 0 || !r.in.isRetry()) n.repeats.add(now, r.tries == 0);
         if (r.tries == 0) {
             r.volume.gate.draw(r.in.units());
         } else {
@@ -814,45 +864,45 @@
             n.trickleAt = now + TRICKLE;
             n.tries++;
         }
-        r.flying = a;
+        r.inFlight = a;
         attempts.put(r.in.id() + '#' + r.tries, a);
-        n.flying.put(r.in.id() + '#' + r.tries, a);
-        a.wide = n.flying.size() >= Math.floor(n.window);
+        n.inFlight.put(r.in.id() + '#' + r.tries, a);
+        a.wide = n.inFlight.size() >= Math.floor(n.window);
         n.sentUnits.add(new double[] {now, r.in.units()});
         if (n.sentUnits.size() > 4 * WINDOW_CEILING) n.sentWithin();
         n.sentAt = now;
-        if (r.kind.ordered() && r.in.key() != null) keyOrders.get(r.in.key()).flying++;
+        if (r.kind.ordered() && r.in.key() != null) keyOrders.get(r.in.key()).inFlight++;
         r.tries++;
-        out.add(new Send(r.in.id(), n.id, patience, writeBy(r)));
+        out.add(new SendAttempt(r.in.id(), n.id, patience, writeBy(r)));
     }
 
     // ---------------------------------------------------------------- outcomes and answers
 
-    private void done(AttemptDone d) {
+    private void done(AttemptEnded d) {
         Attempt a = attempts.remove(d.id() + '#' + d.attempt());
         if (a == null) return;
         Request r = a.request;
         Node n = a.node;
-        n.flying.remove(d.id() + '#' + d.attempt());
+        n.inFlight.remove(d.id() + '#' + d.attempt());
         if (n.isDone()) nodes.remove(n.id, n);
-        r.volume.use.learn(now, d.elsewhere(), d.usePercent(), r.volume.plan.rate());
-        if (d.outcome() == Outcome.SERVED) {
+        r.volume.use.learn(now, d.unitsElsewhere(), d.usagePercent(), r.volume.plan.rate());
+        if (d.outcome() == AttemptOutcome.SERVED) {
             n.served(a, d.took());
             r.volume.use.served(r.in.units());
-        } else if (d.outcome() != Outcome.CANCELLED && d.outcome() != Outcome.NOT_SENT) {
-            if (!d.outcome().mayBeAlone() || n.servedAt < a.sentAt) n.failed(d.outcome());
+        } else if (d.outcome() != AttemptOutcome.CANCELLED && d.outcome() != AttemptOutcome.NOT_SENT) {
+            if (!d.outcome().mayBeIsolated() || n.servedAt < a.sentAt) n.failed(d.outcome());
         }
         if (r.kind.ordered() && r.in.key() != null) {
             KeyOrder order = keyOrders.get(r.in.key());
-            order.flying--;
-            if (d.outcome() == Outcome.TIMED_OUT || d.outcome() == Outcome.RESET
-                || d.outcome() == Outcome.CANCELLED) {
-                order.restUntil = Math.max(order.restUntil, now + rules.keyRest() + settings.tick());
+            order.inFlight--;
+            if (d.outcome() == AttemptOutcome.TIMED_OUT || d.outcome() == AttemptOutcome.RESET
+                || d.outcome() == AttemptOutcome.CANCELLED) {
+                order.restUntil = Math.max(order.restUntil, now + rules.keyQuietTime() + settings.tick());
             }
         }
-        r.flying = null;
-        r.reached |= d.outcome() == Outcome.FULL || !d.outcome().neverRan();
-        if (!d.outcome().neverRan() && r.maybeRanSince < 0) {
+        r.inFlight = null;
+        r.reached |= d.outcome() == AttemptOutcome.AT_CAPACITY || !d.outcome().provesNotExecuted();
+        if (!d.outcome().provesNotExecuted() && r.maybeRanSince < 0) {
             r.maybeRanSince = a.sentAt;
             r.maybeRanAt = n;
         }
@@ -864,29 +914,30 @@
             r.streaming = false;
             dues.add(new Due(r.answerAt, r));
         }
-        if (d.ended()) {
+        if (d.requestFinished()) {
             close(r);
-        } else if (!d.spent() && mayRepeat(r) && n.repeats.allows(now) && (r.reached || now < r.holdUntil)) {
-            r.retryAt = d.outcome() == Outcome.TIMED_OUT ? now : now + BACKOFF * r.tries;
-            r.late |= r.retryAt + n.expected() > r.aimAt;
+        } else if (!d.bodyConsumed() && mayRepeat(r) && n.repeats.allows(now) && (r.reached || now < r.holdUntil)) {
+            r.retryAt = d.outcome() == AttemptOutcome.TIMED_OUT ? now : now + BACKOFF * r.tries;
+            r.late |= r.retryAt + n.expected() > r.objectiveAt;
             if (!r.late) r.volume.busy.add(r);   // back among the tags that shift together
             heldFor(r).add(r);
         } else {
-            answer(r, now >= r.answerAt ? Reason.TIME_OVER : Reason.NO_REPEAT);
+            answer(r, now >= r.answerAt ? Reason.DEADLINE_EXCEEDED : Reason.NOT_RETRYABLE);
         }
     }
 
     private boolean mayRepeat(Request r) {
-        if (r.tries >= mostTries || now >= r.answerAt) return false;
-        return r.kind.effect() == Effect.SAFE || r.maybeRanSince < 0
-            || r.kind.effect() == Effect.KEYED && now + BACKOFF * r.tries - r.maybeRanSince < r.kind.window();
+        if (r.tries >= maxAttempts || now >= r.answerAt) return false;
+        return r.kind.idempotency() == Idempotency.IDEMPOTENT || r.maybeRanSince < 0
+            || r.kind.idempotency() == Idempotency.IDEMPOTENCY_KEY && now + BACKOFF * r.tries - r.maybeRanSince < r.kind
+                .idempotencyWindow();
     }
 
     /** Gives the final answer: a refusal where a repeat does no harm, a failure otherwise. */
     private void answer(Request r, Reason reason) {
-        boolean harmless = r.proved() || r.kind.effect() == Effect.SAFE
-            || r.kind.effect() == Effect.KEYED && r.kind.group() == Group.ALL;
-        out.add(harmless ? new Refuse(r.in.id(), comeBack(r), reason) : new Fail(r.in.id(), reason));
+        boolean harmless = r.proved() || r.kind.idempotency() == Idempotency.IDEMPOTENT
+            || r.kind.idempotency() == Idempotency.IDEMPOTENCY_KEY && r.kind.deduplicationScope() == DeduplicationScope.ALL;
+        out.add(harmless ? new RejectRequest(r.in.id(), comeBack(r), reason) : new FailRequest(r.in.id(), reason));
         callOff(r);
         close(r);
     }
@@ -894,7 +945,7 @@
     /** When coming again may be of use: the limit holds the units, and what waits here may have gone. */
     private double comeBack(Request r) {
         // Whatever waits ahead now has left or been given up once an aim is over.
-        double wait = r.kind.aim(), held = heldFor(r).size();
+        double wait = r.kind.latencyObjective(), held = heldFor(r).size();
         for (Node n : nodes.values()) {
             if (n.cell == r.in.cell()) {
                 double turn = n.expected() * (1 + held / Math.max(1, n.window));
@@ -906,7 +957,7 @@
     }
 
     private void callOff(Request r) {
-        if (r.flying != null && settings.mayCancel()) out.add(new Cancel(r.in.id(), r.tries - 1));
+        if (r.inFlight != null && settings.mayCancel()) out.add(new CancelAttempt(r.in.id(), r.tries - 1));
     }
 
     private void close(Request r) {
@@ -923,7 +974,7 @@
         KeyOrder order = keyOrders.get(r.in.key());
         if (order != null) {
             order.waiting.remove(r);
-            if (order.waiting.isEmpty() && order.flying == 0 && now >= order.restUntil) {
+            if (order.waiting.isEmpty() && order.inFlight == 0 && now >= order.restUntil) {
                 keyOrders.remove(r.in.key());
             }
         }
@@ -935,10 +986,10 @@
             Request r = dues.poll().request;
             if (open.get(r.in.id()) != r || r.streaming && now < leaveBy) continue;
             if (now >= r.answerAt) {
-                answer(r, Reason.TIME_OVER);
+                answer(r, Reason.DEADLINE_EXCEEDED);
             } else if (now >= r.holdUntil && r.isHeld && !r.reached) {
-                answer(r, Reason.NOT_PLACED);
-            } else if (now >= r.aimAt && !r.late) {
+                answer(r, Reason.NO_ENDPOINT_IN_TIME);
+            } else if (now >= r.objectiveAt && !r.late) {
                 if (r.isHeld) leaveTagOrder(r);
                 r.late = true;
             }
--- /dev/null
+++ b/src/main/java/kelphollow/decision/ControlAction.java
@@ -0,0 +1,47 @@
+package kelphollow.decision;
+
+/** What the decision module wants done. Times are milliseconds on the host's clock. */
+public sealed interface ControlAction {
+    /** Why a request got a final answer without being served. */
+    enum Reason {
+        /** Its class or plan is not known. */
+        UNKNOWN_CLASS,
+        /** Its volume's rate limit has its units too late for it. */
+        RATE_LIMITED,
+        /** It is a client's retry, and the node's retry budget is spent. */
+        RETRY_BUDGET_EXHAUSTED,
+        /** It would come too late behind requests of a higher priority weight. */
+        LOAD_SHED,
+        /** No node could take it within the part of its time for which it may be queued. */
+        NO_ENDPOINT_IN_TIME,
+        /** Its deadline has passed, or this instance shuts down. */
+        DEADLINE_EXCEEDED,
+        /** Its last attempt ended without an answer, and it may not be retried. */
+        NOT_RETRYABLE
+    }
+
+    /**
+     * Send the next attempt of a request to a node.
+     *
+     * @param id the request
+     * @param node where to
+     * @param timeout how long to wait for an answer; 0: until the request's deadline
+     * @param writeBy clock time by which writing must have begun; 0: no such bound
+     */
+    record SendAttempt(String id, String node, double timeout, double writeBy) implements ControlAction {}
+
+    /** Final answer: rejected. The client may safely retry, best after {@code retryAfter} (0: no advice). */
+    record RejectRequest(String id, double retryAfter, Reason reason) implements ControlAction {}
+
+    /** Final answer: failed. The request may have been executed. */
+    record FailRequest(String id, Reason reason) implements ControlAction {}
+
+    /** Stop waiting for an attempt. */
+    record CancelAttempt(String id, int attempt) implements ControlAction {}
+
+    /** Notify this instance by {@link ControlEvent.TimerFired} at a time. */
+    record SetTimer(double at, String name) implements ControlAction {}
+
+    /** Poll the endpoint list and watch for later changes. */
+    record PollEndpoints() implements ControlAction {}
+}
--- a/src/main/java/kelphollow/decision/ListLease.java
+++ b/src/main/java/kelphollow/decision/EndpointListLease.java
@@ -1,6 +1,6 @@
 package kelphollow.decision;
 
-import kelphollow.decision.ControlApi.ListFailure;
+import kelphollow.decision.ControlEvent.EndpointPollFailure;
 
 /**
  * A lease on the node list: until when an instance may act on the list that it holds. Guards against sending
@@ -15,7 +15,7 @@
  *
  * <p>Times are milliseconds. Constant memory; for one thread; no clock of its own.
  */
-public final class ListLease {
+public final class EndpointListLease {
     /** What the lease rests on. */
     public enum State {
         /**
@@ -39,7 +39,7 @@
      */
     static final int SIGNS_AT_START = 2;
     /**
-     * A crowd of all instances is over in this many times the time over which {@link ListPace} spreads them.
+     * A crowd of all instances is over in this many times the time over which {@link EndpointPollSchedule} spreads them.
      */
     static final double CROWD_SPREADS = 2;
     /** The longest time for which a crowd is reckoned with, in milliseconds. */
@@ -59,7 +59,7 @@
     private int signs;
     private double firstSignAt;
 
-    private ListLease(double toldAfter, double ownLateness, boolean pushed, double crowdLasts) {
+    private EndpointListLease(double toldAfter, double ownLateness, boolean pushed, double crowdLasts) {
         this.toldAfter = toldAfter;
         this.term = toldAfter - ownLateness;
         this.pushed = pushed;
@@ -67,25 +67,25 @@
     }
 
     /** For a list that so many instances must ask for: nothing is sent before the service has spoken. */
-    public static ListLease asked(double toldAfter, double ownLateness, int instances) {
-        double crowd = Math.min(LONGEST_CROWD, CROWD_SPREADS * instances * ListPace.SPREAD_PER_INSTANCE);
-        return new ListLease(toldAfter, ownLateness, false, crowd);
+    public static EndpointListLease asked(double toldAfter, double ownLateness, int instances) {
+        double crowd = Math.min(LONGEST_CROWD, CROWD_SPREADS * instances * EndpointPollSchedule.SPREAD_PER_INSTANCE);
+        return new EndpointListLease(toldAfter, ownLateness, false, crowd);
     }
 
     /**
      * For a list that an agent on the same machine is sent and gives out at once. It is silent only while
      * the service is down; a refused connection shows at once that there is none.
      */
-    public static ListLease pushed(double toldAfter, double ownLateness) {
-        return new ListLease(toldAfter, ownLateness, true, 0);
+    public static EndpointListLease pushed(double toldAfter, double ownLateness) {
+        return new EndpointListLease(toldAfter, ownLateness, true, 0);
     }
 
     /**
      * For lists whose source nobody holds this instance to, such as one written into the configuration: it
      * never ends.
      */
-    public static ListLease unbounded() {
-        ListLease lease = new ListLease(0, 0, true, 0);
+    public static EndpointListLease unbounded() {
+        EndpointListLease lease = new EndpointListLease(0, 0, true, 0);
         lease.heardUpTo = Double.POSITIVE_INFINITY;
         return lease;
     }
@@ -98,9 +98,9 @@
     }
 
     /** A call that was made at {@code calledAt} failed after so many milliseconds. */
-    public void failed(ListFailure failure, double calledAt, double took) {
+    public void failed(EndpointPollFailure failure, double calledAt, double took) {
         if (!showsServiceDown(failure, took)) {
-            signs = failure == ListFailure.WATCH_BROKE ? signs : 0;
+            signs = failure == EndpointPollFailure.WATCH_BROKEN ? signs : 0;
             return;
         }
         firstSignAt = signs == 0 ? calledAt : firstSignAt;
@@ -110,8 +110,8 @@
         }
     }
 
-    private boolean showsItAtStart(ListFailure failure, double now) {
-        if (pushed && failure == ListFailure.NO_ANSWER) {
+    private boolean showsItAtStart(EndpointPollFailure failure, double now) {
+        if (pushed && failure == EndpointPollFailure.UNREACHABLE) {
             return true;
         }
         return signs >= SIGNS_AT_START && now - firstSignAt >= crowdLasts;
@@ -122,12 +122,12 @@
      * the list is pushed. Elsewhere silence is a broken watch, and a call that is turned away at once has met
      * a full queue: the service is there, and its news counts.
      */
-    private boolean showsServiceDown(ListFailure failure, double took) {
+    private boolean showsServiceDown(EndpointPollFailure failure, double took) {
         return switch (failure) {
-            case NO_ANSWER -> true;
-            case SILENT -> pushed;
-            case TURNED_AWAY -> took >= ListPace.WAITED_ITS_TURN;
-            case WATCH_BROKE, UNUSABLE_ANSWER -> false;
+            case UNREACHABLE -> true;
+            case TIMED_OUT -> pushed;
+            case REJECTED -> took >= EndpointPollSchedule.WAITED_ITS_TURN;
+            case WATCH_BROKEN, INVALID_RESPONSE -> false;
         };
     }
 
--- a/src/main/java/kelphollow/decision/ListPace.java
+++ b/src/main/java/kelphollow/decision/EndpointPollSchedule.java
@@ -15,7 +15,7 @@
  *
  * <p>Times are milliseconds. Constant memory; for one thread.
  */
-public final class ListPace {
+public final class EndpointPollSchedule {
     /** The longest pause after a failure that is no sign of a full queue. */
     public static final double LONGEST_PAUSE = 1_400;
     /** The shortest pause, as a share of the longest one. */
@@ -46,10 +46,10 @@
      * @param instances the size of the fleet that shares the service, at least 1
      * @param askEvery for how long an instance without a watch need not ask; 0: its first call is due at once
      */
-    ListPace(int instances, double askEvery, RandomGenerator random) {
+    EndpointPollSchedule(int instances, double pollInterval, RandomGenerator random) {
         this.random = random;
         double spread = instances * SPREAD_PER_INSTANCE;
-        this.firstCallWithin = Math.min(spread, askEvery * FIRST_CALL_SHARE);
+        this.firstCallWithin = Math.min(spread, pollInterval * FIRST_CALL_SHARE);
         this.longestBackoff = Math.max(LONGEST_PAUSE, Math.min(spread * BACKOFF_SPREAD, LONGEST_BACKOFF));
     }
 
--- a/src/main/java/kelphollow/decision/Gate.java
+++ b/src/main/java/kelphollow/decision/Gate.java
@@ -1,6 +1,6 @@
 package kelphollow.decision;
 
-import kelphollow.decision.ControlApi.Plan;
+import kelphollow.decision.ControlSettings.Plan;
 
 /**
  * The limit gate: this host's even part of the plan's store. An instance just started cannot know what
@@ -60,5 +60,7 @@
     }
 
     /** True when the limit holds these units only after this time. */
-    boolean fillsLate(double units, double by, double now) { return rate > 0 && wait(units, now) > by - now; }
+    boolean fillsLate(double units, double by, double now) {
+        return rate > 0 && wait(units, now) > by - now;
+    }
 }
--- a/src/main/java/kelphollow/decision/KeyOrder.java
+++ b/src/main/java/kelphollow/decision/KeyOrder.java
@@ -5,6 +5,6 @@
 /** Requests of one key in an ordered class: who is next, and until when the key rests. */
 final class KeyOrder {
     final ArrayDeque<Request> waiting = new ArrayDeque<>();
-    int flying;
+    int inFlight;
     double restUntil;
 }
--- a/src/main/java/kelphollow/decision/HeldQueue.java
+++ b/src/main/java/kelphollow/decision/PendingQueue.java
@@ -4,7 +4,7 @@
 import java.util.TreeSet;
 
 /** Requests of one cell that wait here: those that can meet their aim, then those that cannot. */
-final class HeldQueue {
+final class PendingQueue {
     private static final Comparator<Request> BY_FINISH = Comparator
         .<Request>comparingDouble(r -> r.finishTag).thenComparingLong(r -> r.order);
     final TreeSet<Request> onTime = new TreeSet<>(BY_FINISH);
--- a/src/main/java/kelphollow/decision/RepeatBudget.java
+++ b/src/main/java/kelphollow/decision/RetryBudget.java
@@ -7,12 +7,12 @@
  * against the budget: a first one is forgotten a tick early, a further one a tick late. Memory: a number for
  * each within the span.
  */
-final class RepeatBudget {
+final class RetryBudget {
     private final double span, free, share, tick;
     private final ArrayDeque<Double> first = new ArrayDeque<>(), further = new ArrayDeque<>();
 
     /** {@code free} further ones beside {@code share} of the first; a {@code span} of 0: any number. */
-    RepeatBudget(double span, double free, double share, double tick) {
+    RetryBudget(double span, double free, double share, double tick) {
         this.span = span;
         this.free = free;
         this.share = share;
--- a/src/main/java/kelphollow/decision/UseShare.java
+++ b/src/main/java/kelphollow/decision/UsageShare.java
@@ -5,7 +5,7 @@
  * #MEMORY}; from it follows the part of the volume's arrival curve that this host may fill. Times are
  * milliseconds.
  */
-final class UseShare {
+final class UsageShare {
     /** News of use is averaged over this time, a few periods of such news. */
     static final double MEMORY = 5_000;
 
@@ -13,7 +13,7 @@
     private double elsewhere;
     private double fadedAt;
 
-    UseShare(double now) {
+    UsageShare(double now) {
         fadedAt = now;
     }
 
--- a/src/main/java/kelphollow/digest/Digest.java
+++ b/src/main/java/kelphollow/digest/Digest.java
@@ -16,13 +16,13 @@
  */
 public final class Digest {
     private static final class Held {
-        final Part part;
+        final InstanceState part;
         /** When the instance said it, on this instance's clock; the latest that any copy of this version proves. */
         double saidAt;
         /** Whether membership speaks for the owner, so that the ages of copies say nothing. */
         boolean followed;
 
-        Held(Part part, double saidAt) {
+        Held(InstanceState part, double saidAt) {
             this.part = part;
             this.saidAt = saidAt;
         }
@@ -59,8 +59,8 @@
     /** Says a figure; returns whether it is news. A subject that is full takes no further key. */
     public boolean say(String subject, String key, double figure) {
         Map<String, Double> figures = own.get(subject);
-        if (figures == null ? own.size() >= Part.MOST_SUBJECTS
-            : figures.size() >= Part.MOST_KEYS && !figures.containsKey(key)) {
+        if (figures == null ? own.size() >= InstanceState.MOST_SUBJECTS
+            : figures.size() >= InstanceState.MOST_KEYS && !figures.containsKey(key)) {
             return false;
         }
         Double before = own.computeIfAbsent(subject, s -> new HashMap<>()).put(key, figure);
@@ -86,7 +86,7 @@
             return false;
         }
         changed = false;
-        parts.put(self, new Held(new Part(self, epoch, ++version, 0, own), now));
+        parts.put(self, new Held(new InstanceState(self, epoch, ++version, 0, own), now));
         return true;
     }
 
@@ -96,9 +96,9 @@
      * Takes what came from others; returns the parts that are new here. The join of a semilattice: the part with the
      * higher epoch and version wins whole, and of two copies of one version the younger tells its age.
      */
-    public List<Part> merge(double now, List<Part> told) {
-        List<Part> news = new ArrayList<>();
-        for (Part part : told) {
+    public List<InstanceState> merge(double now, List<InstanceState> told) {
+        List<InstanceState> news = new ArrayList<>();
+        for (InstanceState part : told) {
             if (part.instance().equals(self)) {
                 // An earlier process of this life's epoch can only be this one: its versions go on from there.
                 if (part.epoch() == epoch && part.version() > version) {
@@ -127,7 +127,7 @@
     }
 
     /** Whether a newer one has faded here, or this very one while membership held its owner for gone. */
-    private boolean isPast(Part part) {
+    private boolean isPast(InstanceState part) {
         Held before = faded.get(part.instance());
         return before != null && (before.part.replaces(part) || before.followed && !part.replaces(before.part));
     }
@@ -177,19 +177,19 @@
     // ---------------------------------------------------------------- telling
 
     /** The part of one instance that counts here, or null. */
-    public Part part(String instance) {
+    public InstanceState part(String instance) {
         Held held = parts.get(instance);
         return held == null ? null : held.part;
     }
 
     /** The newest part of one instance that this one has seen, also if it has faded, or null. */
-    public Part newest(String instance) {
+    public InstanceState newest(String instance) {
         Held held = parts.containsKey(instance) ? parts.get(instance) : faded.get(instance);
         return held == null ? null : held.part;
     }
 
     /** The part of one instance that counts here with its age, for telling it, or null. */
-    public Part aged(String instance, double now) {
+    public InstanceState aged(String instance, double now) {
         Held held = parts.get(instance);
         return held == null ? null : held.part.aged(instance.equals(self) ? 0 : Math.max(0, now - held.saidAt));
     }
@@ -198,28 +198,28 @@
      * Whether a part names a drain that neither the part before it nor one of another instance names, so that it should be
      * known everywhere at once.
      */
-    public boolean tellsNewDrain(Part part, Part before) {
-        Map<String, Double> unknown = new HashMap<>(part.subjects().getOrDefault(Drains.SUBJECT, Map.of()));
+    public boolean tellsNewDrain(InstanceState part, InstanceState before) {
+        Map<String, Double> unknown = new HashMap<>(part.subjects().getOrDefault(DrainNotices.SUBJECT, Map.of()));
         if (unknown.isEmpty()) {
             return false;
         }
         if (before != null) {
-            unknown.entrySet().removeAll(before.subjects().getOrDefault(Drains.SUBJECT, Map.of()).entrySet());
+            unknown.entrySet().removeAll(before.subjects().getOrDefault(DrainNotices.SUBJECT, Map.of()).entrySet());
         }
         for (Held held : parts.values()) {
             if (unknown.isEmpty()) {
                 return false;
             }
             if (!held.part.instance().equals(part.instance())) {
-                unknown.entrySet().removeAll(held.part.subjects().getOrDefault(Drains.SUBJECT, Map.of()).entrySet());
+                unknown.entrySet().removeAll(held.part.subjects().getOrDefault(DrainNotices.SUBJECT, Map.of()).entrySet());
             }
         }
         return !unknown.isEmpty();
     }
 
     /** All parts with their ages, for a full exchange. */
-    public List<Part> all(double now) {
-        List<Part> all = new ArrayList<>();
+    public List<InstanceState> all(double now) {
+        List<InstanceState> all = new ArrayList<>();
         parts.keySet().forEach(name -> all.add(aged(name, now)));
         return all;
     }
@@ -237,7 +237,7 @@
     }
 
     /** Calls for each instance with its part's age, for a page that operators read. */
-    public void each(double now, BiConsumer<Part, Double> reader) {
+    public void each(double now, BiConsumer<InstanceState, Double> reader) {
         parts.values().forEach(h -> reader.accept(h.part, Math.max(0, now - h.saidAt)));
     }
 }
--- a/src/main/java/kelphollow/digest/Drains.java
+++ b/src/main/java/kelphollow/digest/DrainNotices.java
@@ -10,7 +10,7 @@
  * the teller takes it back, or this instance's own discovery says that the node has started anew, or takes back a drain
  * after the notice came. For one thread.
  */
-public final class Drains {
+public final class DrainNotices {
     /** The subject in the digest; the figure is when the node was last started, as discovery tells it. */
     public static final String SUBJECT = "drain";
     // How long a node that is gone is still named: for longer than lists are late.
@@ -27,7 +27,7 @@
     private final Map<String, Own> own = new HashMap<>();
     private final Map<Notice, Double> notices = new HashMap<>();
 
-    public Drains(String self) {
+    public DrainNotices(String self) {
         this.self = self;
     }
 
--- a/src/main/java/kelphollow/digest/Part.java
+++ b/src/main/java/kelphollow/digest/InstanceState.java
@@ -13,7 +13,8 @@
  * @param age milliseconds since the instance said it, as far as is known; grows on its way, never from a wall clock
  * @param subjects at most {@link #MOST_SUBJECTS}, each with at most {@link #MOST_KEYS} keys
  */
-public record Part(String instance, long epoch, long version, double age, Map<String, Map<String, Double>> subjects) {
+public record InstanceState(String instance, long epoch, long version, double age,
+                            Map<String, Map<String, Double>> subjects) {
     /** Bounds of a part: a list that lies stays small. */
     public static final int MOST_SUBJECTS = 8;
     public static final int MOST_KEYS = 256;
@@ -23,7 +24,7 @@
     public static final int LONGEST_NAME = 128;
 
     /** Throws {@link IllegalArgumentException} if a bound is passed or a figure is none. */
-    public Part {
+    public InstanceState {
         check(instance);
         if (epoch < 0 || version < 0 || !(age >= 0)) {
             throw new IllegalArgumentException("epoch, version and age are not below 0");
@@ -67,12 +68,12 @@
     }
 
     /** Whether this one replaces the other, which is of the same instance. */
-    public boolean replaces(Part other) {
+    public boolean replaces(InstanceState other) {
         return epoch != other.epoch ? epoch > other.epoch : version > other.version;
     }
 
     /** The same, said so many milliseconds ago. */
-    public Part aged(double to) {
-        return new Part(instance, epoch, version, to, subjects);
+    public InstanceState aged(double to) {
+        return new InstanceState(instance, epoch, version, to, subjects);
     }
 }
--- a/src/main/java/kelphollow/dissemination/AntiEntropy.java
+++ b/src/main/java/kelphollow/dissemination/AntiEntropy.java
@@ -1,8 +1,8 @@
 package kelphollow.dissemination;
 
 import java.util.List;
-import kelphollow.digest.Part;
-import kelphollow.membership.News;
+import kelphollow.digest.InstanceState;
+import kelphollow.membership.MemberUpdate;
 
 /**
  * The messages of one comparison of views, one datagram each: {@link Summary}, answered by {@link Versions} where it
@@ -37,7 +37,7 @@
     }
 
     /** What the sender holds newer, and the names of which the receiver seems to. */
-    record Delta(List<News> news, List<Part> parts, List<String> wanted) implements AntiEntropy {
+    record Delta(List<MemberUpdate> news, List<InstanceState> parts, List<String> wanted) implements AntiEntropy {
         /** Throws {@link IllegalArgumentException} for too much. */
         public Delta {
             news = bounded(news);
@@ -57,12 +57,12 @@
      * @param partEpoch of the part that is held, or -1
      * @param partVersion of the part that is held, or -1
      */
-    record Entry(News member, long partEpoch, long partVersion) {
-        boolean isOlderThan(Part part) {
+    record Entry(MemberUpdate member, long partEpoch, long partVersion) {
+        boolean isOlderThan(InstanceState part) {
             return part.epoch() != partEpoch ? part.epoch() > partEpoch : part.version() > partVersion;
         }
 
-        boolean isNewerThan(Part part) {
+        boolean isNewerThan(InstanceState part) {
             return partEpoch >= 0 && (part == null
                 || (part.epoch() != partEpoch ? part.epoch() < partEpoch : part.version() < partVersion));
         }
--- a/src/main/java/kelphollow/dissemination/BucketHashes.java
+++ b/src/main/java/kelphollow/dissemination/BucketHashes.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import kelphollow.membership.News;
+import kelphollow.membership.MemberUpdate;
 
 /**
  * A view in a few hundred bytes: instances fall into buckets by a hash of their name, and each bucket is the exclusive or of
@@ -17,7 +17,7 @@
      * Adds one instance that is seen alive or suspected; the part's figures are -1 where none is held. Suspicions and what
      * refutes them count: where a rumour of either was lost, an instance that runs could be found dead.
      */
-    void add(News member, long partEpoch, long partVersion) {
+    void add(MemberUpdate member, long partEpoch, long partVersion) {
         long hash = mix(of(member.name()) ^ member.epoch());
         hash = mix(mix(hash ^ member.incarnation()) ^ member.state().ordinal());
         hash = mix(mix(hash ^ partEpoch) ^ partVersion);
--- a/src/main/java/kelphollow/dissemination/Dissemination.java
+++ b/src/main/java/kelphollow/dissemination/Dissemination.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import kelphollow.digest.Digest;
-import kelphollow.digest.Part;
+import kelphollow.digest.InstanceState;
 import kelphollow.membership.Membership;
-import kelphollow.membership.News;
-import kelphollow.membership.News.State;
+import kelphollow.membership.MemberUpdate;
+import kelphollow.membership.MemberUpdate.State;
 
 /**
  * Decides what of the digest is told to whom and when. What is new here goes on as a rumour; once a period the view is
@@ -67,7 +67,7 @@
     private final ByteBudget budget;
     private final ByteBudget rumourBudget;
     private final ByteBudget urgentBudget;
-    private final PartRumours rumours;
+    private final StateGossipQueue rumours;
     private double routineAt, compareAt;
 
     /** {@code members}: whom it tells, and whose views it compares. */
@@ -81,7 +81,7 @@
         this.budget = new ByteBudget(settings.bytesPerSecond(), now);
         this.rumourBudget = new ByteBudget(settings.bytesPerSecond() * RUMOURS, now);
         this.urgentBudget = new ByteBudget(settings.bytesPerSecond() * URGENT, now);
-        this.rumours = new PartRumours(settings.urgentTellings(), settings.routineTellings());
+        this.rumours = new StateGossipQueue(settings.urgentTellings(), settings.routineTellings());
         this.compareAt = now + random.nextDouble() * settings.comparePeriod();
     }
 
@@ -99,7 +99,7 @@
 
     /** Makes the own changes a version and a rumour; returns whether there were any. */
     public boolean publish(double now) {
-        Part before = digest.part(self);
+        InstanceState before = digest.part(self);
         if (!digest.publish(now)) {
             return false;
         }
@@ -108,15 +108,15 @@
     }
 
     /** Merges parts that came as rumours; what is new goes on. Returns whether there was any. */
-    public boolean heard(double now, List<Part> parts) {
+    public boolean heard(double now, List<InstanceState> parts) {
         Map<String, Boolean> urgent = new HashMap<>();
         parts.forEach(p -> urgent.put(p.instance(), digest.tellsNewDrain(p, digest.part(p.instance()))));
-        List<Part> news = digest.merge(now, parts);
+        List<InstanceState> news = digest.merge(now, parts);
         news.forEach(p -> rumours.add(p.instance(), urgent.get(p.instance())));
         Set<String> fresh = new HashSet<>();
         news.forEach(p -> fresh.add(p.instance()));
-        for (Part part : parts) {
-            Part held = fresh.contains(part.instance()) ? null : digest.part(part.instance());
+        for (InstanceState part : parts) {
+            InstanceState held = fresh.contains(part.instance()) ? null : digest.part(part.instance());
             if (held != null && !held.replaces(part)) {
                 rumours.heardAgain(part.instance(), members.size());
             }
@@ -130,7 +130,7 @@
     }
 
     /** Parts that ride on a message of membership. */
-    public List<Part> onBack(double now) {
+    public List<InstanceState> onBack(double now) {
         return rumours.hasUrgent() || allowsRumours(now) ? next(now, ON_BACK, 0, !allowsRumours(now)) : List.of();
     }
 
@@ -158,11 +158,11 @@
         return budget.allowsRoutine(now) && rumourBudget.allowsRoutine(now);
     }
 
-    private List<Part> next(double now, int mostBytes, int overhead, boolean urgentOnly) {
-        List<Part> parts = rumours.next(now, digest, members.size(), mostBytes, urgentOnly);
+    private List<InstanceState> next(double now, int mostBytes, int overhead, boolean urgentOnly) {
+        List<InstanceState> parts = rumours.next(now, digest, members.size(), mostBytes, urgentOnly);
         if (!parts.isEmpty()) {
             ByteBudget share = urgentOnly ? urgentBudget : rumourBudget;
-            share.spend(now, overhead + parts.stream().mapToLong(Part::estimatedBytes).sum());
+            share.spend(now, overhead + parts.stream().mapToLong(InstanceState::estimatedBytes).sum());
         }
         return parts;
     }
@@ -174,7 +174,7 @@
             to.add(present.get(random.nextInt(present.size())));
         }
         for (String other : to) {
-            List<Part> parts = next(now, DATAGRAM, OVERHEAD, urgentOnly);
+            List<InstanceState> parts = next(now, DATAGRAM, OVERHEAD, urgentOnly);
             if (!parts.isEmpty()) {
                 out.add(new Output.Tell(other, parts));
             }
@@ -183,18 +183,18 @@
 
     // ---------------------------------------------------------------- anti-entropy
 
-    private List<Integer> hashes(List<News> all) {
+    private List<Integer> hashes(List<MemberUpdate> all) {
         BucketHashes hashes = new BucketHashes();
-        for (News n : all) {
+        for (MemberUpdate n : all) {
             if (isPresent(n)) {
-                Part part = digest.newest(n.name());
+                InstanceState part = digest.newest(n.name());
                 hashes.add(n, part == null ? -1 : part.epoch(), part == null ? -1 : part.version());
             }
         }
         return hashes.list();
     }
 
-    private static boolean isPresent(News n) {
+    private static boolean isPresent(MemberUpdate n) {
         return n.state() == State.ALIVE || n.state() == State.SUSPECT;
     }
 
@@ -213,7 +213,7 @@
         return wanted(now, from, (AntiEntropy.Delta) message, members.all());
     }
 
-    private List<Output> differing(String from, AntiEntropy.Summary summary, List<News> all) {
+    private List<Output> differing(String from, AntiEntropy.Summary summary, List<MemberUpdate> all) {
         List<Integer> ours = hashes(all);
         List<Integer> buckets = new ArrayList<>();
         List<AntiEntropy.Entry> entries = new ArrayList<>();
@@ -234,27 +234,27 @@
         return buckets.isEmpty() ? List.of() : List.of(new Output.Compare(from, new AntiEntropy.Versions(buckets, entries)));
     }
 
-    private List<AntiEntropy.Entry> entries(int bucket, List<News> all) {
+    private List<AntiEntropy.Entry> entries(int bucket, List<MemberUpdate> all) {
         List<AntiEntropy.Entry> entries = new ArrayList<>();
-        for (News n : all) {
+        for (MemberUpdate n : all) {
             if (BucketHashes.bucket(n.name()) == bucket) {
-                Part part = isPresent(n) ? digest.newest(n.name()) : null;
-                entries.add(new AntiEntropy.Entry(new News(n.name(), "", n.epoch(), n.incarnation(), n.state(), ""),
+                InstanceState part = isPresent(n) ? digest.newest(n.name()) : null;
+                entries.add(new AntiEntropy.Entry(new MemberUpdate(n.name(), "", n.epoch(), n.incarnation(), n.state(), ""),
                     part == null ? -1 : part.epoch(), part == null ? -1 : part.version()));
             }
         }
         return entries;
     }
 
-    private List<Output> delta(double now, String to, AntiEntropy.Versions theirs, List<News> all) {
+    private List<Output> delta(double now, String to, AntiEntropy.Versions theirs, List<MemberUpdate> all) {
         Map<String, AntiEntropy.Entry> listed = new HashMap<>();
         theirs.entries().forEach(e -> listed.put(e.member().name(), e));
         Set<Integer> buckets = new HashSet<>(theirs.buckets());
         Set<String> wanted = new LinkedHashSet<>(listed.keySet());
         Filling filling = new Filling();
-        for (News n : all) {
+        for (MemberUpdate n : all) {
             AntiEntropy.Entry entry = listed.get(n.name());
-            Part part = isPresent(n) ? digest.part(n.name()) : null;
+            InstanceState part = isPresent(n) ? digest.part(n.name()) : null;
             if (entry == null) {
                 if (isPresent(n) && buckets.contains(BucketHashes.bucket(n.name()))) {
                     filling.add(n, digest.aged(n.name(), now));
@@ -272,13 +272,13 @@
         return filling.output(to, new ArrayList<>(wanted));
     }
 
-    private List<Output> wanted(double now, String to, AntiEntropy.Delta delta, List<News> all) {
+    private List<Output> wanted(double now, String to, AntiEntropy.Delta delta, List<MemberUpdate> all) {
         if (delta.wanted().isEmpty()) {
             return List.of();
         }
         Set<String> names = new HashSet<>(delta.wanted());
         Filling filling = new Filling();
-        for (News n : all) {
+        for (MemberUpdate n : all) {
             if (names.contains(n.name())) {
                 filling.add(n, isPresent(n) ? digest.aged(n.name(), now) : null);
             }
@@ -289,11 +289,11 @@
     /** Some datagrams' worth of news and parts: what does not fit is found by a later comparison. */
     private static final class Filling {
         private final List<AntiEntropy.Delta> full = new ArrayList<>();
-        private List<News> news = new ArrayList<>();
-        private List<Part> parts = new ArrayList<>();
+        private List<MemberUpdate> news = new ArrayList<>();
+        private List<InstanceState> parts = new ArrayList<>();
         private int bytes;
 
-        void add(News n, Part part) {
+        void add(MemberUpdate n, InstanceState part) {
             int size = (n == null ? 0 : NEWS + n.name().length()) + (part == null ? 0 : part.estimatedBytes());
             if (full.size() >= DELTAS || size == 0) {
                 return;
--- a/src/main/java/kelphollow/dissemination/Output.java
+++ b/src/main/java/kelphollow/dissemination/Output.java
@@ -1,7 +1,7 @@
 package kelphollow.dissemination;
 
 import java.util.List;
-import kelphollow.digest.Part;
+import kelphollow.digest.InstanceState;
 
 /** One datagram that is to be sent; it may be lost. */
 public sealed interface Output {
@@ -9,7 +9,7 @@
     String to();
 
     /** Parts that are new here. */
-    record Tell(String to, List<Part> parts) implements Output {}
+    record Tell(String to, List<InstanceState> parts) implements Output {}
 
     /** A step of a comparison. */
     record Compare(String to, AntiEntropy message) implements Output {}
--- a/src/main/java/kelphollow/dissemination/PartRumours.java
+++ b/src/main/java/kelphollow/dissemination/StateGossipQueue.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import kelphollow.digest.Digest;
-import kelphollow.digest.Part;
+import kelphollow.digest.InstanceState;
 
 /**
  * Changed parts on their way (rumour mongering with counters, Demers and others 1987, section 1.4): each is told some
@@ -15,7 +15,7 @@
  * that many change at once, comparisons move each part about once to each instance, and rumours several times. For one
  * thread.
  */
-final class PartRumours {
+final class StateGossipQueue {
     /** Most changes that wait and are not urgent; some three datagrams' worth. */
     static final int MOST_ROUTINE = 32;
 
@@ -37,7 +37,7 @@
     private final Map<String, Rumour> waiting = new LinkedHashMap<>();
 
     /** Both are multiples of the natural logarithm of the fleet's size. */
-    PartRumours(double urgentTellings, double routineTellings) {
+    StateGossipQueue(double urgentTellings, double routineTellings) {
         this.urgentTellings = urgentTellings;
         this.routineTellings = routineTellings;
     }
@@ -88,8 +88,8 @@
      * Up to so many bytes of parts for one datagram, of the urgent ones or of all; each counts as told once more. One part
      * always fits.
      */
-    List<Part> next(double now, Digest digest, int members, int mostBytes, boolean urgentOnly) {
-        List<Part> out = new ArrayList<>();
+    List<InstanceState> next(double now, Digest digest, int members, int mostBytes, boolean urgentOnly) {
+        List<InstanceState> out = new ArrayList<>();
         if (waiting.isEmpty()) {
             return out;
         }
@@ -97,7 +97,7 @@
         order.sort(ORDER);                              // stable: among equals the older one first
         int bytes = 0;
         for (Map.Entry<String, Rumour> e : order) {
-            Part part = digest.aged(e.getKey(), now);
+            InstanceState part = digest.aged(e.getKey(), now);
             Rumour rumour = e.getValue();
             if (urgentOnly && !rumour.urgent) {
                 break;
--- a/src/main/java/kelphollow/fleet/Fleet.java
+++ b/src/main/java/kelphollow/fleet/Fleet.java
@@ -13,22 +13,23 @@
 import java.util.function.BiConsumer;
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
-import kelphollow.decision.ControlApi.NodeEntry;
-import kelphollow.decision.ControlApi.Phase;
+import kelphollow.decision.ControlSettings;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointState;
 import kelphollow.digest.Digest;
-import kelphollow.digest.Drains;
-import kelphollow.digest.Part;
+import kelphollow.digest.DrainNotices;
+import kelphollow.digest.InstanceState;
 import kelphollow.dissemination.Dissemination;
 import kelphollow.membership.Membership;
 import kelphollow.membership.Output;
 import kelphollow.membership.Settings;
-import kelphollow.overload.GiveWay;
-import kelphollow.overload.Probing;
+import kelphollow.overload.LoadShedder;
+import kelphollow.overload.ProbeDelegation;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PeerLine;
 import kelphollow.protocol.peer.PeerTransport;
 import kelphollow.protocol.peer.Traffic;
-import kelphollow.routing.NodeControl;
+import kelphollow.routing.FleetRouting;
 import kelphollow.routing.Ticker;
 
 /**
@@ -51,7 +52,7 @@
      * @param key the fleet's key, at least 16 bytes
      * @param fades milliseconds after which what an instance said, and did not say again, counts no more
      * @param findings whether nodes that are found silent are told to the others, and taken from them
-     * @param shed whether what is worth less gives way to what other instances turn away, see {@link Shedding}
+     * @param shed whether what is worth less gives way to what other instances turn away, see {@link SheddingFilter}
      * @param repeats at each node, further attempts are at most this share of the first ones in any 10 s
      * @param telling how changes of the digest reach the others, and within which budget
      */
@@ -67,17 +68,17 @@
 
     private final Options options;
     private final Ticker ticker;
-    private final NodeControl core;
+    private final FleetRouting router;
     private final Events events;
     private final LongConsumer raised;
     private final PeerTransport line;
     private final Gossip gossip;
     private final Membership membership;
     private final Digest digest;
-    private final Drains drains;
-    private final Probing probing;
-    private final Shedding shedding;
-    private Set<String> cordoned = Set.of(), doubted = Set.of(), rested = Set.of();
+    private final DrainNotices drains;
+    private final ProbeDelegation probing;
+    private final SheddingFilter shedding;
+    private Set<String> ejected = Set.of(), doubted = Set.of(), rested = Set.of();
     private Ticker.Timeout timer;
     private boolean over;
 
@@ -85,19 +86,19 @@
      * @param epoch this life's number, higher than that of any life before
      * @param raised hears when this life goes on under a higher number, which is to be kept
      */
-    public Fleet(Options options, kelphollow.decision.ControlApi.Settings settings, long epoch,
-        io.netty.channel.EventLoop loop, Ticker ticker, NodeControl core, Random random,
+    public Fleet(Options options, ControlSettings settings, long epoch,
+        io.netty.channel.EventLoop loop, Ticker ticker, FleetRouting router, Random random,
         Events events, LongConsumer raised) {
         this(options, settings, epoch, (name, lifeEpoch, peers) -> new PeerLine(loop, name, lifeEpoch, options.key(),
-            options.membership().mostMembers(), peers), ticker, core, random, events, raised);
+            options.membership().mostMembers(), peers), ticker, router, random, events, raised);
     }
 
     /** The same over another transport. */
-    public Fleet(Options options, kelphollow.decision.ControlApi.Settings settings, long epoch, Transports transports,
-        Ticker ticker, NodeControl core, Random random, Events events, LongConsumer raised) {
+    public Fleet(Options options, ControlSettings settings, long epoch, Transports transports,
+        Ticker ticker, FleetRouting router, Random random, Events events, LongConsumer raised) {
         this.options = options;
         this.ticker = ticker;
-        this.core = core;
+        this.router = router;
         this.events = events;
         this.raised = raised;
         this.gossip = new Gossip(options.membership(), options.telling(), options.name(),
@@ -105,9 +106,9 @@
             options.peers().keySet(), options.fades(), random, ticker.now(), this);
         this.membership = gossip.membership();
         this.digest = gossip.digest();
-        this.drains = new Drains(options.name());
-        this.shedding = options.shed() ? new Shedding(settings, ticker, random) : null;
-        this.probing = new Probing(options.name(), PROBER_PATIENCE);
+        this.drains = new DrainNotices(options.name());
+        this.shedding = options.shed() ? new SheddingFilter(settings, ticker, random) : null;
+        this.probing = new ProbeDelegation(options.name(), PROBER_PATIENCE);
         this.line = transports.open(options.name(), membership::epoch, this);
     }
 
@@ -118,11 +119,11 @@
 
     /** Joins. On the loop. */
     public void start() {
-        core.boundRepeats(options.repeats(), REPEATS_IN);
+        router.limitRetries(options.repeats(), REPEATS_IN);
         if (shedding != null) {
-            core.admit(shedding);
+            router.admit(shedding);
         }
-        core.onList(this::listed);
+        router.onEndpointsReceived(this::listed);
         events.tell("started", options.name(), membership.epoch(), "", Map.of());
         look();
         turn();
@@ -227,10 +228,11 @@
 
     // ---------------------------------------------------------------- the digest
 
-    private void listed(List<NodeEntry> entries) {
+    private void listed(List<Endpoint> entries) {
         double now = ticker.now();
-        for (NodeEntry e : entries) {
-            drains.told(now, e.node(), e.phase() == Phase.DRAINING, e.phase() == Phase.GONE, e.born(), digest);
+        for (Endpoint e : entries) {
+            drains.told(now, e.node(), e.state() == EndpointState.DRAINING, e.state() == EndpointState.REMOVED, e
+                .startedAt(), digest);
         }
         follow();
         gossip.round(now);
@@ -245,13 +247,13 @@
         double now = ticker.now();
         Set<String> drained = drains.byOthers(now, digest);
         Set<String> left = options.findings() ? probing.rested(now, membership.present(), digest.on(SILENT, now)) : Set.of();
-        if (!drained.equals(cordoned) || !left.equals(rested)) {
+        if (!drained.equals(ejected) || !left.equals(rested)) {
             Set<String> all = new TreeSet<>(drained);
             all.addAll(left);
-            core.cordon(all);
+            router.eject(all);
         }
-        if (!drained.equals(cordoned)) {
-            cordoned = drained;
+        if (!drained.equals(ejected)) {
+            ejected = drained;
             events.tell("cordoned", options.name(), membership.epoch(), "by the word of others", Map.of("nodes", drained));
         }
         if (!left.equals(rested)) {
@@ -264,7 +266,7 @@
         });
         if (!silent.equals(doubted)) {
             doubted = silent;
-            core.doubt(silent);
+            router.doubt(silent);
         }
     }
 
@@ -273,7 +275,7 @@
             return;
         }
         double now = ticker.now();
-        Map<String, Integer> silent = options.findings() ? core.silentNodes() : Map.of();
+        Map<String, Integer> silent = options.findings() ? router.unresponsiveNodes() : Map.of();
         Set<String> said = new TreeSet<>(digest.on(SILENT, now).getOrDefault(options.name(), Map.of()).keySet());
         silent.forEach((node, tries) -> digest.say(SILENT, node, tries));
         said.removeAll(silent.keySet());
@@ -290,7 +292,7 @@
     // ---------------------------------------------------------------- operators
 
     /** Calls for each instance that is heard of with its part and the part's age in milliseconds. On the loop. */
-    public void eachPart(BiConsumer<Part, Double> reader) {
+    public void eachPart(BiConsumer<InstanceState, Double> reader) {
         digest.each(ticker.now(), reader);
     }
 
@@ -316,7 +318,7 @@
     /** What {@code fleet status} shows, as JSON on one line. */
     public String status() {
         double now = ticker.now();
-        Map<String, Part> says = new HashMap<>();
+        Map<String, InstanceState> says = new HashMap<>();
         Map<String, Double> ages = new HashMap<>();
         digest.each(now, (part, age) -> {
             says.put(part.instance(), part);
@@ -333,7 +335,7 @@
                 out.writeStringField("state", v.state().name().toLowerCase(Locale.ROOT));
                 out.writeNumberField("epoch", v.epoch());
                 out.writeNumberField("since_ms", v.since() == 0 ? 0 : Math.round(now - v.since()));
-                Part part = says.get(v.name());
+                InstanceState part = says.get(v.name());
                 if (part != null) {
                     out.writeNumberField("said_ms_ago", Math.round(ages.get(v.name())));
                     out.writeObjectFieldStart("says");
@@ -349,7 +351,7 @@
                 out.writeEndObject();
             }
             out.writeEndArray();
-            Events.names(out, "cordoned", cordoned);
+            Events.names(out, "cordoned", ejected);
             Events.names(out, "doubted", doubted);
             out.writeObjectFieldStart("probers");
             for (Map.Entry<String, String> e : probing.probers().entrySet()) {
@@ -370,9 +372,9 @@
     }
 
     private void writeShedding(JsonGenerator out) throws IOException {
-        Map<Integer, GiveWay.Cut> cuts = shedding == null ? Map.of() : shedding.cuts();
+        Map<Integer, LoadShedder.Cut> cuts = shedding == null ? Map.of() : shedding.cuts();
         out.writeObjectFieldStart("gives_way");
-        for (Map.Entry<Integer, GiveWay.Cut> cut : cuts.entrySet()) {
+        for (Map.Entry<Integer, LoadShedder.Cut> cut : cuts.entrySet()) {
             out.writeStringField(cut.getKey().toString(), String.format(Locale.ROOT, "%.0f%% of what is worth under %s",
                 100 * cut.getValue().part(), cut.getValue().level()));
         }
--- a/src/main/java/kelphollow/fleet/Gossip.java
+++ b/src/main/java/kelphollow/fleet/Gossip.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import kelphollow.digest.Digest;
-import kelphollow.digest.Part;
+import kelphollow.digest.InstanceState;
 import kelphollow.dissemination.AntiEntropy;
 import kelphollow.dissemination.Dissemination;
 import kelphollow.membership.Membership;
 import kelphollow.membership.Message;
-import kelphollow.membership.News;
+import kelphollow.membership.MemberUpdate;
 import kelphollow.membership.Settings;
 import kelphollow.protocol.peer.Packet;
 
@@ -86,8 +86,8 @@
 
     /** What those say that live counts on; what the others said fades. */
     private void renew(double now) {
-        for (News n : membership.all()) {
-            if (n.state() == News.State.ALIVE) {
+        for (MemberUpdate n : membership.all()) {
+            if (n.state() == MemberUpdate.State.ALIVE) {
                 digest.renew(now, n.name(), n.epoch());
             } else {
                 digest.lapse(n.name());
@@ -104,7 +104,7 @@
     private void carryOut(double now, List<kelphollow.membership.Output> outputs) {
         for (kelphollow.membership.Output output : outputs) {
             if (output instanceof kelphollow.membership.Output.Send send) {
-                List<Part> parts = dissemination.onBack(now);
+                List<InstanceState> parts = dissemination.onBack(now);
                 dissemination.sent(now, wire.send(send.to(), new Packet.Small(send.message(), parts)));
             } else if (output instanceof kelphollow.membership.Output.Exchange exchange) {
                 exchange(now, exchange.with());
@@ -177,20 +177,20 @@
     }
 
     private Packet.Full full(double now, boolean allParts) {
-        List<Part> parts = new ArrayList<>();
-        for (Part part : digest.all(now)) {
+        List<InstanceState> parts = new ArrayList<>();
+        for (InstanceState part : digest.all(now)) {
             if (allParts || part.instance().equals(self) || part.estimatedBytes() > LARGE_PART) {
                 parts.add(part);
             }
         }
         // In debt this side tells of itself alone: that it is there is what the other must know first.
-        List<News> news = dissemination.allowsExchange(now) ? membership.all() : membership.all().subList(0, 1);
+        List<MemberUpdate> news = dissemination.allowsExchange(now) ? membership.all() : membership.all().subList(0, 1);
         dissemination.sent(now, EXCHANGE_BYTES + (long) NEWS_BYTES * news.size()
-            + parts.stream().mapToLong(Part::estimatedBytes).sum());
+            + parts.stream().mapToLong(InstanceState::estimatedBytes).sum());
         return new Packet.Full(news, parts);
     }
 
-    private void learn(double now, List<Part> parts) {
+    private void learn(double now, List<InstanceState> parts) {
         if (dissemination.heard(now, parts)) {
             wire.learned();
             // What is urgent goes on at once: a round's wait at each hop would be most of the time it takes.
--- a/src/main/java/kelphollow/fleet/Shedding.java
+++ b/src/main/java/kelphollow/fleet/SheddingFilter.java
@@ -6,21 +6,21 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.zip.CRC32C;
-import kelphollow.decision.ControlApi.Arrival;
-import kelphollow.decision.ControlApi.Plan;
-import kelphollow.decision.ControlApi.RequestClass;
-import kelphollow.decision.ControlApi.Settings;
+import kelphollow.decision.ControlEvent.RequestArrived;
+import kelphollow.decision.ControlSettings;
+import kelphollow.decision.ControlSettings.Plan;
+import kelphollow.decision.ControlSettings.RequestClass;
 import kelphollow.digest.Digest;
-import kelphollow.overload.GiveWay;
-import kelphollow.routing.Admission;
+import kelphollow.overload.LoadShedder;
+import kelphollow.routing.AdmissionFilter;
 import kelphollow.routing.Ticker;
 
 /**
- * Wires {@link GiveWay} to the core and the digest: a request's worth is its class's times its plan's price; what is inside this
+ * Wires {@link LoadShedder} to the core and the digest: a request's worth is its class's times its plan's price; what is inside this
  * instance's part of its volume's reserve is never held back, and what a limit or
  * the bound of repeats may have turned away is no claim.
  */
-final class Shedding implements Admission {
+final class SheddingFilter implements AdmissionFilter {
     /** The subject in the digest: by shard the highest worth that an instance turns away. */
     static final String REFUSED = "refused";
 
@@ -37,9 +37,9 @@
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Map<String, Plan> plans = new HashMap<>();
     private final Map<String, Reserve> reserves = new HashMap<>();
-    private final GiveWay giveWay = new GiveWay();
+    private final LoadShedder giveWay = new LoadShedder();
 
-    Shedding(Settings settings, Ticker ticker, Random random) {
+    SheddingFilter(ControlSettings settings, Ticker ticker, Random random) {
         this.ticker = ticker;
         this.random = random;
         this.longestAdvice = settings.maxRetryAfter();
@@ -47,44 +47,44 @@
         settings.plans().forEach(p -> plans.put(p.name(), p));
     }
 
-    private double worth(Arrival facts) {
-        RequestClass kind = classes.get(facts.requestClass());
-        Plan plan = plans.get(facts.plan());
-        return kind == null || plan == null ? -1 : kind.worth() * plan.price();
+    private double worth(RequestArrived arrival) {
+        RequestClass kind = classes.get(arrival.requestClass());
+        Plan plan = plans.get(arrival.plan());
+        return kind == null || plan == null ? -1 : kind.priorityWeight() * plan.price();
     }
 
-    @Override public double advice(Arrival facts) {
-        double worth = worth(facts);
-        if (worth < 0 || facts.cell() < 0 || isReserved(facts)
-            || giveWay.admits(ticker.now(), facts.cell(), worth, lot(facts.key()))) {
+    @Override public double advice(RequestArrived arrival) {
+        double worth = worth(arrival);
+        if (worth < 0 || arrival.cell() < 0 || isReserved(arrival)
+            || giveWay.admits(ticker.now(), arrival.cell(), worth, lot(arrival.key()))) {
             return -1;
         }
         return random.nextDouble() * longestAdvice;   // full jitter: what is shed together must not come again together
     }
 
-    @Override public void refused(Arrival facts) {
-        Plan plan = plans.get(facts.plan());
+    @Override public void rejected(RequestArrived arrival) {
+        Plan plan = plans.get(arrival.plan());
         // A marked retry may have met the bound of its node's repeats, which says nothing of the node's room.
-        if (plan != null && plan.limitRate() <= 0 && !facts.again() && facts.cell() >= 0 && worth(facts) >= 0) {
-            giveWay.refused(ticker.now(), facts.cell(), worth(facts));
+        if (plan != null && plan.limitRate() <= 0 && !arrival.isRetry() && arrival.cell() >= 0 && worth(arrival) >= 0) {
+            giveWay.rejected(ticker.now(), arrival.cell(), worth(arrival));
         }
     }
 
-    private boolean isReserved(Arrival facts) {
-        double rate = plans.get(facts.plan()).reserve() / Math.max(1, facts.hosts()), now = ticker.now();
+    private boolean isReserved(RequestArrived arrival) {
+        double rate = plans.get(arrival.plan()).reserve() / Math.max(1, arrival.hosts()), now = ticker.now();
         if (rate <= 0) {
             return false;
         }
         if (reserves.size() > MANY) {
             reserves.values().removeIf(r -> now - r.at > 1_000);
         }
-        Reserve r = reserves.computeIfAbsent(facts.volume(), v -> new Reserve());
+        Reserve r = reserves.computeIfAbsent(arrival.volume(), v -> new Reserve());
         r.units = r.at == 0 ? rate : Math.min(rate, r.units + (now - r.at) / 1_000 * rate);
         r.at = now;
-        if (r.units < facts.units()) {
+        if (r.units < arrival.units()) {
             return false;
         }
-        r.units -= facts.units();
+        r.units -= arrival.units();
         return true;
     }
 
@@ -109,7 +109,7 @@
         return giveWay.step(now, highest);
     }
 
-    Map<Integer, GiveWay.Cut> cuts() {
+    Map<Integer, LoadShedder.Cut> cuts() {
         return giveWay.cuts();
     }
 }
--- a/src/main/java/kelphollow/lab/Clients.java
+++ b/src/main/java/kelphollow/lab/Clients.java
@@ -94,7 +94,8 @@
         if (write) {
             request.PUT(HttpRequest.BodyPublishers.ofString("body"));
         }
-        CompletableFuture<HttpResponse<String>> answer = http.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
+        CompletableFuture<HttpResponse<String>> answer = http.sendAsync(request.build(), HttpResponse.BodyHandlers
+            .ofString());
         answer.whenComplete((response, fault) -> {
             int status = response == null ? 0 : response.statusCode();
             if (status > 0 && status != 200 && !write && number <= retries && history.now() - due < PATIENCE / 2) {
--- a/src/main/java/kelphollow/lab/Figures.java
+++ b/src/main/java/kelphollow/lab/Figures.java
@@ -101,8 +101,10 @@
             + (up > 0 ? String.format(Locale.ROOT, "; an instance: %.1f datagrams and %.0f bytes a second, %.1f%% of a core",
                 datagrams / up * 1_000, bytes / up * 1_000, cpu / up * 100) : "")
             + phases().stream().filter(p -> phases().size() > 1).map(p -> String.format(Locale.ROOT,
-                "; of %.0f a second %.0f served, %.0f in time, worth %.0f", p[0], p[1], p[2], p[3])).collect(java.util.stream.Collectors.joining())
-            + spread("refusals", refusals) + spread("latencies", latency) + spread("deaths found", detection) + spread("drains followed", drains);
+                "; of %.0f a second %.0f served, %.0f in time, worth %.0f", p[0], p[1], p[2], p[3])).collect(
+                    java.util.stream.Collectors.joining())
+            + spread("refusals", refusals) + spread("latencies", latency) + spread("deaths found", detection) + spread(
+                "drains followed", drains);
     }
 
     /**
--- a/src/main/java/kelphollow/lab/StandIns.java
+++ b/src/main/java/kelphollow/lab/StandIns.java
@@ -25,7 +25,9 @@
  */
 final class StandIns implements AutoCloseable {
     /** How a node takes requests: it answers them, says nothing at all, or says at once that it cannot. */
-    enum Mood { WELL, SILENT, FAILING }
+    enum Mood {
+        WELL, SILENT, FAILING
+    }
 
     private final History history;
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
--- a/src/main/java/kelphollow/lab/soak/SoakNode.java
+++ b/src/main/java/kelphollow/lab/soak/SoakNode.java
@@ -18,7 +18,9 @@
 /** A stand-in storage node on the platform's protocol, which notes each command's first byte and can be made to fail. */
 final class SoakNode implements AutoCloseable {
     /** What becomes of the commands that come. */
-    enum Mode { SERVES, HANGS, RESETS, ANSWERS_ERRORS, TURNS_AWAY, ANSWERS_IN_HALVES }
+    enum Mode {
+        SERVES, HANGS, RESETS, ANSWERS_ERRORS, TURNS_AWAY, ANSWERS_IN_HALVES
+    }
 
     private static final Pattern WAIT = Pattern.compile("(?:^|,)d=([0-9.]+)");
     private static final int SHORTEST = 3;
--- a/src/main/java/kelphollow/ledger/Ledger.java
+++ b/src/main/java/kelphollow/ledger/Ledger.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import java.util.logging.Logger;
 import kelphollow.store.Batch;
-import kelphollow.store.Grade;
+import kelphollow.store.Durability;
 import kelphollow.store.Snapshot;
 import kelphollow.store.Store;
 import kelphollow.store.StoreFault;
@@ -30,7 +30,7 @@
     private final Executor loop;
     private final long epoch;
     private final long lostUpTo;
-    private long refused;
+    private long rejected;
 
     private Ledger(Store store, Executor loop, long epoch, long lostUpTo) {
         this.store = store;
@@ -67,7 +67,7 @@
     /** Writes and waits until it is synced; not for event loops. */
     private static void commit(Store store, Batch batch) throws IOException, StoreFault {
         CompletableFuture<StoreFault> done = new CompletableFuture<>();
-        store.write(batch, Grade.SYNCED, Runnable::run, done::complete);
+        store.write(batch, Durability.SYNCED, Runnable::run, done::complete);
         try {
             StoreFault fault = done.get();
             if (fault != null) {
@@ -119,7 +119,7 @@
 
     /** Writes before something goes out: {@code then} hears on the loop whether it is safe. */
     void before(Batch batch, Consumer<StoreFault> then) {
-        store.write(batch, Grade.SYNCED, loop, fault -> {
+        store.write(batch, Durability.SYNCED, loop, fault -> {
             note(fault);
             then.accept(fault);
         });
@@ -127,12 +127,12 @@
 
     /** Writes what nobody waits for: if it is lost, what it tells must be asked for again. */
     void after(Batch batch) {
-        store.write(batch, Grade.BUFFERED, loop, this::note);
+        store.write(batch, Durability.BUFFERED, loop, this::note);
     }
 
     private void note(StoreFault fault) {
-        if (fault != null && refused++ % 1_000 == 0) {
-            LOG.warning(() -> "store: not recorded (" + refused + " so far): " + fault.getMessage());
+        if (fault != null && rejected++ % 1_000 == 0) {
+            LOG.warning(() -> "store: not recorded (" + rejected + " so far): " + fault.getMessage());
         }
     }
 
--- a/src/main/java/kelphollow/ledger/LimitRecords.java
+++ b/src/main/java/kelphollow/ledger/LimitRecords.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
-import kelphollow.recovery.LimitStart;
+import kelphollow.recovery.LimitRecovery;
 import kelphollow.store.Batch;
 import kelphollow.store.StoreFault;
 
@@ -23,12 +23,12 @@
      * What the last life left, by volume. From here on those levels do not hold any more and are marked as not clean,
      * so that a crash of this life is not taken for the end of that one.
      */
-    public Map<String, LimitStart.Saved> take() throws IOException, StoreFault {
-        Map<String, LimitStart.Saved> saved = new HashMap<>();
+    public Map<String, LimitRecovery.Saved> take() throws IOException, StoreFault {
+        Map<String, LimitRecovery.Saved> saved = new HashMap<>();
         Batch used = new Batch();
         ledger.read(LIMITS, (volume, fields) -> {
             boolean clean = Records.number(fields, "endOf") == ledger.epoch() - 1;
-            saved.put(volume, new LimitStart.Saved(Records.number(fields, "level"), Records.number(fields, "at"), clean));
+            saved.put(volume, new LimitRecovery.Saved(Records.number(fields, "level"), Records.number(fields, "at"), clean));
             used.remove(LIMITS, Records.key(volume));
         });
         if (!used.isEmpty()) {
--- a/src/main/java/kelphollow/ledger/NodeRecords.java
+++ b/src/main/java/kelphollow/ledger/NodeRecords.java
@@ -6,10 +6,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import kelphollow.decision.ControlApi.NodeEntry;
-import kelphollow.decision.ControlApi.Phase;
-import kelphollow.recovery.ListAge;
-import kelphollow.routing.Member;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.recovery.CachedEndpointsAge;
+import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.store.Batch;
 import kelphollow.store.StoreFault;
 
@@ -21,10 +21,10 @@
     private static final double REFRESH = 5_000;
 
     /** A list and when it was last told, in Unix milliseconds. */
-    public record Saved(double at, List<Member> members) {}
+    public record Saved(double at, List<ResolvedEndpoint> members) {}
 
     private final Ledger ledger;
-    private List<Member> last = List.of();
+    private List<ResolvedEndpoint> last = List.of();
     private double lastAt = Double.NEGATIVE_INFINITY;
 
     NodeRecords(Ledger ledger) {
@@ -38,12 +38,12 @@
             return null;
         }
         Map<?, ?> fields = Records.fields(value);
-        List<Member> members = new ArrayList<>();
+        List<ResolvedEndpoint> members = new ArrayList<>();
         if (fields.get("members") instanceof List<?> all) {
             for (Object one : all) {
                 if (one instanceof Map<?, ?> m) {
-                    members.add(new Member(new NodeEntry(Records.word(m, "node"), Records.word(m, "zone"),
-                        (int) Records.number(m, "cell"), Phase.valueOf(Records.word(m, "phase")),
+                    members.add(new ResolvedEndpoint(new Endpoint(Records.word(m, "node"), Records.word(m, "zone"),
+                        (int) Records.number(m, "cell"), state(Records.word(m, "phase")),
                         Records.number(m, "born")),
                         new InetSocketAddress(Records.word(m, "host"), (int) Records.number(m, "port"))));
                 }
@@ -53,20 +53,20 @@
     }
 
     /** Keeps a whole list as it was just told. */
-    public void told(List<Member> members, double now) {
+    public void told(List<ResolvedEndpoint> members, double now) {
         if (members.equals(last) && now - lastAt < REFRESH) {
             return;
         }
         last = List.copyOf(members);
         lastAt = now;
         List<Map<String, Object>> all = new ArrayList<>();
-        for (Member m : members) {
+        for (ResolvedEndpoint m : members) {
             Map<String, Object> one = new LinkedHashMap<>();
-            one.put("node", m.entry().node());
-            one.put("zone", m.entry().zone());
-            one.put("cell", m.entry().cell());
-            one.put("phase", m.entry().phase().name());
-            one.put("born", m.entry().born());
+            one.put("node", m.endpoint().node());
+            one.put("zone", m.endpoint().zone());
+            one.put("cell", m.endpoint().cell());
+            one.put("phase", storedName(m.endpoint().state()));
+            one.put("born", m.endpoint().startedAt());
             one.put("host", m.address().getHostString());
             one.put("port", m.address().getPort());
             all.add(one);
@@ -74,20 +74,38 @@
         ledger.after(new Batch().put(NODES, LIST, Records.value("at", now, "members", all)));
     }
 
-    /** What a start may use of a saved list, in the order of {@link ListAge}: nodes of an aged one count as cold. */
-    public static List<Member> usable(Saved saved, double now, double expiresAfter) {
-        ListAge.Trust trust = ListAge.trust(saved.at(), now, expiresAfter);
-        if (trust == ListAge.Trust.EXPIRED) {
+    /** What a start may use of a saved list, in the order of {@link CachedEndpointsAge}: nodes of an aged one count as cold. */
+    public static List<ResolvedEndpoint> usable(Saved saved, double now, double expiresAfter) {
+        CachedEndpointsAge.Trust trust = CachedEndpointsAge.trust(saved.at(), now, expiresAfter);
+        if (trust == CachedEndpointsAge.Trust.EXPIRED) {
             return List.of();
         }
-        List<Member> usable = new ArrayList<>();
-        for (Member m : saved.members()) {
-            if (m.entry().phase() != Phase.GONE) {
-                NodeEntry e = m.entry();
-                usable.add(new Member(new NodeEntry(e.node(), e.zone(), e.cell(), e.phase(),
-                    ListAge.bornFor(trust, e.born(), now)), m.address()));
+        List<ResolvedEndpoint> usable = new ArrayList<>();
+        for (ResolvedEndpoint m : saved.members()) {
+            if (m.endpoint().state() != EndpointState.REMOVED) {
+                Endpoint e = m.endpoint();
+                usable.add(new ResolvedEndpoint(new Endpoint(e.node(), e.zone(), e.cell(), e.state(),
+                    CachedEndpointsAge.bornFor(trust, e.startedAt(), now)), m.address()));
             }
         }
         return usable;
     }
+
+    /** The name under which a state is stored. */
+    private static String storedName(EndpointState state) {
+        return switch (state) {
+            case HEALTHY -> "HEALTHY";
+            case DRAINING -> "DRAINING";
+            case REMOVED -> "GONE";
+        };
+    }
+
+    private static EndpointState state(String storedName) {
+        return switch (storedName) {
+            case "HEALTHY" -> EndpointState.HEALTHY;
+            case "DRAINING" -> EndpointState.DRAINING;
+            case "GONE" -> EndpointState.REMOVED;
+            default -> throw new IllegalArgumentException("unknown state of a stored endpoint: " + storedName);
+        };
+    }
 }
--- a/src/main/java/kelphollow/maintenance/Bans.java
+++ b/src/main/java/kelphollow/maintenance/MaintenanceSet.java
@@ -10,7 +10,7 @@
  * Which storage nodes the operators have taken out for maintenance. A ban is a set, not a count: two calls out and
  * one call back free the node. No I/O and no clock of its own; the text form is what the next process reads.
  */
-public final class Bans {
+public final class MaintenanceSet {
     /** Longest id that a ban may name, in characters; a longer one is no storage node's. */
     public static final int LONGEST_ID = 128;
     private final Set<String> held = new TreeSet<>();
--- a/src/main/java/kelphollow/membership/Rumours.java
+++ b/src/main/java/kelphollow/membership/GossipQueue.java
@@ -10,21 +10,21 @@
  * News on its way (SWIM section 4.1): each is told some multiple of log(n) times, the least told first, and a newer one
  * of the same instance takes the place of the older. So it holds one news an instance at most.
  */
-final class Rumours {
+final class GossipQueue {
     private static final int TELLINGS = 4;
 
     private static final class Rumour {
-        final News news;
+        final MemberUpdate news;
         int told;
 
-        Rumour(News news) {
+        Rumour(MemberUpdate news) {
             this.news = news;
         }
     }
 
     private final Map<String, Rumour> waiting = new LinkedHashMap<>();
 
-    void add(News news) {
+    void add(MemberUpdate news) {
         waiting.remove(news.name());
         waiting.put(news.name(), new Rumour(news));
     }
@@ -34,9 +34,9 @@
      * others 1987, section 1.4), or hundreds that start together tell each other for long what all know. Suspicions and
      * what refutes them are told as often as they are due all the same.
      */
-    void heardAgain(News news, int members) {
+    void heardAgain(MemberUpdate news, int members) {
         Rumour rumour = waiting.get(news.name());
-        if (rumour != null && news.state() == News.State.ALIVE && news.incarnation() == 0 && rumour.news.equals(news)
+        if (rumour != null && news.state() == MemberUpdate.State.ALIVE && news.incarnation() == 0 && rumour.news.equals(news)
             && ++rumour.told >= enough(members)) {
             waiting.remove(news.name());
         }
@@ -51,8 +51,8 @@
     }
 
     /** Up to {@code most} news for one datagram, {@code first} (or null) ahead of all. */
-    List<News> next(int most, int members, News first) {
-        List<News> out = new ArrayList<>();
+    List<MemberUpdate> next(int most, int members, MemberUpdate first) {
+        List<MemberUpdate> out = new ArrayList<>();
         if (first != null) {
             out.add(first);
         }
--- a/src/main/java/kelphollow/membership/Health.java
+++ b/src/main/java/kelphollow/membership/LocalHealth.java
@@ -4,11 +4,11 @@
  * Lifeguard's local health multiplier: the more an instance seems to be slow itself, the longer it waits for others
  * before it accuses them. From 0 (well) to one less than the most.
  */
-final class Health {
+final class LocalHealth {
     private final int most;
     private int score;
 
-    Health(int most) {
+    LocalHealth(int most) {
         this.most = most;
     }
 
--- a/src/main/java/kelphollow/membership/News.java
+++ b/src/main/java/kelphollow/membership/MemberUpdate.java
@@ -10,7 +10,7 @@
  * @param incarnation its word against suspicion within a life, raised by the instance alone
  * @param by who suspects it, or who found it dead; empty for the instance's own word
  */
-public record News(String name, String address, long epoch, long incarnation, State state, String by) {
+public record MemberUpdate(String name, String address, long epoch, long incarnation, State state, String by) {
     /** Longest name and address, in characters. */
     public static final int LONGEST_NAME = 64;
     public static final int LONGEST_ADDRESS = 64;
@@ -19,7 +19,7 @@
     public enum State { ALIVE, SUSPECT, DEAD, LEFT }
 
     /** Throws {@link IllegalArgumentException} for what no instance could mean. */
-    public News {
+    public MemberUpdate {
         if (name == null || name.isEmpty() || name.length() > LONGEST_NAME || address == null
             || address.length() > LONGEST_ADDRESS || by == null || by.length() > LONGEST_NAME || state == null
             || epoch < 0 || incarnation < 0) {
@@ -31,7 +31,7 @@
      * SWIM section 4.2: a higher incarnation overrides; at the same one suspicion overrides life and death overrides
      * both. Around that: a later life overrides an earlier one, and who left has left for the rest of its life.
      */
-    public boolean overrides(News other) {
+    public boolean overrides(MemberUpdate other) {
         if (epoch != other.epoch) {
             return epoch > other.epoch;
         }
@@ -44,7 +44,7 @@
         return state.ordinal() > other.state.ordinal();
     }
 
-    News as(State next, String who) {
-        return new News(name, address, epoch, incarnation, next, who);
+    MemberUpdate as(State next, String who) {
+        return new MemberUpdate(name, address, epoch, incarnation, next, who);
     }
 }
--- a/src/main/java/kelphollow/membership/Membership.java
+++ b/src/main/java/kelphollow/membership/Membership.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
-import kelphollow.membership.News.State;
+import kelphollow.membership.MemberUpdate.State;
 import kelphollow.membership.Output.Event;
 import kelphollow.membership.Output.Exchange;
 import kelphollow.membership.Output.Kind;
@@ -35,10 +35,10 @@
     public record View(String name, State state, long epoch, long incarnation, double since, String address) {}
 
     private static final class Member {
-        News news;
+        MemberUpdate news;
         double since;
 
-        Member(News news, double since) {
+        Member(MemberUpdate news, double since) {
             this.news = news;
             this.since = since;
         }
@@ -71,11 +71,11 @@
     private final Map<String, Member> members = new TreeMap<>();
     private final Map<String, Suspicion> suspicions = new HashMap<>();
     private final Map<Long, Errand> errands = new HashMap<>();
-    private final Rumours rumours = new Rumours();
-    private final Health health;
+    private final GossipQueue rumours = new GossipQueue();
+    private final LocalHealth health;
     private final List<String> ring = new ArrayList<>();
     private List<Output> out = new ArrayList<>();
-    private News me;
+    private MemberUpdate me;
     private Probe probe;
     private double now, roundAt, spreadAt = Double.POSITIVE_INFINITY, rejoinAt;
     private long numbers, passedOver;
@@ -95,8 +95,8 @@
         this.peers = peers.stream().filter(p -> !p.equals(self)).sorted().toList();
         this.random = random;
         this.now = now;
-        this.health = new Health(settings.healthMost());
-        this.me = new News(self, address, epoch, 0, State.ALIVE, "");
+        this.health = new LocalHealth(settings.healthMost());
+        this.me = new MemberUpdate(self, address, epoch, 0, State.ALIVE, "");
         this.roundAt = now + random.nextDouble() * settings.period();   // full jitter: instances start together
         this.rejoinAt = now;
         rumours.add(me);
@@ -203,7 +203,7 @@
 
     /** Lifeguard's buddy system: a suspect hears of the suspicion with the very probe that may clear it. */
     private void ping(String target, long number) {
-        News of = members.get(target).news;
+        MemberUpdate of = members.get(target).news;
         send(target, new Message.Ping(number, target, news(of.state() == State.SUSPECT ? of : null)));
     }
 
@@ -277,8 +277,8 @@
     }
 
     /** All that is known, this instance first: one side of a full exchange. */
-    public List<News> all() {
-        List<News> all = new ArrayList<>();
+    public List<MemberUpdate> all() {
+        List<MemberUpdate> all = new ArrayList<>();
         all.add(me);
         members.values().forEach(m -> all.add(m.news));
         return all;
@@ -288,10 +288,10 @@
      * The other side of a full exchange. Whom it holds for dead and this instance for present is suspected, no more, and
      * may say otherwise. Guards against two halves that find together again and take over each other's dead.
      */
-    public List<Output> told(double at, String from, List<News> all) {
+    public List<Output> told(double at, String from, List<MemberUpdate> all) {
         pass(at);
         if (!left) {
-            for (News n : all.subList(0, Math.min(all.size(), settings.mostMembers()))) {
+            for (MemberUpdate n : all.subList(0, Math.min(all.size(), settings.mostMembers()))) {
                 Member m = members.get(n.name());
                 boolean doubtful = n.state() == State.DEAD && m != null && present(m);
                 hear(doubtful ? n.as(State.SUSPECT, from) : n, "told by " + from);
@@ -316,7 +316,7 @@
 
     // ---------------------------------------------------------------- news
 
-    private void hear(News n, String why) {
+    private void hear(MemberUpdate n, String why) {
         if (n.name().equals(self)) {
             hearOfSelf(n);
             return;
@@ -345,7 +345,7 @@
             rumours.heardAgain(n, count());
             return;
         }
-        News before = m.news;
+        MemberUpdate before = m.news;
         m.news = n;
         m.since = now;
         suspicions.remove(n.name());
@@ -374,7 +374,7 @@
     }
 
     /** Others are refuted by a higher incarnation; a later life under this name makes this one give way. */
-    private void hearOfSelf(News n) {
+    private void hearOfSelf(MemberUpdate n) {
         boolean gone = n.state() == State.DEAD || n.state() == State.LEFT;
         if (n.epoch() > me.epoch()) {
             if (gone || n.address().equals(address)) {
@@ -388,24 +388,24 @@
             if (n.state() == State.LEFT) {
                 raise(n.epoch() + 1);
             } else if (n.state() != State.ALIVE && n.incarnation() >= me.incarnation()) {
-                me = new News(self, address, me.epoch(), n.incarnation() + 1, State.ALIVE, "");
+                me = new MemberUpdate(self, address, me.epoch(), n.incarnation() + 1, State.ALIVE, "");
                 health.add(1);
                 rumour(me);
                 out.add(new Event(Kind.REFUTED, self, me.epoch(), n.state() + " by " + n.by()));
             } else if (n.state() == State.ALIVE && n.incarnation() > me.incarnation()) {
-                me = new News(self, address, me.epoch(), n.incarnation(), State.ALIVE, "");
+                me = new MemberUpdate(self, address, me.epoch(), n.incarnation(), State.ALIVE, "");
             }
         }
     }
 
     private void raise(long epoch) {
         displaced = false;
-        me = new News(self, address, epoch, 0, State.ALIVE, "");
+        me = new MemberUpdate(self, address, epoch, 0, State.ALIVE, "");
         rumour(me);
         out.add(new Raised(epoch));
     }
 
-    private void confirm(News n) {
+    private void confirm(MemberUpdate n) {
         Member m = members.get(n.name());
         Suspicion s = suspicions.get(n.name());
         if (m != null && s != null && m.news.epoch() == n.epoch() && m.news.incarnation() == n.incarnation()
@@ -422,7 +422,7 @@
         }
     }
 
-    private void rumour(News n) {
+    private void rumour(MemberUpdate n) {
         rumours.add(n);
         spreadAt = Math.min(spreadAt, now + settings.spread());
     }
@@ -450,7 +450,7 @@
             return;
         }
         for (String other : to.subList(0, Math.min(settings.fanout(), to.size()))) {
-            List<News> some = news(null);
+            List<MemberUpdate> some = news(null);
             if (!some.isEmpty()) {
                 send(other, new Message.Gossip(some));
             }
@@ -473,7 +473,7 @@
         }
     }
 
-    private List<News> news(News first) {
+    private List<MemberUpdate> news(MemberUpdate first) {
         return rumours.next(settings.mostNews(), count(), first);
     }
 
--- a/src/main/java/kelphollow/membership/Settings.java
+++ b/src/main/java/kelphollow/membership/Settings.java
@@ -47,7 +47,8 @@
     /** The same with rounds of another length; all that is counted in rounds follows. */
     public Settings withPeriod(double millis) {
         double by = millis / period;
-        return new Settings(millis, timeout * by, relays, Math.min(spread, millis / 4), fanout, suspicionLeast, suspicionMost,
+        return new Settings(millis, timeout * by, relays, Math.min(spread, millis / 4), fanout, suspicionLeast,
+            suspicionMost,
             confirmations, healthMost, rejoin * by, mostMembers, mostNews, Math.max(standstill, millis / 2));
     }
 }
--- a/src/main/java/kelphollow/overload/GiveWay.java
+++ b/src/main/java/kelphollow/overload/LoadShedder.java
@@ -18,7 +18,7 @@
  *
  * <p>For one thread. Memory: a few numbers for each shard and worth that was met within a second.
  */
-public final class GiveWay {
+public final class LoadShedder {
     /** How often the parts move, in milliseconds. */
     public static final double STEP = 200;
     // Down once in the time in which a claim shows whether the step before was enough; up in proportion, since at ten times
@@ -35,15 +35,15 @@
 
     private static final class Asked {
         double since;
-        int came, asked, refused, cameBefore, askedBefore, refusedBefore;
+        int came, asked, rejected, cameBefore, askedBefore, refusedBefore;
 
         void turn(double now) {
             if (now - since >= MEMORY) {
                 boolean follows = now - since < 2 * MEMORY;
                 cameBefore = follows ? came : 0;
                 askedBefore = follows ? asked : 0;
-                refusedBefore = follows ? refused : 0;
-                came = asked = refused = 0;
+                refusedBefore = follows ? rejected : 0;
+                came = asked = rejected = 0;
                 since = now;
             }
         }
@@ -54,7 +54,7 @@
         }
 
         boolean claims() {
-            int all = asked + askedBefore, lost = refused + refusedBefore;
+            int all = asked + askedBefore, lost = rejected + refusedBefore;
             return lost >= LEAST && lost >= PART * all;
         }
     }
@@ -106,8 +106,8 @@
     }
 
     /** One that was admitted was turned away, having found no room at the shard's node. */
-    public void refused(double now, int shard, double worth) {
-        asked(now, shard, worth).refused++;
+    public void rejected(double now, int shard, double worth) {
+        asked(now, shard, worth).rejected++;
     }
 
     /** What this instance tells the others: by shard the highest worth that it turns away. */
@@ -115,7 +115,7 @@
         Map<Integer, Double> claims = new TreeMap<>();
         met.values().removeIf(worths -> {
             worths.values().forEach(a -> a.turn(now));
-            worths.values().removeIf(a -> a.came + a.refused + a.cameBefore + a.refusedBefore == 0);
+            worths.values().removeIf(a -> a.came + a.rejected + a.cameBefore + a.refusedBefore == 0);
             return worths.isEmpty();
         });
         met.forEach((shard, worths) -> worths.descendingMap().entrySet().stream().filter(e -> e.getValue().claims())
--- a/src/main/java/kelphollow/overload/Probing.java
+++ b/src/main/java/kelphollow/overload/ProbeDelegation.java
@@ -24,7 +24,7 @@
  *
  * <p>For one thread. Memory: one record for each node and instance that is told.
  */
-public final class Probing {
+public final class ProbeDelegation {
     private record Claim(String node, String instance) {}
 
     private static final class Trials {
@@ -37,7 +37,7 @@
     private Map<String, String> probers = Map.of();
 
     /** {@code patience}: milliseconds after which a figure that stands still shows that nobody tries; several trials' time. */
-    public Probing(String self, double patience) {
+    public ProbeDelegation(String self, double patience) {
         this.self = self;
         this.patience = patience;
     }
@@ -95,7 +95,8 @@
     /** The same for all instances; equal weights are as unlikely as 64 bits make them and only cost a second prober. */
     static long weight(String node, String instance) {
         try {
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest((node + '\0' + instance).getBytes(StandardCharsets.UTF_8));
+            byte[] hash = MessageDigest.getInstance("SHA-256").digest((node + '\0' + instance).getBytes(
+                StandardCharsets.UTF_8));
             return ByteBuffer.wrap(hash).getLong();
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);   // each JDK has it
--- a/src/main/java/kelphollow/program/Train.java
+++ b/src/main/java/kelphollow/program/ClassArchiveTraining.java
@@ -13,11 +13,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import kelphollow.decision.ControlApi.NodeEntry;
-import kelphollow.decision.ControlApi.Phase;
-import kelphollow.protocol.discovery.Members;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.protocol.discovery.DiscoveryListParser;
 import kelphollow.protocol.resp.RespWarmup;
-import kelphollow.routing.Member;
+import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.transport.WheelTicker;
 import org.kohsuke.args4j.Option;
 
@@ -26,7 +26,7 @@
  * {@code -XX:ArchiveClassesAtExit}: with those classes at hand in an archive a scheduler starts in half the time, and
  * so long its clients are without one after a restart.
  */
-public final class Train implements Main.Command {
+public final class ClassArchiveTraining implements Main.Command {
     private static final int GUARD_MILLIS = 2_000;
 
     @Option(name = "--config", metaVar = "FILE", required = true, usage = "a file for the object API; its settings are used")
@@ -42,9 +42,10 @@
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         // It is its own storage node, which fails a request since its id is open, and its own discovery, which fails.
-        Member node = new Member(new NodeEntry("self", "", 0, Phase.HEALTHY, 0), self);
+        ResolvedEndpoint node = new ResolvedEndpoint(new Endpoint("self", "", 0, EndpointState.HEALTHY, 0), self);
         try (WheelTicker ticker = new WheelTicker(loop, Serve.TICK)) {
-            Config config = new Config("train", self, self, 0, 256, 250, 12_000, new Members(1, true, List.of(node)), settings,
+            Config config = new Config("train", self, self, 0, 256, 250, 12_000, new DiscoveryListParser(1, true, List.of(
+                node)), settings,
                 Config.Operations.NONE);
             Scheduler.of(config, loop, ticker).listen(self);
             try (Socket client = new Socket(self.getAddress(), self.getPort())) {
--- a/src/main/java/kelphollow/program/Config.java
+++ b/src/main/java/kelphollow/program/Config.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import kelphollow.adapter.Adapter;
 import kelphollow.adapter.SettingsReader;
-import kelphollow.decision.ControlApi;
-import kelphollow.protocol.discovery.Members;
+import kelphollow.decision.ControlSettings;
+import kelphollow.protocol.discovery.DiscoveryListParser;
 import kelphollow.protocol.json.Json;
 
 /** The one place where configuration is read, checked and given its defaults. Faults name their key. */
 record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-              int dialTimeout, double idleTime, Members known, ControlApi.Settings settings, Operations operations) {
+              int dialTimeout, double idleTime, DiscoveryListParser known, ControlSettings settings, Operations operations) {
     /**
      * What the operators reach and what the platform hands down: the management address (null: none) and whether
      * the clients' listening socket is inherited as descriptor 0 rather than opened.
@@ -78,7 +78,7 @@
         }
     }
 
-    static ControlApi.Settings settings(Map<?, ?> map) throws Bad {
+    static ControlSettings settings(Map<?, ?> map) throws Bad {
         for (String key : new String[] {"request_classes", "grades"}) {
             if (!(map.get(key) instanceof java.util.List<?> list) || list.isEmpty()) {
                 throw new Bad("settings." + key + " is missing or empty");
@@ -126,13 +126,14 @@
         optional(object(map, "settings.", "ceilings"), "settings.ceilings.", "open_cap", "max_retry_after");
         optional(object(map, "settings.", "contract"), "settings.contract.", "cold_share", "cold", "tip_multiple", "fall",
             "key_rest", "extra_floor", "extra_ratio", "counted_over", "ask_every");
-        optional(object(map, "settings.", "extra"), "settings.extra.", "young_limit", "unit_mean", "share_worth", "beyond_share");
+        optional(object(map, "settings.", "extra"), "settings.extra.", "young_limit", "unit_mean", "share_worth",
+            "beyond_share");
         optional(map, "settings.", "me", "tick");
         number(map, "settings.", "fleet_size", Double.NaN, 1);
         number(object(map, "settings.", "ceilings"), "settings.ceilings.", "most_tries", Double.NaN, 1);
         number(object(map, "settings.", "contract"), "settings.contract.", "drain_grace", Double.NaN, 0);
         try {
-            ControlApi.Settings settings = SettingsReader.read(map);
+            ControlSettings settings = SettingsReader.read(map);
             new kelphollow.decision.Control(settings, 0, 0);   // the module checks the rest
             return settings;
         } catch (Adapter.BadInput | IllegalArgumentException e) {
@@ -140,12 +141,12 @@
         }
     }
 
-    private static Members known(Map<?, ?> json) throws Bad {
+    private static DiscoveryListParser known(Map<?, ?> json) throws Bad {
         if (json.get("known") == null) {
-            return new Members(-1, true, java.util.List.of());
+            return new DiscoveryListParser(-1, true, java.util.List.of());
         }
         try {
-            return Members.read(json.get("known"));
+            return DiscoveryListParser.read(json.get("known"));
         } catch (IllegalArgumentException e) {
             throw new Bad("known: " + e.getMessage());
         }
@@ -161,7 +162,7 @@
 
     static InetSocketAddress address(String text, String key) throws Bad {
         try {
-            return Members.address(text, key);
+            return DiscoveryListParser.address(text, key);
         } catch (IllegalArgumentException e) {
             throw new Bad(e.getMessage());
         }
--- a/src/main/java/kelphollow/program/FleetCommand.java
+++ b/src/main/java/kelphollow/program/FleetCommand.java
@@ -71,14 +71,16 @@
             "since s", "said s", "says"));
         for (Object row : (List<?>) status.get("members")) {
             Map<?, ?> m = (Map<?, ?>) row;
-            page.append(String.format("%-24s %-8s %6s %9s %9s  %s%n", m.get("name"), m.get("state"), whole(m.get("epoch"), 1),
+            page.append(String.format("%-24s %-8s %6s %9s %9s  %s%n", m.get("name"), m.get("state"), whole(m.get("epoch"),
+                1),
                 whole(m.get("since_ms"), 1_000), whole(m.get("said_ms_ago"), 1_000),
                 m.get("says") == null ? "" : m.get("says")));
         }
         page.append("cordoned by the word of others: ").append(status.get("cordoned")).append(System.lineSeparator());
         page.append("silent by the word of others: ").append(status.get("doubted")).append(System.lineSeparator());
         page.append("silent nodes and who tries them: ").append(status.get("probers")).append(System.lineSeparator());
-        page.append("shards at which what is worth less gives way: ").append(status.get("gives_way")).append(System.lineSeparator());
+        page.append("shards at which what is worth less gives way: ").append(status.get("gives_way")).append(System
+            .lineSeparator());
         if (Boolean.TRUE.equals(status.get("displaced"))) {
             page.append("GIVES WAY: another instance lives under this name in a later life").append(System.lineSeparator());
         }
--- a/src/main/java/kelphollow/program/FleetConfig.java
+++ b/src/main/java/kelphollow/program/FleetConfig.java
@@ -13,7 +13,7 @@
 import kelphollow.dissemination.Dissemination;
 import kelphollow.fleet.Events;
 import kelphollow.fleet.Fleet;
-import kelphollow.membership.News;
+import kelphollow.membership.MemberUpdate;
 import kelphollow.membership.Settings;
 
 /**
@@ -44,8 +44,8 @@
             throw new Config.Bad("fleet needs 'store': the numbers of this instance's lives are kept there");
         }
         String name = Config.word(json, "name", null);
-        if (name.length() > News.LONGEST_NAME) {
-            throw new Config.Bad("name is longer than " + News.LONGEST_NAME + " characters");
+        if (name.length() > MemberUpdate.LONGEST_NAME) {
+            throw new Config.Bad("name is longer than " + MemberUpdate.LONGEST_NAME + " characters");
         }
         Map<String, InetSocketAddress> peers = new TreeMap<>();
         for (Map.Entry<?, ?> peer : Config.object(fleet, "fleet.", "peers").entrySet()) {
@@ -59,7 +59,8 @@
         int members = (int) Config.number(fleet, "fleet.", "members", (double) Settings.USUAL.mostMembers(), 2);
         Settings usual = Settings.USUAL.withPeriod(period);
         Settings settings = new Settings(usual.period(), usual.timeout(), usual.relays(), usual.spread(), usual.fanout(),
-            usual.suspicionLeast(), usual.suspicionMost(), usual.confirmations(), usual.healthMost(), usual.rejoin(), members,
+            usual.suspicionLeast(), usual.suspicionMost(), usual.confirmations(), usual.healthMost(), usual.rejoin(),
+            members,
             usual.mostNews(), usual.standstill());
         return new FleetConfig(new Fleet.Options(name, Config.address(text(fleet, "listen"), "fleet.listen"), peers,
             key(text(fleet, "key_file")), settings, Config.number(fleet, "fleet.", "fades_ms", FADES, 4 * period),
--- a/src/main/java/kelphollow/program/HandoverText.java
+++ b/src/main/java/kelphollow/program/LimitHandoverFile.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /** The levels of volumes' limits as the old process of an upgrade hands them over: {@code volume level} a line. */
-final class HandoverText {
-    private HandoverText() {}
+final class LimitHandoverFile {
+    private LimitHandoverFile() {}
 
     static String text(Map<String, Double> levels) {
         StringBuilder out = new StringBuilder();
--- a/src/main/java/kelphollow/program/Main.java
+++ b/src/main/java/kelphollow/program/Main.java
@@ -23,7 +23,7 @@
     @SubCommands({
         @SubCommand(name = "serve", impl = Serve.class),
         @SubCommand(name = "adapter", impl = AdapterCommand.class),
-        @SubCommand(name = "train", impl = Train.class),
+        @SubCommand(name = "train", impl = ClassArchiveTraining.class),
         @SubCommand(name = "check-config", impl = CheckConfig.class),
         @SubCommand(name = "store", impl = StoreCommand.class),
         @SubCommand(name = "fleet", impl = FleetCommand.class),
--- a/src/main/java/kelphollow/program/Management.java
+++ b/src/main/java/kelphollow/program/Management.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Logger;
-import kelphollow.maintenance.Bans;
+import kelphollow.maintenance.MaintenanceSet;
 import kelphollow.protocol.mgmt.MgmtLine;
 import kelphollow.protocol.mgmt.MgmtServer;
 
@@ -121,7 +121,7 @@
             Path left = handedOver(pid);
             if (Files.exists(left)) {
                 try {
-                    return HandoverText.read(Files.readString(left, StandardCharsets.US_ASCII));
+                    return LimitHandoverFile.read(Files.readString(left, StandardCharsets.US_ASCII));
                 } catch (IOException | IllegalArgumentException e) {
                     LOG.fine(() -> "handover not whole yet: " + e.getMessage());
                 }
@@ -137,7 +137,7 @@
     void handOver(java.util.Map<String, Double> levels) {
         Path part = handedOver(pid).resolveSibling("kelphollow-handover.part");
         try {
-            Files.writeString(part, HandoverText.text(levels), StandardCharsets.US_ASCII);
+            Files.writeString(part, LimitHandoverFile.text(levels), StandardCharsets.US_ASCII);
             Files.move(part, handedOver(pid), StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
@@ -156,12 +156,12 @@
     @Override public CompletionStage<String> call(MgmtLine.Call call) {
         return switch (call.verb()) {
             case STATUS -> CompletableFuture.completedFuture(status());
-            case FLEET_STATUS -> scheduler.onLoop(core -> scheduler.fleetStatus())
+            case FLEET_STATUS -> scheduler.onLoop(router -> scheduler.fleetStatus())
                 .thenApply(text -> text == null ? "NAK this instance is in no fleet" : "ACK " + text);
-            case MAINT_ON -> scheduler.onLoop(core -> core.ban(call.node()) ? core.bans() : null)
+            case MAINT_ON -> scheduler.onLoop(router -> router.ban(call.node()) ? router.bans() : null)
                 .thenApplyAsync(bans -> bans == null ? "NAK no storage node is named " + call.node()
                     : keep(bans, "ACK " + call.node() + " is out"), own);
-            case MAINT_OFF -> scheduler.onLoop(core -> core.lift(call.node()) ? core.bans() : null)
+            case MAINT_OFF -> scheduler.onLoop(router -> router.lift(call.node()) ? router.bans() : null)
                 .thenApplyAsync(bans -> bans == null ? "NAK no storage node is named " + call.node()
                     : keep(bans, "ACK " + call.node() + " may serve"), own);
         };
@@ -175,13 +175,13 @@
         if (Double.isNaN(at)) {
             return "NAK starting";
         }
-        boolean listed = scheduler.heardList() || System.currentTimeMillis() - at >= READY_WITHOUT_LIST;
+        boolean listed = scheduler.hasReceivedEndpoints() || System.currentTimeMillis() - at >= READY_WITHOUT_LIST;
         return listed ? "ACK ready" : "NAK waiting for discovery";
     }
 
     /** Writes the bans whole, then renames: a reader sees the old text or the new one, never a part. */
     private String keep(Set<String> bans, String answer) {
-        String text = Bans.text(bans);
+        String text = MaintenanceSet.text(bans);
         try {
             Path part = file.resolveSibling(file.getFileName() + ".part");
             Files.writeString(part, text, StandardCharsets.US_ASCII);
@@ -206,10 +206,10 @@
             return;
         }
         try {
-            Set<String> told = Bans.read(text);
+            Set<String> told = MaintenanceSet.read(text);
             lastText = text;
-            scheduler.onLoop(core -> {
-                core.adoptBans(told);
+            scheduler.onLoop(router -> {
+                router.adoptBans(told);
                 return null;
             });
         } catch (IllegalArgumentException e) {
