--- a/src/main/java/kelphollow/program/ObjectConfig.java
+++ b/src/main/java/kelphollow/program/ObjectConfig.java
@@ -4,18 +4,18 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import kelphollow.decision.ControlApi.RequestClass;
-import kelphollow.decision.ControlApi.Settings;
+import kelphollow.decision.ControlSettings;
+import kelphollow.decision.ControlSettings.RequestClass;
 import kelphollow.protocol.object.ObjectFront;
 import kelphollow.protocol.xds.XdsClusters;
-import kelphollow.routing.Member;
+import kelphollow.routing.ResolvedEndpoint;
 
 /** An operator's file for the object front, checked and with its defaults. Times are milliseconds. */
 record ObjectConfig(String name, InetSocketAddress listen, long seed, int sockets, int dialTimeout, double idleTime,
-                    double stall, Settings settings, ObjectFront.Options options, Xds xds, StoreConfig store,
+                    double stall, ControlSettings settings, ObjectFront.Options options, Xds xds, StoreConfig store,
                     InetSocketAddress mgmt, FleetConfig fleet) {
     /** Where the cluster comes from: {@code inline} from the file, or by REST from {@code server}. */
-    record Xds(String cluster, List<Member> inline, InetSocketAddress server, double refresh) {}
+    record Xds(String cluster, List<ResolvedEndpoint> inline, InetSocketAddress server, double refresh) {}
 
     private static final double DIAL_TIMEOUT = 250;
     private static final double IDLE_TIME = 12_000;
@@ -34,7 +34,7 @@
     static ObjectConfig read(Map<?, ?> json) throws Config.Bad {
         Config.known(json, "", "name", "listen", "seed", "sockets", "dial_timeout_ms", "idle_ms", "stall_ms", "settings",
             "objects", "buckets", "xds", "store", "mgmt", "fleet");
-        Settings settings = Config.settings(Config.object(json, "settings"));
+        ControlSettings settings = Config.settings(Config.object(json, "settings"));
         double stall = Config.number(json, "", "stall_ms", STALL, 1);
         Map<?, ?> objects = Config.object(json, "objects");
         Config.known(objects, "objects.", "shards", "classes", "bytes_per_unit", "most_units", "large_units", "largest_body",
@@ -48,7 +48,7 @@
             kind(classes, "write", settings, false),
             classes.get("large") == null ? read : kind(classes, "large", settings, true),
             (long) Config.number(objects, "objects.", "bytes_per_unit", BYTES_PER_UNIT, 1), mostUnits,
-            Math.min(mostUnits, settings.unitMean()),
+            Math.min(mostUnits, settings.meanUnits()),
             Config.number(objects, "objects.", "large_units", mostUnits, 1), shards,
             (long) Config.number(objects, "objects.", "largest_body", LARGEST_BODY, 0),
             Config.number(objects, "objects.", "slowest_bytes_per_second", SLOWEST_PER_SECOND, 1) / 1000, stall,
@@ -58,11 +58,12 @@
             Config.seed(Config.word(json, "seed", "0")), (int) Config.number(json, "", "sockets", SOCKETS, 16),
             (int) Config.number(json, "", "dial_timeout_ms", DIAL_TIMEOUT, 1),
             Config.number(json, "", "idle_ms", IDLE_TIME, 1), stall, settings, options, xds(json, shards),
-            StoreConfig.read(json), json.get("mgmt") == null ? null : Config.address(Config.word(json, "mgmt", null), "mgmt"),
+            StoreConfig.read(json), json.get("mgmt") == null ? null : Config.address(Config.word(json, "mgmt", null),
+                "mgmt"),
             FleetConfig.read(json));
     }
 
-    private static Map<String, ObjectFront.Bucket> buckets(Map<?, ?> json, Settings settings) throws Config.Bad {
+    private static Map<String, ObjectFront.Bucket> buckets(Map<?, ?> json, ControlSettings settings) throws Config.Bad {
         Map<String, ObjectFront.Bucket> buckets = new LinkedHashMap<>();
         Map<?, ?> told = Config.object(json, "buckets");
         for (Object name : told.keySet()) {
@@ -82,11 +83,11 @@
         return buckets;
     }
 
-    private static ObjectFront.Kind kind(Map<?, ?> classes, String key, Settings settings, boolean safe)
+    private static ObjectFront.Kind kind(Map<?, ?> classes, String key, ControlSettings settings, boolean safe)
         throws Config.Bad {
         for (RequestClass c : settings.classes()) {
             if (c.name().equals(classes.get(key))) {
-                boolean isSafe = c.effect() == kelphollow.decision.ControlApi.Effect.SAFE;
+                boolean isSafe = c.idempotency() == ControlSettings.Idempotency.IDEMPOTENT;
                 if (isSafe != safe) {
                     throw new Config.Bad("objects.classes." + key + " is '" + c.name() + "', which "
                         + (safe ? "may not be repeated" : "may be repeated freely: writes must not"));
@@ -114,7 +115,7 @@
         try {
             XdsClusters.Cluster found = XdsClusters.cluster(clusters, cluster, shards);
             List<?> endpoints = xds.get("endpoints") instanceof List<?> e ? e : List.of();
-            List<Member> members = found.inline() != null ? found.inline()
+            List<ResolvedEndpoint> members = found.inline() != null ? found.inline()
                 : XdsClusters.endpoints(endpoints, found.serviceName(), shards);
             return new Xds(cluster, members, null, 0);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/kelphollow/program/Scheduler.java
+++ b/src/main/java/kelphollow/program/Scheduler.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeoutException;
 import java.util.logging.Logger;
 import kelphollow.decision.Control;
-import kelphollow.decision.ControlApi.RequestClass;
-import kelphollow.decision.ControlApi.Settings;
-import kelphollow.decision.ListLease;
+import kelphollow.decision.ControlSettings;
+import kelphollow.decision.ControlSettings.RequestClass;
+import kelphollow.decision.EndpointListLease;
 import kelphollow.fleet.Events;
 import kelphollow.fleet.Fleet;
 import kelphollow.ledger.Ledger;
@@ -26,12 +26,12 @@
 import kelphollow.protocol.resp.RespBackend;
 import kelphollow.protocol.resp.RespFront;
 import kelphollow.protocol.xds.XdsPoll;
-import kelphollow.recovery.LimitStart;
-import kelphollow.retune.Retune;
-import kelphollow.routing.Core;
-import kelphollow.routing.Directory;
-import kelphollow.routing.ListBudget;
-import kelphollow.routing.Member;
+import kelphollow.recovery.LimitRecovery;
+import kelphollow.retune.SettingsReload;
+import kelphollow.routing.RequestRouter;
+import kelphollow.routing.EndpointSource;
+import kelphollow.routing.EndpointUpdateBudget;
+import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.routing.Ticker;
 import kelphollow.store.StoreFault;
 import kelphollow.transport.Front;
@@ -59,9 +59,9 @@
     private final Server server;
     private final Random listRandom;
     /** Discovery has told its list, or a call to it has failed. */
-    private final CountDownLatch firstWord = new CountDownLatch(1);
+    private final CountDownLatch firstResponse = new CountDownLatch(1);
     private Front front;
-    private Core core;
+    private RequestRouter router;
     private InetSocketAddress listAt;
     private boolean pushed;
     private Ledger ledger;
@@ -69,7 +69,7 @@
     private double serveOn = LISTEN_ON, answerBy = Double.POSITIVE_INFINITY;
     private volatile boolean inherited;
     /** The classes and attempts that bind once what was read last has settled. */
-    private Retune.Tuning tuning;
+    private SettingsReload.Tuning tuning;
     private Ticker.Timeout settling;
     private Fleet fleet;
 
@@ -99,24 +99,25 @@
         loop.submit(() -> {
             Pools pools = new Pools(loop, ticker,
                 new Pools.Limits(config.dialTimeout(), config.idleTime(), nodes(config.sockets())), RespBackend::codec);
-            Core core = scheduler.core = new Core(
+            RequestRouter router = scheduler.router = new RequestRouter(
                 new Control(config.settings(), config.seed(), ticker.now()), ticker, new RespBackend(pools, ticker),
                 lease(config.settings()));
-            core.learn(config.known().members(), true, true);
-            core.onFirstWord(scheduler.firstWord::countDown);
+            router.learn(config.known().members(), true, true);
+            router.onFirstResponse(scheduler.firstResponse::countDown);
             scheduler.listAt = config.discovery();
-            scheduler.pushed = !config.settings().listMustBeAsked();
-            core.start(scheduler.watch(config.discovery(), config.known().version()), scheduler.pushed);
-            scheduler.front = new RespFront(core, ticker, config.settings(), clients(config.sockets()));
-            scheduler.tuning = new Retune.Tuning(config.settings().classes(), config.settings().maxAttempts());
+            scheduler.pushed = !config.settings().endpointsPolled();
+            router.start(scheduler.watch(config.discovery(), config.known().version()), scheduler.pushed);
+            scheduler.front = new RespFront(router, ticker, config.settings(), clients(config.sockets()));
+            scheduler.tuning = new SettingsReload.Tuning(config.settings().classes(), config.settings().maxAttempts());
         }).syncUninterruptibly();
         return scheduler;
     }
 
-    /** On the platform the list binds by the terms of {@link ListBudget}. */
-    private static ListLease lease(Settings settings) {
-        return settings.listMustBeAsked() ? ListLease.asked(ListBudget.TOLD_AFTER, ListBudget.OWN_LATENESS, settings.hosts())
-            : ListLease.pushed(ListBudget.TOLD_AFTER, ListBudget.OWN_LATENESS);
+    /** On the platform the list binds by the terms of {@link EndpointUpdateBudget}. */
+    private static EndpointListLease lease(ControlSettings settings) {
+        return settings.endpointsPolled() ? EndpointListLease.asked(EndpointUpdateBudget.TOLD_AFTER,
+            EndpointUpdateBudget.OWN_LATENESS, settings.hosts())
+            : EndpointListLease.pushed(EndpointUpdateBudget.TOLD_AFTER, EndpointUpdateBudget.OWN_LATENESS);
     }
 
     /** The gateway of the object API. Its store, if it has one, is opened here and not on the event loop. */
@@ -125,7 +126,7 @@
         Ledger ledger = scheduler.ledger = config.store() == null ? null : config.store().open(loop, ticker);
         try {
             NodeRecords nodes = scheduler.nodes = ledger == null ? null : ledger.nodes();
-            List<Member> known = nodes == null ? List.of() : kept(nodes, config, ticker.now());
+            List<ResolvedEndpoint> known = nodes == null ? List.of() : kept(nodes, config, ticker.now());
             Map<String, Double> limits = ledger == null ? Map.of() : limits(ledger, config, ticker.now());
             loop.submit(() -> {
                 scheduler.wire(config, known, limits);
@@ -147,30 +148,30 @@
         }
     }
 
-    private void wire(ObjectConfig config, List<Member> known, Map<String, Double> limits)
+    private void wire(ObjectConfig config, List<ResolvedEndpoint> known, Map<String, Double> limits)
         throws IOException, StoreFault {
         Pools pools = new Pools(loop, ticker,
             new Pools.Limits(config.dialTimeout(), config.idleTime(), nodes(config.sockets())), ObjectBackend::codec);
-        core = new Core(new Control(config.settings(), config.seed(), ticker.now()), ticker,
+        router = new RequestRouter(new Control(config.settings(), config.seed(), ticker.now()), ticker,
             new ObjectBackend(pools, ticker, config.stall()));
         ObjectConfig.Xds xds = config.xds();
-        Directory directory = () -> {};
+        EndpointSource directory = () -> {};
         if (xds.server() == null) {
-            core.learn(xds.inline(), true, false);
+            router.learn(xds.inline(), true, false);
         } else {
-            core.learn(known, true, true);
+            router.learn(known, true, true);
             directory = poll(config);
         }
-        core.start(directory, false);   // xDS by REST must be asked, whatever the settings say of the platform's list
-        core.restoreLimits(limits);
-        front = new ObjectFront(core, ticker, config.options(), ledger);
+        router.start(directory, false);   // xDS by REST must be asked, whatever the settings say of the platform's list
+        router.restoreLimits(limits);
+        front = new ObjectFront(router, ticker, config.options(), ledger);
     }
 
     /** Takes this instance's place in its fleet, under the number of its life in the store. */
     private void join(ObjectConfig config) throws Config.Bad, InterruptedException {
         Events events = config.fleet().openEvents();
         loop.submit(() -> {
-            fleet = new Fleet(config.fleet().options(), config.settings(), ledger.epoch(), loop, ticker, core,
+            fleet = new Fleet(config.fleet().options(), config.settings(), ledger.epoch(), loop, ticker, router,
                 new java.util.Random(config.seed() ^ ledger.epoch()), events, ledger::keepAbove);
         }).sync();
         try {
@@ -188,12 +189,13 @@
     }
 
     /** The node list that the life before kept, as far as its age allows. */
-    private static List<Member> kept(NodeRecords nodes, ObjectConfig config, double now) throws IOException, StoreFault {
+    private static List<ResolvedEndpoint> kept(NodeRecords nodes, ObjectConfig config, double now) throws IOException,
+        StoreFault {
         NodeRecords.Saved saved = nodes.read();
         if (saved == null || config.xds().server() == null) {
             return List.of();
         }
-        List<Member> usable = NodeRecords.usable(saved, now, config.store().listExpires());
+        List<ResolvedEndpoint> usable = NodeRecords.usable(saved, now, config.store().listExpires());
         LOG.info(() -> "starts from a node list " + (long) ((now - saved.at()) / 1000) + " s old: " + usable.size()
             + " of its " + saved.members().size() + " nodes are used");
         return usable;
@@ -201,11 +203,11 @@
 
     private static Map<String, Double> limits(Ledger ledger, ObjectConfig config, double now)
         throws IOException, StoreFault {
-        Map<String, LimitStart.Saved> saved = ledger.limits().take();
+        Map<String, LimitRecovery.Saved> saved = ledger.limits().take();
         Map<String, Double> levels = new HashMap<>();
         config.options().buckets().forEach((name, bucket) -> config.settings().plans().stream()
             .filter(p -> p.name().equals(bucket.plan()) && p.limitRate() > 0)
-            .forEach(p -> levels.put(name, LimitStart.level(saved.get(name), 1.0 / bucket.hosts(), p.limitRate(),
+            .forEach(p -> levels.put(name, LimitRecovery.level(saved.get(name), 1.0 / bucket.hosts(), p.limitRate(),
                 p.limitBurst(), p.limitSlack(), now))));
         return levels;
     }
@@ -218,7 +220,7 @@
     /** What became of requests and attempts, for the log; on any thread but the loop's. */
     String counters() {
         try {
-            return onLoop(Core::counters).get(COUNTERS_MOST, TimeUnit.MILLISECONDS);
+            return onLoop(RequestRouter::counters).get(COUNTERS_MOST, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return "requests: not counted";
@@ -230,7 +232,7 @@
     /** After everybody has left: what must outlive the end is written, and the folders are let go. */
     void end() {
         if (ledger != null) {
-            loop.submit(() -> ledger.limits().end(core.limitLevels(), ticker.now())).syncUninterruptibly();
+            loop.submit(() -> ledger.limits().end(router.limitTokens(), ticker.now())).syncUninterruptibly();
         }
         close();
     }
@@ -243,10 +245,11 @@
     }
 
     private DiscoveryWatch watch(InetSocketAddress discovery, long version) {
-        return new DiscoveryWatch(new HttpCall(loop, ticker, discovery), ticker, text(discovery), core, version, listRandom);
+        return new DiscoveryWatch(new HttpCall(loop, ticker, discovery), ticker, text(discovery), router, version,
+            listRandom);
     }
 
-    private void keep(List<Member> members) {
+    private void keep(List<ResolvedEndpoint> members) {
         if (nodes != null) {
             nodes.told(members, ticker.now());
         }
@@ -254,7 +257,7 @@
 
     private XdsPoll poll(ObjectConfig config) {
         ObjectConfig.Xds xds = config.xds();
-        return new XdsPoll(new HttpCall(loop, ticker, xds.server()), ticker, core, new XdsPoll.Query(text(xds.server()),
+        return new XdsPoll(new HttpCall(loop, ticker, xds.server()), ticker, router, new XdsPoll.Query(text(xds.server()),
             xds.cluster(), config.options().shards(), config.name(), "kelphollow", xds.refresh()), this::keep);
     }
 
@@ -264,31 +267,31 @@
      */
     void reload(Config config) {
         loop.execute(() -> {
-            boolean nowPushed = !config.settings().listMustBeAsked();
+            boolean nowPushed = !config.settings().endpointsPolled();
             if (!config.discovery().equals(listAt) || nowPushed != pushed) {
                 listAt = config.discovery();
                 pushed = nowPushed;
-                core.follow(watch(listAt, -1), pushed);
+                router.follow(watch(listAt, -1), pushed);
             }
-            retune(new Retune.Tuning(config.settings().classes(), config.settings().maxAttempts()));
+            retune(new SettingsReload.Tuning(config.settings().classes(), config.settings().maxAttempts()));
         });
     }
 
-    /** The stricter blend of what holds and what comes at once, what comes alone after {@link Retune#SETTLE_MS}. */
-    private void retune(Retune.Tuning next) {
+    /** The stricter blend of what holds and what comes at once, what comes alone after {@link SettingsReload#SETTLE_MS}. */
+    private void retune(SettingsReload.Tuning next) {
         if (settling != null) {
             settling.cancel();
         }
-        List<Retune.Step> steps = Retune.plan(tuning, next, ticker.now());
-        Retune.Step first = steps.get(0), then = steps.get(1);
-        core.retune(first.classes(), first.maxAttempts());
+        List<SettingsReload.Step> steps = SettingsReload.plan(tuning, next, ticker.now());
+        SettingsReload.Step first = steps.get(0), then = steps.get(1);
+        router.retune(first.classes(), first.maxAttempts());
         if (front instanceof RespFront resp) {
             resp.know(first.classes());
         }
-        tuning = new Retune.Tuning(then.classes(), then.maxAttempts());
+        tuning = new SettingsReload.Tuning(then.classes(), then.maxAttempts());
         settling = ticker.after(then.at() - ticker.now(), () -> {
             settling = null;
-            core.retune(then.classes(), then.maxAttempts());
+            router.retune(then.classes(), then.maxAttempts());
         });
     }
 
@@ -296,20 +299,20 @@
     void reload(ObjectConfig config) {
         loop.execute(() -> {
             if (config.xds().server() == null) {
-                core.follow(() -> {}, false);
-                core.learn(config.xds().inline(), true, false);
+                router.follow(() -> {}, false);
+                router.learn(config.xds().inline(), true, false);
             } else {
-                core.follow(poll(config), false);
+                router.follow(poll(config), false);
             }
         });
     }
 
     /** Runs the step on the loop that owns the core; its result comes when it has run. */
-    <T> java.util.concurrent.CompletableFuture<T> onLoop(java.util.function.Function<Core, T> step) {
+    <T> java.util.concurrent.CompletableFuture<T> onLoop(java.util.function.Function<RequestRouter, T> step) {
         java.util.concurrent.CompletableFuture<T> result = new java.util.concurrent.CompletableFuture<>();
         loop.execute(() -> {
             try {
-                result.complete(step.apply(core));
+                result.complete(step.apply(router));
             } catch (RuntimeException e) {
                 result.completeExceptionally(e);
             }
@@ -319,7 +322,7 @@
 
     /** What the process before left of volumes' limits; before the first request. */
     void restoreLimits(Map<String, Double> levels) {
-        loop.submit(() -> core.restoreLimits(levels)).syncUninterruptibly();
+        loop.submit(() -> router.restoreLimits(levels)).syncUninterruptibly();
     }
 
     /** Whether clients come through a socket that the platform handed down. */
@@ -328,13 +331,13 @@
     }
 
     /** Whether discovery has said anything since the start; safe from any thread. */
-    boolean heardList() {
-        return core != null && core.heardList();
+    boolean hasReceivedEndpoints() {
+        return router != null && router.hasReceivedEndpoints();
     }
 
     /** Waits, on the caller's thread, for discovery's first word, so many milliseconds at most; false if none came. */
     boolean awaitList(long most) throws InterruptedException {
-        return firstWord.await(most, TimeUnit.MILLISECONDS);
+        return firstResponse.await(most, TimeUnit.MILLISECONDS);
     }
 
     /** Takes clients from the socket that the platform handed down; nothing new is taken at once on leaving. */
@@ -360,7 +363,7 @@
                 fleet.leave();
             }
             if (answerBy < Double.POSITIVE_INFINITY) {
-                core.leave(ticker.now() + answerBy);
+                router.leave(ticker.now() + answerBy);
             }
             ticker.after(serveOn, () -> {
                 server.stop();
--- a/src/main/java/kelphollow/program/Serve.java
+++ b/src/main/java/kelphollow/program/Serve.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.logging.Logger;
-import kelphollow.decision.ControlApi.RequestClass;
-import kelphollow.decision.ControlApi.Settings;
+import kelphollow.decision.ControlSettings;
+import kelphollow.decision.ControlSettings.RequestClass;
 import kelphollow.protocol.mgmt.MgmtServer;
 import kelphollow.protocol.resp.RespWarmup;
 import kelphollow.routing.Invariant;
@@ -47,7 +47,7 @@
         EventLoop loop = group.next();
         WheelTicker ticker = new WheelTicker(loop, TICK);
         Scheduler scheduler;
-        Settings settings;
+        ControlSettings settings;
         InetSocketAddress address;
         Config.Operations operations;
         String name = null;
@@ -151,7 +151,7 @@
         }
     }
 
-    private static Thread leaveOnTerm(Scheduler scheduler, Settings settings, Management management) {
+    private static Thread leaveOnTerm(Scheduler scheduler, ControlSettings settings, Management management) {
         double longest = settings.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0);
         Thread leave = new Thread(() -> {
             if (management != null) {
@@ -161,7 +161,7 @@
             scheduler.leave(left::countDown);
             if (management != null && scheduler.inherited()) {
                 try {
-                    management.handOver(scheduler.onLoop(core -> core.limitLevels()).get(500, TimeUnit.MILLISECONDS));
+                    management.handOver(scheduler.onLoop(router -> router.limitTokens()).get(500, TimeUnit.MILLISECONDS));
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
--- a/src/main/java/kelphollow/protocol/discovery/Members.java
+++ b/src/main/java/kelphollow/protocol/discovery/DiscoveryListParser.java
@@ -4,36 +4,36 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import kelphollow.decision.ControlApi.NodeEntry;
-import kelphollow.decision.ControlApi.Phase;
-import kelphollow.routing.Member;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.routing.ResolvedEndpoint;
 
 /** A node list in discovery's form. */
-public record Members(long version, boolean whole, List<Member> members) {
+public record DiscoveryListParser(long version, boolean complete, List<ResolvedEndpoint> members) {
     /** Reads a list; throws {@link IllegalArgumentException} naming the fault. Nothing of a faulty list is used. */
-    public static Members read(Object json) {
+    public static DiscoveryListParser read(Object json) {
         if (!(json instanceof Map<?, ?> map) || !(map.get("hosts") instanceof List<?> rows)) {
             throw new IllegalArgumentException("'hosts' is missing");
         }
-        List<Member> members = new ArrayList<>();
+        List<ResolvedEndpoint> members = new ArrayList<>();
         for (Object row : rows) {
             members.add(member(row));
         }
-        return new Members((long) number(map, "seq"), Boolean.TRUE.equals(map.get("whole")), members);
+        return new DiscoveryListParser((long) number(map, "seq"), Boolean.TRUE.equals(map.get("whole")), members);
     }
 
-    private static Member member(Object row) {
+    private static ResolvedEndpoint member(Object row) {
         if (!(row instanceof Map<?, ?> m)) {
             throw new IllegalArgumentException("a host is not an object");
         }
-        Phase phase = switch (word(m, "health")) {
-            case "ready" -> Phase.HEALTHY;
-            case "draining" -> Phase.DRAINING;
-            case "gone" -> Phase.GONE;
+        EndpointState phase = switch (word(m, "health")) {
+            case "ready" -> EndpointState.HEALTHY;
+            case "draining" -> EndpointState.DRAINING;
+            case "gone" -> EndpointState.REMOVED;
             default -> throw new IllegalArgumentException("'health' is '" + m.get("health") + "'");
         };
         double born = m.get("born_ms") == null ? 0 : number(m, "born_ms");
-        return new Member(new NodeEntry(word(m, "host"), m.get("site") instanceof String s ? s : null,
+        return new ResolvedEndpoint(new Endpoint(word(m, "host"), m.get("site") instanceof String s ? s : null,
             (int) number(m, "block"), phase, born), address(word(m, "dial"), "dial"));
     }
 
--- a/src/main/java/kelphollow/protocol/discovery/DiscoveryWatch.java
+++ b/src/main/java/kelphollow/protocol/discovery/DiscoveryWatch.java
@@ -10,11 +10,11 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.logging.Logger;
-import kelphollow.decision.ControlApi.ListFailure;
+import kelphollow.decision.ControlEvent.EndpointPollFailure;
 import kelphollow.protocol.json.Json;
-import kelphollow.routing.Core;
-import kelphollow.routing.Directory;
-import kelphollow.routing.ListBudget;
+import kelphollow.routing.RequestRouter;
+import kelphollow.routing.EndpointSource;
+import kelphollow.routing.EndpointUpdateBudget;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.HttpCall;
 
@@ -22,9 +22,9 @@
  * Watches the platform's discovery, or the agent on this machine to which it pushes. The next call follows the last
  * answer at once, since the rule on drains counts a pause as a new watch; after a failure the core says when to ask
  * again. An answer older than the list that is held is no news and asks for the whole list; only when that is older
- * too, twice in a row, does the service count anew, and its list stands. How long a call is waited for: {@link ListBudget}.
+ * too, twice in a row, does the service count anew, and its list stands. How long a call is waited for: {@link EndpointUpdateBudget}.
  */
-public final class DiscoveryWatch implements Directory, HttpCall.Reply {
+public final class DiscoveryWatch implements EndpointSource, HttpCall.Reply {
     private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
     private static final int OK = 200;
     private static final int AT_ONCE = 1;
@@ -36,7 +36,7 @@
     private final HttpCall calls;
     private final Ticker ticker;
     private final String host;
-    private final Core core;
+    private final RequestRouter router;
     private final Random random;
     private long version;
     /** The next call begins a watch: it says at once what is new, once its turn at the service has come. */
@@ -54,11 +54,11 @@
      * {@code version} is that of the list the scheduler was started with, and only changes since then are asked for;
      * below 0 it asks for the whole list. {@code random} spreads the calls of many schedulers.
      */
-    public DiscoveryWatch(HttpCall calls, Ticker ticker, String host, Core core, long version, Random random) {
+    public DiscoveryWatch(HttpCall calls, Ticker ticker, String host, RequestRouter router, long version, Random random) {
         this.calls = calls;
         this.ticker = ticker;
         this.host = host;
-        this.core = core;
+        this.router = router;
         this.version = version;
         this.random = random;
     }
@@ -77,15 +77,15 @@
     }
 
     private void call() {
-        boolean whole = version < 0 || askWhole;
-        wait = whole ? 0 : begins ? AT_ONCE : (int) (ListBudget.WAIT * (1 - SPREAD * random.nextDouble()));
-        double patience = version < 0 ? ListBudget.MOVED_PATIENCE
-            : wait <= AT_ONCE ? ListBudget.TURN_PATIENCE : wait + ListBudget.PATIENCE;
+        boolean complete = version < 0 || askWhole;
+        wait = complete ? 0 : begins ? AT_ONCE : (int) (EndpointUpdateBudget.WAIT * (1 - SPREAD * random.nextDouble()));
+        double patience = version < 0 ? EndpointUpdateBudget.MOVED_PATIENCE
+            : wait <= AT_ONCE ? EndpointUpdateBudget.TURN_PATIENCE : wait + EndpointUpdateBudget.PATIENCE;
         beginning = begins;
         begins = false;
         calledAt = ticker.now();
         number++;
-        String path = whole ? "/catalog/members" : "/catalog/members?index=" + version + "&wait=" + wait;
+        String path = complete ? "/catalog/members" : "/catalog/members?index=" + version + "&wait=" + wait;
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path,
             Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, host);
@@ -94,19 +94,20 @@
 
     @Override public void answered(int status, String body) {
         if (status != OK) {
-            ended("status " + status, TURNED_AWAY.contains(status) ? ListFailure.TURNED_AWAY : ListFailure.UNUSABLE_ANSWER);
+            ended("status " + status, TURNED_AWAY.contains(status) ? EndpointPollFailure.REJECTED
+                : EndpointPollFailure.INVALID_RESPONSE);
             return;
         }
-        Members news;
+        DiscoveryListParser news;
         try {
-            news = Members.read(Json.parse(body));
+            news = DiscoveryListParser.read(Json.parse(body));
         } catch (IOException | IllegalArgumentException e) {
-            ended("malformed list: " + e.getMessage(), ListFailure.UNUSABLE_ANSWER);
+            ended("malformed list: " + e.getMessage(), EndpointPollFailure.INVALID_RESPONSE);
             return;
         }
-        if (news.version() < version && (!askWhole || !news.whole() || ++older < 2)) {
+        if (news.version() < version && (!askWhole || !news.complete() || ++older < 2)) {
             askWhole = true;
-            ended("version " + news.version() + " after " + version, ListFailure.UNUSABLE_ANSWER);
+            ended("version " + news.version() + " after " + version, EndpointPollFailure.INVALID_RESPONSE);
             return;
         }
         if (news.version() != version) {
@@ -117,37 +118,38 @@
         askWhole = false;
         older = 0;
         call();
-        core.learn(news.members(), news.whole(), asOf);
+        router.learn(news.members(), news.complete(), asOf);
     }
 
     /**
      * Up to when an answer surely holds all that the service had to tell: when it was asked for, or, where it says that
      * nothing changed, until its wait was over.
      */
-    private double completeUpTo(Members news) {
-        boolean waited = news.version() == version && !news.whole() && ticker.now() - calledAt >= wait;
+    private double completeUpTo(DiscoveryListParser news) {
+        boolean waited = news.version() == version && !news.complete() && ticker.now() - calledAt >= wait;
         return waited ? calledAt + wait : calledAt;
     }
 
-    private void logNews(Members news) {
-        LOG.info(() -> "discovery: call " + number + ": version " + news.version() + (news.whole() ? ", whole" : "") + ", "
+    private void logNews(DiscoveryListParser news) {
+        LOG.info(() -> "discovery: call " + number + ": version " + news.version() + (news.complete() ? ", whole" : "")
+            + ", "
             + news.members().size() + " entries, after " + (long) (ticker.now() - calledAt) + " ms");
     }
 
     @Override public void failed(HttpCall.Failure failure, String why) {
         ended(why, switch (failure) {
-            case BROKEN -> ListFailure.NO_ANSWER;
-            case SILENT -> ListFailure.SILENT;
-            case UNUSABLE -> ListFailure.UNUSABLE_ANSWER;
+            case BROKEN -> EndpointPollFailure.UNREACHABLE;
+            case SILENT -> EndpointPollFailure.TIMED_OUT;
+            case UNUSABLE -> EndpointPollFailure.INVALID_RESPONSE;
         });
     }
 
-    private void ended(String why, ListFailure failure) {
-        boolean broke = !beginning && failure != ListFailure.UNUSABLE_ANSWER;
+    private void ended(String why, EndpointPollFailure failure) {
+        boolean broke = !beginning && failure != EndpointPollFailure.INVALID_RESPONSE;
         LOG.info(() -> "discovery: call " + number + (beginning ? ", to begin a watch," : " of a watch") + " of version "
             + version + " failed after " + (long) (ticker.now() - calledAt) + " ms: " + why);
         watching = false;
         begins = true;
-        core.listFailed(broke ? ListFailure.WATCH_BROKE : failure, calledAt);
+        router.endpointPollFailed(broke ? EndpointPollFailure.WATCH_BROKEN : failure, calledAt);
     }
 }
--- a/src/main/java/kelphollow/protocol/mgmt/MgmtLine.java
+++ b/src/main/java/kelphollow/protocol/mgmt/MgmtLine.java
@@ -1,7 +1,7 @@
 package kelphollow.protocol.mgmt;
 
 import java.nio.charset.StandardCharsets;
-import kelphollow.maintenance.Bans;
+import kelphollow.maintenance.MaintenanceSet;
 
 /** One line of the management protocol, read strictly: a verb, its arguments, printable ASCII only. */
 public sealed interface MgmtLine {
@@ -35,7 +35,8 @@
                 : new Bad("fleet takes one word: status");
             case "maint-on" -> node(Verb.MAINT_ON, words);
             case "maint-off" -> node(Verb.MAINT_OFF, words);
-            default -> new Bad("unknown call '" + shortened(words[0]) + "'; known: status, maint-on ID, maint-off ID, fleet status");
+            default -> new Bad("unknown call '" + shortened(words[0])
+                + "'; known: status, maint-on ID, maint-off ID, fleet status");
         };
     }
 
@@ -44,7 +45,8 @@
         if (words.length != 2) {
             return new Bad(name + " takes one storage node's id");
         }
-        return Bans.validId(words[1]) ? new Call(verb, words[1]) : new Bad("'" + shortened(words[1]) + "' is no id");
+        return MaintenanceSet.validId(words[1]) ? new Call(verb, words[1]) : new Bad("'" + shortened(words[1])
+            + "' is no id");
     }
 
     private static String shortened(String word) {
--- a/src/main/java/kelphollow/protocol/object/CompletionSending.java
+++ b/src/main/java/kelphollow/protocol/object/CompletionSending.java
@@ -19,7 +19,7 @@
     private final String print;
     private final NodeQuestion question;
     private Completions.Completion completion;
-    private IntentWait intent;
+    private IntentBarrier intent;
     private boolean sender;
 
     CompletionSending(ObjectFront front, ObjectExchange exchange, byte[] document) {
@@ -27,21 +27,21 @@
         this.exchange = exchange;
         this.document = document;
         this.question = new NodeQuestion(front, this);
-        MessageDigest digest = Parts.digest();
+        MessageDigest digest = UploadParts.digest();
         digest.update(document);
-        this.print = Parts.hex(digest);
+        this.print = UploadParts.hex(digest);
     }
 
     void begin() {
-        completion = front.completions.find(Parts.upload(exchange.call()), front.parts.isNew(exchange.call()),
+        completion = front.completions.find(UploadParts.upload(exchange.call()), front.parts.isNew(exchange.call()),
             front.startedAt);
         if (completion == null) {
-            exchange.answer(S3Error.refused(1));
+            exchange.answer(S3Error.rejected(1));
             return;
         }
         switch (completion.kind()) {
             case RAN -> repeat();
-            case RUNNING -> exchange.answer(S3Error.refused(1));
+            case RUNNING -> exchange.answer(S3Error.rejected(1));
             case UNKNOWN -> question.ask(exchange.call().listParts(), exchange);
             default -> passOn();
         }
@@ -62,7 +62,7 @@
 
     private void passOn() {
         sender = true;
-        intent = new IntentWait(front.ticker, front.options.write().deadline(), () -> exchange.send(document),
+        intent = new IntentBarrier(front.ticker, front.options.write().deadline(), () -> exchange.send(document),
             error -> failed(error, false));
         completion.running(front.ticker.now(), intent::recorded);
     }
@@ -77,7 +77,7 @@
         } else if (answer.status() != 200) {
             exchange.answer(answer);
         } else if (wait > 0) {
-            exchange.answer(S3Error.refused(wait));   // the attempt whose end is unknown may still be at work
+            exchange.answer(S3Error.rejected(wait));   // the attempt whose end is unknown may still be at work
         } else {
             passOn();
         }
@@ -95,7 +95,7 @@
         if (answer.status() / 100 == 2 && !isError(answer)) {
             completion.ran(new Answer(print, answer.status(), type, new String(answer.body(), StandardCharsets.UTF_8)),
                 front.ticker.now());
-            front.parts.over(Parts.upload(exchange.call()));
+            front.parts.over(UploadParts.upload(exchange.call()));
         } else if (answer.status() / 100 == 4) {
             completion.neverRan();
         } else {
--- a/src/main/java/kelphollow/protocol/object/IntentWait.java
+++ b/src/main/java/kelphollow/protocol/object/IntentBarrier.java
@@ -8,22 +8,22 @@
  * The wait between the wish to send and the record of it being safe. It ends once: by the record, by a fault of the
  * store, by patience running out, or by the client's going away; only the first lets anything go out.
  */
-final class IntentWait {
+final class IntentBarrier {
     private final Runnable safe;
-    private final Consumer<S3Error> refused;
+    private final Consumer<S3Error> rejected;
     private final Ticker.Timeout patience;
     private boolean over;
 
     /** {@code patience} in milliseconds: when it has run out nothing was sent, and the client may come again. */
-    IntentWait(Ticker ticker, double patience, Runnable safe, Consumer<S3Error> refused) {
+    IntentBarrier(Ticker ticker, double patience, Runnable safe, Consumer<S3Error> rejected) {
         this.safe = safe;
-        this.refused = refused;
-        this.patience = ticker.after(patience, () -> end(() -> refused.accept(S3Error.refused(1_000))));
+        this.rejected = rejected;
+        this.patience = ticker.after(patience, () -> end(() -> rejected.accept(S3Error.rejected(1_000))));
     }
 
     /** The store says how the record ended. */
     void recorded(StoreFault fault) {
-        end(fault == null ? safe : () -> refused.accept(S3Error.refused(1_000)));
+        end(fault == null ? safe : () -> rejected.accept(S3Error.rejected(1_000)));
     }
 
     void callOff() {
--- a/src/main/java/kelphollow/protocol/object/NodeQuestion.java
+++ b/src/main/java/kelphollow/protocol/object/NodeQuestion.java
@@ -1,10 +1,10 @@
 package kelphollow.protocol.object;
 
-import kelphollow.routing.Caller;
+import kelphollow.routing.ResponseCallback;
 import kelphollow.routing.Request;
 
 /** Asks the node what it has of an upload, on behalf of a call that must not be sent blind. Event loop only. */
-final class NodeQuestion implements Caller {
+final class NodeQuestion implements ResponseCallback {
     /** Hears one of the two, once, unless the question is called off. */
     interface Reply {
         void answered(Transfer.Answer answer);
@@ -25,7 +25,7 @@
     void ask(ObjectCall list, Transfer.Client client) {
         asking = true;
         try {
-            Request taken = front.core.take(front.facts(list), new Transfer(list, null, client), this);
+            Request taken = front.router.take(front.arrival(list), new Transfer(list, null, client), this);
             asked = asking ? taken : null;
         } catch (S3Error e) {
             end(e);
@@ -40,7 +40,7 @@
     void callOff() {
         if (asking) {
             asking = false;
-            front.core.gone(asked);
+            front.router.gone(asked);
         }
     }
 
@@ -54,8 +54,8 @@
         reply.answered((Transfer.Answer) answer);
     }
 
-    @Override public void refused(double after, boolean timedOut) {
-        end(timedOut ? S3Error.failed(true) : S3Error.refused(after));
+    @Override public void rejected(double after, boolean timedOut) {
+        end(timedOut ? S3Error.failed(true) : S3Error.rejected(after));
     }
 
     @Override public void failed(boolean timedOut) {
--- a/src/main/java/kelphollow/protocol/object/ObjectBackend.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectBackend.java
@@ -25,10 +25,10 @@
 import java.util.logging.Logger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import kelphollow.decision.ControlApi.Outcome;
+import kelphollow.decision.ControlEvent.AttemptOutcome;
 import kelphollow.routing.Attempt;
 import kelphollow.routing.Backend;
-import kelphollow.routing.Result;
+import kelphollow.routing.AttemptResult;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.PooledConnection;
 import kelphollow.transport.Pools;
@@ -64,7 +64,7 @@
     @Override public void start(Attempt attempt) {
         Exchange exchange = new Exchange(attempt);
         attempt.carrier = exchange;
-        exchange.link = pools.lease(attempt.member().entry().node(), attempt.member().address(), exchange);
+        exchange.link = pools.lease(attempt.target().endpoint().node(), attempt.target().address(), exchange);
     }
 
     @Override public void abandon(Attempt attempt) {
@@ -96,9 +96,9 @@
 
         @Override public void up(PooledConnection up) {
             link = up;
-            if (!attempt.mayWrite() || transfer.streamsBody() && transfer.isSpent()) {
+            if (!attempt.maySend() || transfer.streamsBody() && transfer.isSpent()) {
                 up.release();
-                attempt.ended(Result.of(Outcome.NOT_SENT, null, transfer.isSpent()));
+                attempt.ended(AttemptResult.of(AttemptOutcome.NOT_SENT, null, transfer.isSpent()));
                 return;
             }
             ObjectCall call = transfer.call;
@@ -220,7 +220,7 @@
                 collected = new ByteArrayOutputStream();
             } else if (transfer.isHeadPassed() ? !continues(response) : !begins(response)) {
                 close();
-                attempt.ended(Result.of(Outcome.ERROR, null, transfer.isHeadPassed()));
+                attempt.ended(AttemptResult.of(AttemptOutcome.ERROR, null, transfer.isHeadPassed()));
             } else {
                 movedAt = ticker.now();
                 watchForStall();
@@ -235,7 +235,7 @@
             if (response.status().code() == 206) {
                 if (!range.matches() || length >= 0
                     && Long.parseLong(range.group(2)) - Long.parseLong(range.group(1)) + 1 != length) {
-                    LOG.warning(() -> attempt.member().entry().node() + " gave a range that is none");
+                    LOG.warning(() -> attempt.target().endpoint().node() + " gave a range that is none");
                     return false;
                 }
                 transfer.from = Long.parseLong(range.group(1));
@@ -271,7 +271,7 @@
                     transfer.content(content.content().retain());
                 }
                 if (last) {
-                    finish(Result.of(Outcome.SERVED));
+                    finish(AttemptResult.of(AttemptOutcome.SERVED));
                 } else if (!transfer.waitsForClient()) {
                     link.channel().config().setAutoRead(false);
                     transfer.whenWritable(() -> {
@@ -299,20 +299,21 @@
             boolean never = transfer.call.op().safe || transfer.streamsBody() && !transfer.isBodyWhole();
             if (status == 503 || status == 429) {
                 // Turned away. Once all of a write has come, only the server knows whether that was before it ran.
-                finish(Result.of(never ? Outcome.FULL : Outcome.ERROR, null, transfer.isSpent()));
+                finish(AttemptResult.of(never ? AttemptOutcome.AT_CAPACITY : AttemptOutcome.ERROR, null, transfer
+                    .isSpent()));
             } else if (transfer.isHeadPassed()) {
                 // The rest of a cut answer is not to be had, say since the object has changed (412): another answer
                 // must not be written into the middle of the first.
-                finish(Result.of(Outcome.ERROR, null, true));
+                finish(AttemptResult.of(AttemptOutcome.ERROR, null, true));
             } else if (status >= 500) {
-                finish(Result.of(Outcome.ERROR, null, transfer.isSpent()));
+                finish(AttemptResult.of(AttemptOutcome.ERROR, null, transfer.isSpent()));
             } else {
-                finish(Result.of(Outcome.SERVED,
+                finish(AttemptResult.of(AttemptOutcome.SERVED,
                     new Transfer.Answer(status, head.headers(), collected.toByteArray()), false));
             }
         }
 
-        private void finish(Result result) {
+        private void finish(AttemptResult result) {
             cancelTimer();
             boolean whole = !transfer.streamsBody() || transfer.isBodyWhole();
             if (whole && HttpUtil.isKeepAlive(head)) {
@@ -325,9 +326,9 @@
         }
 
         private void malformed() {
-            LOG.warning(() -> attempt.member().entry().node() + " gave an answer that cannot be read");
+            LOG.warning(() -> attempt.target().endpoint().node() + " gave an answer that cannot be read");
             close();
-            attempt.ended(Result.of(Outcome.ERROR, null, transfer.isSpent() || transfer.isHeadPassed()));
+            attempt.ended(AttemptResult.of(AttemptOutcome.ERROR, null, transfer.isSpent() || transfer.isHeadPassed()));
         }
 
         // ------------------------------------------------------------ ends
@@ -340,7 +341,7 @@
             if (on != null && on == link) {
                 on.close();
             }
-            attempt.ended(Result.of(never ? Outcome.NO_CONNECTION : Outcome.RESET, null, spent));
+            attempt.ended(AttemptResult.of(never ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET, null, spent));
         }
 
         private void watchForStall() {
@@ -351,7 +352,7 @@
                     transfer.clientStalled();
                 } else if (attempt.isOut()) {
                     close();
-                    attempt.ended(Result.of(Outcome.TIMED_OUT, null, !transfer.isResumable()));
+                    attempt.ended(AttemptResult.of(AttemptOutcome.TIMED_OUT, null, !transfer.isResumable()));
                 }
             });
         }
--- a/src/main/java/kelphollow/protocol/object/ObjectExchange.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectExchange.java
@@ -21,12 +21,12 @@
 import java.util.Map;
 import java.util.Set;
 import javax.xml.stream.XMLStreamException;
-import kelphollow.routing.Caller;
+import kelphollow.routing.ResponseCallback;
 import kelphollow.routing.Request;
 import kelphollow.routing.Ticker;
 
 /** One request of a client, from its head to the last byte of its answer. */
-final class ObjectExchange implements Caller, Transfer.Client {
+final class ObjectExchange implements ResponseCallback, Transfer.Client {
     private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection",
         "transfer-encoding", "upgrade", "te", "trailer");
 
@@ -43,7 +43,7 @@
     private ByteArrayOutputStream document;
     private PartSending part;
     private CompletionSending completion;
-    private IntentWait intent;
+    private IntentBarrier intent;
     private boolean continued;
     private Ticker.Timeout stall;
 
@@ -81,7 +81,7 @@
     void begin() {
         try {
             call = ObjectCall.read(request, front.options.largestBody());
-            front.facts(call);
+            front.arrival(call);
         } catch (S3Error e) {
             bodyRead = !HttpUtil.isContentLengthSet(request) && !HttpUtil.isTransferEncodingChunked(request);
             answer(e);
@@ -108,7 +108,7 @@
     void send(byte[] body) {
         try {
             transfer = new Transfer(call, body, this);
-            Request taken = front.core.take(front.facts(call), transfer, this);
+            Request taken = front.router.take(front.arrival(call), transfer, this);
             routed = over ? null : taken;
         } catch (S3Error e) {
             answer(e);
@@ -116,8 +116,8 @@
     }
 
     private void abort() {
-        intent = new IntentWait(front.ticker, front.options.write().deadline(), () -> send(null), this::answer);
-        front.parts.aborting(Parts.upload(call), intent::recorded);
+        intent = new IntentBarrier(front.ticker, front.options.write().deadline(), () -> send(null), this::answer);
+        front.parts.aborting(UploadParts.upload(call), intent::recorded);
     }
 
     // ------------------------------------------------------------ the body
@@ -234,12 +234,12 @@
                 front.parts.begun(call.bucket() + '/' + call.key() + '?' + uploadId, front.ticker.now());
             }
         } else if (whole.status() / 100 == 2 && call.op() == ObjectCall.Op.ABORT) {
-            front.parts.over(Parts.upload(call));
+            front.parts.over(UploadParts.upload(call));
         }
     }
 
-    @Override public void refused(double after, boolean timedOut) {
-        end(timedOut ? S3Error.failed(true) : S3Error.refused(after), timedOut);
+    @Override public void rejected(double after, boolean timedOut) {
+        end(timedOut ? S3Error.failed(true) : S3Error.rejected(after), timedOut);
     }
 
     @Override public void failed(boolean timedOut) {
@@ -322,7 +322,7 @@
             intent.callOff();
         }
         if (routed != null) {
-            front.core.gone(routed);
+            front.router.gone(routed);
             routed = null;
         }
         if (part != null) {
--- a/src/main/java/kelphollow/protocol/object/ObjectFront.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectFront.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import kelphollow.decision.ControlApi.Arrival;
+import kelphollow.decision.ControlEvent.RequestArrived;
 import kelphollow.ledger.Ledger;
 import kelphollow.recovery.RecoveredOutcomes;
-import kelphollow.routing.Core;
+import kelphollow.routing.RequestRouter;
 import kelphollow.routing.Ticker;
 import kelphollow.store.StoreFault;
 import kelphollow.transport.Front;
@@ -38,10 +38,10 @@
     private static final int LARGEST_HEAD = 16 * 1024;
     private static final int LARGEST_PIECE = 16 * 1024;
 
-    final Core core;
+    final RequestRouter router;
     final Ticker ticker;
     final Options options;
-    final Parts parts;
+    final UploadParts parts;
     final Completions completions;
     final Set<ObjectClient> clients = new LinkedHashSet<>();
     final double startedAt;
@@ -50,14 +50,14 @@
     private long exchanges;
 
     /** {@code ledger} is null where nothing outlives this process; otherwise what it holds is taken over. */
-    public ObjectFront(Core core, Ticker ticker, Options options, Ledger ledger) throws IOException, StoreFault {
-        this.core = core;
+    public ObjectFront(RequestRouter router, Ticker ticker, Options options, Ledger ledger) throws IOException, StoreFault {
+        this.router = router;
         this.ticker = ticker;
         this.options = options;
         this.startedAt = ticker.now();
         this.lingering = new LingeringClose(ticker, options.stall(), LINGER, MOST_LINGERING);
         double settle = options.write().deadline();
-        this.parts = new Parts(options.parts(), settle, ledger == null ? null : ledger.parts());
+        this.parts = new UploadParts(options.parts(), settle, ledger == null ? null : ledger.parts());
         this.completions = new Completions(options.parts(), settle, ledger == null ? null : ledger.completions());
         if (ledger != null) {
             RecoveredOutcomes recovered = new RecoveredOutcomes(ledger.epoch(), startedAt, settle, ledger.lostUpTo());
@@ -99,7 +99,7 @@
     }
 
     /** What the module is told of a call. */
-    Arrival facts(ObjectCall call) throws S3Error {
+    RequestArrived arrival(ObjectCall call) throws S3Error {
         Bucket bucket = options.buckets().get(call.bucket());
         if (bucket == null) {
             throw new S3Error(404, "NoSuchBucket", "The specified bucket does not exist.");
@@ -109,7 +109,7 @@
             : Math.min(options.mostUnits(), Math.max(1, Math.ceil((double) bytes / options.bytesPerUnit())));
         Kind kind = !call.op().safe ? options.write() : units >= options.largeUnits() ? options.large() : options.read();
         double body = call.op().hasBody() ? call.length() / options.slowestBytesPerMilli() : 0;
-        return new Arrival("", kind.name(), bucket.plan(), call.bucket() + '/' + call.key(),
+        return new RequestArrived("", kind.name(), bucket.plan(), call.bucket() + '/' + call.key(),
             ticker.now() + kind.deadline() + body, call.bucket(), units, call.shard(options.shards()), bucket.hosts(),
             call.isMarkedRetry());
     }
--- a/src/main/java/kelphollow/protocol/object/PartSending.java
+++ b/src/main/java/kelphollow/protocol/object/PartSending.java
@@ -14,20 +14,20 @@
  * A client's sending of one part. It is passed on only if the part cannot have been written yet; otherwise its
  * content is read and compared with what was written, and the client gets the recorded answer or a conflict.
  */
-final class PartSending implements Parts.Waiter, NodeQuestion.Reply {
+final class PartSending implements UploadParts.Waiter, NodeQuestion.Reply {
     private final ObjectFront front;
     private final ObjectExchange exchange;
-    private final MessageDigest digest = Parts.digest();
-    private Parts.Part part;
+    private final MessageDigest digest = UploadParts.digest();
+    private UploadParts.Part part;
     private final NodeQuestion question;
-    private IntentWait intent;
+    private IntentBarrier intent;
     private boolean sender;
-    private Parts.State before;
+    private UploadParts.State before;
     private long size;
     private double unknownSince;
     private boolean mayBeYet;
-    private Parts.End end;
-    private Parts.Print print;
+    private UploadParts.End end;
+    private UploadParts.Print print;
 
     PartSending(ObjectFront front, ObjectExchange exchange) {
         this.front = front;
@@ -38,12 +38,12 @@
     void begin() {
         part = front.parts.find(exchange.call(), front.ticker.now());
         if (part == null) {
-            exchange.answer(S3Error.refused(1));
+            exchange.answer(S3Error.rejected(1));
             return;
         }
         switch (part.state) {
             case BUSY -> compareWith(null);
-            case STORED -> compareWith(new Parts.End(part.print, part.etag, null));
+            case STORED -> compareWith(new UploadParts.End(part.print, part.etag, null));
             case UNKNOWN -> ask();
             case ASK -> {
                 if (front.parts.isNew(exchange.call())) {
@@ -57,12 +57,12 @@
 
     private void passOn() {
         sender = true;
-        intent = new IntentWait(front.ticker, front.options.write().deadline(), () -> exchange.send(null), this::unsent);
+        intent = new IntentBarrier(front.ticker, front.options.write().deadline(), () -> exchange.send(null), this::unsent);
         part.sending(front.ticker.now(), intent::recorded);
     }
 
     /** Reads the body away; it is answered once it is whole and the end of the first sending is known. */
-    private void compareWith(Parts.End known) {
+    private void compareWith(UploadParts.End known) {
         end = known;
         if (end == null) {
             part.join(this);
@@ -74,7 +74,7 @@
         digest.update(bytes.nioBuffer());
         size += bytes.readableBytes();
         if (last) {
-            print = new Parts.Print(size, Parts.hex(digest));
+            print = new UploadParts.Print(size, UploadParts.hex(digest));
         }
         if (sender) {
             exchange.transfer().piece(bytes, last);
@@ -88,7 +88,7 @@
         }
     }
 
-    @Override public void ended(Parts.End known) {
+    @Override public void ended(UploadParts.End known) {
         end = known;
         compare();
     }
@@ -114,10 +114,10 @@
 
     private void ask() {
         // What is not remembered may have been sent by the life before, whose attempts ended when this one began.
-        unknownSince = part.state == Parts.State.UNKNOWN ? part.unknownSince : front.startedAt;
+        unknownSince = part.state == UploadParts.State.UNKNOWN ? part.unknownSince : front.startedAt;
         mayBeYet = front.ticker.now() - unknownSince < front.options.write().deadline();
         before = part.state;
-        part.state = Parts.State.BUSY;
+        part.state = UploadParts.State.BUSY;
         question.ask(exchange.call().listThisPart(), exchange);
     }
 
@@ -139,12 +139,12 @@
             return;
         }
         if (stored != null) {
-            Parts.Print content = new Parts.Print(stored.size(), stored.etag().replace("\"", ""));
+            UploadParts.Print content = new UploadParts.Print(stored.size(), stored.etag().replace("\"", ""));
             part.stored(content, stored.etag(), front.ticker.now());
-            compareWith(new Parts.End(content, stored.etag(), null));
+            compareWith(new UploadParts.End(content, stored.etag(), null));
         } else if (mayBeYet) {
             // The attempt whose end is unknown may still be at work; sending another now could store it twice.
-            release(S3Error.refused(unknownSince + front.options.write().deadline() - front.ticker.now()));
+            release(S3Error.rejected(unknownSince + front.options.write().deadline() - front.ticker.now()));
         } else {
             passOn();
         }
@@ -152,8 +152,8 @@
 
     /** The question had no answer: all is as before it. */
     private void release(S3Error error) {
-        S3Error told = error == null ? S3Error.refused(1) : error;
-        if (before == Parts.State.UNKNOWN) {
+        S3Error told = error == null ? S3Error.rejected(1) : error;
+        if (before == UploadParts.State.UNKNOWN) {
             part.unknown(part.unknownSince, told);
         } else {
             part.forget(told);
@@ -171,7 +171,7 @@
         if (answer.status() == 200 && etag != null && print != null) {
             part.stored(print, etag, front.ticker.now());
         } else if (answer.status() / 100 == 4) {
-            part.forget(S3Error.refused(1));
+            part.forget(S3Error.rejected(1));
         } else {
             part.unknown(front.ticker.now(), S3Error.failed(false));
         }
@@ -205,7 +205,7 @@
             intent.callOff();
         }
         if (sender) {
-            end(S3Error.refused(1));
+            end(S3Error.rejected(1));
         } else if (question.isAsking()) {
             question.callOff();
             release(null);
--- a/src/main/java/kelphollow/protocol/object/S3Error.java
+++ b/src/main/java/kelphollow/protocol/object/S3Error.java
@@ -20,7 +20,7 @@
         this.retryAfter = retryAfter;
     }
 
-    static S3Error refused(double after) {
+    static S3Error rejected(double after) {
         return new S3Error(503, "SlowDown", "Reduce your request rate.", Math.max(1, after));
     }
 
--- a/src/main/java/kelphollow/protocol/object/S3Xml.java
+++ b/src/main/java/kelphollow/protocol/object/S3Xml.java
@@ -34,7 +34,8 @@
             XMLStreamWriter xml = OUTPUT.createXMLStreamWriter(text);
             xml.writeStartDocument("UTF-8", "1.0");
             xml.writeStartElement("Error");
-            String[] fields = {"Code", error.code, "Message", error.getMessage(), "Resource", resource, "RequestId", requestId};
+            String[] fields = {"Code", error.code, "Message", error.getMessage(), "Resource", resource, "RequestId",
+                requestId};
             for (int i = 0; i < fields.length; i += 2) {
                 xml.writeStartElement(fields[i]);
                 xml.writeCharacters(fields[i + 1].replaceAll("[^\\x20-\\uD7FF]", "?"));
--- a/src/main/java/kelphollow/protocol/object/Parts.java
+++ b/src/main/java/kelphollow/protocol/object/UploadParts.java
@@ -22,7 +22,7 @@
  * What is known of the parts of uploads, so that none is written twice. Memory is bounded: what is forgotten is
  * asked of the node again, by ListParts, before anything is sent. With records it outlives the process.
  */
-final class Parts {
+final class UploadParts {
     /** What a client's sending of a part has to wait for, or what it may do. */
     enum State {
         /** Nothing is known: the node must be asked first. */
@@ -129,7 +129,7 @@
      * {@code settle} is how long after its last sign an attempt may still take effect; {@code records} is null where
      * nothing outlives this process.
      */
-    Parts(int most, double settle, PartRecords records) {
+    UploadParts(int most, double settle, PartRecords records) {
         this.most = most;
         this.settle = settle;
         this.records = records;
--- a/src/main/java/kelphollow/protocol/peer/CompareCodec.java
+++ b/src/main/java/kelphollow/protocol/peer/CompareCodec.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import kelphollow.digest.Part;
+import kelphollow.digest.InstanceState;
 import kelphollow.dissemination.AntiEntropy;
-import kelphollow.membership.News;
+import kelphollow.membership.MemberUpdate;
 
 /** The steps of a comparison of views as CBOR arrays, by position; the hashes of a summary are one run of bytes. */
 final class CompareCodec {
@@ -44,7 +44,7 @@
         out.writeEndArray();
         out.writeStartArray();
         for (AntiEntropy.Entry entry : versions.entries()) {
-            News n = entry.member();
+            MemberUpdate n = entry.member();
             out.writeStartArray();
             out.writeString(n.name());
             out.writeNumber(n.epoch());
@@ -62,7 +62,7 @@
     private static void delta(AntiEntropy.Delta delta, JsonGenerator out) throws IOException {
         PeerCodec.news(delta.news(), out);
         out.writeStartArray();
-        for (Part part : delta.parts()) {
+        for (InstanceState part : delta.parts()) {
             PeerCodec.part(part, out);
         }
         out.writeEndArray();
@@ -103,7 +103,7 @@
         List<AntiEntropy.Entry> entries = new ArrayList<>();
         for (Object entry : PeerCodec.list(PeerCodec.at(words, 2))) {
             List<?> w = PeerCodec.list(entry);
-            News member = new News(PeerCodec.text(w, 0), "", PeerCodec.whole(w, 1), PeerCodec.whole(w, 2),
+            MemberUpdate member = new MemberUpdate(PeerCodec.text(w, 0), "", PeerCodec.whole(w, 1), PeerCodec.whole(w, 2),
                 PeerCodec.state(PeerCodec.text(w, 3)), "");
             boolean hasPart = w.size() > 4;
             entries.add(new AntiEntropy.Entry(member, hasPart ? PeerCodec.whole(w, 4) : -1,
@@ -113,11 +113,11 @@
     }
 
     private static AntiEntropy delta(List<?> words) {
-        List<News> news = new ArrayList<>();
+        List<MemberUpdate> news = new ArrayList<>();
         for (Object n : PeerCodec.list(PeerCodec.at(words, 1))) {
             news.add(PeerCodec.news(PeerCodec.list(n)));
         }
-        List<Part> parts = new ArrayList<>();
+        List<InstanceState> parts = new ArrayList<>();
         for (Object part : PeerCodec.list(PeerCodec.at(words, 2))) {
             parts.add(PeerCodec.part(PeerCodec.list(part)));
         }
--- a/src/main/java/kelphollow/protocol/peer/PacketSealer.java
+++ b/src/main/java/kelphollow/protocol/peer/PacketSealer.java
@@ -4,7 +4,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.function.LongSupplier;
-import kelphollow.digest.Part;
+import kelphollow.digest.InstanceState;
 
 /**
  * Encodes what one life of an instance says and seals it: name, epoch, life and a counter that never repeats. For one
@@ -51,7 +51,7 @@
         if (!(packet instanceof Packet.Small small)) {
             return new Datagram(sealed(packet, Seal.NO_CHALLENGE), 0);
         }
-        List<Part> parts = packet.parts();
+        List<InstanceState> parts = packet.parts();
         byte[] bytes;
         while ((bytes = sealed(new Packet.Small(small.message(), parts), Seal.NO_CHALLENGE)).length
             > PeerLine.LARGEST_DATAGRAM && !parts.isEmpty()) {
--- a/src/main/java/kelphollow/protocol/peer/PeerCodec.java
+++ b/src/main/java/kelphollow/protocol/peer/PeerCodec.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import kelphollow.digest.Part;
+import kelphollow.digest.InstanceState;
 import kelphollow.membership.Message;
-import kelphollow.membership.News;
+import kelphollow.membership.MemberUpdate;
 import kelphollow.protocol.json.Json;
 
 /** Packets as CBOR arrays, by position. Faulty ones are rejected whole. Safe for any thread. */
@@ -60,7 +60,7 @@
                 message(small.message(), out);
             }
             out.writeStartArray();
-            for (Part part : packet.parts()) {
+            for (InstanceState part : packet.parts()) {
                 part(part, out);
             }
             out.writeEndArray();
@@ -90,9 +90,9 @@
         out.writeNumber(number);
     }
 
-    static void news(List<News> all, JsonGenerator out) throws IOException {
+    static void news(List<MemberUpdate> all, JsonGenerator out) throws IOException {
         out.writeStartArray();
-        for (News n : all) {
+        for (MemberUpdate n : all) {
             out.writeStartArray();
             out.writeString(n.name());
             out.writeString(n.address());
@@ -105,7 +105,7 @@
         out.writeEndArray();
     }
 
-    static void part(Part part, JsonGenerator out) throws IOException {
+    static void part(InstanceState part, JsonGenerator out) throws IOException {
         out.writeStartArray();
         out.writeString(part.instance());
         out.writeNumber(part.epoch());
@@ -131,11 +131,11 @@
             return new Packet.Compare(CompareCodec.read(kind, words));
         }
         int last = words.size() - 1;
-        List<Part> parts = new ArrayList<>();
+        List<InstanceState> parts = new ArrayList<>();
         for (Object part : list(at(words, last))) {
             parts.add(part(list(part)));
         }
-        List<News> news = new ArrayList<>();
+        List<MemberUpdate> news = new ArrayList<>();
         for (Object n : list(at(words, last - 1))) {
             news.add(news(list(n)));
         }
@@ -150,20 +150,20 @@
         };
     }
 
-    static News news(List<?> w) {
-        return new News(text(w, 0), text(w, 1), whole(w, 2), whole(w, 3), state(text(w, 4)), text(w, 5));
+    static MemberUpdate news(List<?> w) {
+        return new MemberUpdate(text(w, 0), text(w, 1), whole(w, 2), whole(w, 3), state(text(w, 4)), text(w, 5));
     }
 
-    static News.State state(String letter) {
+    static MemberUpdate.State state(String letter) {
         for (int i = 0; i < STATES.length; i++) {
             if (STATES[i].equals(letter)) {
-                return News.State.values()[i];
+                return MemberUpdate.State.values()[i];
             }
         }
         throw new IllegalArgumentException("no such state");
     }
 
-    static Part part(List<?> w) {
+    static InstanceState part(List<?> w) {
         if (!(at(w, 4) instanceof Map<?, ?> subjects) || !(at(w, 3) instanceof Double age)) {
             throw new IllegalArgumentException("no part");
         }
@@ -181,7 +181,7 @@
             });
             read.put((String) subject, into);
         });
-        return new Part(text(w, 0), whole(w, 1), whole(w, 2), age, read);
+        return new InstanceState(text(w, 0), whole(w, 1), whole(w, 2), age, read);
     }
 
     static Object at(List<?> words, int index) {
--- a/src/main/java/kelphollow/protocol/peer/Traffic.java
+++ b/src/main/java/kelphollow/protocol/peer/Traffic.java
@@ -8,7 +8,9 @@
  */
 public final class Traffic {
     /** What a packet is for; an exchange counts once for each side of it. */
-    public enum Kind { PING, PING_REQUEST, ACK, NACK, GOSSIP, COMPARE, EXCHANGE }
+    public enum Kind {
+        PING, PING_REQUEST, ACK, NACK, GOSSIP, COMPARE, EXCHANGE
+    }
 
     private final long[] packetsOut = new long[Kind.values().length], bytesOut = new long[Kind.values().length];
     private final long[] packetsIn = new long[Kind.values().length], bytesIn = new long[Kind.values().length];
--- a/src/main/java/kelphollow/protocol/resp/RespBackend.java
+++ b/src/main/java/kelphollow/protocol/resp/RespBackend.java
@@ -14,10 +14,10 @@
 import java.util.logging.Logger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import kelphollow.decision.ControlApi.Outcome;
+import kelphollow.decision.ControlEvent.AttemptOutcome;
 import kelphollow.routing.Attempt;
 import kelphollow.routing.Backend;
-import kelphollow.routing.Result;
+import kelphollow.routing.AttemptResult;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.PooledConnection;
 import kelphollow.transport.Pools;
@@ -50,7 +50,7 @@
     @Override public void start(Attempt attempt) {
         Exchange exchange = new Exchange(attempt);
         attempt.carrier = exchange;
-        PooledConnection link = pools.lease(attempt.member().entry().node(), attempt.member().address(), exchange);
+        PooledConnection link = pools.lease(attempt.target().endpoint().node(), attempt.target().address(), exchange);
         exchange.link = link;
     }
 
@@ -79,9 +79,9 @@
 
         @Override public void up(PooledConnection up) {
             link = up;
-            if (!attempt.mayWrite()) {
+            if (!attempt.maySend()) {
                 up.release();
-                attempt.ended(Result.of(Outcome.NOT_SENT));
+                attempt.ended(AttemptResult.of(AttemptOutcome.NOT_SENT));
                 return;
             }
             RespCommand command = call().command();
@@ -107,7 +107,7 @@
                 }
                 return;
             }
-            Result result;
+            AttemptResult result;
             try {
                 result = read((RedisMessage) message, value != null);
             } finally {
@@ -127,14 +127,14 @@
 
         /** An answer that cannot be read: the request has run, and the connection is of no further use. */
         private void spoilt() {
-            LOG.fine(() -> attempt.member().entry().node() + " gave an answer that cannot be read");
+            LOG.fine(() -> attempt.target().endpoint().node() + " gave an answer that cannot be read");
             close();
-            attempt.ended(failed(Outcome.ERROR));
+            attempt.ended(failed(AttemptOutcome.ERROR));
         }
 
         /** What has begun to be passed on cannot be had again. */
-        private Result failed(Outcome outcome) {
-            return Result.of(outcome, null, value != null && value.hasBegun());
+        private AttemptResult failed(AttemptOutcome outcome) {
+            return AttemptResult.of(outcome, null, value != null && value.hasBegun());
         }
 
         /** Guards against an answer that begins and never ends, such as a length that says too much. */
@@ -168,8 +168,8 @@
             cancelTimer();
             boolean neverRan = written == null || !written.isSuccess();
             dropUnbegun();
-            attempt.ended(failed(cause instanceof CodecException ? Outcome.ERROR
-                : neverRan ? Outcome.NO_CONNECTION : Outcome.RESET));
+            attempt.ended(failed(cause instanceof CodecException ? AttemptOutcome.ERROR
+                : neverRan ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET));
         }
 
         private void cancelTimer() {
@@ -195,10 +195,10 @@
     }
 
     /** The outcome that an answer tells, or null if it cannot be read; {@code passedOn}: the value has gone ahead of it. */
-    static Result read(RedisMessage message, boolean passedOn) {
+    static AttemptResult read(RedisMessage message, boolean passedOn) {
         if (message instanceof ErrorRedisMessage error) {
             String[] words = error.content().split(" ");
-            Outcome outcome = words[0].equals("BUSY") ? Outcome.FULL : Outcome.ERROR;
+            AttemptOutcome outcome = words[0].equals("BUSY") ? AttemptOutcome.AT_CAPACITY : AttemptOutcome.ERROR;
             if (!words[0].equals("BUSY") && !words[0].equals("ERR")) {
                 LOG.fine(() -> "a node answered -" + error.content());
                 return null;
@@ -209,7 +209,8 @@
             }
             return result(outcome, null, figures);
         }
-        if (!(message instanceof ArrayRedisMessage array) || array.isNull() || array.children().size() != (passedOn ? ANSWER_PARTS - 1 : ANSWER_PARTS)) {
+        if (!(message instanceof ArrayRedisMessage array) || array.isNull() || array.children().size() != (passedOn
+            ? ANSWER_PARTS - 1 : ANSWER_PARTS)) {
             return null;
         }
         List<RedisMessage> parts = array.children();
@@ -224,7 +225,7 @@
                 figures(text, figures);
             }
         }
-        return result(Outcome.SERVED, value, figures);
+        return result(AttemptOutcome.SERVED, value, figures);
     }
 
     /**
@@ -240,9 +241,10 @@
         }
     }
 
-    private static Result result(Outcome outcome, byte[] value, Map<String, Double> figures) {
+    private static AttemptResult result(AttemptOutcome outcome, byte[] value, Map<String, Double> figures) {
         Double inFlight = figures.get("inflight");
-        return new Result(outcome, value, false, figures.getOrDefault("cost", 0.0), figures.getOrDefault("used", -1.0),
+        return new AttemptResult(outcome, value, false, figures.getOrDefault("cost", 0.0), figures.getOrDefault("used",
+            -1.0),
             inFlight == null ? Map.of() : Map.of("inFlight", inFlight));
     }
 }
--- a/src/main/java/kelphollow/protocol/resp/RespCommand.java
+++ b/src/main/java/kelphollow/protocol/resp/RespCommand.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
-import kelphollow.decision.ControlApi.Arrival;
+import kelphollow.decision.ControlEvent.RequestArrived;
 
 /** A client's request on the platform's wire: {@code OBJ.GET} or {@code OBJ.PUT} with its names and values. */
 record RespCommand(String name, byte[] piece, byte[] id, Map<String, String> values, byte[] body) {
@@ -61,13 +61,13 @@
         }
         RespCommand command = new RespCommand(name, parts.get(1), parts.get(2), values,
             expected == 5 ? parts.get(4) : null);
-        command.facts(0);
+        command.arrival(0);
         return command;
     }
 
     /** What the module is told, for a request that came at {@code now}. */
-    Arrival facts(double now) throws Malformed {
-        return new Arrival("", word("c"), word("t"), ascii(piece),
+    RequestArrived arrival(double now) throws Malformed {
+        return new RequestArrived("", word("c"), word("t"), ascii(piece),
             now + number("d", Double.NaN, 0, LONGEST_WAIT), word("volume"), number("units", 1, 0, MOST_UNITS),
             (int) number("shard", -1, -1, Integer.MAX_VALUE), (int) number("hosts", 1, 1, 1_000_000),
             "1".equals(values.get("r")));
--- a/src/main/java/kelphollow/protocol/resp/RespFront.java
+++ b/src/main/java/kelphollow/protocol/resp/RespFront.java
@@ -19,12 +19,12 @@
 import java.util.Set;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import kelphollow.decision.ControlApi.Arrival;
-import kelphollow.decision.ControlApi.Effect;
-import kelphollow.decision.ControlApi.RequestClass;
-import kelphollow.decision.ControlApi.Settings;
-import kelphollow.routing.Caller;
-import kelphollow.routing.Core;
+import kelphollow.decision.ControlEvent.RequestArrived;
+import kelphollow.decision.ControlSettings;
+import kelphollow.decision.ControlSettings.Idempotency;
+import kelphollow.decision.ControlSettings.RequestClass;
+import kelphollow.routing.ResponseCallback;
+import kelphollow.routing.RequestRouter;
 import kelphollow.routing.Request;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.Front;
@@ -53,7 +53,7 @@
     private static final int ERROR_ALLOWANCE = 3;
     private static final double READ_PAUSE = 50;
 
-    private final Core core;
+    private final RequestRouter router;
     private final Ticker ticker;
     private final int mostClients;
     private final Map<String, RequestClass> classes = new HashMap<>();
@@ -66,8 +66,8 @@
     private Runnable leaving;
 
     /** {@code mostClients} is how many connections there may be in all, beside some that are being closed. */
-    public RespFront(Core core, Ticker ticker, Settings settings, int mostClients) {
-        this.core = core;
+    public RespFront(RequestRouter router, Ticker ticker, ControlSettings settings, int mostClients) {
+        this.router = router;
         this.ticker = ticker;
         this.mostClients = mostClients;
         this.lingering = new LingeringClose(ticker, LINGER_OVERALL, LINGER, mostClients / 6);
@@ -148,7 +148,7 @@
         private boolean asked, partly, taking, unflushed, readingPaused;
         private double heardAt = ticker.now(), partlySince;
         private ChannelFuture lastAnswer;
-        private int refused, open;
+        private int rejected, open;
 
         Client(Channel channel) {
             this.channel = channel;
@@ -238,12 +238,12 @@
         }
 
         private void take(Slot slot, RespCommand command) throws RespCommand.Malformed {
-            Arrival facts = command.facts(ticker.now());
-            RequestClass kind = classes.get(facts.requestClass());
-            if (kind == null || !plans.contains(facts.plan())) {
+            RequestArrived arrival = command.arrival(ticker.now());
+            RequestClass kind = classes.get(arrival.requestClass());
+            if (kind == null || !plans.contains(arrival.plan())) {
                 throw new RespCommand.Malformed("class or plan is not known");
             }
-            if (kind.effect() == Effect.KEYED) {
+            if (kind.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
                 command.word("k");         // without it no node could drop a repeat
             }
             if (!openIds.add(command.idText())) {
@@ -251,19 +251,19 @@
             }
             slot.id = command.idText();
             if (open >= MOST_OPEN) {
-                slot.refused(0, false);
+                slot.rejected(0, false);
                 return;
             }
             open++;
             slot.isOpen = true;
-            Request request = core.take(facts, new RespCall(command, slot), slot);
+            Request request = router.take(arrival, new RespCall(command, slot), slot);
             slot.request = slot.reply == null ? request : null;
         }
 
         /** Guards against floods of commands that are none: each is answered, but the next is read after a pause. */
         private void refuse(Slot slot, String error) {
             slot.answer(new ErrorRedisMessage("ERR " + error));
-            if (++refused > ERROR_ALLOWANCE && !readingPaused) {
+            if (++rejected > ERROR_ALLOWANCE && !readingPaused) {
                 readingPaused = true;
                 throttle();
                 ticker.after(READ_PAUSE, () -> {
@@ -340,7 +340,7 @@
             for (Slot slot : slots) {
                 openIds.remove(slot.id);
                 if (slot.request != null) {
-                    core.gone(slot.request);
+                    router.gone(slot.request);
                     slot.request = null;
                 }
                 if (slot.value != null) {
@@ -369,7 +369,7 @@
     }
 
     /** The place of one command's answer among those of its connection. */
-    private final class Slot implements Caller, LongValue.Taker {
+    private final class Slot implements ResponseCallback, LongValue.Taker {
         private final Client client;
         private Request request;
         private RedisMessage reply;
@@ -425,7 +425,7 @@
             }
         }
 
-        @Override public void refused(double after, boolean timedOut) {
+        @Override public void rejected(double after, boolean timedOut) {
             error(after > 0 ? "BUSY " + (long) Math.ceil(after) : "BUSY");
         }
 
--- a/src/main/java/kelphollow/protocol/resp/RespWarmup.java
+++ b/src/main/java/kelphollow/protocol/resp/RespWarmup.java
@@ -11,13 +11,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import kelphollow.decision.Control;
-import kelphollow.decision.ControlApi.NodeEntry;
-import kelphollow.decision.ControlApi.Phase;
-import kelphollow.decision.ControlApi.Settings;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.decision.ControlSettings;
 import kelphollow.routing.Attempt;
 import kelphollow.routing.Backend;
-import kelphollow.routing.Core;
-import kelphollow.routing.Member;
+import kelphollow.routing.RequestRouter;
+import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.routing.Ticker;
 
 /**
@@ -33,19 +33,20 @@
     private RespWarmup() {}
 
     /** Warms up for two seconds at most; returns how many requests were answered with a value. */
-    public static int run(Settings settings, long seed) {
+    public static int run(ControlSettings settings, long seed) {
         long end = System.nanoTime() + LONGEST_NANOS;
         Loopless world = new Loopless();
-        Core core = new Core(new Control(settings, seed, world.now()), world, world);
-        core.mute();
-        List<Member> members = new ArrayList<>();
+        RequestRouter router = new RequestRouter(new Control(settings, seed, world.now()), world, world);
+        router.mute();
+        List<ResolvedEndpoint> members = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            members.add(new Member(new NodeEntry("n" + i, "", i, Phase.HEALTHY, 0), new InetSocketAddress(0)));
+            members.add(new ResolvedEndpoint(new Endpoint("n" + i, "", i, EndpointState.HEALTHY, 0), new InetSocketAddress(
+                0)));
         }
-        core.learn(members, true, true);
-        core.start(() -> {}, false);
+        router.learn(members, true, true);
+        router.start(() -> {}, false);
         EmbeddedChannel client = new EmbeddedChannel();
-        new RespFront(core, world, settings, 1).accept(client);
+        new RespFront(router, world, settings, 1).accept(client);
         int served = 0;
         for (int i = 0; i < REQUESTS && System.nanoTime() < end; i++) {
             var kind = settings.classes().get(i % settings.classes().size());
@@ -115,7 +116,7 @@
         void pass(double millis) {
             now += millis;
             for (Attempt attempt; (attempt = waiting.poll()) != null;) {
-                if (attempt.mayWrite()) {
+                if (attempt.maySend()) {
                     RespCommand command = ((RespCall) attempt.request().message()).command();
                     node.writeOutbound(command.forNode(attempt.remaining()));
                     ReferenceCountUtil.release(node.readOutbound());
--- a/src/main/java/kelphollow/protocol/xds/XdsClusters.java
+++ b/src/main/java/kelphollow/protocol/xds/XdsClusters.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import kelphollow.decision.ControlApi.NodeEntry;
-import kelphollow.decision.ControlApi.Phase;
-import kelphollow.routing.Member;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.routing.ResolvedEndpoint;
 
 /**
  * Envoy's Cluster and ClusterLoadAssignment in proto3 JSON, read into a node list. Both spellings of a field are
@@ -24,7 +24,7 @@
     private XdsClusters() {}
 
     /** A cluster: the name that its endpoints are asked by, and those it brings itself (or null). */
-    public record Cluster(String name, String serviceName, List<Member> inline) {}
+    public record Cluster(String name, String serviceName, List<ResolvedEndpoint> inline) {}
 
     /** Finds the named cluster among resources. */
     public static Cluster cluster(List<?> resources, String wanted, int shards) {
@@ -43,7 +43,7 @@
     }
 
     /** Finds the endpoints of a cluster among resources. */
-    public static List<Member> endpoints(List<?> resources, String service, int shards) {
+    public static List<ResolvedEndpoint> endpoints(List<?> resources, String service, int shards) {
         for (int i = 0; i < resources.size(); i++) {
             String path = "endpoints[" + i + "]";
             Map<?, ?> assignment = typed(resources.get(i), path, ASSIGNMENT);
@@ -54,11 +54,11 @@
         throw new IllegalArgumentException("endpoints: those of '" + service + "' are missing");
     }
 
-    private static List<Member> members(Object assignment, String path, int shards) {
+    private static List<ResolvedEndpoint> members(Object assignment, String path, int shards) {
         if (!(assignment instanceof Map<?, ?> a)) {
             throw new IllegalArgumentException(path + " is not an object");
         }
-        List<Member> members = new ArrayList<>();
+        List<ResolvedEndpoint> members = new ArrayList<>();
         Set<String> names = new HashSet<>();
         List<?> localities = list(a, path, "endpoints");
         for (int i = 0; i < localities.size(); i++) {
@@ -69,9 +69,9 @@
             String zone = field(group, "locality") instanceof Map<?, ?> l && field(l, "zone") instanceof String z ? z : null;
             List<?> endpoints = list(group, at, "lb_endpoints");
             for (int j = 0; j < endpoints.size(); j++) {
-                Member member = member(endpoints.get(j), at + ".lb_endpoints[" + j + "]", zone, shards);
-                if (!names.add(member.entry().node())) {
-                    throw new IllegalArgumentException(at + ": " + member.entry().node() + " is there twice");
+                ResolvedEndpoint member = member(endpoints.get(j), at + ".lb_endpoints[" + j + "]", zone, shards);
+                if (!names.add(member.endpoint().node())) {
+                    throw new IllegalArgumentException(at + ": " + member.endpoint().node() + " is there twice");
                 }
                 members.add(member);
             }
@@ -79,12 +79,12 @@
         return members;
     }
 
-    private static Member member(Object endpoint, String path, String zone, int shards) {
+    private static ResolvedEndpoint member(Object endpoint, String path, String zone, int shards) {
         Map<?, ?> e = object(endpoint, path);
         Map<?, ?> socket = object(field(object(field(object(field(e, "endpoint"), path + ".endpoint"), "address"),
             path + ".endpoint.address"), "socket_address"), path + ".endpoint.address.socket_address");
         String host = text(socket, path + ".endpoint.address.socket_address", "address");
-        int port = whole(field(socket, "port_value"), path + ".endpoint.address.socket_address.port_value", 1, 65_535);
+        int port = complete(field(socket, "port_value"), path + ".endpoint.address.socket_address.port_value", 1, 65_535);
         if (!host.matches("[0-9.]+|[0-9a-fA-F:.]*:[0-9a-fA-F:.]*")) {
             throw new IllegalArgumentException(path + ".endpoint.address.socket_address.address is no IP address");
         }
@@ -92,19 +92,19 @@
         String place = path + ".metadata.filter_metadata." + METADATA;
         Map<?, ?> own = object(object(field(metadata, "filter_metadata"), path + ".metadata.filter_metadata")
             .get(METADATA), place);
-        int shard = whole(own.get("shard"), place + ".shard", 0, shards - 1);
+        int shard = complete(own.get("shard"), place + ".shard", 0, shards - 1);
         double born = own.get("born_ms") instanceof Double d ? d : 0;
         Object health = field(e, "health_status");
-        return new Member(new NodeEntry(host + ':' + port, zone, shard, phase(health, path), born),
+        return new ResolvedEndpoint(new Endpoint(host + ':' + port, zone, shard, phase(health, path), born),
             new InetSocketAddress(host, port));
     }
 
     /** Only what is held healthy gets new work; the list is not asked to tell why another is not. */
-    private static Phase phase(Object health, String path) {
+    private static EndpointState phase(Object health, String path) {
         String word = health == null ? "UNKNOWN" : String.valueOf(health);
         return switch (word) {
-            case "UNKNOWN", "HEALTHY", "DEGRADED" -> Phase.HEALTHY;
-            case "DRAINING", "UNHEALTHY", "TIMEOUT" -> Phase.DRAINING;
+            case "UNKNOWN", "HEALTHY", "DEGRADED" -> EndpointState.HEALTHY;
+            case "DRAINING", "UNHEALTHY", "TIMEOUT" -> EndpointState.DRAINING;
             default -> throw new IllegalArgumentException(path + ".health_status is '" + word + "'");
         };
     }
@@ -155,7 +155,7 @@
         throw new IllegalArgumentException(path + "." + name + " is missing or not a text");
     }
 
-    private static int whole(Object value, String path, int least, int most) {
+    private static int complete(Object value, String path, int least, int most) {
         if (value instanceof Double d && d >= least && d <= most && d == Math.rint(d)) {
             return d.intValue();
         }
--- a/src/main/java/kelphollow/protocol/xds/XdsPoll.java
+++ b/src/main/java/kelphollow/protocol/xds/XdsPoll.java
@@ -15,11 +15,11 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
-import kelphollow.decision.ControlApi.ListFailure;
+import kelphollow.decision.ControlEvent.EndpointPollFailure;
 import kelphollow.protocol.json.Json;
-import kelphollow.routing.Core;
-import kelphollow.routing.Directory;
-import kelphollow.routing.Member;
+import kelphollow.routing.RequestRouter;
+import kelphollow.routing.EndpointSource;
+import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.HttpCall;
 
@@ -27,7 +27,7 @@
  * xDS by REST: asks for the cluster, then for its endpoints, again and again while both go well. A faulty answer is
  * rejected whole and the last good list stands; the module then says when to ask again.
  */
-public final class XdsPoll implements Directory {
+public final class XdsPoll implements EndpointSource {
     /** What to ask for, and how often; times in milliseconds. */
     public record Query(String host, String cluster, int shards, String nodeId, String nodeCluster, double refresh) {}
 
@@ -37,19 +37,19 @@
 
     private final HttpCall calls;
     private final Ticker ticker;
-    private final Core core;
+    private final RequestRouter router;
     private final Query query;
     private boolean watching, stopped;
     private String clusterVersion = "", endpointVersion = "";
     private XdsClusters.Cluster cluster;
-    private final Consumer<List<Member>> told;
-    private List<Member> members = List.of();
+    private final Consumer<List<ResolvedEndpoint>> told;
+    private List<ResolvedEndpoint> members = List.of();
 
     /** {@code told} hears the whole list each time that it is told or confirmed. */
-    public XdsPoll(HttpCall calls, Ticker ticker, Core core, Query query, Consumer<List<Member>> told) {
+    public XdsPoll(HttpCall calls, Ticker ticker, RequestRouter router, Query query, Consumer<List<ResolvedEndpoint>> told) {
         this.calls = calls;
         this.ticker = ticker;
-        this.core = core;
+        this.router = router;
         this.query = query;
         this.told = told;
     }
@@ -94,7 +94,7 @@
     private void askEndpoints() {
         ask("endpoints", XdsClusters.ASSIGNMENT, cluster.serviceName(), endpointVersion, (version, resources) -> {
             if (resources != null) {
-                List<Member> news = XdsClusters.endpoints(resources, cluster.serviceName(), query.shards());
+                List<ResolvedEndpoint> news = XdsClusters.endpoints(resources, cluster.serviceName(), query.shards());
                 endpointVersion = version;
                 learn(news);
             }
@@ -102,9 +102,9 @@
         });
     }
 
-    private void learn(List<Member> news) {
+    private void learn(List<ResolvedEndpoint> news) {
         members = news;
-        core.learn(news, true, false);
+        router.learn(news, true, false);
     }
 
     /** All went well: the list as it stands has been told or confirmed. */
@@ -147,7 +147,7 @@
             @Override public void failed(HttpCall.Failure failure, String why) {
                 LOG.warning(() -> "xDS, last good list stands: " + why);
                 watching = false;
-                core.listFailed(ListFailure.WATCH_BROKE, ticker.now());
+                router.endpointPollFailed(EndpointPollFailure.WATCH_BROKEN, ticker.now());
             }
         });
     }
--- a/src/main/java/kelphollow/recovery/ListAge.java
+++ b/src/main/java/kelphollow/recovery/CachedEndpointsAge.java
@@ -4,7 +4,7 @@
  * How far a node list that was kept may be believed. No I/O; times are Unix milliseconds. A list says where nodes were,
  * not where they are: what its age allows is for the start, until the list's source is heard again.
  */
-public final class ListAge {
+public final class CachedEndpointsAge {
     /** What may be done with it. */
     public enum Trust {
         /** It is as old as lists on their way usually are. */
@@ -18,7 +18,7 @@
     /** A list reaches an instance up to this late anyway. */
     static final double FRESH_FOR = 10_000;
 
-    private ListAge() {}
+    private CachedEndpointsAge() {}
 
     /** The age; a clock that went back since makes it unknown, which counts as {@code expiresAfter}. */
     public static double age(double savedAt, double now, double expiresAfter) {
--- a/src/main/java/kelphollow/recovery/LimitStart.java
+++ b/src/main/java/kelphollow/recovery/LimitRecovery.java
@@ -11,8 +11,8 @@
  * Part of the slack would make the first second better, but is not given out: an instance that crashes every few seconds
  * would spend it anew each time, and the rule counts over all of them.
  */
-public final class LimitStart {
-    private LimitStart() {}
+public final class LimitRecovery {
+    private LimitRecovery() {}
 
     /**
      * What was recorded of a volume at this instance.
--- a/src/main/java/kelphollow/retune/Retune.java
+++ b/src/main/java/kelphollow/retune/SettingsReload.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import kelphollow.decision.ControlApi.RequestClass;
+import kelphollow.decision.ControlSettings.RequestClass;
 
 /**
  * New classes and attempts, read at SIGHUP, and when they bind. New settings take effect {@link #SETTLE_MS} after
@@ -12,11 +12,11 @@
  * number of attempts, so that neither side's rules are broken in between. A class that vanishes stays known:
  * requests of it that are under way, or still on their way, keep it. No I/O, no clock but the one passed in.
  */
-public final class Retune {
+public final class SettingsReload {
     /** Milliseconds after reading at which new settings bind. */
     public static final double SETTLE_MS = 1_200;
 
-    private Retune() {}
+    private SettingsReload() {}
 
     /** What the module is told at {@code at}: the classes it knows and the attempts a request may have. */
     public record Step(double at, List<RequestClass> classes, int maxAttempts) {}
@@ -49,9 +49,11 @@
      * the shorter deadline and aim; ordered if either is.
      */
     public static RequestClass stricter(RequestClass a, RequestClass b) {
-        return new RequestClass(a.name(), Math.min(a.aim(), b.aim()), Math.min(a.deadline(), b.deadline()), b.worth(),
-            b.lateShare(), a.effect().compareTo(b.effect()) >= 0 ? a.effect() : b.effect(),
-            a.group().compareTo(b.group()) >= 0 ? a.group() : b.group(), Math.min(a.window(), b.window()),
+        return new RequestClass(a.name(), Math.min(a.latencyObjective(), b.latencyObjective()), Math.min(a.deadline(), b
+            .deadline()), b.priorityWeight(),
+            b.lateShare(), a.idempotency().compareTo(b.idempotency()) >= 0 ? a.idempotency() : b.idempotency(),
+            a.deduplicationScope().compareTo(b.deduplicationScope()) >= 0 ? a.deduplicationScope() : b.deduplicationScope(),
+            Math.min(a.idempotencyWindow(), b.idempotencyWindow()),
             a.ordered() || b.ordered(), a.streaming() && b.streaming());
     }
 }
--- a/src/main/java/kelphollow/routing/Admission.java
+++ b/src/main/java/kelphollow/routing/AdmissionFilter.java
@@ -1,21 +1,21 @@
 package kelphollow.routing;
 
-import kelphollow.decision.ControlApi.Arrival;
+import kelphollow.decision.ControlEvent.RequestArrived;
 
 /** Looks at requests before the module does, and hears which of them found no room. Lives on the core's loop. */
-public interface Admission {
+public interface AdmissionFilter {
     /** No request is held back. */
-    Admission ALL = new Admission() {
-        @Override public double advice(Arrival facts) {
+    AdmissionFilter ALL = new AdmissionFilter() {
+        @Override public double advice(RequestArrived arrival) {
             return -1;
         }
 
-        @Override public void refused(Arrival facts) {}
+        @Override public void rejected(RequestArrived arrival) {}
     };
 
     /** Below 0: the request goes on to the module. Else it is refused, with the advice to come again after so many milliseconds. */
-    double advice(Arrival facts);
+    double advice(RequestArrived arrival);
 
     /** The module refused a request that no node had taken. */
-    void refused(Arrival facts);
+    void rejected(RequestArrived arrival);
 }
--- a/src/main/java/kelphollow/routing/Attempt.java
+++ b/src/main/java/kelphollow/routing/Attempt.java
@@ -1,6 +1,6 @@
 package kelphollow.routing;
 
-/** One sending of a request to one node. Backends hold it; only {@link Core} changes it. */
+/** One sending of a request to one node. Backends hold it; only {@link RequestRouter} changes it. */
 public final class Attempt {
     // How often the module hears that a body moves on, in milliseconds.
     private static final double HEARD_EVERY = 50;
@@ -9,9 +9,9 @@
     public Object carrier;
     final int number;
     Ticker.Timeout timeout;
-    private final Core core;
+    private final RequestRouter router;
     private final Request request;
-    private final Member member;
+    private final ResolvedEndpoint target;
     private final double sentAt, giveUpAt, writeBy;
     private boolean out = true;
     private double beganAt = -1;
@@ -19,15 +19,15 @@
     private double owedSince;
     private double stalledBefore;
 
-    Attempt(Core core, Request request, int number, Member member, double sentAt, double giveUpAt,
+    Attempt(RequestRouter router, Request request, int number, ResolvedEndpoint target, double sentAt, double giveUpAt,
         double writeBy) {
-        this.core = core;
+        this.router = router;
         this.request = request;
         this.number = number;
-        this.member = member;
+        this.target = target;
         this.sentAt = sentAt;
         this.owedSince = sentAt;
-        this.stalledBefore = core.stalledFor();
+        this.stalledBefore = router.stalledFor();
         this.giveUpAt = giveUpAt;
         this.writeBy = writeBy;
     }
@@ -36,13 +36,13 @@
         return request;
     }
 
-    public Member member() {
-        return member;
+    public ResolvedEndpoint target() {
+        return target;
     }
 
     /** How long it will be waited for from now on, in milliseconds. */
     public double remaining() {
-        return giveUpAt - core.now();
+        return giveUpAt - router.now();
     }
 
     public boolean isOut() {
@@ -54,14 +54,14 @@
      * a drain, a cancellation, a deadline or the end of the time in which repeats are dropped that came while the connection
      * was being dialled.
      */
-    public boolean mayWrite() {
-        return core.mayWrite(this);
+    public boolean maySend() {
+        return router.maySend(this);
     }
 
     /** Names it in the log: request and attempt by the core's numbers, and the node. */
     @Override public String toString() {
         String state = out ? " (out)" : "";
-        return "request " + request.facts().id() + " attempt " + number + " at " + member.entry().node() + state;
+        return "request " + request.arrival().id() + " attempt " + number + " at " + target.endpoint().node() + state;
     }
 
     /** Whether its answer has begun to be passed on. */
@@ -87,29 +87,29 @@
     public void began() {
         if (out && beganAt < 0) {
             beganAt = answeredAt();
-            core.began(this);
+            router.began(this);
         }
     }
 
     /** The node has taken or given part of a body; the module hears of it now and then. */
     public void progressed() {
-        double now = core.now();
+        double now = router.now();
         if (out && now - heardAt > HEARD_EVERY) {
             heardAt = now;
-            core.progressed(this);
+            router.progressed(this);
         }
     }
 
     /** The last byte of the request's body has been written: only from here on does the node owe an answer. */
     public void sentWhole() {
-        owedSince = core.now();
-        stalledBefore = core.stalledFor();
+        owedSince = router.now();
+        stalledBefore = router.stalledFor();
     }
 
     /** Ends the attempt; later calls are ignored, since an abandoned connection may still report its end. */
-    public void ended(Result result) {
+    public void ended(AttemptResult result) {
         if (out) {
-            core.ended(this, result);
+            router.ended(this, result);
         }
     }
 
@@ -133,6 +133,6 @@
 
     /** Now, less the time since the sending in which this scheduler was stalled. */
     private double answeredAt() {
-        return Math.max(owedSince, core.now() - (core.stalledFor() - stalledBefore));
+        return Math.max(owedSince, router.now() - (router.stalledFor() - stalledBefore));
     }
 }
--- a/src/main/java/kelphollow/routing/Directory.java
+++ b/src/main/java/kelphollow/routing/EndpointSource.java
@@ -1,7 +1,7 @@
 package kelphollow.routing;
 
-/** Where the node list comes from: tells {@link Core#learn} of news and {@link Core#listFailed} of failures. */
-public interface Directory {
+/** Where the node list comes from: tells {@link RequestRouter#learn} of news and {@link RequestRouter#endpointPollFailed} of failures. */
+public interface EndpointSource {
     /** Asks for the list and all later changes; does nothing while an earlier such call goes on, or after the end. */
     void watch();
 
--- a/src/main/java/kelphollow/routing/ListBudget.java
+++ b/src/main/java/kelphollow/routing/EndpointUpdateBudget.java
@@ -1,13 +1,13 @@
 package kelphollow.routing;
 
-import kelphollow.decision.ListPace;
+import kelphollow.decision.EndpointPollSchedule;
 
 /**
  * How long news of the node list may take, as one sum. Discovery's terms: whatever failed before, a change counts as
  * told {@link #TOLD_AFTER} ms after discovery had it and could be reached, and a scheduler that has not heard it by then,
  * plus the grace for drains, breaks its promise. All times are milliseconds.
  */
-public final class ListBudget {
+public final class EndpointUpdateBudget {
     public static final double TOLD_AFTER = 6_000;
     /** The longest that a call waits for news. Each is a little shorter by chance, so that the fleet's calls part again. */
     public static final double WAIT = 1_400;
@@ -32,15 +32,15 @@
      */
     static final double AGENT_PAUSE = 100;
 
-    private ListBudget() {}
+    private EndpointUpdateBudget() {}
 
     /**
      * The longest way of news, while the service answers: a call was made just before the watch fell silent, or the
      * service went down, or came back; then the longest pause; and the next call brings it. Calls that a service with a
-     * full queue turns away are not in it: {@link ListPace} spreads those.
+     * full queue turns away are not in it: {@link EndpointPollSchedule} spreads those.
      */
     public static double longest(boolean pushed) {
         double longestCall = Math.max(WAIT + PATIENCE, TURN_PATIENCE);
-        return longestCall + (pushed ? AGENT_PAUSE : ListPace.LONGEST_PAUSE) + TURN + OWN_LATENESS;
+        return longestCall + (pushed ? AGENT_PAUSE : EndpointPollSchedule.LONGEST_PAUSE) + TURN + OWN_LATENESS;
     }
 }
--- a/src/main/java/kelphollow/routing/ListWatch.java
+++ b/src/main/java/kelphollow/routing/EndpointWatch.java
@@ -8,23 +8,23 @@
  * for this scheduler alone: nobody decides anything there, and the watch is renewed here. Guards against a scheduler
  * that lives on the list it was started with because no one asked. Lives on the core's event loop.
  */
-final class ListWatch {
-    private static final Logger LOG = Logger.getLogger(ListWatch.class.getName());
+final class EndpointWatch {
+    private static final Logger LOG = Logger.getLogger(EndpointWatch.class.getName());
 
     private final Ticker ticker;
-    private Directory directory = () -> {};
+    private EndpointSource directory = () -> {};
     private boolean pushed;
     private Ticker.Timeout renewal;
     private final double startedAt;
     private boolean heard;
 
-    ListWatch(Ticker ticker) {
+    EndpointWatch(Ticker ticker) {
         this.ticker = ticker;
         this.startedAt = ticker.now();
     }
 
     /** The list comes from here from now on; whatever came before tells nothing more. {@link #ask} begins the watch. */
-    void follow(Directory next, boolean isPushed) {
+    void follow(EndpointSource next, boolean isPushed) {
         cancel();
         directory.stop();
         directory = next;
@@ -48,7 +48,7 @@
     boolean failed() {
         if (pushed) {
             cancel();
-            renewal = ticker.after(ListBudget.AGENT_PAUSE, directory::watch);
+            renewal = ticker.after(EndpointUpdateBudget.AGENT_PAUSE, directory::watch);
         }
         return !pushed;
     }
--- a/src/main/java/kelphollow/routing/Request.java
+++ b/src/main/java/kelphollow/routing/Request.java
@@ -2,28 +2,28 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import kelphollow.decision.ControlApi.Arrival;
-import kelphollow.decision.ControlApi.Outcome;
+import kelphollow.decision.ControlEvent.AttemptOutcome;
+import kelphollow.decision.ControlEvent.RequestArrived;
 
-/** One request that a front has taken, until its final answer. Only {@link Core} changes it. */
+/** One request that a front has taken, until its final answer. Only {@link RequestRouter} changes it. */
 public final class Request {
-    final Caller caller;
+    final ResponseCallback caller;
     final List<Attempt> attempts = new ArrayList<>(1);
     boolean over;
-    Outcome last;
+    AttemptOutcome last;
     private boolean toldOverdue;
-    private final Arrival facts;
+    private final RequestArrived arrival;
     private final Object message;
 
-    Request(Arrival facts, Object message, Caller caller) {
-        this.facts = facts;
+    Request(RequestArrived arrival, Object message, ResponseCallback caller) {
+        this.arrival = arrival;
         this.message = message;
         this.caller = caller;
     }
 
     /** What the module was told of it. */
-    public Arrival facts() {
-        return facts;
+    public RequestArrived arrival() {
+        return arrival;
     }
 
     /** What the front wants sent; the backend of the same protocol knows its form. */
@@ -41,6 +41,6 @@
     }
 
     boolean timedOut() {
-        return last == Outcome.TIMED_OUT || attempts.stream().anyMatch(Attempt::isOut);
+        return last == AttemptOutcome.TIMED_OUT || attempts.stream().anyMatch(Attempt::isOut);
     }
 }
--- a/src/main/java/kelphollow/routing/RequestCounters.java
+++ b/src/main/java/kelphollow/routing/RequestCounters.java
@@ -2,9 +2,9 @@
 
 import java.util.EnumMap;
 import java.util.Map;
-import kelphollow.decision.ControlApi.Outcome;
-import kelphollow.decision.ControlApi.Reason;
-import kelphollow.decision.ListLease;
+import kelphollow.decision.ControlAction.Reason;
+import kelphollow.decision.ControlEvent.AttemptOutcome;
+import kelphollow.decision.EndpointListLease;
 
 /**
  * What became of requests and attempts since the start, by reason, for the log. Constant memory; for the core's event
@@ -16,12 +16,12 @@
     private long clientsGone;
     private long repeats;
     private long overdue;
-    private final Map<Reason, Long> refused = new EnumMap<>(Reason.class);
+    private final Map<Reason, Long> rejected = new EnumMap<>(Reason.class);
     private final Map<Reason, Long> failed = new EnumMap<>(Reason.class);
-    private final Map<Outcome, Long> attempts = new EnumMap<>(Outcome.class);
-    private final Map<WriteVerdict, Long> notWritten = new EnumMap<>(WriteVerdict.class);
+    private final Map<AttemptOutcome, Long> attempts = new EnumMap<>(AttemptOutcome.class);
+    private final Map<SendVerdict, Long> notWritten = new EnumMap<>(SendVerdict.class);
     /** Attempts written, by what the lease on the list rested on. */
-    private final Map<ListLease.State, Long> written = new EnumMap<>(ListLease.State.class);
+    private final Map<EndpointListLease.State, Long> written = new EnumMap<>(EndpointListLease.State.class);
 
     void taken() {
         taken++;
@@ -43,30 +43,30 @@
         repeats++;
     }
 
-    void refused(Reason reason) {
-        refused.merge(reason, 1L, Long::sum);
+    void rejected(Reason reason) {
+        rejected.merge(reason, 1L, Long::sum);
     }
 
     void failed(Reason reason) {
         failed.merge(reason, 1L, Long::sum);
     }
 
-    void attemptEnded(Outcome outcome) {
+    void attemptEnded(AttemptOutcome outcome) {
         attempts.merge(outcome, 1L, Long::sum);
     }
 
-    void notWritten(WriteVerdict verdict) {
+    void notWritten(SendVerdict verdict) {
         notWritten.merge(verdict, 1L, Long::sum);
     }
 
-    void written(ListLease.State state) {
+    void written(EndpointListLease.State state) {
         written.merge(state, 1L, Long::sum);
     }
 
     /** One line with all that is not zero. */
     String summary() {
         return "requests: taken=" + taken + " served=" + served + " clients gone=" + clientsGone + " overdue=" + overdue
-            + " refused=" + refused
+            + " refused=" + rejected
             + " failed=" + failed + "; attempts: ended=" + attempts + " repeats=" + repeats + " not written=" + notWritten
             + " written=" + written;
     }
--- a/src/main/java/kelphollow/routing/RequestLog.java
+++ b/src/main/java/kelphollow/routing/RequestLog.java
@@ -2,9 +2,9 @@
 
 import java.util.Collection;
 import java.util.logging.Logger;
-import kelphollow.decision.ControlApi.Outcome;
-import kelphollow.decision.ControlApi.Reason;
-import kelphollow.decision.ListLease;
+import kelphollow.decision.ControlAction.Reason;
+import kelphollow.decision.ControlEvent.AttemptOutcome;
+import kelphollow.decision.EndpointListLease;
 
 /**
  * Tells the log what becomes of requests and attempts: counters in one line every {@link #COUNTERS_EVERY} ms while they
@@ -19,7 +19,7 @@
 
     private final Ticker ticker;
     private final Collection<Request> open;
-    private final ListLease lease;
+    private final EndpointListLease lease;
     private boolean muted;
     private final RequestCounters counters = new RequestCounters();
     private final BoundedLog withheld = new BoundedLog(LOG);
@@ -27,7 +27,7 @@
     private final BoundedLog overdue = new BoundedLog(LOG);
 
     /** {@code open}: the requests that have no final answer yet, as they are at any time. */
-    RequestLog(Ticker ticker, Collection<Request> open, ListLease lease) {
+    RequestLog(Ticker ticker, Collection<Request> open, EndpointListLease lease) {
         this.ticker = ticker;
         this.open = open;
         this.lease = lease;
@@ -60,10 +60,10 @@
     private void lookForOverdue() {
         double now = ticker.now();
         for (Request request : open) {
-            if (now > request.facts().deadline() + OVERDUE && request.becomesOverdue()) {
+            if (now > request.arrival().deadline() + OVERDUE && request.becomesOverdue()) {
                 counters.overdue();
-                overdue.info(now, () -> "request " + request.facts().id() + " has no final answer "
-                    + (long) (now - request.facts().deadline()) + " ms after its time: " + request.attempts);
+                overdue.info(now, () -> "request " + request.arrival().id() + " has no final answer "
+                    + (long) (now - request.arrival().deadline()) + " ms after its time: " + request.attempts);
             }
         }
         ticker.after(OVERDUE, this::lookForOverdue);
@@ -86,8 +86,8 @@
         counters.clientGone();
     }
 
-    void refused(Reason reason) {
-        counters.refused(reason);
+    void rejected(Reason reason) {
+        counters.rejected(reason);
     }
 
     void failed(Reason reason) {
@@ -100,25 +100,25 @@
         }
     }
 
-    void ended(Outcome outcome) {
+    void ended(AttemptOutcome outcome) {
         counters.attemptEnded(outcome);
     }
 
     /** An attempt's connection is up, and this became of the question whether it may be written. */
-    void looked(Attempt attempt, WriteVerdict verdict) {
+    void looked(Attempt attempt, SendVerdict verdict) {
         if (muted) {
             return;
         }
         double now = ticker.now();
-        if (verdict != WriteVerdict.ALLOWED) {
+        if (verdict != SendVerdict.ALLOWED) {
             counters.notWritten(verdict);
             withheld.info(now, () -> attempt + " is not written: " + verdict + ", " + (long) (now - attempt.sentAt())
                 + " ms after it was sent");
             return;
         }
-        ListLease.State state = lease.state(now);
+        EndpointListLease.State state = lease.state(now);
         counters.written(state);
-        if (state != ListLease.State.CURRENT) {
+        if (state != EndpointListLease.State.CURRENT) {
             unconfirmed.info(now, () -> attempt + " is written by a list that is not confirmed: " + state);
         }
     }
--- /dev/null
+++ b/src/main/java/kelphollow/routing/ResolvedEndpoint.java
@@ -0,0 +1,7 @@
+package kelphollow.routing;
+
+import java.net.InetSocketAddress;
+import kelphollow.decision.ControlEvent.Endpoint;
+
+/** A storage node of the endpoint list, with the address that only backends need. */
+public record ResolvedEndpoint(Endpoint endpoint, InetSocketAddress address) {}
--- a/src/main/java/kelphollow/routing/WriteVerdict.java
+++ b/src/main/java/kelphollow/routing/SendVerdict.java
@@ -1,19 +1,19 @@
 package kelphollow.routing;
 
 /** Whether the first byte of an attempt may be written now, and if not, why. */
-public enum WriteVerdict {
+public enum SendVerdict {
     /** It may. */
     ALLOWED,
     /** The attempt has ended, by its time-out or by a cancellation. */
     ATTEMPT_ENDED,
     /** Its request has had its final answer, or its client has left. */
-    REQUEST_OVER,
+    REQUEST_FINISHED,
     /** Nothing is left of the time for which the attempt would be waited for. */
-    TIME_OVER,
+    DEADLINE_EXCEEDED,
     /** A repeat, and nodes may have forgotten the first attempt by now. */
-    WINDOW_OVER,
+    IDEMPOTENCY_WINDOW_EXPIRED,
     /** The node drains, is gone from the list, banned, or left alone for the sake of other instances. */
-    NODE_UNWANTED,
+    ENDPOINT_NOT_ELIGIBLE,
     /** The lease on the node list has ended, or has not begun. */
-    LIST_EXPIRED
+    LEASE_EXPIRED
 }
--- a/src/main/java/kelphollow/scale/DiscoveryStandIn.java
+++ b/src/main/java/kelphollow/scale/DiscoveryStandIn.java
@@ -42,7 +42,7 @@
     private static List<Object> nodes(ScaleScenario scenario) {
         List<Object> nodes = new ArrayList<>();
         for (int i = 0; i < scenario.nodes(); i++) {
-            String name = HollowNodes.nodeName(i);
+            String name = SimulatedNodes.nodeName(i);
             int colon = name.lastIndexOf(':');
             nodes.add(Map.of("endpoint", Map.of("address", Map.of("socket_address",
                 Map.of("address", name.substring(0, colon), "port_value", Integer.parseInt(name.substring(colon + 1))))),
--- a/src/main/java/kelphollow/scale/DrainProbes.java
+++ b/src/main/java/kelphollow/scale/DrainProbes.java
@@ -45,10 +45,10 @@
     /** @param waiting instances that are to keep the drain */
     synchronized void told(int node, int teller, double now, BitSet waiting) {
         told++;
-        open.put(HollowNodes.nodeName(node), new Probe(node, teller, now, waiting));
+        open.put(SimulatedNodes.nodeName(node), new Probe(node, teller, now, waiting));
     }
 
-    synchronized void cordoned(int instance, double now, Set<String> nodes) {
+    synchronized void ejected(int instance, double now, Set<String> nodes) {
         open.forEach((node, probe) -> {
             if (probe.waiting.get(instance) && nodes.contains(node)) {
                 probe.waiting.clear(instance);
@@ -78,7 +78,7 @@
         for (Probe p : List.copyOf(open.values())) {
             double stood = now - p.toldAt;
             if (stood >= STANDS || last) {
-                open.remove(HollowNodes.nodeName(p.node));
+                open.remove(SimulatedNodes.nodeName(p.node));
                 ended.add(new Ended(p.node, p.teller));
                 if (stood >= STANDS / 2) {
                     missed += p.waiting.cardinality();
--- a/src/main/java/kelphollow/scale/Likeness.java
+++ b/src/main/java/kelphollow/scale/FidelityCheck.java
@@ -9,7 +9,7 @@
  * Whether hollow instances send what real ones send in the same run: a hollow one that says less would make size look cheap.
  * How often exchanges fall due is drawn at random and rare, so their size is compared and not their number.
  */
-final class Likeness {
+final class FidelityCheck {
     /** A hollow instance's figures are within this share of a real one's. */
     static final double TOLERANCE = 0.1;
     /** Fewer datagrams of real instances than this tell nothing to within the tolerance: gossip comes in bursts. */
@@ -18,7 +18,7 @@
     /** From so many exchanges of real instances on, hollow ones that made none are not like them. */
     static final long LEAST_EXCHANGES = 10;
 
-    private Likeness() {}
+    private FidelityCheck() {}
 
     /** Hollow divided by real, by figure; the size of exchanges where both made any, or the real ones made many. */
     static Map<String, Object> ratios(TrafficCount hollow, double hollowSeconds, TrafficCount real, double realSeconds) {
--- a/src/main/java/kelphollow/scale/Curves.java
+++ b/src/main/java/kelphollow/scale/LoadProfilePlots.java
@@ -10,10 +10,10 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /** Pictures of runs: figures over size where several sizes were played, and over time for each. */
-final class Curves {
+final class LoadProfilePlots {
     private static final int WIDTH = 900, HEIGHT = 420;
 
-    private Curves() {}
+    private LoadProfilePlots() {}
 
     /** Writes {@code over-size-*.png} and {@code over-time-*.png} into the folder. */
     static void write(List<ScaleReport> reports, List<List<Samples.Moment>> moments, Path folder) throws IOException {
--- a/src/main/java/kelphollow/scale/RealInstances.java
+++ b/src/main/java/kelphollow/scale/RealInstances.java
@@ -59,7 +59,7 @@
         this.network = network;
         this.discovery = discovery;
         Path key = folder.resolve("key");
-        Files.write(key, HollowInstance.KEY);
+        Files.write(key, SimulatedInstance.KEY);
         for (int i = scenario.hollow(); i < scenario.instances(); i++) {
             Instance instance = new Instance(i, Files.createDirectories(folder.resolve(ScaleScenario.nameOf(i))));
             instance.mgmt = freePort();
@@ -76,16 +76,16 @@
 
     private Map<String, Object> config(Instance of, Path key) throws IOException {
         Map<String, Object> peers = new TreeMap<>();
-        for (int seed : HollowInstance.seeds(scenario)) {
+        for (int seed : SimulatedInstance.seeds(scenario)) {
             peers.put(ScaleScenario.nameOf(seed), text(network.addressOf(seed)));
         }
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", ScaleScenario.nameOf(of.index));
         config.put("listen", HERE + ":" + freePort());
         config.put("mgmt", HERE + ":" + of.mgmt);
-        config.put("buckets", Map.of("v", Map.of("plan", HollowNodes.PLAN, "gateways", scenario.instances())));
+        config.put("buckets", Map.of("v", Map.of("plan", SimulatedNodes.PLAN, "gateways", scenario.instances())));
         config.put("objects", Map.of("shards", scenario.nodes(),
-            "classes", Map.of("read", "read", "write", HollowNodes.CLASS)));
+            "classes", Map.of("read", "read", "write", SimulatedNodes.CLASS)));
         config.put("store", Map.of("folders",
             List.of(of.folder.resolve("a").toString(), of.folder.resolve("b").toString())));
         config.put("xds", Map.of("cluster", "scale", "server", HERE + ":" + discovery.port(), "refresh_ms", REFRESH));
@@ -105,11 +105,11 @@
         settings.put("ceilings", Map.of("cancel", true, "most_tries", 3, "retry_after", true, "max_retry_after", 1_000));
         settings.put("contract", Map.of("drain_grace", 250));
         settings.put("extra", Map.of("unit_mean", 1, "share_worth", 0.35, "beyond_share", 0.05));
-        settings.put("grades", List.of(Map.of("name", HollowNodes.PLAN, "rate", 1_000, "reserve", 0, "proportion", 1,
+        settings.put("grades", List.of(Map.of("name", SimulatedNodes.PLAN, "rate", 1_000, "reserve", 0, "proportion", 1,
             "value_factor", 1, "ceiling_rate", 0, "limit_burst", 0, "tolerance", 0)));
         settings.put("request_classes", List.of(
             Map.of("name", "read", "aim", 250, "deadline", 2_000, "effect", "pure", "worth", 2, "late_share", 0.2),
-            Map.of("name", HollowNodes.CLASS, "aim", 500, "deadline", 2_000, "effect", "side_effect", "worth", 2,
+            Map.of("name", SimulatedNodes.CLASS, "aim", 500, "deadline", 2_000, "effect", "side_effect", "worth", 2,
                 "late_share", 0.1)));
         return settings;
     }
@@ -236,10 +236,10 @@
         figures.put("parts_fresh_share", Percentiles.rounded(fresh));
         figures.put("by_kind", Samples.byKind(total, seconds));
         figures.put("discovery_answers", discovery.answers());
-        Map<String, Object> ratios = Likeness.ratios(hollow.total(), hollow.instanceSeconds(), total, seconds);
+        Map<String, Object> ratios = FidelityCheck.ratios(hollow.total(), hollow.instanceSeconds(), total, seconds);
         figures.put("hollow_by_real", ratios);
-        figures.put("likeness_judged", total.datagramsOut() >= Likeness.LEAST_DATAGRAMS);
-        Likeness.verify(ratios, total.datagramsOut(), failures);
+        figures.put("likeness_judged", total.datagramsOut() >= FidelityCheck.LEAST_DATAGRAMS);
+        FidelityCheck.verify(ratios, total.datagramsOut(), failures);
         return figures;
     }
 
--- a/src/main/java/kelphollow/scale/Samples.java
+++ b/src/main/java/kelphollow/scale/Samples.java
@@ -36,7 +36,7 @@
     }
 
     /** Takes the counts from which the next sample goes on. */
-    void begin(List<HollowInstance> running) {
+    void begin(List<SimulatedInstance> running) {
         running.forEach(i -> seen.put(i.index(), new Seen(i.epoch(), i.traffic())));
     }
 
@@ -48,9 +48,9 @@
      * @param at since the measurement began, in milliseconds
      * @param span since the sample before, in milliseconds
      */
-    void take(List<HollowInstance> running, Set<String> names, double at, double span) {
+    void take(List<SimulatedInstance> running, Set<String> names, double at, double span) {
         double shares = 0, bytes = 0;
-        for (HollowInstance instance : running) {
+        for (SimulatedInstance instance : running) {
             long[] held = {0};
             instance.eachPart((name, age) -> {
                 if (names.contains(name) && age < scenario.fades()) {
@@ -67,7 +67,7 @@
         moments.add(new Moment(at / 1_000, shares / count, bytes / count));
     }
 
-    private double traffic(HollowInstance instance, double span) {
+    private double traffic(SimulatedInstance instance, double span) {
         TrafficCount now = instance.traffic();
         Seen before = seen.put(instance.index(), new Seen(instance.epoch(), now));
         if (before == null || before.epoch != instance.epoch()) {
--- a/src/main/java/kelphollow/scale/Scale.java
+++ b/src/main/java/kelphollow/scale/Scale.java
@@ -177,7 +177,7 @@
         throws IOException {
         if (order.report() != null) {
             Files.createDirectories(order.report());
-            Curves.write(reports, moments, order.report());
+            LoadProfilePlots.write(reports, moments, order.report());
         }
     }
 
--- a/src/main/java/kelphollow/scale/ScaleRun.java
+++ b/src/main/java/kelphollow/scale/ScaleRun.java
@@ -12,7 +12,7 @@
  * Plays one scenario: starts all instances, waits until they see each other, then measures for the scenario's time while it
  * injects faults and tells drains. All decisions are the instances' own. For the thread of the run.
  */
-final class ScaleRun implements HollowInstance.Observer {
+final class ScaleRun implements SimulatedInstance.Observer {
     /** How long instances may take to see each other beyond the warm-up, in milliseconds. */
     static final double JOIN_PATIENCE = 60_000;
     private static final double SAMPLE_EVERY = 1_000;
@@ -45,7 +45,7 @@
     private final FleetHost host;
     private final NetworkModel network;
     private final Others others;
-    private final List<HollowInstance> instances = new ArrayList<>();
+    private final List<SimulatedInstance> instances = new ArrayList<>();
     private final DrainProbes drains;
     private final DeathProbes deaths;
     private final Samples samples;
@@ -63,14 +63,14 @@
         this.deaths = new DeathProbes(scenario, network);
         this.samples = new Samples(scenario);
         for (int i = 0; i < scenario.hollow(); i++) {
-            instances.add(new HollowInstance(scenario, i, host, network, this, seed));
+            instances.add(new SimulatedInstance(scenario, i, host, network, this, seed));
         }
     }
 
     /** Plays the scenario; what did not hold is in {@link #failures} afterwards. */
     void play() throws IOException, InterruptedException {
         processor.beforeStart();
-        for (HollowInstance instance : instances) {
+        for (SimulatedInstance instance : instances) {
             begin(instance);
         }
         if (!join()) {
@@ -81,7 +81,7 @@
         verify();
     }
 
-    private void begin(HollowInstance instance) throws IOException {
+    private void begin(SimulatedInstance instance) throws IOException {
         instance.start();
         deaths.started(instance.index(), instance.epoch());
     }
@@ -97,8 +97,8 @@
         return !Double.isNaN(joinedAfter);
     }
 
-    private List<HollowInstance> running() {
-        return instances.stream().filter(HollowInstance::isRunning).toList();
+    private List<SimulatedInstance> running() {
+        return instances.stream().filter(SimulatedInstance::isRunning).toList();
     }
 
     private Set<String> names() {
@@ -111,7 +111,7 @@
     private int disagreeing() {
         Set<String> names = names();
         int count = 0;
-        for (HollowInstance instance : running()) {
+        for (SimulatedInstance instance : running()) {
             Set<String> seen = new HashSet<>(instance.present());
             seen.add(ScaleScenario.nameOf(instance.index()));
             count += seen.equals(names) ? 0 : 1;
@@ -159,13 +159,13 @@
     /** Tells one running instance alone that a node drains, another one and another node each time. */
     private void drain() {
         takeBack(false);
-        List<HollowInstance> running = running();
+        List<SimulatedInstance> running = running();
         ScaleScenario.PartSize part = scenario.part();
-        int first = part.drains() + part.silent(), free = scenario.nodes() - first - part.refused();
+        int first = part.drains() + part.silent(), free = scenario.nodes() - first - part.rejected();
         if (running.size() < 2 || free < 1 || network.hasCuts()) {
             return;
         }
-        HollowInstance teller = running.get((int) (drainNumber * 7919L % running.size()));
+        SimulatedInstance teller = running.get((int) (drainNumber * 7919L % running.size()));
         int node = first + drainNumber++ % free;
         BitSet waiting = new BitSet();
         running.forEach(i -> waiting.set(i.index()));
@@ -176,15 +176,15 @@
 
     private void takeBack(boolean last) {
         for (DrainProbes.Ended ended : drains.end(host.now(), last)) {
-            HollowInstance teller = instances.get(ended.teller());
+            SimulatedInstance teller = instances.get(ended.teller());
             if (teller.isRunning()) {
                 teller.drain(ended.node(), false);
             }
         }
     }
 
-    @Override public void cordoned(int instance, double now, Set<String> nodes) {
-        drains.cordoned(instance, now, nodes);
+    @Override public void ejected(int instance, double now, Set<String> nodes) {
+        drains.ejected(instance, now, nodes);
     }
 
     @Override public void event(int instance, double now, String kind, String of, long epoch) {
@@ -210,45 +210,45 @@
         }
     }
 
-    private List<HollowInstance> some(ScaleScenario.Step step) {
+    private List<SimulatedInstance> some(ScaleScenario.Step step) {
         return instances.subList(step.first(), Math.min(instances.size(), step.first() + step.count()));
     }
 
-    private List<HollowInstance> zone(ScaleScenario.Step step) {
+    private List<SimulatedInstance> zone(ScaleScenario.Step step) {
         return instances.stream().filter(i -> scenario.zoneOf(i.index()) == step.zone()).toList();
     }
 
-    private void kill(HollowInstance instance) {
+    private void kill(SimulatedInstance instance) {
         if (instance.isAlive()) {
             instance.kill();
             down(instance);
         }
     }
 
-    private void stop(HollowInstance instance) {
+    private void stop(SimulatedInstance instance) {
         if (instance.isRunning()) {
             instance.stop();
             down(instance);
         }
     }
 
-    private void down(HollowInstance instance) {
+    private void down(SimulatedInstance instance) {
         drains.excuse(instance.index());
         BitSet waiting = new BitSet();
         running().forEach(i -> waiting.set(i.index()));
         deaths.died(instance.index(), host.now(), waiting);
     }
 
-    private void wake(HollowInstance instance) {
+    private void wake(SimulatedInstance instance) {
         if (instance.isAlive() && !instance.isRunning()) {
             deaths.woken(instance.index(), host.now());
             instance.wake();
         }
     }
 
-    private void restart(List<HollowInstance> which) throws IOException {
+    private void restart(List<SimulatedInstance> which) throws IOException {
         which.forEach(this::kill);
-        for (HollowInstance instance : which) {
+        for (SimulatedInstance instance : which) {
             begin(instance);
         }
     }
@@ -313,6 +313,6 @@
 
     /** Ends all hollow instances. */
     void end() {
-        instances.stream().filter(HollowInstance::isAlive).forEach(HollowInstance::kill);
+        instances.stream().filter(SimulatedInstance::isAlive).forEach(SimulatedInstance::kill);
     }
 }
--- a/src/main/java/kelphollow/scale/ScaleScenario.java
+++ b/src/main/java/kelphollow/scale/ScaleScenario.java
@@ -44,7 +44,7 @@
      * @param silentBy how many instances find each of these silent
      * @param refused shards at which each instance turns requests away
      */
-    record PartSize(int drains, int silent, int silentBy, int refused) {}
+    record PartSize(int drains, int silent, int silentBy, int rejected) {}
 
     /** One way, by where both ends are; {@code jitter} is the share of it that is drawn on top; {@code loss} a part of 1. */
     record Network(double zone, double region, double far, double jitter, double loss) {}
@@ -155,7 +155,7 @@
         known(json, "part.", "drains", "silent", "silent_by", "refused");
         PartSize part = new PartSize(whole(json, "part.", "drains", 2, 0, 250), whole(json, "part.", "silent", 0, 0, 250),
             whole(json, "part.", "silent_by", 3, 1, MOST_INSTANCES), whole(json, "part.", "refused", 1, 0, 250));
-        if (part.drains + part.silent + part.refused >= nodes) {
+        if (part.drains + part.silent + part.rejected >= nodes) {
             throw new Refused("nodes: fewer than the keys of 'part'");
         }
         return part;
--- a/src/main/java/kelphollow/scale/HollowInstance.java
+++ b/src/main/java/kelphollow/scale/SimulatedInstance.java
@@ -13,9 +13,9 @@
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
 import java.util.stream.IntStream;
-import kelphollow.decision.ControlApi;
-import kelphollow.fleet.Events;
+import kelphollow.decision.ControlSettings;
 import kelphollow.dissemination.Dissemination;
+import kelphollow.fleet.Events;
 import kelphollow.fleet.Fleet;
 import kelphollow.membership.Settings;
 import kelphollow.protocol.json.Json;
@@ -24,10 +24,10 @@
 import kelphollow.routing.Ticker;
 
 /**
- * One instance of the control side without clients and data path: the production fleet over {@link HollowNodes}. A kill
+ * One instance of the control side without clients and data path: the production fleet over {@link SimulatedNodes}. A kill
  * ends a life without a word; the next life has a higher epoch at the same address. Called by the thread of the run alone.
  */
-final class HollowInstance {
+final class SimulatedInstance {
     /** The fleet's key in a run. */
     static final byte[] KEY = "the key of one scale run".getBytes(StandardCharsets.US_ASCII);
     // The share of repeats as an operator's file has it by default.
@@ -36,7 +36,7 @@
     /** Hears what instances find; calls come on their loops. */
     interface Observer {
         /** {@code instance} leaves these nodes alone from now on. */
-        void cordoned(int instance, double now, Set<String> nodes);
+        void ejected(int instance, double now, Set<String> nodes);
 
         /** {@code instance} tells an event of a life of the instance {@code of}, in the words of the fleet's log. */
         void event(int instance, double now, String kind, String of, long epoch);
@@ -50,10 +50,11 @@
     private final Random random;
     private long epoch;
     private Gate gate;
-    private HollowNodes nodes;
+    private SimulatedNodes nodes;
     private Fleet fleet;
 
-    HollowInstance(ScaleScenario scenario, int index, FleetHost host, NetworkModel network, Observer observer, long seed) {
+    SimulatedInstance(ScaleScenario scenario, int index, FleetHost host, NetworkModel network, Observer observer,
+        long seed) {
         this.scenario = scenario;
         this.index = index;
         this.host = host;
@@ -87,7 +88,7 @@
         Random drawn = new Random(random.nextLong());
         host.call(index, () -> {
             Ticker ticker = host.ticker(index, life);
-            nodes = new HollowNodes(scenario, index, ticker, cordoned -> observer.cordoned(index, ticker.now(), cordoned));
+            nodes = new SimulatedNodes(scenario, index, ticker, ejected -> observer.ejected(index, ticker.now(), ejected));
             fleet = new Fleet(options(), settings(), epoch, host.transports(index, life, KEY, Settings.USUAL.mostMembers()),
                 ticker, nodes, drawn, new Events(new Tap(ticker)), raised -> epoch = raised);
             return null;
@@ -116,13 +117,13 @@
             .filter(i -> i == 0 || scenario.zoneOf(i) != scenario.zoneOf(i - 1)).boxed().toList();
     }
 
-    private ControlApi.Settings settings() {
-        ControlApi.RequestClass write = new ControlApi.RequestClass(HollowNodes.CLASS, 500, 2_000, 2, 0.1,
-            ControlApi.Effect.UNSAFE, ControlApi.Group.ALL, 0, false, false);
-        ControlApi.Plan usual = new ControlApi.Plan(HollowNodes.PLAN, 1_000, 0, 1, 1, 0, 0, 0);
-        return new ControlApi.Settings(index, scenario.instances(), "z" + scenario.zoneOf(index), 2, 3, 1_000, true, false,
+    private ControlSettings settings() {
+        ControlSettings.RequestClass write = new ControlSettings.RequestClass(SimulatedNodes.CLASS, 500, 2_000, 2, 0.1,
+            ControlSettings.Idempotency.NOT_IDEMPOTENT, ControlSettings.DeduplicationScope.ALL, 0, false, false);
+        ControlSettings.Plan usual = new ControlSettings.Plan(SimulatedNodes.PLAN, 1_000, 0, 1, 1, 0, 0, 0);
+        return new ControlSettings(index, scenario.instances(), "z" + scenario.zoneOf(index), 2, 3, 1_000, true, false,
             1_000, 1, 0.35, 0.05, List.of(write), List.of(usual),
-            new ControlApi.Rules(250, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0));
+            new ControlSettings.Rules(250, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0));
     }
 
     /** SIGKILL: no word to the others. */
--- a/src/main/java/kelphollow/scale/HollowNodes.java
+++ b/src/main/java/kelphollow/scale/SimulatedNodes.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import kelphollow.decision.ControlApi.Arrival;
-import kelphollow.decision.ControlApi.NodeEntry;
-import kelphollow.decision.ControlApi.Phase;
-import kelphollow.routing.Admission;
-import kelphollow.routing.NodeControl;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.decision.ControlEvent.RequestArrived;
+import kelphollow.routing.AdmissionFilter;
+import kelphollow.routing.FleetRouting;
 import kelphollow.routing.Ticker;
 
 /**
@@ -18,7 +18,7 @@
  * a second unless the fleet leaves them alone, and shards where requests are refused. What it says of nodes is what an
  * instance in service would say. For the instance's loop.
  */
-final class HollowNodes implements NodeControl {
+final class SimulatedNodes implements FleetRouting {
     /** The class and plan of the requests that are refused here; the fleet's settings must know both. */
     static final String CLASS = "write", PLAN = "usual";
     // A silent node is tried so often, as the decision module's trickle does.
@@ -30,19 +30,19 @@
 
     private final ScaleScenario scenario;
     private final Ticker ticker;
-    private final Consumer<Set<String>> cordons;
+    private final Consumer<Set<String>> ejections;
     private final Map<String, Integer> tries = new HashMap<>();
-    private Admission admission = Admission.ALL;
-    private Consumer<List<NodeEntry>> listHeard = entries -> {};
-    private Set<String> cordoned = Set.of();
+    private AdmissionFilter admission = AdmissionFilter.ALL;
+    private Consumer<List<Endpoint>> endpointsListener = entries -> {};
+    private Set<String> ejected = Set.of();
     private double triedAt;
     private long refusals;
 
     /** @param cordons hears, each time it changes, which nodes are left alone for the sake of others */
-    HollowNodes(ScaleScenario scenario, int instance, Ticker ticker, Consumer<Set<String>> cordons) {
+    SimulatedNodes(ScaleScenario scenario, int instance, Ticker ticker, Consumer<Set<String>> ejections) {
         this.scenario = scenario;
         this.ticker = ticker;
-        this.cordons = cordons;
+        this.ejections = ejections;
         ScaleScenario.PartSize part = scenario.part();
         for (int i = 0; i < part.silent(); i++) {
             // Each silent node is found by as many instances in a row, spread evenly over the fleet.
@@ -60,60 +60,61 @@
 
     /** The first list from discovery; after the fleet has started. */
     void start() {
-        List<NodeEntry> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < scenario.nodes(); i++) {
             entries.add(entry(i, i < scenario.part().drains()));
         }
-        listHeard.accept(entries);
+        endpointsListener.accept(entries);
         refuse();
     }
 
-    private NodeEntry entry(int node, boolean draining) {
-        return new NodeEntry(nodeName(node), "z" + node % scenario.zones(), node,
-            draining ? Phase.DRAINING : Phase.HEALTHY, 0);
+    private Endpoint entry(int node, boolean draining) {
+        return new Endpoint(nodeName(node), "z" + node % scenario.zones(), node,
+            draining ? EndpointState.DRAINING : EndpointState.HEALTHY, 0);
     }
 
     /** Discovery tells this instance alone that the node drains, or no longer. */
     void drain(int node, boolean draining) {
-        listHeard.accept(List.of(entry(node, draining)));
+        endpointsListener.accept(List.of(entry(node, draining)));
     }
 
     private void refuse() {
-        for (int i = 0; i < scenario.part().refused(); i++) {
+        for (int i = 0; i < scenario.part().rejected(); i++) {
             int shard = scenario.nodes() - 1 - i;
-            Arrival facts = new Arrival("r" + refusals, CLASS, PLAN, "k" + refusals++, ticker.now() + 1_000, "v",
+            RequestArrived arrival = new RequestArrived("r" + refusals, CLASS, PLAN, "k" + refusals++, ticker.now() + 1_000,
+                "v",
                 1, shard, 1);
-            if (admission.advice(facts) < 0) {
-                admission.refused(facts);
+            if (admission.advice(arrival) < 0) {
+                admission.rejected(arrival);
             }
         }
-        if (scenario.part().refused() > 0) {
+        if (scenario.part().rejected() > 0) {
             ticker.after(REFUSE_EVERY, this::refuse);
         }
     }
 
-    @Override public void boundRepeats(double share, double span) {}
+    @Override public void limitRetries(double share, double span) {}
 
-    @Override public void admit(Admission by) {
+    @Override public void admit(AdmissionFilter by) {
         admission = by;
     }
 
-    @Override public void onList(Consumer<List<NodeEntry>> heard) {
-        listHeard = heard;
+    @Override public void onEndpointsReceived(Consumer<List<Endpoint>> heard) {
+        endpointsListener = heard;
     }
 
-    @Override public void cordon(Set<String> nodes) {
-        cordoned = Set.copyOf(nodes);
-        cordons.accept(cordoned);
+    @Override public void eject(Set<String> nodes) {
+        ejected = Set.copyOf(nodes);
+        ejections.accept(ejected);
     }
 
     @Override public void doubt(Set<String> nodes) {}
 
-    @Override public Map<String, Integer> silentNodes() {
+    @Override public Map<String, Integer> unresponsiveNodes() {
         double now = ticker.now();
         if (now - triedAt >= TRY_EVERY) {
             triedAt = now;
-            tries.replaceAll((node, count) -> cordoned.contains(node) ? count : count + 1);
+            tries.replaceAll((node, count) -> ejected.contains(node) ? count : count + 1);
         }
         return Map.copyOf(tries);
     }
--- a/src/main/java/kelphollow/site/FarDrain.java
+++ b/src/main/java/kelphollow/site/RemoteDrain.java
@@ -5,12 +5,12 @@
  * as it can and at the latest after the grace; what is out goes on until the time that the far side named, after which
  * it is as if the link had broken. One event loop.
  */
-public final class FarDrain {
+public final class RemoteDrain {
     private final double grace;
     private double toldAt = Double.NaN, closesAt = Double.POSITIVE_INFINITY;
 
     /** {@code grace} is the rule's, in milliseconds: nothing new later than that after it was told. */
-    public FarDrain(double grace) {
+    public RemoteDrain(double grace) {
         this.grace = grace;
     }
 
--- a/src/main/java/kelphollow/store/WholeFile.java
+++ b/src/main/java/kelphollow/store/AtomicFile.java
@@ -5,10 +5,10 @@
 import java.util.Arrays;
 
 /** Writing of whole files so that they are there entirely or not at all. */
-final class WholeFile {
+final class AtomicFile {
     private static final int PIECE = 256 * 1024;
 
-    private WholeFile() {}
+    private AtomicFile() {}
 
     /** Writes a new file and makes it safe; one of that name left by a crash is replaced. */
     static void write(Disk disk, String name, byte[] bytes) throws IOException {
--- a/src/main/java/kelphollow/store/CommitLog.java
+++ b/src/main/java/kelphollow/store/CommitLog.java
@@ -25,7 +25,7 @@
     private Manifest manifest;
     private Segment active;
     private final Index.Editor editor;
-    private final Space space;
+    private final SegmentUsage space;
     private final Tables tables;
     private final FrameWriter out = new FrameWriter(64 * 1024);
     private final List<Change> pending = new ArrayList<>();
@@ -36,7 +36,8 @@
     private boolean unsynced;
     private long written, payload, syncs;
 
-    CommitLog(Store store, Opening.State state, Tables tables, Space space, StoreOptions options, LongSupplier clock,
+    CommitLog(Store store, StoreOpener.State state, Tables tables, SegmentUsage space, StoreOptions options,
+        LongSupplier clock,
         ExecutorService second) {
         this.store = store;
         this.options = options;
@@ -213,7 +214,7 @@
     }
 
     /** What is live in each segment. */
-    Space space() {
+    SegmentUsage space() {
         return space;
     }
 
--- a/src/main/java/kelphollow/store/Compactor.java
+++ b/src/main/java/kelphollow/store/Compactor.java
@@ -89,7 +89,7 @@
         writer.run(() -> manifest[0] = writer.log().manifest());
         for (Manifest.Entry entry : manifest[0].segments()) {
             if (entry.isSealed() && entry.hintLength() == 0 && entry.operations() > 0) {
-                Hint hint = writeHint(entry.id(), whole(entry));
+                SegmentHint hint = writeHint(entry.id(), whole(entry));
                 writer.run(() -> writer.log().hint(entry.id(), hint.bytes().length, hint.crc()));
                 return true;
             }
@@ -97,11 +97,11 @@
         return false;
     }
 
-    private Hint writeHint(long segment, SegmentMerge merge) throws IOException {
-        Hint hint = Hint.of(store.id(), merge, segment);
+    private SegmentHint writeHint(long segment, SegmentMerge merge) throws IOException {
+        SegmentHint hint = SegmentHint.of(store.id(), merge, segment);
         pace.take(2L * hint.bytes().length);
         for (Disk disk : store.disks()) {
-            WholeFile.write(disk, Format.hintName(segment), hint.bytes());
+            AtomicFile.write(disk, Format.hintName(segment), hint.bytes());
             disk.syncFolder();
         }
         return hint;
@@ -221,7 +221,7 @@
                 if (!merge.damages().isEmpty()) {
                     throw new IOException(Format.segmentName(entry.id()) + " cannot be read back");
                 }
-                Hint hint = writeHint(entry.id(), merge);
+                SegmentHint hint = writeHint(entry.id(), merge);
                 entries.add(entry.withHint(hint.bytes().length, hint.crc()));
                 current = null;
             }
@@ -372,12 +372,12 @@
     }
 
     private int scrubHint(SegmentMerge merge, Manifest.Entry entry, Report report) throws IOException {
-        Hint hint = Hint.of(store.id(), merge, entry.id());
+        SegmentHint hint = SegmentHint.of(store.id(), merge, entry.id());
         String name = Format.hintName(entry.id());
         int repaired = 0;
         for (Disk disk : store.disks()) {
-            if (WholeFile.read(disk, name, hint.bytes()) != hint.bytes()) {
-                WholeFile.replace(disk, name, name + FolderFiles.REPLACEMENT, hint.bytes());
+            if (AtomicFile.read(disk, name, hint.bytes()) != hint.bytes()) {
+                AtomicFile.replace(disk, name, name + FolderFiles.REPLACEMENT, hint.bytes());
                 report.repaired(disk.place() + "/" + name, "from " + Format.segmentName(entry.id()));
                 repaired++;
             }
--- a/src/main/java/kelphollow/store/EntrySort.java
+++ b/src/main/java/kelphollow/store/EntrySort.java
@@ -24,7 +24,7 @@
     }
 
     private int keyAt(int entry) {
-        return entry + Hint.ENTRY;
+        return entry + SegmentHint.ENTRY;
     }
 
     private int keyEnd(int entry) {
--- a/src/main/java/kelphollow/store/IndexLoader.java
+++ b/src/main/java/kelphollow/store/IndexLoader.java
@@ -15,16 +15,16 @@
     // Below so many operations one range is quicker than handing out several.
     static final int WORTH_CUTTING = 20_000;
 
-    private final List<Hint> hints = new ArrayList<>();
+    private final List<SegmentHint> hints = new ArrayList<>();
     private final Map<Long, Long> live = new HashMap<>(), removals = new HashMap<>();
 
-    void add(Hint hint) {
+    void add(SegmentHint hint) {
         hints.add(hint);
         removals.merge(hint.segment(), hint.removals(), Long::sum);
     }
 
     Index build() {
-        long operations = hints.stream().mapToLong(Hint::count).sum();
+        long operations = hints.stream().mapToLong(SegmentHint::count).sum();
         int ranges = operations < WORTH_CUTTING ? 1 : 2 * Runtime.getRuntime().availableProcessors();
         int[][] cuts = cuts(ranges);
         List<Range> merged = IntStream.range(0, ranges).parallel()
@@ -41,7 +41,7 @@
 
     /** For each range where it begins in each hint; all operations on one key fall into one range. */
     private int[][] cuts(int ranges) {
-        Hint longest = hints.stream().max(java.util.Comparator.comparingInt(Hint::count)).orElse(null);
+        SegmentHint longest = hints.stream().max(java.util.Comparator.comparingInt(SegmentHint::count)).orElse(null);
         int[][] cuts = new int[ranges + 1][hints.size()];
         for (int r = 1; r <= ranges; r++) {
             byte[] key = r == ranges ? null : longest.key((int) ((long) longest.count() * r / ranges));
@@ -73,7 +73,7 @@
             int first = -1, last = -1;
             for (int h = 0; h < next.length; h++) {
                 if (next[h] < end[h]) {
-                    Hint hint = hints.get(h);
+                    SegmentHint hint = hints.get(h);
                     first = first < 0 || hint.compare(next[h], hints.get(first), next[first]) < 0 ? h : first;
                     last = last < 0 || hint.compare(end[h] - 1, hints.get(last), end[last] - 1) > 0 ? h : last;
                 }
@@ -92,12 +92,12 @@
             for (int i = size / 2 - 1; i >= 0; i--) {
                 sink(i);
             }
-            Hint last = null;
+            SegmentHint last = null;
             int lastAt = 0;
             long lastPrefix = 0;
             while (size > 0) {
                 int h = heap[0];
-                Hint hint = hints.get(h);
+                SegmentHint hint = hints.get(h);
                 int i = next[h]++;
                 if (last == null || lastPrefix != prefixes[h] || last.compare(lastAt, hint, i) != 0) {
                     last = hint;
@@ -140,7 +140,7 @@
             if (prefixes[x] != prefixes[y]) {
                 return Long.compareUnsigned(prefixes[x], prefixes[y]) < 0;
             }
-            Hint a = hints.get(x), b = hints.get(y);
+            SegmentHint a = hints.get(x), b = hints.get(y);
             int c = a.compare(next[x], b, next[y]);
             return c != 0 ? c < 0 : a.sequence(next[x]) > b.sequence(next[y]);
         }
--- a/src/main/java/kelphollow/store/Manifest.java
+++ b/src/main/java/kelphollow/store/Manifest.java
@@ -84,7 +84,7 @@
     }
 
     void write(Disk disk) throws IOException {
-        WholeFile.replace(disk, NAME, NEW_NAME, bytes());
+        AtomicFile.replace(disk, NAME, NEW_NAME, bytes());
     }
 
     boolean isSame(byte[] found) {
--- a/src/main/java/kelphollow/store/ManifestRecovery.java
+++ b/src/main/java/kelphollow/store/ManifestRecovery.java
@@ -12,7 +12,7 @@
 final class ManifestRecovery {
     private final Disk[] disks;
     private final long now;
-    private final Opening.Loss loss;
+    private final StoreOpener.Loss loss;
     private final Report report;
 
     /**
@@ -20,7 +20,7 @@
      * @param loss whether anything may be changed, and given up
      * @param report is told what was found and done
      */
-    ManifestRecovery(Disk[] disks, long now, Opening.Loss loss, Report report) {
+    ManifestRecovery(Disk[] disks, long now, StoreOpener.Loss loss, Report report) {
         this.disks = disks;
         this.now = now;
         this.loss = loss;
@@ -33,7 +33,7 @@
         byte[][] bytes = new byte[disks.length][];
         Manifest.Found[] found = new Manifest.Found[disks.length];
         for (int i = 0; i < disks.length; i++) {
-            bytes[i] = WholeFile.read(disks[i], Manifest.NAME);
+            bytes[i] = AtomicFile.read(disks[i], Manifest.NAME);
             found[i] = Manifest.read(bytes[i]);
             if (found[i].start() == Format.Start.OTHER_VERSION) {
                 throw new StoreFault(StoreFault.Kind.VERSION, path(disks[i], Manifest.NAME)
@@ -59,7 +59,7 @@
             String was = found[i].manifest() != null
                 ? "was of generation " + found[i].manifest().generation() + " of " + manifest.generation()
                 : bytes[i].length == 0 ? "was missing" : "was damaged";
-            if (loss != Opening.Loss.LOOK) {
+            if (loss != StoreOpener.Loss.LOOK) {
                 manifest.write(disks[i]);
                 report.repaired(path(disks[i], Manifest.NAME), was);
             } else {
@@ -75,15 +75,15 @@
             boolean hasSegments = disks[i].names().stream().anyMatch(n -> Format.idOf(n) >= 0);
             if (bytes[i].length > 0 || hasSegments) {
                 report.damaged(path(disks[i], Manifest.NAME), 0, -1, bytes[i].length == 0 ? "is missing" : "cannot be read");
-                if (loss != Opening.Loss.ACCEPT) {
+                if (loss != StoreOpener.Loss.ACCEPT) {
                     throw new StoreFault(StoreFault.Kind.DAMAGED, report.firstDamage() + " in both folders");
                 }
             }
             FolderFiles.refuseStrangers(disks[i], false);
         }
-        Manifest manifest = loss == Opening.Loss.ACCEPT && report.isDamaged() ? fromSegments()
+        Manifest manifest = loss == StoreOpener.Loss.ACCEPT && report.isDamaged() ? fromSegments()
             : new Manifest(StoreId.draw(), 1, 1, 1, now, List.of());
-        if (loss != Opening.Loss.LOOK) {
+        if (loss != StoreOpener.Loss.LOOK) {
             manifest.replace(disks);
         }
         report.add("created", disks[0].place(), -1, -1, "store " + manifest.store());
@@ -96,7 +96,7 @@
         Map<Long, Manifest.Entry> entries = new TreeMap<>();
         for (Disk disk : disks) {
             for (String name : disk.names()) {
-                byte[] bytes = name.endsWith(".seg") && Format.idOf(name) >= 0 ? WholeFile.read(disk, name) : new byte[0];
+                byte[] bytes = name.endsWith(".seg") && Format.idOf(name) >= 0 ? AtomicFile.read(disk, name) : new byte[0];
                 if (Format.start(bytes, Format.SEGMENT_MAGIC, null, Format.SEGMENT_HEADER) != Format.Start.SOUND) {
                     continue;
                 }
--- a/src/main/java/kelphollow/store/PendingTask.java
+++ b/src/main/java/kelphollow/store/PendingTask.java
@@ -15,7 +15,7 @@
     private final Task task;
     private boolean over;
     private IOException thrown;
-    private StoreFault refused;
+    private StoreFault rejected;
 
     PendingTask(Task task) {
         this.task = task;
@@ -36,7 +36,7 @@
     /** Ends the wait with this error, unless the task has run. */
     synchronized void refuse(StoreFault why) {
         if (!over) {
-            refused = why;
+            rejected = why;
             end();
         }
     }
@@ -62,8 +62,8 @@
         if (thrown != null) {
             throw thrown;
         }
-        if (refused != null) {
-            throw refused;
+        if (rejected != null) {
+            throw rejected;
         }
     }
 }
--- a/src/main/java/kelphollow/store/Segment.java
+++ b/src/main/java/kelphollow/store/Segment.java
@@ -194,7 +194,7 @@
     /** Replaces one copy by what it should be. A read under way there goes to the other copy. */
     void repair(int which, byte[] image) throws IOException {
         String name = Format.segmentName(id);
-        WholeFile.replace(disks[which], name, name + FolderFiles.REPLACEMENT, image);
+        AtomicFile.replace(disks[which], name, name + FolderFiles.REPLACEMENT, image);
         Disk.File old = files[which];
         files[which] = disks[which].open(name);
         old.close();
--- a/src/main/java/kelphollow/store/Hint.java
+++ b/src/main/java/kelphollow/store/SegmentHint.java
@@ -10,7 +10,7 @@
  *
  * <p>Memory: the file's bytes, which are 32 a key and the key, and 4 bytes a key. Never changes.
  */
-final class Hint {
+final class SegmentHint {
     private static final int HEAD = 48;
     /** An entry's length without its key; the key's length stands at 4, the sequence at 16. */
     static final int ENTRY = 32;
@@ -21,7 +21,7 @@
     private final int[] at;
     private long lastSequence, removals;
 
-    private Hint(long segment, byte[] bytes, int[] at) {
+    private SegmentHint(long segment, byte[] bytes, int[] at) {
         this.segment = segment;
         this.bytes = bytes;
         this.at = at;
@@ -32,7 +32,7 @@
     }
 
     /** The hint of a segment that has been read. */
-    static Hint of(StoreId store, SegmentMerge merge, long segment) {
+    static SegmentHint of(StoreId store, SegmentMerge merge, long segment) {
         Log log = new Log();
         for (SegmentMerge.Frame frame : merge.frames()) {
             SegmentMerge.ops(merge.image(), frame, log::add);
@@ -48,7 +48,7 @@
             b.put(entries, at, ENTRY + Format.int32(entries, at + 4));
         }
         b.putInt(Format.crc(b.array(), 0, b.position()));
-        return new Hint(segment, b.array(), sorted);
+        return new SegmentHint(segment, b.array(), sorted);
     }
 
     /** The entries in the order of the segment: read in one pass over it, which a sorted one would jump about in. */
@@ -72,7 +72,7 @@
     }
 
     /** Reads a hint, or null if it is not the one that the manifest means. */
-    static Hint read(byte[] bytes, StoreId store, Manifest.Entry of) {
+    static SegmentHint read(byte[] bytes, StoreId store, Manifest.Entry of) {
         if (of.hintLength() == 0 || bytes.length != of.hintLength() || bytes.length < HEAD + 4
             || Format.start(bytes, Format.HINT_MAGIC, store, bytes.length) != Format.Start.SOUND
             || Format.int32(bytes, bytes.length - 4) != of.hintCrc() || Format.int64(bytes, 32) != of.id()
@@ -92,7 +92,7 @@
             }
             next += ENTRY + keyLength;
         }
-        Hint hint = new Hint(of.id(), bytes, at);
+        SegmentHint hint = new SegmentHint(of.id(), bytes, at);
         return next == end && hint.isSorted() ? hint : null;
     }
 
@@ -177,14 +177,14 @@
     }
 
     /** How many bytes two keys begin with alike. */
-    int common(int i, Hint other, int j) {
+    int common(int i, SegmentHint other, int j) {
         int length = Math.min(keyEnd(i) - keyAt(i), other.keyEnd(j) - other.keyAt(j));
         int differ = Arrays.mismatch(bytes, keyAt(i), keyAt(i) + length, other.bytes, other.keyAt(j),
             other.keyAt(j) + length);
         return differ < 0 ? length : differ;
     }
 
-    int compare(int i, Hint other, int j) {
+    int compare(int i, SegmentHint other, int j) {
         return Arrays.compareUnsigned(bytes, keyAt(i), keyEnd(i), other.bytes, other.keyAt(j), other.keyEnd(j));
     }
 
--- a/src/main/java/kelphollow/store/SegmentLook.java
+++ b/src/main/java/kelphollow/store/SegmentInspection.java
@@ -10,32 +10,33 @@
  * and what they make together. This is nearly all the work of an opening, so it is done for several segments side by
  * side, as many as fit into a quarter of the heap.
  */
-final class SegmentLook {
+final class SegmentInspection {
     // Below so many bytes handing out costs more than it brings; and tests on small stores stay in one order.
     private static final long WORTH_SHARING = 1 << 20;
 
     private final Manifest.Entry entry;
-    private Hint hint;
+    private SegmentHint hint;
     private boolean byHint;
     private final boolean[] hintIsWhole = new boolean[2];
     private byte[] a, b;
     private SegmentMerge merge;
     private IOException failed;
-    private StoreFault refused;
+    private StoreFault rejected;
 
-    private SegmentLook(Manifest.Entry entry) {
+    private SegmentInspection(Manifest.Entry entry) {
         this.entry = entry;
     }
 
     /** The segments from this one on, as many as can be held at once; at least one. */
-    static List<SegmentLook> several(Disk[] disks, StoreId store, List<Manifest.Entry> all, int from, boolean mayHint) {
+    static List<SegmentInspection> several(Disk[] disks, StoreId store, List<Manifest.Entry> all, int from,
+        boolean mayHint) {
         long room = Runtime.getRuntime().maxMemory() / 4, bytes = 0;
-        List<SegmentLook> looks = new ArrayList<>();
+        List<SegmentInspection> looks = new ArrayList<>();
         for (int i = from; i < all.size() && (looks.isEmpty() || bytes < room); i++) {
             Manifest.Entry e = all.get(i);
             // Two copies if they differ, and what comes of them; of a segment that is written to the length is not known.
             bytes += mayHint && e.hintLength() > 0 ? 2L * e.hintLength() : 4 * e.length();
-            looks.add(new SegmentLook(e));
+            looks.add(new SegmentInspection(e));
         }
         (bytes < WORTH_SHARING ? looks.stream() : looks.parallelStream()).forEach(l -> l.look(disks, store, mayHint));
         return looks;
@@ -49,7 +50,7 @@
         } catch (IOException e) {
             failed = e;
         } catch (StoreFault e) {
-            refused = e;
+            rejected = e;
         }
     }
 
@@ -59,8 +60,8 @@
         }
         for (int i = 0; i < disks.length; i++) {
             byte[] like = hint == null ? new byte[0] : hint.bytes();
-            byte[] bytes = WholeFile.read(disks[i], Format.hintName(entry.id()), like);
-            hint = hint != null ? hint : Hint.read(bytes, store, entry);
+            byte[] bytes = AtomicFile.read(disks[i], Format.hintName(entry.id()), like);
+            hint = hint != null ? hint : SegmentHint.read(bytes, store, entry);
             hintIsWhole[i] = hint != null && Arrays.equals(bytes, hint.bytes());
         }
         byHint = hint != null;
@@ -69,8 +70,8 @@
 
     private void merge(Disk[] disks, StoreId store) throws IOException, StoreFault {
         String name = Format.segmentName(entry.id());
-        a = WholeFile.read(disks[0], name);
-        b = WholeFile.read(disks[1], name, a);
+        a = AtomicFile.read(disks[0], name);
+        b = AtomicFile.read(disks[1], name, a);
         for (int i = 0; i < 2; i++) {
             if (Format.start(i == 0 ? a : b, Format.SEGMENT_MAGIC, null, Format.SEGMENT_HEADER)
                 == Format.Start.OTHER_VERSION) {
@@ -79,7 +80,7 @@
             }
         }
         merge = new SegmentMerge(a, b, store, entry);
-        hint = Hint.of(store, merge, entry.id());
+        hint = SegmentHint.of(store, merge, entry.id());
     }
 
     /** Makes sure that both copies have been read, and says what went wrong with that. */
@@ -87,8 +88,8 @@
         if (failed != null) {
             throw failed;
         }
-        if (refused != null) {
-            throw refused;
+        if (rejected != null) {
+            throw rejected;
         }
         if (merge == null) {
             byHint = false;
@@ -106,7 +107,7 @@
     }
 
     /** What the segment holds, from its hint or from its copies. */
-    Hint hint() {
+    SegmentHint hint() {
         return hint;
     }
 
--- a/src/main/java/kelphollow/store/Space.java
+++ b/src/main/java/kelphollow/store/SegmentUsage.java
@@ -16,7 +16,7 @@
  * hold a value of its key. When such removals have piled up, all sealed segments are compacted at once, since only
  * then nothing older is left.
  */
-final class Space {
+final class SegmentUsage {
     /** Compaction begins when the segments are so many times as long as what is live in them; 2.5 is promised. */
     static final double TARGET = 1.8;
     /** From this part of what is live on, removals that cannot go alone are a reason to compact everything. */
--- a/src/main/java/kelphollow/store/Store.java
+++ b/src/main/java/kelphollow/store/Store.java
@@ -45,7 +45,7 @@
     private final AtomicLong latest;
     private boolean closed;
 
-    private Store(Disk[] disks, List<Closeable> locks, Opening.State state, StoreOptions options, LongSupplier clock)
+    private Store(Disk[] disks, List<Closeable> locks, StoreOpener.State state, StoreOptions options, LongSupplier clock)
         throws IOException, StoreFault {
         this.disks = disks;
         this.locks = locks;
@@ -69,28 +69,28 @@
      */
     public static Store open(Disk first, Disk second, StoreOptions options, LongSupplier clock)
         throws IOException, StoreFault {
-        return open(first, second, options, clock, Opening.Loss.REFUSE, Progress.NONE);
+        return open(first, second, options, clock, StoreOpener.Loss.REFUSE, Progress.NONE);
     }
 
     /** The same, for tools that tell how far it has come. */
     public static Store open(Disk first, Disk second, StoreOptions options, LongSupplier clock, Progress progress)
         throws IOException, StoreFault {
-        return open(first, second, options, clock, Opening.Loss.REFUSE, progress);
+        return open(first, second, options, clock, StoreOpener.Loss.REFUSE, progress);
     }
 
     /** The operator's word: opens the store without what is whole in neither copy. The report names what was lost. */
     public static Store openAcceptingLoss(Disk first, Disk second, StoreOptions options, LongSupplier clock,
         Progress progress) throws IOException, StoreFault {
-        return open(first, second, options, clock, Opening.Loss.ACCEPT, progress);
+        return open(first, second, options, clock, StoreOpener.Loss.ACCEPT, progress);
     }
 
-    private static Store open(Disk first, Disk second, StoreOptions options, LongSupplier clock, Opening.Loss loss,
+    private static Store open(Disk first, Disk second, StoreOptions options, LongSupplier clock, StoreOpener.Loss loss,
         Progress progress) throws IOException, StoreFault {
         Disk[] disks = {first, second};
         List<Closeable> locks = lock(disks);
-        Opening.State state = null;
+        StoreOpener.State state = null;
         try {
-            state = Opening.open(disks, options, clock.getAsLong(), loss, progress);
+            state = StoreOpener.open(disks, options, clock.getAsLong(), loss, progress);
             Store store = new Store(disks, locks, state, options, clock);
             if (!options.inline()) {
                 store.start(store.writer, "store-writer");
@@ -116,7 +116,7 @@
         }
         List<Closeable> locks = lock(disks);
         try {
-            return Opening.look(disks, options, progress);
+            return StoreOpener.look(disks, options, progress);
         } finally {
             unlock(locks);
         }
@@ -187,7 +187,7 @@
      *
      * @param on where {@code ack} is called, an event loop for instance
      */
-    public void write(Batch batch, Grade grade, Executor on, Ack ack) {
+    public void write(Batch batch, Durability grade, Executor on, Ack ack) {
         writer.submit(batch, grade, on, ack);
     }
 
--- a/src/main/java/kelphollow/store/Opening.java
+++ b/src/main/java/kelphollow/store/StoreOpener.java
@@ -13,10 +13,10 @@
  * none is ever appended to behind a failed sync or a torn end. Running it again changes nothing, and so does a crash
  * at any step of it.
  */
-final class Opening {
+final class StoreOpener {
     /** What an opening gives the store. {@code active} is null until something is written. */
     record State(StoreId id, Manifest manifest, Index index, Map<Long, Segment> segments, Segment active,
-                 long lastSequence, long time, Space space, Report report) {}
+                 long lastSequence, long time, SegmentUsage space, Report report) {}
 
     /** What to do about damage of both copies. */
     enum Loss { REFUSE, ACCEPT, LOOK }
@@ -36,7 +36,7 @@
     private long lastSequence, time;
     private Segment active;
 
-    private Opening(Disk[] disks, StoreOptions options, long now, Loss loss, Progress progress) {
+    private StoreOpener(Disk[] disks, StoreOptions options, long now, Loss loss, Progress progress) {
         this.progress = progress;
         this.disks = disks;
         this.options = options;
@@ -47,7 +47,7 @@
     /** Opens what is there, or makes a new store of two empty folders. */
     static State open(Disk[] disks, StoreOptions options, long now, Loss loss, Progress progress)
         throws IOException, StoreFault {
-        Opening opening = new Opening(disks, options, now, loss, progress);
+        StoreOpener opening = new StoreOpener(disks, options, now, loss, progress);
         try {
             return opening.run();
         } catch (IOException | StoreFault e) {
@@ -58,7 +58,7 @@
 
     /** Looks at everything, changes nothing. */
     static Inspection look(Disk[] disks, StoreOptions options, Progress progress) throws IOException, StoreFault {
-        Opening opening = new Opening(disks, options.withCheckAll(true), 0, Loss.LOOK, progress);
+        StoreOpener opening = new StoreOpener(disks, options.withCheckAll(true), 0, Loss.LOOK, progress);
         opening.manifest = opening.manifests().recover();
         opening.segments();
         return opening.inspection();
@@ -106,8 +106,8 @@
     }
 
     /** What is live in each segment, now that all are known. */
-    private Space space() {
-        Space space = new Space();
+    private SegmentUsage space() {
+        SegmentUsage space = new SegmentUsage();
         for (Manifest.Entry e : manifest.segments()) {
             Segment segment = segments.get(e.id());
             space.segment(e.id(), e.firstSequence(), segment.length(), e.isSealed());
@@ -124,8 +124,9 @@
         boolean changed = false;
         List<Manifest.Entry> all = manifest.segments();
         for (int from = 0; from < all.size();) {
-            List<SegmentLook> looks = SegmentLook.several(disks, manifest.store(), all, from, !options.checkAll());
-            for (SegmentLook look : looks) {
+            List<SegmentInspection> looks = SegmentInspection.several(disks, manifest.store(), all, from, !options
+                .checkAll());
+            for (SegmentInspection look : looks) {
                 Manifest.Entry after = segment(look);
                 progress.at(++from, all.size());
                 if (after != null) {
@@ -143,7 +144,7 @@
     }
 
     /** Takes one segment into the index; gives its entry as it is from now on, or null if nothing of it is left. */
-    private Manifest.Entry segment(SegmentLook look) throws IOException, StoreFault {
+    private Manifest.Entry segment(SegmentInspection look) throws IOException, StoreFault {
         Manifest.Entry entry = look.entry();
         if (look.isByHint() && byHint(entry, look.hint(), look.hintIsWhole())) {
             return entry;
@@ -200,7 +201,7 @@
         boolean[] whole = {merge.isWholeInA(), merge.isWholeInB()};
         for (int i = 0; i < 2; i++) {
             if (!whole[i]) {
-                WholeFile.replace(disks[i], name, name + FolderFiles.REPLACEMENT, merge.image());
+                AtomicFile.replace(disks[i], name, name + FolderFiles.REPLACEMENT, merge.image());
                 report.repaired(path(disks[i], name), "from " + disks[1 - i].place() + ", had "
                     + (i == 0 ? a : b).length + " bytes of " + merge.image().length);
             }
@@ -208,7 +209,7 @@
     }
 
     /** Sealed segments are known by their hint and their size; what is in them is checked as it is read, and by scrubbing. */
-    private boolean byHint(Manifest.Entry entry, Hint hint, boolean[] whole) throws IOException {
+    private boolean byHint(Manifest.Entry entry, SegmentHint hint, boolean[] whole) throws IOException {
         for (Disk disk : disks) {
             if (!disk.has(Format.segmentName(entry.id()))) {
                 return false;
@@ -224,7 +225,7 @@
         String name = Format.hintName(entry.id());
         for (int i = 0; i < disks.length; i++) {
             if (!whole[i]) {
-                WholeFile.replace(disks[i], name, name + FolderFiles.REPLACEMENT, hint.bytes());
+                AtomicFile.replace(disks[i], name, name + FolderFiles.REPLACEMENT, hint.bytes());
                 report.repaired(path(disks[i], name), "hint");
             }
         }
@@ -232,20 +233,20 @@
         return true;
     }
 
-    private void take(Hint hint) {
+    private void take(SegmentHint hint) {
         loader.add(hint);
         lastSequence = Math.max(lastSequence, hint.lastSequence());
     }
 
     /** Both folders get the hint that the manifest will name. */
-    private Manifest.Entry hint(Segment segment, Hint hint, Manifest.Entry entry, Manifest.Entry before)
+    private Manifest.Entry hint(Segment segment, SegmentHint hint, Manifest.Entry entry, Manifest.Entry before)
         throws IOException {
         Manifest.Entry after = new Manifest.Entry(entry.id(), segment.length(), entry.firstSequence(), hint.count(),
             hint.bytes().length, hint.crc());
         String name = Format.hintName(entry.id());
         for (Disk disk : disks) {
-            if (!java.util.Arrays.equals(hint.bytes(), WholeFile.read(disk, name))) {
-                WholeFile.replace(disk, name, name + FolderFiles.REPLACEMENT, hint.bytes());
+            if (!java.util.Arrays.equals(hint.bytes(), AtomicFile.read(disk, name))) {
+                AtomicFile.replace(disk, name, name + FolderFiles.REPLACEMENT, hint.bytes());
                 if (after.equals(before)) {
                     report.repaired(path(disk, name), "hint");
                 }
@@ -291,14 +292,14 @@
                 segment.append(out.bytes(), ops[0]);
             }
         }
-        Hint before = Hint.of(manifest.store(), merge, entry.id());
+        SegmentHint before = SegmentHint.of(manifest.store(), merge, entry.id());
         lastSequence = Math.max(lastSequence, before.lastSequence());
         out.clear();
         out.commitMarker(lastSequence, Math.max(now, manifest.time()), true, id, segment.length());
         segment.append(out.bytes(), 0);
         segment.sync();
         Manifest.Entry after = entry.isSealed() ? segment.sealed() : segment.active();
-        Hint hint = Hint.of(manifest.store(),
+        SegmentHint hint = SegmentHint.of(manifest.store(),
             new SegmentMerge(segment.copy(0), segment.copy(1), manifest.store(), after), id);
         take(hint);
         if (!entry.isSealed()) {
--- a/src/main/java/kelphollow/store/Writer.java
+++ b/src/main/java/kelphollow/store/Writer.java
@@ -21,7 +21,7 @@
  */
 final class Writer implements Runnable {
     /** Something that waits to be written. */
-    private record Write(Batch batch, Grade grade, Executor on, Ack ack) {}
+    private record Write(Batch batch, Durability grade, Executor on, Ack ack) {}
 
     // So long after the last write what is not yet synced, a commit marker at least, is made safe.
     private static final long IDLE_SYNC = 1_000;
@@ -39,7 +39,8 @@
     private StoreFault fault;
     private final CommitLog log;
 
-    Writer(Store store, Opening.State state, Tables tables, Space space, StoreOptions options, LongSupplier clock) {
+    Writer(Store store, StoreOpener.State state, Tables tables, SegmentUsage space, StoreOptions options,
+        LongSupplier clock) {
         this.store = store;
         this.options = options;
         this.second = options.inline() ? null : Executors.newSingleThreadExecutor(task -> {
@@ -53,13 +54,13 @@
     // ---------------------------------------------------------------- any thread
 
     /** Never waits. The acknowledgement comes on the executor, also for what is turned away at once. */
-    void submit(Batch batch, Grade grade, Executor on, Ack ack) {
+    void submit(Batch batch, Durability grade, Executor on, Ack ack) {
         Write write = new Write(batch, grade, on, ack);
-        StoreFault refused;
+        StoreFault rejected;
         lock.lock();
         try {
-            refused = refusal(batch);
-            if (refused == null) {
+            rejected = refusal(batch);
+            if (rejected == null) {
                 queue.add(write);
                 queued += batch.bytes();
                 work.signal();
@@ -67,8 +68,8 @@
         } finally {
             lock.unlock();
         }
-        if (refused != null) {
-            tell(write, refused);
+        if (rejected != null) {
+            tell(write, rejected);
         } else if (options.inline()) {
             turn(false);
         }
@@ -273,7 +274,7 @@
         boolean synced = false;
         log.beginGroup();
         for (Write w : group) {
-            synced |= w.grade == Grade.SYNCED;
+            synced |= w.grade == Durability.SYNCED;
             if (!w.batch.isEmpty()) {
                 log.append(w.batch);
             }
--- a/src/test/java/kelphollow/adapter/AdapterTest.java
+++ b/src/test/java/kelphollow/adapter/AdapterTest.java
@@ -1,6 +1,8 @@
 package kelphollow.adapter;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
