--- a/src/test/java/kelphollow/lab/CheckerTest.java
+++ b/src/test/java/kelphollow/lab/CheckerTest.java
@@ -1,6 +1,7 @@
 package kelphollow.lab;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
