--- a/src/test/java/kelphollow/store/EveryByteTest.java
+++ b/src/test/java/kelphollow/store/EveryByteTest.java
@@ -1,6 +1,9 @@
 package kelphollow.store;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Arrays;
 import java.util.List;
@@ -21,8 +24,8 @@
     private static final int STEPS = Integer.getInteger("kelphollow.steps", 30);
 
     /** A store with every kind of record, several segments, hints, and a compaction behind it. */
-    private static StoreRig sample(boolean closed, StoreOptions options, int steps) throws Exception {
-        StoreRig rig = new StoreRig();
+    private static StoreHarness sample(boolean closed, StoreOptions options, int steps) throws Exception {
+        StoreHarness rig = new StoreHarness();
         rig.options = options;
         rig.open();
         for (int i = 0; i < steps; i++) {
@@ -31,8 +34,8 @@
                 rig.remove("outcomes", "request" + (i + 3) % 9);
             }
             if (i % 5 == 2) {
-                rig.write(new Batch().put("parts", StoreRig.bytes("u#" + i), StoreRig.bytes("intent"), 9_000_000)
-                    .put("limits", StoreRig.bytes("volume"), StoreRig.bytes("level " + i)), Grade.BUFFERED);
+                rig.write(new Batch().put("parts", StoreHarness.bytes("u#" + i), StoreHarness.bytes("intent"), 9_000_000)
+                    .put("limits", StoreHarness.bytes("volume"), StoreHarness.bytes("level " + i)), Durability.BUFFERED);
             }
             if (i == steps / 2) {
                 rig.store.compactAll();
@@ -47,18 +50,18 @@
     }
 
     /** Opens damaged copies; both the contents and the second opening must be as they should. */
-    private static void check(StoreRig sample, MemoryDisk a, MemoryDisk b, String what) {
+    private static void check(StoreHarness sample, MemoryDisk a, MemoryDisk b, String what) {
         try {
-            StoreRig rig = new StoreRig().on(a, b);
+            StoreHarness rig = new StoreHarness().on(a, b);
             rig.options = sample.options;
             rig.now = sample.now;
             rig.open();
-            assertEquals(sample.model, StoreRig.contents(rig.store), what);
+            assertEquals(sample.model, StoreHarness.contents(rig.store), what);
             rig.store.scrub(new Report());
             rig.store.close();
             MemoryDisk once = a.copy(new MemoryDisk.Faults()), onceB = b.copy(new MemoryDisk.Faults());
             rig.open();
-            assertEquals(sample.model, StoreRig.contents(rig.store), what + ", second opening");
+            assertEquals(sample.model, StoreHarness.contents(rig.store), what + ", second opening");
             assertEquals(0, rig.store.report().repairedFiles(), what + ": " + rig.store.report().lines());
             rig.store.close();
             assertTrue(once.isSame(a) && onceB.isSame(b), what + ": a second opening changes nothing");
@@ -72,7 +75,7 @@
         }
     }
 
-    private static void damageAll(StoreRig sample, int bits) {
+    private static void damageAll(StoreHarness sample, int bits) {
         AtomicLong openings = new AtomicLong();
         for (int side = 0; side < 2; side++) {
             int damaged = side;
@@ -99,7 +102,7 @@
         }
     }
 
-    private static void with(StoreRig sample, int side, String name, byte[] bytes, String what) {
+    private static void with(StoreHarness sample, int side, String name, byte[] bytes, String what) {
         MemoryDisk.Faults faults = new MemoryDisk.Faults();
         MemoryDisk a = sample.a.copy(faults), b = sample.b.copy(faults);
         MemoryDisk target = side == 0 ? a : b;
@@ -113,31 +116,31 @@
 
     @ParameterizedTest @ValueSource(booleans = {true, false}) void nothingIsLostByDamageToOneFile(boolean closed)
         throws Exception {
-        StoreRig sample = sample(closed, StoreRig.SMALL, STEPS);
+        StoreHarness sample = sample(closed, StoreHarness.SMALL, STEPS);
         assertTrue(sample.a.names().stream().filter(n -> n.endsWith(".seg")).count() >= 3, sample.a.names().toString());
         damageAll(sample, BITS);
     }
 
     @Test void nothingIsLostByDamageToOneFileWhenOpeningReadsHints() throws Exception {
-        StoreRig sample = sample(false, StoreRig.SMALL.withCheckAll(false), STEPS);
+        StoreHarness sample = sample(false, StoreHarness.SMALL.withCheckAll(false), STEPS);
         assertTrue(sample.a.names().stream().anyMatch(n -> n.endsWith(".hint")), sample.a.names().toString());
         damageAll(sample, BITS / 2);
     }
 
     @Test void eachOfTheEightBitsIsRepaired() throws Exception {
-        StoreRig sample = sample(true, StoreRig.SMALL, 4);
+        StoreHarness sample = sample(true, StoreHarness.SMALL, 4);
         damageAll(sample, 8);
     }
 
     @Test void aWholeFolderIsMadeAnewFromTheOther() throws Exception {
-        StoreRig sample = sample(false, StoreRig.SMALL, 24);
+        StoreHarness sample = sample(false, StoreHarness.SMALL, 24);
         check(sample, new MemoryDisk("a", new MemoryDisk.Faults()), sample.b.copy(new MemoryDisk.Faults()), "a is new");
         check(sample, sample.a.copy(new MemoryDisk.Faults()), new MemoryDisk("b", new MemoryDisk.Faults()), "b is new");
     }
 
     /** Damage of one record in both copies must be named, and the store must stay closed until its loss is accepted. */
     @Test void damageOfOneRecordInBothCopiesIsNamedAndFailsClosed() throws Exception {
-        StoreRig sample = sample(true, StoreRig.SMALL, 24);
+        StoreHarness sample = sample(true, StoreHarness.SMALL, 24);
         for (String name : sample.a.names()) {
             if (!name.endsWith(".seg")) {
                 continue;
@@ -150,7 +153,7 @@
                     continue;
                 }
                 for (int at : new int[] {frame.at() + 3, frame.payloadAt() + 5, frame.end() - 1}) {
-                    StoreRig rig = damaged(sample, name, at);
+                    StoreHarness rig = damaged(sample, name, at);
                     StoreFault fault = assertThrows(StoreFault.class, rig::open);
                     assertEquals(StoreFault.Kind.DAMAGED, fault.kind());
                     assertTrue(fault.getMessage().startsWith("damaged a/" + name + " offset=" + frame.at() + " sequence="),
@@ -158,10 +161,10 @@
                     Report report = Store.inspect(rig.a, rig.b, rig.options, Progress.NONE).report();
                     assertTrue(report.isDamaged());
                     rig.store = Store.openAcceptingLoss(rig.a, rig.b, rig.options, () -> rig.now, Progress.NONE);
-                    Map<String, String> left = StoreRig.contents(rig.store);
+                    Map<String, String> left = StoreHarness.contents(rig.store);
                     rig.store.close();
                     rig.open();
-                    assertEquals(left, StoreRig.contents(rig.store), "what is left opens by itself");
+                    assertEquals(left, StoreHarness.contents(rig.store), "what is left opens by itself");
                     assertEquals(List.of(), rig.store.report().lines());
                     rig.store.close();
                 }
@@ -169,13 +172,13 @@
         }
     }
 
-    private static StoreId storeOf(StoreRig rig) {
+    private static StoreId storeOf(StoreHarness rig) {
         return Manifest.read(rig.a.bytes(Manifest.NAME)).manifest().store();
     }
 
-    private static StoreRig damaged(StoreRig sample, String name, int at) {
+    private static StoreHarness damaged(StoreHarness sample, String name, int at) {
         MemoryDisk.Faults faults = new MemoryDisk.Faults();
-        StoreRig rig = new StoreRig().on(sample.a.copy(faults), sample.b.copy(faults));
+        StoreHarness rig = new StoreHarness().on(sample.a.copy(faults), sample.b.copy(faults));
         for (MemoryDisk disk : new MemoryDisk[] {rig.a, rig.b}) {
             byte[] bytes = disk.bytes(name).clone();
             bytes[at] ^= 0x10;
@@ -185,7 +188,7 @@
     }
 
     @Test void aDifferentPlaceInEachCopyOfOneRecordIsRepairedFromBoth() throws Exception {
-        StoreRig sample = sample(true, StoreRig.SMALL, 24);
+        StoreHarness sample = sample(true, StoreHarness.SMALL, 24);
         String name = sample.a.names().stream().filter(n -> n.endsWith(".seg")).findFirst().orElseThrow();
         MemoryDisk a = sample.a.copy(new MemoryDisk.Faults()), b = sample.b.copy(new MemoryDisk.Faults());
         a.bytes(name)[Format.SEGMENT_HEADER + 9] ^= 1;                      // a head here
@@ -195,7 +198,7 @@
 
     @Test void aLengthThatPointsBeyondTheFileIsNeverFollowed() throws Exception {
         for (int length : new int[] {Integer.MAX_VALUE, 1 << 20, -1, Integer.MIN_VALUE}) {
-            StoreRig sample = sample(false, StoreRig.SMALL, 24);
+            StoreHarness sample = sample(false, StoreHarness.SMALL, 24);
             for (String name : sample.a.names()) {
                 if (name.endsWith(".seg")) {
                     byte[] bytes = sample.a.bytes(name).clone();
@@ -207,7 +210,7 @@
     }
 
     @Test void twoManifestsThatCannotBeReadFailClosedAndAreMadeAnewFromTheSegmentsOnTheOperatorsWord() throws Exception {
-        StoreRig rig = sample(true, StoreRig.SMALL, 24);
+        StoreHarness rig = sample(true, StoreHarness.SMALL, 24);
         rig.a.bytes(Manifest.NAME)[20] ^= 1;
         rig.b.remove(Manifest.NAME);
         assertEquals(StoreFault.Kind.DAMAGED, assertThrows(StoreFault.class, rig::open).kind());
--- a/src/test/java/kelphollow/store/KillChild.java
+++ b/src/test/java/kelphollow/store/KillChild.java
@@ -50,7 +50,7 @@
             batch.put("last", key.getBytes(), Long.toString(number).getBytes());
             say("try " + key + " " + number + " " + (removes ? 0 : 1));
             CompletableFuture<StoreFault> done = new CompletableFuture<>();
-            store.write(batch, Grade.SYNCED, Runnable::run, done::complete);
+            store.write(batch, Durability.SYNCED, Runnable::run, done::complete);
             if (done.join() != null) {
                 return;
             }
--- a/src/test/java/kelphollow/store/KillTest.java
+++ b/src/test/java/kelphollow/store/KillTest.java
@@ -1,6 +1,7 @@
 package kelphollow.store;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -118,7 +119,7 @@
                 key.acknowledged = key.tried = found;
             }
             assertEquals(keys.values().stream().filter(k -> k.leaves.get(k.acknowledged)).count(),
-                StoreRig.contents(store).keySet().stream().filter(k -> k.startsWith("outcomes/")).count(), what);
+                StoreHarness.contents(store).keySet().stream().filter(k -> k.startsWith("outcomes/")).count(), what);
         }
     }
 }
--- a/src/test/java/kelphollow/store/HintTest.java
+++ b/src/test/java/kelphollow/store/SegmentHintTest.java
@@ -1,6 +1,11 @@
 package kelphollow.store;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
@@ -9,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /** The index that an opening merges from hints, and hints that are not believed. */
-class HintTest {
-    private static final StoreOptions OPTIONS = StoreRig.SMALL.withSegmentBytes(64 * 1024).withCheckAll(false);
+class SegmentHintTest {
+    private static final StoreOptions OPTIONS = StoreHarness.SMALL.withSegmentBytes(64 * 1024).withCheckAll(false);
     private final MemoryDisk.Faults faults = new MemoryDisk.Faults();
     private final MemoryDisk a = new MemoryDisk("a", faults), b = new MemoryDisk("b", faults);
 
@@ -30,7 +35,7 @@
             for (int i = 0; i < operations; i++) {
                 byte[] key = key(random), value = ByteBuffer.allocate(4).putInt(i).array();
                 boolean removes = random.nextInt(4) == 0;
-                store.write(removes ? new Batch().remove("t", key) : new Batch().put("t", key, value), Grade.BUFFERED,
+                store.write(removes ? new Batch().remove("t", key) : new Batch().put("t", key, value), Durability.BUFFERED,
                     Runnable::run, fault -> assertNull(fault));
                 if (removes) {
                     model.remove(key);
@@ -75,23 +80,25 @@
     @Test void aHintWhoseKeysAreOutOfOrderIsRefusedThoughItsChecksumHolds() throws Exception {
         try (Store store = Store.open(a, b, OPTIONS, () -> 1)) {
             for (String key : new String[] {"k1", "k2", "k2"}) {
-                store.write(new Batch().put("t", StoreRig.bytes(key), new byte[1]), Grade.SYNCED, Runnable::run, f -> {});
+                store.write(new Batch().put("t", StoreHarness.bytes(key), new byte[1]), Durability.SYNCED, Runnable::run,
+                    f -> {});
             }
         }
         Manifest manifest = Manifest.read(a.bytes(Manifest.NAME)).manifest();
         Manifest.Entry entry = manifest.segments().get(0);
         byte[] image = a.bytes(Format.segmentName(entry.id()));
-        Hint hint = Hint.of(manifest.store(), new SegmentMerge(image, image, manifest.store(), entry), entry.id());
-        assertNotNull(Hint.read(hint.bytes(), manifest.store(), named(entry, hint.bytes())));
+        SegmentHint hint = SegmentHint.of(manifest.store(), new SegmentMerge(image, image, manifest.store(), entry), entry
+            .id());
+        assertNotNull(SegmentHint.read(hint.bytes(), manifest.store(), named(entry, hint.bytes())));
         // The name of the table comes first, then k1, and k2 twice, the later first.
         for (int wrong = 1; wrong < 3; wrong++) {
             byte[] bytes = hint.bytes().clone();
-            int length = Hint.ENTRY + 4, at = bytes.length - 4 - (4 - wrong) * length;
+            int length = SegmentHint.ENTRY + 4, at = bytes.length - 4 - (4 - wrong) * length;
             byte[] one = Arrays.copyOfRange(bytes, at, at + length);
             System.arraycopy(bytes, at + length, bytes, at, length);
             System.arraycopy(one, 0, bytes, at + length, length);
             ByteBuffer.wrap(bytes).putInt(bytes.length - 4, Format.crc(bytes, 0, bytes.length - 4));
-            assertNull(Hint.read(bytes, manifest.store(), named(entry, bytes)), "entries " + wrong + " and the next");
+            assertNull(SegmentHint.read(bytes, manifest.store(), named(entry, bytes)), "entries " + wrong + " and the next");
         }
     }
 
--- a/src/test/java/kelphollow/store/StoreRig.java
+++ b/src/test/java/kelphollow/store/StoreHarness.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 
 /** A store on two folders in memory, without threads, beside what a plain map says that it should hold. */
-final class StoreRig {
+final class StoreHarness {
     /** Faults are caused by the thousand here, and each would be a line in the log. */
     private static final java.util.logging.Logger QUIET = java.util.logging.Logger.getLogger(Store.class.getName());
 
@@ -27,19 +27,19 @@
     /** What was acknowledged, by {@code table/key}. */
     final Map<String, String> model = new TreeMap<>();
 
-    StoreRig() {
+    StoreHarness() {
         MemoryDisk.Faults faults = new MemoryDisk.Faults();
         a = new MemoryDisk("a", faults);
         b = new MemoryDisk("b", faults);
     }
 
-    StoreRig on(MemoryDisk first, MemoryDisk second) {
+    StoreHarness on(MemoryDisk first, MemoryDisk second) {
         a = first;
         b = second;
         return this;
     }
 
-    StoreRig open() throws IOException, StoreFault {
+    StoreHarness open() throws IOException, StoreFault {
         store = Store.open(a, b, options, () -> now);
         return this;
     }
@@ -53,7 +53,7 @@
     }
 
     /** Writes and gives the fault, or null. */
-    StoreFault write(Batch batch, Grade grade) {
+    StoreFault write(Batch batch, Durability grade) {
         List<StoreFault> ended = new ArrayList<>();
         store.write(batch, grade, Runnable::run, ended::add);
         assertEquals(1, ended.size(), "acknowledged once");
@@ -75,11 +75,11 @@
     }
 
     StoreFault put(String table, String key, String value) {
-        return write(new Batch().put(table, bytes(key), bytes(value)), Grade.SYNCED);
+        return write(new Batch().put(table, bytes(key), bytes(value)), Durability.SYNCED);
     }
 
     StoreFault remove(String table, String key) {
-        return write(new Batch().remove(table, bytes(key)), Grade.SYNCED);
+        return write(new Batch().remove(table, bytes(key)), Durability.SYNCED);
     }
 
     String get(String table, String key) throws IOException, StoreFault {
--- a/src/test/java/kelphollow/store/StoreProperties.java
+++ b/src/test/java/kelphollow/store/StoreProperties.java
@@ -1,6 +1,7 @@
 package kelphollow.store;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -39,8 +40,8 @@
     @Property(tries = 300, seed = "7") void theStoreHoldsWhatAMapWould(
         @ForAll("steps") List<Step> steps, @ForAll long seed) throws Exception {
         Random random = new Random(seed);
-        StoreRig rig = new StoreRig();
-        rig.options = StoreRig.SMALL.withCheckAll(random.nextBoolean());
+        StoreHarness rig = new StoreHarness();
+        rig.options = StoreHarness.SMALL.withCheckAll(random.nextBoolean());
         rig.open();
         Map<String, String> model = new TreeMap<>();
         Map<String, Long> until = new TreeMap<>();
@@ -50,12 +51,13 @@
         for (Step s : steps) {
             String key = "key" + s.key, name = "t/" + key, value = n++ + "x".repeat(s.size);
             Batch batch = new Batch();
-            Grade grade = Grade.SYNCED;
+            Durability grade = Durability.SYNCED;
             switch (s.what) {
-                case PUT, PUT_BUFFERED -> batch.put("t", StoreRig.bytes(key), StoreRig.bytes(value));
-                case PUT_UNTIL -> batch.put("t", StoreRig.bytes(key), StoreRig.bytes(value), rig.now + 10);
-                case REMOVE -> batch.remove("t", StoreRig.bytes(key));
-                case PAIR -> batch.put("t", StoreRig.bytes(key), StoreRig.bytes(value)).remove("t", StoreRig.bytes("key0"));
+                case PUT, PUT_BUFFERED -> batch.put("t", StoreHarness.bytes(key), StoreHarness.bytes(value));
+                case PUT_UNTIL -> batch.put("t", StoreHarness.bytes(key), StoreHarness.bytes(value), rig.now + 10);
+                case REMOVE -> batch.remove("t", StoreHarness.bytes(key));
+                case PAIR -> batch.put("t", StoreHarness.bytes(key), StoreHarness.bytes(value)).remove("t", StoreHarness
+                    .bytes("key0"));
                 case LATER -> rig.now += s.size / 10;
                 case TIDY -> rig.store.tidy();
                 case COMPACT -> rig.store.compactAll();
@@ -63,7 +65,7 @@
                 case KILL -> rig.kill();
                 case POWER_CUT -> {
                     rig.on(rig.a.afterCut(random), rig.b.afterCut(random)).open();
-                    Map<String, String> found = StoreRig.contents(rig.store);
+                    Map<String, String> found = StoreHarness.contents(rig.store);
                     List<Map<String, String>> allowed = new ArrayList<>(unsynced);
                     allowed.add(model);
                     long now = rig.now;
@@ -74,24 +76,24 @@
                 default -> throw new IllegalStateException();
             }
             if (!batch.isEmpty()) {
-                grade = s.what == What.PUT_BUFFERED ? Grade.BUFFERED : grade;
-                if (grade == Grade.BUFFERED) {
+                grade = s.what == What.PUT_BUFFERED ? Durability.BUFFERED : grade;
+                if (grade == Durability.BUFFERED) {
                     unsynced.add(new TreeMap<>(model));
                 }
                 assertNull(rig.write(batch, grade));
-                StoreRig.apply(batch, model);
-                batch.changes().forEach(c -> until.put("t/" + StoreRig.text(c.key()),
+                StoreHarness.apply(batch, model);
+                batch.changes().forEach(c -> until.put("t/" + StoreHarness.text(c.key()),
                     c.expires() == 0 ? Long.MAX_VALUE : c.expires()));
-                if (grade == Grade.SYNCED) {
+                if (grade == Durability.SYNCED) {
                     unsynced.clear();
                 }
             }
             Map<String, String> want = live(model, until, rig.now);
             assertEquals(want.get(name), rig.get("t", key));
         }
-        assertEquals(live(model, until, rig.now), StoreRig.contents(rig.store));
+        assertEquals(live(model, until, rig.now), StoreHarness.contents(rig.store));
         rig.kill();
-        assertEquals(live(model, until, rig.now), StoreRig.contents(rig.store));
+        assertEquals(live(model, until, rig.now), StoreHarness.contents(rig.store));
     }
 
     /** The index alone, in sizes at which leaves split and merge. */
--- a/src/test/java/kelphollow/store/StoreTest.java
+++ b/src/test/java/kelphollow/store/StoreTest.java
@@ -1,6 +1,10 @@
 package kelphollow.store;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +14,7 @@
 
 /** What callers of the store see. */
 class StoreTest {
-    private final StoreRig rig = new StoreRig();
+    private final StoreHarness rig = new StoreHarness();
 
     @Test void whatWasWrittenIsThereAfterAReopening() throws Exception {
         rig.open();
@@ -52,9 +56,10 @@
 
     @Test void aBatchOverSeveralTablesIsOneRecordAndTheLaterChangeOfAKeyStands() throws Exception {
         rig.open();
-        Batch batch = new Batch().put("x", StoreRig.bytes("k"), StoreRig.bytes("old")).put("y", new byte[0], new byte[0])
-            .put("x", StoreRig.bytes("k"), StoreRig.bytes("new")).remove("z", StoreRig.bytes("nothing"));
-        assertNull(rig.write(batch, Grade.SYNCED));
+        Batch batch = new Batch().put("x", StoreHarness.bytes("k"), StoreHarness.bytes("old")).put("y", new byte[0],
+            new byte[0])
+            .put("x", StoreHarness.bytes("k"), StoreHarness.bytes("new")).remove("z", StoreHarness.bytes("nothing"));
+        assertNull(rig.write(batch, Durability.SYNCED));
         rig.kill();
         assertEquals("new", rig.get("x", "k"));
         assertEquals("", rig.get("y", ""));
@@ -80,7 +85,7 @@
     }
 
     @Test void overwritingKeepsSpaceWithinTwoAndAHalfTimesWhatIsLive() throws Exception {
-        rig.options = StoreRig.SMALL.withSegmentBytes(4_096);
+        rig.options = StoreHarness.SMALL.withSegmentBytes(4_096);
         rig.open();
         double worst = 0;
         for (int i = 0; i < 6_000; i++) {
@@ -98,7 +103,7 @@
     }
 
     @Test void keysThatComeAndGoLeaveNothingBehind() throws Exception {
-        rig.options = StoreRig.SMALL.withSegmentBytes(2_048);
+        rig.options = StoreHarness.SMALL.withSegmentBytes(2_048);
         rig.open();
         rig.put("t", "for good", "1");
         for (int i = 0; i < 3_000; i++) {
@@ -112,7 +117,7 @@
     }
 
     @Test void compactionDropsARemovalOnlyWhenNothingOlderIsLeft() throws Exception {
-        rig.options = StoreRig.SMALL.withSegmentBytes(600);
+        rig.options = StoreHarness.SMALL.withSegmentBytes(600);
         rig.open();
         for (int i = 0; i < 60; i++) {
             rig.put("t", "key" + i % 13, "value" + i);
@@ -140,8 +145,8 @@
             }
             rig.store.compactAll();
             List<String> seen = new ArrayList<>();
-            snapshot.scan("t", StoreRig.bytes("key3"), (k, v) -> {
-                seen.add(StoreRig.text(k) + "=" + StoreRig.text(v));
+            snapshot.scan("t", StoreHarness.bytes("key3"), (k, v) -> {
+                seen.add(StoreHarness.text(k) + "=" + StoreHarness.text(v));
                 return seen.size() < 3;
             });
             assertEquals(List.of("key3=old", "key30=old", "key31=old"), seen);
@@ -154,8 +159,8 @@
 
     @Test void whatExpiresIsGoneAndDoesNotComeBackWhenTheClockGoesBack() throws Exception {
         rig.open();
-        rig.write(new Batch().put("t", StoreRig.bytes("k"), StoreRig.bytes("old")), Grade.SYNCED);
-        rig.write(new Batch().put("t", StoreRig.bytes("k"), StoreRig.bytes("new"), 1_005_000), Grade.SYNCED);
+        rig.write(new Batch().put("t", StoreHarness.bytes("k"), StoreHarness.bytes("old")), Durability.SYNCED);
+        rig.write(new Batch().put("t", StoreHarness.bytes("k"), StoreHarness.bytes("new"), 1_005_000), Durability.SYNCED);
         assertEquals("new", rig.get("t", "k"));
         rig.now = 1_005_000;
         assertNull(rig.get("t", "k"));
@@ -168,32 +173,33 @@
         rig.store.compactAll();
         rig.kill();
         assertNull(rig.get("t", "k"));
-        assertEquals(Map.of("t/other", "1"), StoreRig.contents(rig.store));
+        assertEquals(Map.of("t/other", "1"), StoreHarness.contents(rig.store));
     }
 
     @Test void aFullQueueTurnsAwayAtOnceAndWhatWasTakenIsWritten() throws Exception {
-        StoreOptions options = StoreRig.SMALL.withQueueBytes(4_096).withInline(false);
+        StoreOptions options = StoreHarness.SMALL.withQueueBytes(4_096).withInline(false);
         MemoryDisk.Faults faults = new MemoryDisk.Faults();
         MemoryDisk slow = new MemoryDisk("a", faults);
         List<String> taken = java.util.Collections.synchronizedList(new ArrayList<>());
-        List<StoreFault> refused = java.util.Collections.synchronizedList(new ArrayList<>());
+        List<StoreFault> rejected = java.util.Collections.synchronizedList(new ArrayList<>());
         Store store = Store.open(slow, new MemoryDisk("b", faults), options, () -> 1);
         for (int i = 0; i < 2_000; i++) {
             String key = "key" + i;
-            store.write(new Batch().put("t", StoreRig.bytes(key), new byte[500]), Grade.SYNCED, Runnable::run, fault -> {
-                if (fault == null) {
-                    taken.add(key);
-                } else {
-                    refused.add(fault);
-                }
-            });
+            store.write(new Batch().put("t", StoreHarness.bytes(key), new byte[500]), Durability.SYNCED, Runnable::run,
+                fault -> {
+                    if (fault == null) {
+                        taken.add(key);
+                    } else {
+                        rejected.add(fault);
+                    }
+                });
         }
         store.close();
-        assertEquals(2_000, taken.size() + refused.size());
-        refused.forEach(f -> assertEquals(StoreFault.Kind.BUSY, f.kind()));
+        assertEquals(2_000, taken.size() + rejected.size());
+        rejected.forEach(f -> assertEquals(StoreFault.Kind.BUSY, f.kind()));
         Store again = Store.open(slow, new MemoryDisk("b", faults), options, () -> 1);
         for (String key : taken) {
-            assertNotNull(again.get("t", StoreRig.bytes(key)), key);
+            assertNotNull(again.get("t", StoreHarness.bytes(key)), key);
         }
         again.close();
     }
@@ -203,7 +209,7 @@
         for (int failing = 0; failing < 2; failing++) {
             MemoryDisk.Faults[] faults = {new MemoryDisk.Faults(), new MemoryDisk.Faults()};
             MemoryDisk[] disks = {new MemoryDisk("a", faults[0]), new MemoryDisk("b", faults[1])};
-            Store store = Store.open(disks[0], disks[1], StoreRig.SMALL.withInline(false), () -> 1);
+            Store store = Store.open(disks[0], disks[1], StoreHarness.SMALL.withInline(false), () -> 1);
             assertNull(write(store, "before"));
             faults[failing].kind = MemoryDisk.Faults.Kind.SYNC_FAILS;
             faults[failing].at = faults[failing].operations;
@@ -212,16 +218,17 @@
             assertEquals(StoreFault.Kind.DISK, write(store, "after").kind(), disks[failing].place());
             store.close();
             MemoryDisk.Faults none = new MemoryDisk.Faults();
-            try (Store again = Store.open(disks[0].copy(none), disks[1].copy(none), StoreRig.SMALL, () -> 1)) {
-                assertNotNull(again.get("t", StoreRig.bytes("before")));
-                assertNull(again.get("t", StoreRig.bytes("after")));
+            try (Store again = Store.open(disks[0].copy(none), disks[1].copy(none), StoreHarness.SMALL, () -> 1)) {
+                assertNotNull(again.get("t", StoreHarness.bytes("before")));
+                assertNull(again.get("t", StoreHarness.bytes("after")));
             }
         }
     }
 
     private static StoreFault write(Store store, String key) {
         CompletableFuture<StoreFault> done = new CompletableFuture<>();
-        store.write(new Batch().put("t", StoreRig.bytes(key), new byte[9]), Grade.SYNCED, Runnable::run, done::complete);
+        store.write(new Batch().put("t", StoreHarness.bytes(key), new byte[9]), Durability.SYNCED, Runnable::run,
+            done::complete);
         return done.join();
     }
 
@@ -229,10 +236,11 @@
         MemoryDisk.Faults faults = new MemoryDisk.Faults();
         MemoryDisk a = new MemoryDisk("a", faults), b = new MemoryDisk("b", faults);
         long[] now = {1};
-        StoreOptions options = StoreRig.SMALL.withScrubEvery(1_000);
+        StoreOptions options = StoreHarness.SMALL.withScrubEvery(1_000);
         try (Store store = Store.open(a, b, options, () -> now[0])) {
             for (int i = 0; i < 20; i++) {
-                store.write(new Batch().put("t", StoreRig.bytes("k" + i), new byte[200]), Grade.SYNCED, Runnable::run,
+                store.write(new Batch().put("t", StoreHarness.bytes("k" + i), new byte[200]), Durability.SYNCED,
+                    Runnable::run,
                     fault -> assertNull(fault));
             }
             store.tidy();
