--- a/src/main/java/kelphollow/decision/ControlAction.java
+++ b/src/main/java/kelphollow/decision/ControlAction.java
@@ -2,6 +2,9 @@
 
 /** What the decision module wants done. Times are milliseconds on the host's clock. */
 public sealed interface ControlAction {
+    /** Calls the method of {@code handler} for this kind of action. */
+    <E extends Exception> void accept(Handler<E> handler) throws E;
+
     /** Why a request got a final answer without being served. */
     enum Reason {
         /** Its class or plan is not known. */
@@ -28,20 +31,69 @@
      * @param timeout how long to wait for an answer; 0: until the request's deadline
      * @param writeBy clock time by which writing must have begun; 0: no such bound
      */
-    record SendAttempt(String id, String node, double timeout, double writeBy) implements ControlAction {}
+    record SendAttempt(String id, String node, double timeout, double writeBy) implements ControlAction {
+        @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
+            handler.sendAttempt(this);
+        }
+    }
 
     /** Final answer: rejected. The client may safely retry, best after {@code retryAfter} (0: no advice). */
-    record RejectRequest(String id, double retryAfter, Reason reason) implements ControlAction {}
+    record RejectRequest(String id, double retryAfter, Reason reason) implements ControlAction {
+        @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
+            handler.rejectRequest(this);
+        }
+    }
 
     /** Final answer: failed. The request may have been executed. */
-    record FailRequest(String id, Reason reason) implements ControlAction {}
+    record FailRequest(String id, Reason reason) implements ControlAction {
+        @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
+            handler.failRequest(this);
+        }
+    }
 
     /** Stop waiting for an attempt. */
-    record CancelAttempt(String id, int attempt) implements ControlAction {}
+    record CancelAttempt(String id, int attempt) implements ControlAction {
+        @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
+            handler.cancelAttempt(this);
+        }
+    }
 
     /** Notify this instance by {@link ControlEvent.TimerFired} at a time. */
-    record SetTimer(double at, String name) implements ControlAction {}
+    record SetTimer(double at, String name) implements ControlAction {
+        @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
+            handler.setTimer(this);
+        }
+    }
 
     /** Poll the endpoint list and watch for later changes. */
-    record PollEndpoints() implements ControlAction {}
+    record PollEndpoints() implements ControlAction {
+        @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
+            handler.pollEndpoints(this);
+        }
+    }
+
+    /**
+     * One method for each kind of action, so that the compiler finds a kind that is not carried out.
+     *
+     * @param <E> what carrying out an action may throw
+     */
+    interface Handler<E extends Exception> {
+        /** Handles {@link SendAttempt}. */
+        void sendAttempt(SendAttempt action) throws E;
+
+        /** Handles {@link RejectRequest}. */
+        void rejectRequest(RejectRequest action) throws E;
+
+        /** Handles {@link FailRequest}. */
+        void failRequest(FailRequest action) throws E;
+
+        /** Handles {@link CancelAttempt}. */
+        void cancelAttempt(CancelAttempt action) throws E;
+
+        /** Handles {@link SetTimer}. */
+        void setTimer(SetTimer action) throws E;
+
+        /** Handles {@link PollEndpoints}. */
+        void pollEndpoints(PollEndpoints action) throws E;
+    }
 }
--- a/src/main/java/kelphollow/decision/ControlEvent.java
+++ b/src/main/java/kelphollow/decision/ControlEvent.java
@@ -9,6 +9,9 @@
  * What the decision module is notified of. Times are milliseconds on the host's clock, work is in units.
  */
 public sealed interface ControlEvent {
+    /** Calls the method of {@code handler} for this kind of event. */
+    void accept(Handler handler);
+
     /** State of a node by the endpoint list. */
     enum EndpointState {
         /** It accepts requests. */
@@ -67,7 +70,11 @@
      * @param complete whether these are all entries, or changes only
      * @param cached whether this is not the service's word of now but what was kept of an earlier list
      */
-    record EndpointsReceived(List<Endpoint> endpoints, boolean complete, boolean cached) implements ControlEvent {}
+    record EndpointsReceived(List<Endpoint> endpoints, boolean complete, boolean cached) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.endpointsReceived(this);
+        }
+    }
 
     /**
      * The settings were reloaded.
@@ -75,7 +82,11 @@
      * @param classes the classes known from now on; requests under way keep the class they came with
      * @param maxAttempts attempts that a request may have, at least 1
      */
-    record SettingsChanged(List<RequestClass> classes, int maxAttempts) implements ControlEvent {}
+    record SettingsChanged(List<RequestClass> classes, int maxAttempts) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.settingsChanged(this);
+        }
+    }
 
     /** How a poll of the endpoint list failed. */
     enum EndpointPollFailure {
@@ -92,39 +103,67 @@
     }
 
     /** A poll of the endpoint list failed, or the watch broke. */
-    record EndpointPollFailed(EndpointPollFailure failure) implements ControlEvent {}
+    record EndpointPollFailed(EndpointPollFailure failure) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.endpointPollFailed(this);
+        }
+    }
 
     /**
      * The lease on the endpoint list was renewed: nothing is sent after {@code validUntil} until the next such event. Where
      * none ever comes, the list has no such bound.
      */
-    record EndpointLeaseRenewed(double validUntil) implements ControlEvent {}
+    record EndpointLeaseRenewed(double validUntil) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.endpointLeaseRenewed(this);
+        }
+    }
 
     /** This instance shuts down gracefully: what is open at {@code deadline} gets its final answer then. */
-    record ShutdownStarted(double deadline) implements ControlEvent {}
+    record ShutdownStarted(double deadline) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.shutdownStarted(this);
+        }
+    }
 
     /**
      * The nodes that other instances found unresponsive, all of them each time: each gets only a health check's rate of
      * requests until it answers here, or until it is no longer named.
      */
-    record NodesSuspected(Set<String> nodes) implements ControlEvent {}
+    record NodesSuspected(Set<String> nodes) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.nodesSuspected(this);
+        }
+    }
 
     /**
      * Retries at a node make up at most {@code share} of the first attempts that went there within {@code window}; a request
      * that finds the budget spent gets its final answer at once. Retries that clients mark count like others. The budgets of
      * several instances add up. A window of 0: no bound.
      */
-    record RetryBudgetChanged(double share, double window) implements ControlEvent {}
+    record RetryBudgetChanged(double share, double window) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.retryBudgetChanged(this);
+        }
+    }
 
     /** The endpoint list comes from another service from now on. */
-    record EndpointSourceChanged() implements ControlEvent {}
+    record EndpointSourceChanged() implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.endpointSourceChanged(this);
+        }
+    }
 
     /**
      * What an earlier process has left of volumes' limits.
      *
      * @param tokens by volume: units that this instance's share of the limit starts with
      */
-    record LimitsRestored(Map<String, Double> tokens) implements ControlEvent {}
+    record LimitsRestored(Map<String, Double> tokens) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.limitsRestored(this);
+        }
+    }
 
     /**
      * A request has arrived.
@@ -142,6 +181,10 @@
      */
     record RequestArrived(String id, String requestClass, String plan, String key, double deadline, String volume,
                           double units, int cell, int hosts, boolean isRetry) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.requestArrived(this);
+        }
+
         /** A request that is not marked as a retry. */
         public RequestArrived(String id, String requestClass, String plan, String key, double deadline, String volume,
             double units, int cell, int hosts) {
@@ -150,13 +193,25 @@
     }
 
     /** The client has disconnected or cancelled; no answer is owed any more. */
-    record ClientDisconnected(String id) implements ControlEvent {}
+    record ClientDisconnected(String id) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.clientDisconnected(this);
+        }
+    }
 
     /** A streamed response has started; the request has no deadline from here on. */
-    record ResponseStarted(String id, int attempt) implements ControlEvent {}
+    record ResponseStarted(String id, int attempt) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.responseStarted(this);
+        }
+    }
 
     /** A body makes progress to or from the node: the node is alive, however long the whole transfer may last. */
-    record AttemptProgressed(String id, int attempt) implements ControlEvent {}
+    record AttemptProgressed(String id, int attempt) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.attemptProgressed(this);
+        }
+    }
 
     /**
      * An attempt ended.
@@ -174,8 +229,66 @@
      */
     record AttemptEnded(String id, int attempt, String node, AttemptOutcome outcome, double took, boolean requestFinished,
                         boolean bodyConsumed, double unitsElsewhere, double usagePercent,
-                        Map<String, Double> loadReport) implements ControlEvent {}
+                        Map<String, Double> loadReport) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.attemptEnded(this);
+        }
+    }
 
     /** A timer that was set by {@link ControlAction.SetTimer} is due. */
-    record TimerFired(String name) implements ControlEvent {}
+    record TimerFired(String name) implements ControlEvent {
+        @Override public void accept(Handler handler) {
+            handler.timerFired(this);
+        }
+    }
+
+    /**
+     * One method for each kind of event, so that the compiler finds a kind that is not handled.
+     */
+    interface Handler {
+        /** Handles {@link EndpointsReceived}. */
+        void endpointsReceived(EndpointsReceived event);
+
+        /** Handles {@link SettingsChanged}. */
+        void settingsChanged(SettingsChanged event);
+
+        /** Handles {@link EndpointPollFailed}. */
+        void endpointPollFailed(EndpointPollFailed event);
+
+        /** Handles {@link EndpointLeaseRenewed}. */
+        void endpointLeaseRenewed(EndpointLeaseRenewed event);
+
+        /** Handles {@link ShutdownStarted}. */
+        void shutdownStarted(ShutdownStarted event);
+
+        /** Handles {@link NodesSuspected}. */
+        void nodesSuspected(NodesSuspected event);
+
+        /** Handles {@link RetryBudgetChanged}. */
+        void retryBudgetChanged(RetryBudgetChanged event);
+
+        /** Handles {@link EndpointSourceChanged}. */
+        void endpointSourceChanged(EndpointSourceChanged event);
+
+        /** Handles {@link LimitsRestored}. */
+        void limitsRestored(LimitsRestored event);
+
+        /** Handles {@link RequestArrived}. */
+        void requestArrived(RequestArrived event);
+
+        /** Handles {@link ClientDisconnected}. */
+        void clientDisconnected(ClientDisconnected event);
+
+        /** Handles {@link ResponseStarted}. */
+        void responseStarted(ResponseStarted event);
+
+        /** Handles {@link AttemptProgressed}. */
+        void attemptProgressed(AttemptProgressed event);
+
+        /** Handles {@link AttemptEnded}. */
+        void attemptEnded(AttemptEnded event);
+
+        /** Handles {@link TimerFired}. */
+        void timerFired(TimerFired event);
+    }
 }
