--- a/src/main/java/kelphollow/decision/Control.java
+++ b/src/main/java/kelphollow/decision/Control.java
@@ -50,7 +50,7 @@
  *
  * <p>Reading order: the constants; {@link #on}, which takes every event; {@link #arrive} and {@link Tags}
  * (arrival-curve tags after pClock); {@link #pump} and {@link #pick} (what leaves next, and where to);
- * {@link Gate} (limits); {@link Node} (window, health, cold start); {@link #done} (outcomes, repeats);
+ * {@link RateLimiter} (limits); {@link Node} (window, health, cold start); {@link #done} (outcomes, repeats);
  * {@link #expire} (answers before the deadline); {@link #learnList} (the node list).
  */
 public final class Control {
@@ -234,7 +234,7 @@
     public Map<String, Double> limitTokens() {
         Map<String, Double> levels = new TreeMap<>();
         volumes.forEach((name, v) -> {
-            if (v.plan.limitRate() > 0) levels.put(name, v.gate.fill(now) - v.gate.owed);
+            if (v.plan.limitRate() > 0) levels.put(name, v.limiter.tokensLessLoan(now));
         });
         return levels;
     }
@@ -290,7 +290,7 @@
 
     private void arrive(RequestArrived a) {
         if (open.containsKey(a.id())) return;
-        budget.add(now, true);
+        budget.addFirstAttempt(now);
         RequestClass kind = classes.get(a.requestClass());
         Plan plan = plans.get(a.plan());
         if (kind == null || plan == null || !(a.units() >= 0)) {
@@ -315,10 +315,11 @@
             volumes.values().removeIf(v -> v.busy.isEmpty() && now - v.lastArrival > VOLUME_MEMORY);
         }
         r.volume = volumes.computeIfAbsent(name, n -> new Volume(plan, Math.max(1, a.hosts())));
-        r.volume.gate.share(Math.max(1, a.hosts()), now);
-        if (!limitsLeft.isEmpty()) r.volume.gate.left(limitsLeft.remove(name), now);
+        r.volume.limiter.setInstances(Math.max(1, a.hosts()), now);
+        Double left = limitsLeft.isEmpty() ? null : limitsLeft.remove(name);
+        if (left != null) r.volume.limiter.restore(left, now);
         open.put(a.id(), r);
-        if (r.volume.gate.fillsLate(a.units(), r.objectiveAt, now)) {
+        if (r.volume.limiter.holdsOnlyAfter(r.objectiveAt, a.units(), now)) {
             answer(r, Reason.RATE_LIMITED);
             return;
         }
@@ -348,7 +349,7 @@
     private boolean mayComeAgain(RequestArrived a) {
         List<Node> at = nodes.values().stream().filter(n -> n.cell == a.cell() && n.usable).toList();
         boolean may = at.stream().allMatch(n -> n.repeats.allows(now));
-        if (may) at.forEach(n -> n.repeats.add(now, false));
+        if (may) at.forEach(n -> n.repeats.addRetry(now));
         return may;
     }
 
@@ -363,7 +364,7 @@
     /** A flow of the design: a volume at this host. */
     final class Volume {
         final Plan plan;
-        final Gate gate;
+        final RateLimiter limiter;
         final ArrayDeque<Request> busy = new ArrayDeque<>();
         final UsageShare use = new UsageShare(now);
         double numTokens, maxS, minS, lastArrival = now, reserveLeft;
@@ -373,7 +374,7 @@
 
         Volume(Plan plan, int hosts) {
             this.plan = plan;
-            this.gate = new Gate(plan, hosts, startedAt);
+            this.limiter = new RateLimiter(plan, hosts, startedAt);
             numTokens = sigma();
             maxS = now;
             reserveLeft = reserveDepth();
@@ -410,7 +411,7 @@
             reserveLeft = Math.max(-units, reserveLeft - units);
         }
 
-        double part() { return use.part(1.0 / gate.hosts, settings.meanUnits()); }
+        double part() { return use.share(1.0 / limiter.instances(), settings.meanUnits()); }
 
         /** Rate of the arrival curve, units per second; its depth is one second of it. */
         double rho() {
@@ -801,7 +802,7 @@
     }
 
     private boolean mayLeave(Request r, Node n) {
-        if (now < r.retryAt || !hasTurn(r) || r.tries == 0 && !r.volume.gate.allows(r.in.units(), now)) {
+        if (now < r.retryAt || !hasTurn(r) || r.tries == 0 && !r.volume.limiter.allows(r.in.units(), now)) {
             return false;
         }
         if (r.tries > 0 && !(budget.allows(now) && n.repeats.allows(now))) return false;
@@ -849,11 +850,12 @@
         heldFor(r).remove(r);
         tags.sent(r);
         if (!r.late) r.volume.drawReserve(r.in.units());
-        if (r.tries > 0 || !r.in.isRetry()) n.repeats.add(now, r.tries == 0);
         if (r.tries == 0) {
-            r.volume.gate.draw(r.in.units());
+            if (!r.in.isRetry()) n.repeats.addFirstAttempt(now);
+            r.volume.limiter.consume(r.in.units());
         } else {
-            budget.add(now, false);
+            n.repeats.addRetry(now);
+            budget.addRetry(now);
         }
         double patience = n.patience(r);
         Attempt a = new Attempt();
@@ -885,7 +887,7 @@
         Node n = a.node;
         n.inFlight.remove(d.id() + '#' + d.attempt());
         if (n.isDone()) nodes.remove(n.id, n);
-        r.volume.use.learn(now, d.unitsElsewhere(), d.usagePercent(), r.volume.plan.rate());
+        r.volume.use.reported(now, d.unitsElsewhere(), d.usagePercent(), r.volume.plan.rate());
         if (d.outcome() == AttemptOutcome.SERVED) {
             n.served(a, d.took());
             r.volume.use.served(r.in.units());
@@ -953,7 +955,7 @@
                 wait = n.usable ? Math.max(wait, later) : settings.maxRetryAfter();
             }
         }
-        return Math.min(settings.maxRetryAfter(), Math.max(wait, r.volume.gate.wait(r.in.units(), now)));
+        return Math.min(settings.maxRetryAfter(), Math.max(wait, r.volume.limiter.waitFor(r.in.units(), now)));
     }
 
     private void callOff(Request r) {
--- a/src/main/java/kelphollow/decision/RetryBudget.java
+++ b/src/main/java/kelphollow/decision/RetryBudget.java
@@ -3,41 +3,61 @@
 import java.util.ArrayDeque;
 
 /**
- * Further attempts against first ones within a sliding span; plain data. What is at the span's edge counts
- * against the budget: a first one is forgotten a tick early, a further one a tick late. Memory: a number for
- * each within the span.
+ * Bounds retries by a share of the first attempts within a sliding window. What is at the window's edge
+ * counts against the budget: a first attempt is forgotten a tick early, a retry a tick late. Memory: a number
+ * for each attempt within the window. Confined to the thread that drives {@link Control}.
  */
 final class RetryBudget {
-    private final double span, free, share, tick;
-    private final ArrayDeque<Double> first = new ArrayDeque<>(), further = new ArrayDeque<>();
+    private final double window;
+    private final double free;
+    private final double share;
+    private final double tick;
+    private final ArrayDeque<Double> firstAttempts = new ArrayDeque<>();
+    private final ArrayDeque<Double> retries = new ArrayDeque<>();
 
-    /** {@code free} further ones beside {@code share} of the first; a {@code span} of 0: any number. */
-    RetryBudget(double span, double free, double share, double tick) {
-        this.span = span;
+    /**
+     * @param window length of the sliding window in milliseconds; 0: retries are not bounded
+     * @param free retries that are allowed beside the share
+     * @param share retries that are allowed for each first attempt
+     * @param tick granularity of the host's timers in milliseconds
+     */
+    RetryBudget(double window, double free, double share, double tick) {
+        this.window = window;
         this.free = free;
         this.share = share;
         this.tick = tick;
     }
 
-    void add(double now, boolean isFirst) {
-        if (span > 0) {
-            (isFirst ? first : further).add(now);
+    void addFirstAttempt(double now) {
+        add(firstAttempts, now);
+    }
+
+    void addRetry(double now) {
+        add(retries, now);
+    }
+
+    private void add(ArrayDeque<Double> attempts, double now) {
+        if (window > 0) {
+            attempts.add(now);
             forget(now);
         }
     }
 
+    /** Whether one more retry stays within the budget. */
     boolean allows(double now) {
-        if (span <= 0) return true;
+        if (window <= 0) {
+            return true;
+        }
         forget(now);
-        return further.size() + 1 <= free + share * first.size();
+        return retries.size() + 1 <= free + share * firstAttempts.size();
     }
 
     private void forget(double now) {
-        while (!further.isEmpty() && further.peek() < now - span - tick) {
-            further.poll();
+        while (!retries.isEmpty() && retries.peek() < now - window - tick) {
+            retries.poll();
         }
-        while (!first.isEmpty() && first.peek() <= now - span + tick) {
-            first.poll();
+        while (!firstAttempts.isEmpty() && firstAttempts.peek() <= now - window + tick) {
+            firstAttempts.poll();
         }
     }
 }
--- a/src/main/java/kelphollow/decision/UsageShare.java
+++ b/src/main/java/kelphollow/decision/UsageShare.java
@@ -1,49 +1,54 @@
 package kelphollow.decision;
 
 /**
- * What this host knows of a volume's use here and through other hosts, in units that fade over {@link
- * #MEMORY}; from it follows the part of the volume's arrival curve that this host may fill. Times are
- * milliseconds.
+ * What this instance knows of a volume's usage here and through other instances, in units that decay over
+ * {@link #DECAY_MS}. From it follows the share of the volume's arrival curve that this instance may fill.
+ * Times are milliseconds. Constant memory; confined to the thread that drives {@link Control}.
  */
 final class UsageShare {
-    /** News of use is averaged over this time, a few periods of such news. */
-    static final double MEMORY = 5_000;
+    /** Time constant of the decay in milliseconds: a few intervals between reports of usage. */
+    static final double DECAY_MS = 5_000;
+    private static final double MS_PER_SECOND = 1000;
 
     private double own;
     private double elsewhere;
-    private double fadedAt;
+    private double decayedAt;
 
     UsageShare(double now) {
-        fadedAt = now;
+        decayedAt = now;
     }
 
     /**
-     * A node has answered: it has served so many units for the volume through others since it last said so,
-     * and use over all hosts is so many percent of {@code rate} units a second, if it tells (negative: it
-     * does not).
+     * Takes a node's report.
+     *
+     * @param now the time
+     * @param unitsElsewhere units that it has served for the volume through other instances since its last
+     *     report
+     * @param usagePercent usage over all instances in percent of {@code rate}, negative when unknown
+     * @param rate units a second
      */
-    void learn(double now, double servedElsewhere, double usePercent, double rate) {
-        double keep = Math.exp(-(now - fadedAt) / MEMORY);
-        own *= keep;
-        elsewhere = elsewhere * keep + servedElsewhere;
-        fadedAt = now;
-        if (usePercent >= 0) {
-            double everywhere = usePercent / 100 * rate * MEMORY / 1000;
+    void reported(double now, double unitsElsewhere, double usagePercent, double rate) {
+        double kept = Math.exp(-(now - decayedAt) / DECAY_MS);
+        own *= kept;
+        elsewhere = elsewhere * kept + unitsElsewhere;
+        decayedAt = now;
+        if (usagePercent >= 0) {
+            double everywhere = usagePercent / 100 * rate * DECAY_MS / MS_PER_SECOND;
             elsewhere = Math.max(0, everywhere - own);
         }
     }
 
-    /** This host has served so many units. */
+    /** This instance has had so many units served. */
     void served(double units) {
         own += units;
     }
 
     /**
-     * This host's part: even before there is news, then as the use here stands to all use, but at least half
-     * of even.
+     * This instance's share: {@code even} before there are reports, then its part of all usage, but at least
+     * half of {@code even}.
      */
-    double part(double even, double unitMean) {
+    double share(double even, double meanUnits) {
         double total = own + elsewhere;
-        return total < unitMean || elsewhere <= 0 ? even : Math.max(even / 2, own / total);
+        return total < meanUnits || elsewhere <= 0 ? even : Math.max(even / 2, own / total);
     }
 }
