--- a/src/test/java/kelphollow/decision/ControlTest.java
+++ b/src/test/java/kelphollow/decision/ControlTest.java
@@ -696,12 +696,12 @@
 
     @Test void volumesThatRestAreForgottenOnceThereAreMany() {
         ControlHarness rig = ControlHarness.ready();
-        for (int i = 0; i < Control.MANY_VOLUMES; i++) {
+        for (int i = 0; i < VolumeTable.IDLE_KEPT_BELOW; i++) {
             rig.tell(new RequestArrived("made up " + i, "read", "free", "k", rig.now + 1, "made up " + i, 1, 99, 1));
         }
         rig.pass(rig.now + 10);
-        assertEquals(Control.MANY_VOLUMES, rig.control.volumesKnown());
-        rig.now += Control.VOLUME_MEMORY + 100;
+        assertEquals(VolumeTable.IDLE_KEPT_BELOW, rig.control.volumesKnown());
+        rig.now += VolumeTable.IDLE_AFTER_MS + 100;
         rig.ask("r", "read", "free", "v", 1, 0);
         assertEquals(1, rig.control.volumesKnown());
     }
--- /dev/null
+++ b/src/test/java/kelphollow/decision/DecisionClockTest.java
@@ -0,0 +1,17 @@
+package kelphollow.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** The module's time. */
+class DecisionClockTest {
+    @Test void itNeverGoesBack() {
+        DecisionClock clock = new DecisionClock(1_000);
+
+        clock.advanceTo(1_000.5);
+        clock.advanceTo(999);
+
+        assertEquals(1_000.5, clock.now());
+    }
+}
--- /dev/null
+++ b/src/test/java/kelphollow/decision/KeyOrdersTest.java
@@ -0,0 +1,76 @@
+package kelphollow.decision;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import kelphollow.decision.ControlEvent.AttemptOutcome;
+import org.junit.jupiter.api.Test;
+
+/** Requests of one key of an ordered class; the key is quiet for 200 ms after an unknown outcome. */
+class KeyOrdersTest {
+    private final StateHarness harness = new StateHarness();
+    private final KeyOrders orders = harness.state.keyOrders;
+    private final PendingRequest first = arrived("first", "k");
+    private final PendingRequest second = arrived("second", "k");
+
+    private PendingRequest arrived(String id, String key) {
+        PendingRequest request = harness.request(id, ControlHarness.TURNS, "v", key, 1, 0, 0);
+        orders.arrived(request, 1);
+        return request;
+    }
+
+    @Test void theFirstRequestOfEachKeyHasItsTurn() {
+        PendingRequest other = arrived("other", "l");
+
+        assertTrue(orders.hasTurn(first));
+        assertFalse(orders.hasTurn(second));
+        assertTrue(orders.hasTurn(other));
+    }
+
+    @Test void requestsWithoutOrderOrKeyNeverWait() {
+        PendingRequest keyed = harness.request("keyed", ControlHarness.KEYED, "v", "k", 1, 0, 0);
+        PendingRequest keyless = harness.request("keyless", ControlHarness.TURNS, "v", null, 1, 0, 0);
+        orders.arrived(keyless, 1);
+
+        assertTrue(orders.hasTurn(keyed));
+        assertTrue(orders.hasTurn(keyless));
+    }
+
+    @Test void theNextOneWaitsForTheAttemptInFlight() {
+        orders.sent(first);
+        orders.closed(first);
+        assertFalse(orders.hasTurn(second), "its client is gone, and it is still in flight");
+
+        orders.attemptEnded(first, AttemptOutcome.SERVED);
+
+        assertTrue(orders.hasTurn(second));
+    }
+
+    @Test void theKeyIsQuietAfterAnUnknownOutcome() {
+        for (AttemptOutcome outcome : new AttemptOutcome[] {AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET,
+            AttemptOutcome.CANCELLED}) {
+            orders.sent(first);
+            orders.attemptEnded(first, outcome);
+
+            harness.advance(200);
+            assertFalse(orders.hasTurn(first), outcome + ": a tick is added");
+            harness.advance(1);
+            assertTrue(orders.hasTurn(first), outcome.toString());
+        }
+    }
+
+    @Test void aKnownOutcomeLetsTheKeyGoOnAtOnce() {
+        orders.sent(first);
+        orders.attemptEnded(first, AttemptOutcome.AT_CAPACITY);
+
+        assertTrue(orders.hasTurn(first));
+    }
+
+    @Test void aKeyWithoutRequestsIsForgottenAndMayComeAgain() {
+        orders.closed(first);
+        orders.closed(second);
+        orders.closed(second);
+
+        assertTrue(orders.hasTurn(arrived("third", "k")));
+    }
+}
--- /dev/null
+++ b/src/test/java/kelphollow/decision/VolumeTableTest.java
@@ -0,0 +1,68 @@
+package kelphollow.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotSame;
+import static org.junit.jupiter.api.Assertions.assertSame;
+
+import java.util.Map;
+import kelphollow.decision.ControlEvent.RequestArrived;
+import org.junit.jupiter.api.Test;
+
+/** Which volumes are kept, and what they start with. */
+class VolumeTableTest {
+    private final StateHarness harness = new StateHarness();
+    private final VolumeTable volumes = harness.state.volumes;
+
+    private Volume of(String name, int hosts) {
+        RequestArrived arrival = new RequestArrived("r", "read", "limited", null, harness.now() + 2_000, name, 1, 0, hosts);
+        return volumes.of(arrival, ControlHarness.LIMITED);
+    }
+
+    @Test void requestsOfOneNameShareAVolume() {
+        assertSame(of("v", 1), of("v", 1));
+        assertNotSame(of("v", 1), of("w", 1));
+        assertSame(of(null, 1), of("", 1));
+    }
+
+    @Test void theNewestRequestTellsTheNumberOfInstances() {
+        Volume volume = of("v", 1);
+        assertEquals(1, volume.limiter.instances());
+
+        of("v", 3);
+        assertEquals(3, volume.limiter.instances());
+        of("v", 0);
+
+        assertEquals(1, volume.limiter.instances(), "at least one");
+    }
+
+    @Test void restoredTokensAreUsedOnce() {
+        volumes.restore(Map.of("v", 3.0, "w", 1.0));
+
+        Volume volume = of("v", 1);
+        assertEquals(Map.of("v", 3.0), volumes.limitTokens());
+        volume.limiter.consume(3);
+        of("v", 1);
+
+        assertEquals(Map.of("v", 0.0), volumes.limitTokens());
+    }
+
+    @Test void unlimitedVolumesHaveNoTokens() {
+        harness.request("r", ControlHarness.READ, "free", 1, 0);
+
+        assertEquals(Map.of(), volumes.limitTokens());
+    }
+
+    @Test void idleVolumesAreForgottenOnceThereAreMany() {
+        for (int i = 0; i < VolumeTable.IDLE_KEPT_BELOW; i++) {
+            of("v" + i, 1);
+        }
+        harness.advance(VolumeTable.IDLE_AFTER_MS);
+        of("still kept", 1);
+        assertEquals(VolumeTable.IDLE_KEPT_BELOW + 1, volumes.size());
+
+        harness.advance(1);
+        of("another", 1);
+
+        assertEquals(2, volumes.size());
+    }
+}
--- /dev/null
+++ b/src/test/java/kelphollow/decision/VolumeTest.java
@@ -0,0 +1,79 @@
+package kelphollow.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import kelphollow.decision.ControlSettings.Plan;
+import org.junit.jupiter.api.Test;
+
+/** The arrival curve and the reserve of a volume with a plan of 10 units a second, 5 of them reserved. */
+class VolumeTest {
+    private final StateHarness harness = new StateHarness();
+
+    private Volume volume(Plan plan, int instances) {
+        return new Volume(plan, instances, harness.state.context, harness.state.sizes);
+    }
+
+    @Test void theCurveIsSharedEvenlyByInstances() {
+        Volume volume = volume(ControlHarness.FREE, 2);
+
+        assertEquals(5, volume.rho());
+        assertEquals(5, volume.sigma());
+        assertEquals(5, volume.numTokens, "it starts full");
+        assertEquals(harness.now(), volume.maxS);
+    }
+
+    @Test void theCurveIsAtLeastOneLargestRequestDeep() {
+        Volume volume = volume(ControlHarness.FREE, 2);
+        harness.state.sizes.arrived(7);
+
+        assertEquals(7, volume.sigma());
+        assertEquals(5, volume.rho());
+    }
+
+    @Test void aRequestFarBeyondTheCurveIsExcessOnceTheReserveIsSpent() {
+        PendingRequest request = harness.request("r", ControlHarness.READ, "v", 5, 0);
+        request.startTag = request.arrivedAt + 1_000.1;
+        assertFalse(request.volume.isExcess(request), "the reserve is left");
+
+        request.volume.drawReserve(5);
+        assertTrue(request.volume.isExcess(request));
+        request.startTag = request.arrivedAt + 1_000;
+
+        assertFalse(request.volume.isExcess(request), "within the quota");
+    }
+
+    @Test void theReserveIsOverdrawnByOneRequestAtMostAndFillsAtItsRate() {
+        PendingRequest request = harness.request("r", ControlHarness.READ, "v", 5, 0);
+        request.startTag = request.arrivedAt + 60_000;
+        for (int i = 0; i < 10; i++) {
+            request.volume.drawReserve(5);
+        }
+
+        harness.advance(1_000);
+        assertTrue(request.volume.isExcess(request), "five units are paid back, none is left");
+        harness.advance(1);
+
+        assertFalse(request.volume.isExcess(request));
+    }
+
+    @Test void aPlanWithoutReserveHasNone() {
+        Volume volume = volume(new Plan("p", 10, 0, 1, 1, 0, 0, 0), 1);
+        PendingRequest request = harness.request("r", ControlHarness.READ, "v", 1, 0);
+        request.startTag = request.arrivedAt + 2_000;
+
+        assertTrue(volume.isExcess(request));
+    }
+
+    @Test void theSheddingShareFallsFromReserveToQuotaToExcess() {
+        PendingRequest request = harness.request("r", ControlHarness.READ, "v", 5, 0);
+        request.startTag = request.arrivedAt;
+
+        assertEquals(1, request.volume.sheddingShare(request, 1));
+        assertEquals(0.4, request.volume.sheddingShare(request, 1), "the pass has used the reserve up");
+        request.startTag = request.arrivedAt + 1_001;
+        assertEquals(0.05, request.volume.sheddingShare(request, 1));
+        assertEquals(1, request.volume.sheddingShare(request, 2), "the next pass begins anew");
+    }
+}
