--- /dev/null
+++ b/src/test/java/kelphollow/ledger/StoredRecordsTest.java
@@ -0,0 +1,229 @@
+package kelphollow.ledger;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import kelphollow.decision.ControlApi.NodeEntry;
+import kelphollow.decision.ControlApi.Phase;
+import kelphollow.recovery.RecoveredOutcomes;
+import kelphollow.routing.Member;
+import kelphollow.store.FolderDisk;
+import kelphollow.store.RecordedFolders;
+import kelphollow.store.Store;
+import kelphollow.store.StoreFault;
+import kelphollow.store.StoreOptions;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * A ledger that an earlier program wrote in three lives is read as that program read it, and the same calls give the same
+ * bytes. Guards the records' tables, keys, fields and their order against changes that writer and reader share.
+ */
+class StoredRecordsTest {
+    /** The recorded store. */
+    static final String LEDGER = "ledger";
+    /** Tables, keys and values of the store, as {@link RecordedFolders#contents}. */
+    static final String CONTENTS = "contents.txt";
+    /** What the ledger reads in them, a record a line. */
+    static final String RECORDS = "records.txt";
+
+    /** The clock of the whole test, in Unix milliseconds. */
+    private static final long NOW = 1_700_000_000_000L;
+    /** Small segments, so that the records fill several; no threads, so that the bytes depend on the calls alone. */
+    private static final StoreOptions OPTIONS = StoreOptions.USUAL.withSegmentBytes(1_024).withInline(true);
+    private static final double OUTCOME_WINDOW = 3_600_000;
+    private static final double SETTLE = 60_000;
+    private static final Consumer<StoreFault> NOT_AWAITED = fault -> assertEquals(null, fault);
+
+    @TempDir
+    Path folder;
+
+    @Test void readsTheRecordsAsTheyWereRead() throws Exception {
+        RecordedFolders.copy(LEDGER, folder);
+
+        List<String> found = records(folder);
+
+        assertEquals(RecordedFolders.text(LEDGER, RECORDS), found);
+    }
+
+    @Test void readsTheBytesAsTheyWereRead() throws Exception {
+        RecordedFolders.copy(LEDGER, folder);
+
+        List<String> found = contents(folder);
+
+        assertEquals(RecordedFolders.text(LEDGER, CONTENTS), found);
+    }
+
+    /** The store's identity is that of the recorded one, so that no byte need be left out. */
+    @Test void theSameCallsGiveTheSameFiles() throws Exception {
+        RecordedFolders.copy(RecordedFolders.NEW, folder);
+
+        write(folder);
+
+        RecordedFolders.assertSameFiles(RecordedFolders.of(LEDGER), folder);
+    }
+
+    private static Store open(Path store) throws IOException, StoreFault {
+        return Store.open(new FolderDisk(store.resolve("a")), new FolderDisk(store.resolve("b")), OPTIONS, () -> NOW);
+    }
+
+    static List<String> contents(Path store) throws IOException, StoreFault {
+        try (Store open = open(store)) {
+            return RecordedFolders.contents(open);
+        }
+    }
+
+    // ---------------------------------------------------------------- writing
+
+    /** Three lives of a gateway, in a folder that holds a copy of {@link RecordedFolders#NEW}. */
+    static void write(Path store) throws IOException, StoreFault {
+        try (Ledger first = Ledger.open(open(store), Runnable::run)) {
+            writeParts(first.parts());
+            writeCompletions(first.completions());
+            writeOutcomes(first.outcomes());
+            writeNodes(first.nodes());
+            first.limits().end(new TreeMap<>(Map.of("volume-1", 12.5, "volume-2", -3.0, "volume-3", 0.0)), NOW);
+        }
+        try (Ledger second = Ledger.open(open(store), Runnable::run)) {
+            second.limits().take();
+            second.parts().begun("upload-of-life-2", NOW);
+            second.parts().intent("upload-of-life-2", 1, NOW, NOT_AWAITED);
+            second.keepAbove(41);
+        }
+        try (Store withLoss = open(store)) {
+            Ledger.noteLoss(withLoss, NOW);
+        }
+        try (Ledger third = Ledger.open(open(store), Runnable::run)) {
+            third.completions().intent("upload-of-life-3", NOW, NOT_AWAITED);
+            third.outcomes().intent("request-of-life-3", NOW, OUTCOME_WINDOW, NOT_AWAITED);
+            third.limits().end(new TreeMap<>(Map.of("volume-1", 7.25, "volume-4", 1.0e6)), NOW + 0.5);
+        }
+    }
+
+    private static void writeParts(PartRecords parts) {
+        parts.begun("upload-a", NOW);
+        parts.intent("upload-a", 1, NOW, NOT_AWAITED);
+        parts.stored("upload-a", 1, 5_242_880, "0cc175b9c0f1b6a831c399e269772661", "\"tag-1\"", NOW);
+        parts.intent("upload-a", 10_000, NOW, NOT_AWAITED);
+        parts.intent("upload-a", 3, NOW, NOT_AWAITED);
+        parts.neverRan("upload-a", 3);
+        parts.begun("upload-b", NOW);
+        parts.stored("upload-b", 1, 1, "92eb5ffee6ae2fec3ad71c777531578f", "\"tag-2\"", NOW);
+        parts.over("upload-b", List.of(1));
+        parts.begun("upload-c", NOW);
+        parts.intent("upload-c", 1, NOW, NOT_AWAITED);
+        parts.aborting("upload-c", List.of(1), NOT_AWAITED);
+        parts.begun("upload-d", NOW);
+        parts.stored("upload-d", 7, 9_007_199_254_740_991L, null, "\"größe\"", NOW);
+        parts.incomplete("upload-d");
+        parts.begun("upload#e", NOW);
+        parts.intent("upload#e", 2, NOW, NOT_AWAITED);
+    }
+
+    private static void writeCompletions(CompletionRecords completions) {
+        completions.intent("upload-f", NOW, NOT_AWAITED);
+        completions.ran("upload-f", new CompletionRecords.Answer("digest-of-parts", 200, "application/xml",
+            "<Result>\n  <ETag>&quot;größe&quot;</ETag>\n</Result>"), NOW);
+        completions.ran("upload-g", new CompletionRecords.Answer("digest-of-parts", 409, null, ""), NOW);
+        completions.intent("upload-h", NOW, NOT_AWAITED);
+        completions.intent("upload-i", NOW, NOT_AWAITED);
+        completions.neverRan("upload-i");
+    }
+
+    private static void writeOutcomes(OutcomeRecords outcomes) {
+        outcomes.intent("request-1", NOW, OUTCOME_WINDOW, NOT_AWAITED);
+        outcomes.intent("request-2", NOW, OUTCOME_WINDOW, NOT_AWAITED);
+        outcomes.ran("request-2", "201 \"tag-3\"", NOW + 0.75, OUTCOME_WINDOW, NOT_AWAITED);
+        outcomes.intent("request-3", NOW, OUTCOME_WINDOW, NOT_AWAITED);
+        outcomes.neverRan("request-3");
+    }
+
+    private static void writeNodes(NodeRecords nodes) {
+        Member healthy = new Member(new NodeEntry("node-1", "zone-a", 0, Phase.HEALTHY, 0),
+            new InetSocketAddress("127.0.0.1", 9_000));
+        Member draining = new Member(new NodeEntry("node-2", "zone-b", 1, Phase.DRAINING, NOW - 1_000),
+            new InetSocketAddress("192.0.2.7", 65_535));
+        Member gone = new Member(new NodeEntry("node-3", "zone-b", 255, Phase.GONE, NOW - 0.5),
+            new InetSocketAddress("192.0.2.8", 1));
+        nodes.told(List.of(healthy), NOW);
+        nodes.told(List.of(healthy), NOW + 1);
+        nodes.told(List.of(healthy, draining, gone), NOW + 2.5);
+    }
+
+    // ---------------------------------------------------------------- reading
+
+    /** What the ledger tells the life after, a record a line. */
+    static List<String> records(Path store) throws IOException, StoreFault {
+        List<String> lines = new ArrayList<>();
+        try (Ledger ledger = Ledger.open(open(store), Runnable::run)) {
+            lines.add("life epoch=" + ledger.epoch() + " lost_up_to=" + ledger.lostUpTo());
+            readParts(ledger.parts(), lines);
+            ledger.completions().read((upload, found, epoch, answer) -> lines.add("completion " + upload + " "
+                + word(found) + " epoch=" + epoch + (answer == null ? "" : " print=" + answer.print() + " status="
+                    + answer.status() + " type=" + answer.type() + " body=" + answer.body().replace("\n", "\\n"))));
+            readOutcomes(ledger, lines);
+            readNodes(ledger.nodes(), lines);
+            new TreeMap<>(ledger.limits().take()).forEach((volume, saved) -> lines.add("limit " + volume + " level="
+                + saved.level() + " at=" + saved.at() + " clean=" + saved.clean()));
+        }
+        return lines;
+    }
+
+    private static void readParts(PartRecords parts, List<String> lines) throws IOException, StoreFault {
+        parts.read(new PartRecords.Reader() {
+            @Override public void upload(String upload, long sinceEpoch) {
+                lines.add("upload " + upload + " epoch=" + sinceEpoch);
+            }
+
+            @Override public void part(String upload, int number, RecoveredOutcomes.Found found, long epoch, long size,
+                String md5, String etag) {
+                lines.add("part " + upload + " " + number + " " + word(found) + " epoch=" + epoch + " size=" + size
+                    + " md5=" + md5 + " etag=" + etag);
+            }
+        });
+    }
+
+    private static void readOutcomes(Ledger ledger, List<String> lines) throws IOException, StoreFault {
+        RecoveredOutcomes recovered = new RecoveredOutcomes(ledger.epoch(), NOW, SETTLE, ledger.lostUpTo());
+        for (String identity : List.of("request-1", "request-2", "request-3", "request-of-life-3")) {
+            OutcomeRecords.Known known = ledger.outcomes().find(identity, recovered, true);
+            String word = switch (known.recovered().kind()) {
+                case RAN -> "ran";
+                case NEVER_RAN -> "never ran";
+                case UNKNOWN -> "unknown";
+                case RUNNING -> "running";
+            };
+            lines.add("outcome " + identity + " " + word + " " + known.outcome());
+        }
+    }
+
+    private static void readNodes(NodeRecords nodes, List<String> lines) throws IOException, StoreFault {
+        NodeRecords.Saved saved = nodes.read();
+        lines.add("nodes at=" + saved.at());
+        for (Member member : saved.members()) {
+            NodeEntry entry = member.entry();
+            String phase = switch (entry.phase()) {
+                case HEALTHY -> "healthy";
+                case DRAINING -> "draining";
+                case GONE -> "gone";
+            };
+            lines.add("node " + entry.node() + " zone=" + entry.zone() + " cell=" + entry.cell() + " " + phase + " born="
+                + entry.born() + " at " + member.address().getHostString() + ":" + member.address().getPort());
+        }
+    }
+
+    private static String word(RecoveredOutcomes.Found found) {
+        return switch (found) {
+            case NOTHING -> "nothing";
+            case INTENT -> "intent";
+            case OUTCOME -> "outcome";
+        };
+    }
+}
