--- a/src/test/java/kelphollow/lab/LabTest.java
+++ b/src/test/java/kelphollow/lab/LabTest.java
@@ -37,6 +37,7 @@
         ByteArrayOutputStream said = new ByteArrayOutputStream();
         int code = Lab.run(file, 1, folder.resolve(file.getFileName().toString()), new PrintStream(said), System.err);
         assertEquals(Lab.PASS, code, said::toString);
+        LabNamesTest.assertHistoryHasRecordedNames(folder.resolve(file.getFileName().toString()).resolve("history.jsonl"));
         assertEquals(0, ProcessHandle.current().descendants().filter(p -> p.info().commandLine().orElse("")
             .contains(folder.toString())).count(), "a process is left");
     }
--- /dev/null
+++ b/src/test/java/kelphollow/program/CommandNamesTest.java
@@ -0,0 +1,161 @@
+package kelphollow.program;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.ByteArrayOutputStream;
+import java.io.PrintStream;
+import java.lang.reflect.Field;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SortedSet;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import kelphollow.names.RecordedNames;
+import kelphollow.protocol.json.Json;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.kohsuke.args4j.Argument;
+import org.kohsuke.args4j.Option;
+import org.kohsuke.args4j.spi.SubCommand;
+import org.kohsuke.args4j.spi.SubCommands;
+
+/** Sub-commands, options and exit codes of the command line, and the names in what it prints for scripts. */
+class CommandNamesTest {
+    private static final int UNREACHED = 3;
+    private static final int ANSWERED = 0;
+    private static final Pattern FIELD = Pattern.compile("([a-z_]+)=");
+
+    @TempDir
+    Path folder;
+
+    /** Exit code, standard output and standard error of one command line. */
+    static String[] run(String... words) {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        ByteArrayOutputStream err = new ByteArrayOutputStream();
+        int code = Main.run(List.of(words), new PrintStream(out), new PrintStream(err));
+        return new String[] {String.valueOf(code), out.toString(), err.toString()};
+    }
+
+    // ---------------------------------------------------------------- words
+
+    @Test void commandsAndOptionsAreThoseRecorded() throws Exception {
+        SortedSet<String> words = new TreeSet<>();
+        collect(Main.class, "", words);
+        RecordedNames.assertRecorded("commands.txt", words);
+    }
+
+    private static void collect(Class<?> command, String line, SortedSet<String> words) {
+        for (Class<?> type = command; type != null; type = type.getSuperclass()) {
+            for (Field field : type.getDeclaredFields()) {
+                Option option = field.getAnnotation(Option.class);
+                if (option != null) {
+                    List<String> names = new ArrayList<>(Arrays.asList(option.aliases()));
+                    names.add(option.name());
+                    names.forEach(name -> words.add(line + name + (field.getType() == boolean.class ? "" : " VALUE")
+                        + (option.required() ? " required" : "")));
+                }
+                Argument argument = field.getAnnotation(Argument.class);
+                SubCommands commands = field.getAnnotation(SubCommands.class);
+                if (commands != null) {
+                    for (SubCommand sub : commands.value()) {
+                        words.add(line + sub.name());
+                        collect(sub.impl(), line + sub.name() + " ", words);
+                    }
+                } else if (argument != null) {
+                    words.add(line + "(argument " + argument.index() + ")" + (argument.required() ? " required" : ""));
+                }
+            }
+        }
+    }
+
+    /** Lines hold the code and the words of the command line. */
+    @Test void exitCodesAreThoseRecorded() throws Exception {
+        for (String line : RecordedNames.read("exit-codes.txt")) {
+            String[] words = line.split(" ");
+            String[] result = run(Arrays.copyOfRange(words, 1, words.length));
+            assertEquals(words[0], result[0], line + ": " + result[1] + result[2]);
+        }
+        assertEquals("2", run()[0], "no command at all");
+    }
+
+    @Test void theUsageIsTheOneRecorded() throws Exception {
+        List<String> lines = run("no-such-command")[2].lines().toList();
+        assertEquals(RecordedNames.lines("usage.txt"), lines.subList(lines.size() - 1, lines.size()));
+    }
+
+    // ---------------------------------------------------------------- what scripts read
+
+    @Test void fieldsOfTheStoresToolsAreThoseRecorded() throws Exception {
+        String first = Files.createDirectory(folder.resolve("first")).toString();
+        String second = Files.createDirectory(folder.resolve("second")).toString();
+        SortedSet<String> fields = new TreeSet<>();
+        for (String tool : List.of("compact", "inspect", "verify", "repair")) {
+            String[] result = run("store", tool, first, second);
+            assertEquals("0", result[0], tool + ": " + result[2]);
+            for (String line : result[1].lines().toList()) {
+                String kind = line.substring(0, line.indexOf('=')).contains(" ") ? line.split(" ")[0] + " " : "";
+                for (Matcher field = FIELD.matcher(line); field.find();) {
+                    fields.add(tool + " " + kind + field.group(1));
+                }
+            }
+        }
+        RecordedNames.assertRecorded("store-output.txt", fields);
+    }
+
+    /** The line that the running instance is asked, and the page that is made of its answer. */
+    @Test void theFleetIsAskedAndShownAsRecorded() throws Exception {
+        String status = Json.text(RecordedNames.example("example-status.json"));
+        assertEquals(RecordedNames.lines("fleet-page.txt"), fleetStatus(status).lines().toList());
+        assertEquals(status + "\n", fleetStatus(status, "--json"));
+    }
+
+    @Test void anInstanceThatCannotBeReachedHasAnExitCodeOfItsOwn() throws Exception {
+        int port;
+        try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            port = closed.getLocalPort();
+        }
+        assertEquals(String.valueOf(UNREACHED), run("fleet", "status", "--config", fileAt(port))[0]);
+    }
+
+    private String fileAt(int port) throws Exception {
+        Map<Object, Object> json = new LinkedHashMap<>(RecordedNames.example("example-object.json"));
+        json.put("mgmt", "127.0.0.1:" + port);
+        return Files.writeString(folder.resolve("config.json"), Json.text(json)).toString();
+    }
+
+    private String fleetStatus(String status, String... more) throws Exception {
+        try (ServerSocket instance = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            List<String> asked = new ArrayList<>();
+            Thread answering = new Thread(() -> answer(instance, status, asked), "instance");
+            answering.start();
+            List<String> words = new ArrayList<>(List.of("fleet", "status", "--config", fileAt(instance.getLocalPort())));
+            words.addAll(List.of(more));
+            String[] result = run(words.toArray(String[]::new));
+            answering.join();
+            assertEquals(String.valueOf(ANSWERED), result[0], result[2]);
+            assertEquals(List.of("fleet status"), asked);
+            return result[1];
+        }
+    }
+
+    private static void answer(ServerSocket instance, String status, List<String> asked) {
+        try (Socket caller = instance.accept()) {
+            byte[] question = new byte["fleet status\n".length()];
+            int length = caller.getInputStream().readNBytes(question, 0, question.length);
+            asked.add(new String(question, 0, length, StandardCharsets.US_ASCII).strip());
+            caller.getOutputStream().write(("ACK " + status + "\n").getBytes(StandardCharsets.UTF_8));
+        } catch (java.io.IOException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/kelphollow/program/DeployFileTest.java
@@ -0,0 +1,90 @@
+package kelphollow.program;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Stream;
+import kelphollow.names.RecordedNames;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** The deploy file that the platform reads: its keys, and that all it names is there. */
+class DeployFileTest {
+    private static final Path DEPLOY_FILE = Path.of("deploy/balancer.toml");
+    private static final Path DECISIONS = Path.of("src/main/java/kelphollow/decision");
+    /** What the decision module is told and answers with; files of the folder that decide nothing. */
+    private static final Set<String> INTERFACE = Set.of("package-info.java", "ControlApi.java", "ControlSettings.java",
+        "ControlEvent.java", "ControlAction.java");
+    private static final Pattern ENTRY = Pattern.compile("([a-z]+) = (\"(?:[^\"\\\\]|\\\\.)*\"|\\[.*])");
+    private static final Pattern TEXT = Pattern.compile("\"([^\"]*)\"");
+    private static final Pattern SHIPPED_FILE = Pattern.compile("deploy/[a-z./-]+");
+
+    private final Map<String, String> entries = new LinkedHashMap<>();
+
+    @BeforeEach void read() throws IOException {
+        for (String line : Files.readAllLines(DEPLOY_FILE)) {
+            if (!line.isBlank() && !line.startsWith("#")) {
+                Matcher entry = ENTRY.matcher(line);
+                assertTrue(entry.matches(), "a key and its text or list: " + line);
+                assertEquals(null, entries.put(entry.group(1), entry.group(2)), line);
+            }
+        }
+    }
+
+    private List<String> texts(String key) {
+        assertNotNull(entries.get(key), key);
+        List<String> texts = new ArrayList<>();
+        for (Matcher text = TEXT.matcher(entries.get(key)); text.find();) {
+            texts.add(text.group(1));
+        }
+        return texts;
+    }
+
+    @Test void keysAreThoseRecorded() throws IOException {
+        RecordedNames.assertRecorded("deploy-keys.txt", entries.keySet());
+    }
+
+    /** A file that is added to the folder must be named, or be one of the interface. */
+    @Test void thePolicyIsJustTheFilesThatDecide() throws IOException {
+        Set<String> decide = new TreeSet<>();
+        try (Stream<Path> files = Files.list(DECISIONS)) {
+            files.filter(file -> !INTERFACE.contains(file.getFileName().toString()))
+                .forEach(file -> decide.add(file.toString()));
+        }
+        List<String> policy = texts("policy");
+        assertEquals(decide, new TreeSet<>(policy));
+        assertEquals(decide.size(), policy.size(), "each is named once");
+    }
+
+    @Test void theNodeIsFoldersThatAreThere() {
+        List<String> node = texts("node");
+        assertFalse(node.isEmpty());
+        for (String path : node) {
+            assertTrue(Files.isDirectory(Path.of(path)), path);
+        }
+    }
+
+    @Test void commandsNameFilesAndSubCommandsThatAreThere() throws IOException {
+        for (Matcher file = SHIPPED_FILE.matcher(String.join(" ", entries.values())); file.find();) {
+            assertTrue(Files.exists(Path.of(file.group())), file.group());
+        }
+        Set<String> commands = new TreeSet<>(RecordedNames.read("commands.txt"));
+        assertTrue(entries.get("build").contains("-jar target/kelphollow.jar train --config deploy/"), entries.get("build"));
+        assertTrue(entries.get("run").endsWith("-jar target/kelphollow.jar serve\""), entries.get("run"));
+        assertTrue(entries.get("sim").endsWith("-jar target/kelphollow.jar adapter\""), entries.get("sim"));
+        assertTrue(commands.containsAll(Set.of("train", "serve", "adapter")), "as the deploy file calls them");
+    }
+}
--- /dev/null
+++ b/src/test/java/kelphollow/program/FleetNamesTest.java
@@ -0,0 +1,216 @@
+package kelphollow.program;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.SortedSet;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+import java.util.logging.Handler;
+import java.util.logging.LogRecord;
+import kelphollow.decision.ControlApi.NodeEntry;
+import kelphollow.decision.ControlApi.Phase;
+import kelphollow.digest.Part;
+import kelphollow.fleet.Events;
+import kelphollow.fleet.Fleet;
+import kelphollow.membership.Message;
+import kelphollow.membership.News;
+import kelphollow.membership.Output;
+import kelphollow.names.RecordedNames;
+import kelphollow.protocol.json.Json;
+import kelphollow.protocol.peer.Packet;
+import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.PeerTransport;
+import kelphollow.protocol.peer.Traffic;
+import kelphollow.routing.Admission;
+import kelphollow.routing.NodeControl;
+import kelphollow.routing.Ticker;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Keys and words of {@code fleet status} and of the fleet's events, from the production fleet without sockets. */
+class FleetNamesTest {
+    private static final String FILE = "deploy/fleet-a.json";
+    private static final String PEER = "gateway-b";
+    /** Subjects of what instances say, as they are on the line between instances. */
+    private static final String DRAIN = "drain", SILENT = "silent", REFUSED = "refused";
+    private static final List<String> SILENT_NODES = List.of("n1", "n2", "n3", "n4", "n5", "n6");
+    private static final long EPOCH = 1;
+    private static final int LOOKS = 10;
+    private static final double LOOK_MS = 50;
+
+    private final Clock clock = new Clock();
+    private final Nodes nodes = new Nodes();
+    private final List<String> events = new ArrayList<>();
+    private Fleet fleet;
+
+    @BeforeEach void join() throws Exception {
+        ObjectConfig config = ObjectConfig.read(FILE);
+        fleet = new Fleet(config.fleet().options(), config.settings(), EPOCH, (name, epoch, peers) -> new Line(), clock,
+            nodes, new Random(1), new Events(new Listener()), raised -> {});
+        fleet.start();
+    }
+
+    /** A peer says all that it can say, of nodes and of instances. */
+    private void hearPeer() {
+        Map<String, Double> silent = new TreeMap<>();
+        SILENT_NODES.forEach(node -> silent.put(node, 3.0));
+        Part part = new Part(PEER, EPOCH, 1, 0, Map.of(DRAIN, Map.of("n9", 0.0), SILENT, silent, REFUSED, Map.of("7", 6.0)));
+        List<News> news = new ArrayList<>();
+        news.add(new News(PEER, "127.0.0.1:9022", EPOCH, 0, News.State.ALIVE, ""));
+        for (News.State state : News.State.values()) {
+            String name = "gateway-" + state.ordinal();
+            news.add(new News(name, "127.0.0.1:9030", EPOCH, 0, News.State.ALIVE, ""));
+            news.add(new News(name, "127.0.0.1:9030", EPOCH, 0, state, PEER));
+        }
+        fleet.small(PEER, new Packet.Small(new Message.Gossip(news), List.of(part)));
+        nodes.list.accept(List.of(new NodeEntry("n8", "", 0, Phase.DRAINING, 0)));
+        for (int i = 0; i < LOOKS; i++) {
+            clock.advance(LOOK_MS);
+        }
+    }
+
+    @Test void keysAndWordsOfTheStatusAreThoseRecorded() throws Exception {
+        hearPeer();
+
+        Map<?, ?> status = (Map<?, ?>) Json.parse(fleet.status());
+
+        RecordedNames.assertRecorded("status-keys.txt", RecordedNames.keys(status));
+        SortedSet<String> states = new TreeSet<>();
+        for (Object member : (List<?>) status.get("members")) {
+            states.add((String) ((Map<?, ?>) member).get("state"));
+        }
+        RecordedNames.assertRecorded("member-states.txt", states);
+        assertEquals(Map.of("7", "70% of what is worth under 6.0"), status.get("gives_way"));
+    }
+
+    @Test void eventsAndTheirKeysAreThoseRecorded() throws Exception {
+        hearPeer();
+        fleet.happened(new Output.Raised(EPOCH + 1));
+        for (Output.Kind kind : Output.Kind.values()) {
+            fleet.happened(new Output.Event(kind, PEER, EPOCH, "why"));
+        }
+        fleet.leave();
+
+        SortedSet<String> found = new TreeSet<>();
+        for (String line : events) {
+            Map<?, ?> event = (Map<?, ?>) Json.parse(line);
+            found.add(event.get("event") + ": " + String.join(" ", RecordedNames.keys(event)));
+        }
+        RecordedNames.assertRecorded("events.txt", found);
+    }
+
+    /** The reasons that the fleet gives in its events; operators search for them. */
+    @Test void aRefutedSuspicionIsToldInTheRecordedWords() throws Exception {
+        String self = ObjectConfig.read(FILE).name();
+        List<News> news = new ArrayList<>();
+        news.add(new News(self, "127.0.0.1:9021", EPOCH, 0, News.State.SUSPECT, PEER));
+        news.add(new News(self, "127.0.0.1:9021", EPOCH, 1, News.State.DEAD, PEER));
+
+        fleet.small(PEER, new Packet.Small(new Message.Gossip(news), List.of()));
+
+        SortedSet<String> reasons = new TreeSet<>();
+        for (String line : events) {
+            Map<?, ?> event = (Map<?, ?>) Json.parse(line);
+            reasons.add(event.get("event") + " " + event.get("why"));
+        }
+        assertTrue(reasons.containsAll(Set.of("refuted SUSPECT by " + PEER, "refuted DEAD by " + PEER)), reasons.toString());
+    }
+
+    /** Takes the events as they are written. */
+    private final class Listener extends Handler {
+        @Override public void publish(LogRecord record) {
+            events.add(record.getMessage());
+        }
+
+        @Override public void flush() {}
+
+        @Override public void close() {}
+    }
+
+    /** Storage nodes, some of which do not answer. */
+    private static final class Nodes implements NodeControl {
+        Consumer<List<NodeEntry>> list;
+
+        @Override public void boundRepeats(double share, double span) {}
+
+        @Override public void admit(Admission by) {}
+
+        @Override public void onList(Consumer<List<NodeEntry>> heard) {
+            list = heard;
+        }
+
+        @Override public void cordon(Set<String> names) {}
+
+        @Override public void doubt(Set<String> names) {}
+
+        @Override public Map<String, Integer> silentNodes() {
+            Map<String, Integer> silent = new LinkedHashMap<>();
+            SILENT_NODES.forEach(node -> silent.put(node, 3));
+            return silent;
+        }
+    }
+
+    /** A line that loses all and has dropped something for each reason. */
+    private static final class Line implements PeerTransport {
+        private final Traffic traffic = new Traffic();
+
+        @Override public InetSocketAddress listen(InetSocketAddress at) {
+            return at;
+        }
+
+        @Override public long send(InetSocketAddress to, Packet packet) {
+            return 1;
+        }
+
+        @Override public void exchange(String with, InetSocketAddress at, Packet.Full ours) {}
+
+        @Override public Map<PeerLine.Drop, Long> drops() {
+            Map<PeerLine.Drop, Long> drops = new EnumMap<>(PeerLine.Drop.class);
+            for (PeerLine.Drop why : PeerLine.Drop.values()) {
+                drops.put(why, 1L);
+            }
+            return drops;
+        }
+
+        @Override public Traffic traffic() {
+            return traffic;
+        }
+
+        @Override public void close() {}
+    }
+
+    /** A clock that only the test moves. */
+    private static final class Clock implements Ticker {
+        private record Due(double at, Runnable task) {}
+
+        private final List<Due> dues = new ArrayList<>();
+        private double now = 1_700_000_000_000.0;
+
+        @Override public double now() {
+            return now;
+        }
+
+        @Override public Timeout after(double millis, Runnable task) {
+            Due due = new Due(now + millis, task);
+            dues.add(due);
+            return () -> dues.remove(due);
+        }
+
+        void advance(double millis) {
+            now += millis;
+            List<Due> ready = dues.stream().filter(due -> due.at <= now).toList();
+            dues.removeAll(ready);
+            ready.forEach(due -> due.task.run());
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/kelphollow/program/StoredNamesTest.java
@@ -0,0 +1,74 @@
+package kelphollow.program;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Collectors;
+import kelphollow.ledger.CompletionRecords;
+import kelphollow.ledger.Ledger;
+import kelphollow.names.RecordedNames;
+import kelphollow.protocol.discovery.Members;
+import kelphollow.protocol.json.Json;
+import kelphollow.routing.Member;
+import kelphollow.store.FolderDisk;
+import kelphollow.store.Store;
+import kelphollow.store.StoreOptions;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** What a gateway keeps beyond its end: tables, keys and words of its records, as {@code store dump} shows them. */
+class StoredNamesTest {
+    /** Far enough ahead that no record has expired when it is dumped. */
+    private static final double NOW = 4_000_000_000_000.0;
+    private static final double WINDOW = 60_000;
+    private static final String NODES = "{\"seq\":1,\"hosts\":["
+        + "{\"host\":\"s-1\",\"dial\":\"127.0.0.2:7101\",\"site\":\"east\",\"block\":1,\"health\":\"ready\",\"born_ms\":5},"
+        + "{\"host\":\"s-2\",\"dial\":\"127.0.0.2:7102\",\"site\":\"east\",\"block\":2,\"health\":\"draining\"},"
+        + "{\"host\":\"s-3\",\"dial\":\"127.0.0.2:7103\",\"site\":\"west\",\"block\":3,\"health\":\"gone\"}]}";
+
+    @TempDir
+    Path folder;
+
+    private Ledger open() throws Exception {
+        Store store = Store.open(new FolderDisk(folder.resolve("first")), new FolderDisk(folder.resolve("second")),
+            StoreOptions.USUAL.withInline(true), System::currentTimeMillis);
+        return Ledger.open(store, Runnable::run);
+    }
+
+    private static List<Member> members() throws Exception {
+        return Members.read(Json.parse(NODES)).members();
+    }
+
+    @Test void recordsAreWrittenAsRecorded() throws Exception {
+        try (Ledger ledger = open()) {
+            ledger.nodes().told(members(), NOW);
+            ledger.limits().end(Map.of("volume", 7.5), NOW);
+            ledger.parts().begun("upload", NOW);
+            ledger.parts().intent("upload", 1, NOW, fault -> assertNull(fault));
+            ledger.parts().stored("upload", 2, 99, "an md5", "an etag", NOW);
+            ledger.completions().intent("upload", NOW, fault -> assertNull(fault));
+            ledger.completions().ran("other", new CompletionRecords.Answer("print", 200, "text/xml", "body"), NOW);
+            ledger.outcomes().intent("first", NOW, WINDOW, fault -> assertNull(fault));
+            ledger.outcomes().ran("second", "done", NOW, WINDOW, fault -> assertNull(fault));
+        }
+
+        String[] dump = CommandNamesTest.run("store", "dump", folder.resolve("first").toString(),
+            folder.resolve("second").toString());
+
+        assertEquals("0", dump[0], dump[2]);
+        assertEquals(String.join("\n", RecordedNames.read("stored-records.txt")),
+            dump[1].lines().sorted().collect(Collectors.joining("\n")));
+    }
+
+    @Test void aKeptListIsReadBack() throws Exception {
+        try (Ledger ledger = open()) {
+            ledger.nodes().told(members(), NOW);
+        }
+        try (Ledger ledger = open()) {
+            assertEquals(members(), ledger.nodes().read().members());
+        }
+    }
+}
--- a/src/test/java/kelphollow/scale/ScaleSocketTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSocketTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import kelphollow.names.RecordedNames;
 import kelphollow.protocol.json.Json;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -34,6 +35,7 @@
         Set<Long> after = children();
         after.removeAll(before);
         assertEquals(Set.of(), after, "processes are left");
+        RecordedNames.assertAmongRecorded("scale-report-processes.txt", RecordedNames.keys(figures));
         assertEquals(16.0, figures.get("instances"));
         assertEquals(13.0, figures.get("hollow"));
         assertEquals(3.0, figures.get("real"));
