--- a/src/test/java/kelphollow/decision/ControlHarness.java
+++ b/src/test/java/kelphollow/decision/ControlHarness.java
@@ -9,6 +9,7 @@
 import kelphollow.decision.ControlAction.SendAttempt;
 import kelphollow.decision.ControlEvent.AttemptEnded;
 import kelphollow.decision.ControlEvent.AttemptOutcome;
+import kelphollow.decision.ControlEvent.ClientDisconnected;
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
 import kelphollow.decision.ControlEvent.EndpointsReceived;
@@ -25,113 +26,133 @@
     static final RequestClass READ = new RequestClass("read", 300, 2000, 2, 0.1, Idempotency.IDEMPOTENT,
         DeduplicationScope.ALL, 0, false, false);
     static final RequestClass WRITE = new RequestClass("write", 400, 2500, 3, 0.1, Idempotency.NOT_IDEMPOTENT,
-        DeduplicationScope.CELL, 0, false,
-        false);
+        DeduplicationScope.CELL, 0, false, false);
     static final RequestClass KEYED = new RequestClass("keyed", 400, 2500, 3, 0.1, Idempotency.IDEMPOTENCY_KEY,
-        DeduplicationScope.CELL, 4000,
-        false, false);
+        DeduplicationScope.CELL, 4000, false, false);
     static final RequestClass TURNS = new RequestClass("turns", 400, 2500, 3, 0.1, Idempotency.NOT_IDEMPOTENT,
-        DeduplicationScope.CELL, 0, true,
-        false);
+        DeduplicationScope.CELL, 0, true, false);
     static final Plan FREE = new Plan("free", 10, 5, 1, 1, 0, 0, 0);
     static final Plan LIMITED = new Plan("limited", 10, 0, 1, 1, 20, 24, 6);
     static final Rules RULES = new Rules(250, 0.25, 10_000, 2, 1000, 6, 200, 3, 0.1, 5000, 10_000);
 
     final Control control;
     final List<ControlAction> actions = new ArrayList<>();
-    final Map<String, Integer> tries = new HashMap<>();
+    /** Attempts sent by request. */
+    final Map<String, Integer> attempts = new HashMap<>();
+    private final Map<String, Integer> ended = new HashMap<>();
     double now;
 
-    ControlHarness(boolean ask, double start) {
-        control = new Control(settings(ask, RULES), 7, start);
+    ControlHarness(boolean endpointsPolled, double start) {
+        control = new Control(settings(endpointsPolled, RULES), 7, start);
         now = start;
         keep(control.start());
     }
 
-    static ControlSettings settings(boolean ask, Rules rules) {
-        return new ControlSettings(0, 2, "a", 1, 4, 10_000, true, ask, 1000, 2, 0.4, 0.05,
+    static ControlSettings settings(boolean endpointsPolled, Rules rules) {
+        return new ControlSettings(0, 2, "a", 1, 4, 10_000, true, endpointsPolled, 1000, 2, 0.4, 0.05,
             List.of(READ, WRITE, KEYED, TURNS), List.of(FREE, LIMITED), rules);
     }
 
+    /** An instance with a healthy node for each of the cells 0 and 1. */
     static ControlHarness ready() {
-        ControlHarness rig = new ControlHarness(false, 50_000);
-        rig.list(node("n0", 0, EndpointState.HEALTHY, 0), node("n1", 1, EndpointState.HEALTHY, 0));
-        return rig;
+        ControlHarness scheduler = new ControlHarness(false, 50_000);
+        scheduler.endpoints(healthy("n0", 0), healthy("n1", 1));
+        return scheduler;
     }
 
-    static Endpoint node(String id, int cell, EndpointState phase, double born) {
-        return new Endpoint(id, "a", cell, phase, born);
+    static Endpoint node(String id, int cell, EndpointState state, double startedAt) {
+        return new Endpoint(id, "a", cell, state, startedAt);
     }
 
-    List<ControlAction> tell(ControlEvent event) {
-        List<ControlAction> got = control.on(now, event);
-        keep(got);
-        return got;
+    /** A healthy node that has been up for long. */
+    static Endpoint healthy(String id, int cell) {
+        return node(id, cell, EndpointState.HEALTHY, 0);
     }
 
-    private void keep(List<ControlAction> got) {
-        actions.addAll(got);
-        for (ControlAction a : got) {
-            if (a instanceof SendAttempt s) {
-                tries.merge(s.id(), 1, Integer::sum);
+    /** Notifies the instance of an event. */
+    List<ControlAction> on(ControlEvent event) {
+        List<ControlAction> answer = control.on(now, event);
+        keep(answer);
+        return answer;
+    }
+
+    private void keep(List<ControlAction> answer) {
+        actions.addAll(answer);
+        for (ControlAction action : answer) {
+            if (action instanceof SendAttempt send) {
+                attempts.merge(send.id(), 1, Integer::sum);
             }
         }
     }
 
-    List<ControlAction> list(Endpoint... nodes) {
-        return tell(new EndpointsReceived(List.of(nodes), true, false));
+    /** A complete endpoint list comes. */
+    List<ControlAction> endpoints(Endpoint... nodes) {
+        return on(new EndpointsReceived(List.of(nodes), true, false));
+    }
+
+    /** A request arrives with all the time of its class, as a client's first attempt does. */
+    List<ControlAction> request(String id, String requestClass, String plan, String volume, double units, int cell) {
+        double deadline = requestClass.equals("read") ? READ.deadline() : WRITE.deadline();
+        return request(id, requestClass, plan, volume, units, cell, null, now + deadline, 1);
     }
 
-    List<ControlAction> ask(String id, String kind, String plan, String volume, double units, int cell) {
-        double deadline = kind.equals("read") ? READ.deadline() : WRITE.deadline();   // a first try has all its time
-        return ask(id, kind, plan, volume, units, cell, null, now + deadline, 1);
+    List<ControlAction> request(String id, String requestClass, String plan, String volume, double units, int cell,
+        String key, double deadline, int hosts) {
+        return on(new RequestArrived(id, requestClass, plan, key, deadline, volume, units, cell, hosts));
     }
 
-    List<ControlAction> ask(String id, String kind, String plan, String volume, double units, int cell, String key,
-        double deadline, int hosts) {
-        return tell(new RequestArrived(id, kind, plan, key, deadline, volume, units, cell, hosts));
+    /** Fills the window of node n0 so that what follows is queued, and returns how many requests it took. */
+    int fill() {
+        int n = 0;
+        while (request("fill" + n, "read", "free", "filler" + n, 1, 0).stream().anyMatch(a -> a instanceof SendAttempt)) {
+            n++;
+        }
+        on(new ClientDisconnected("fill" + n));
+        return n;
     }
 
+    /** The newest attempt of a request ends. */
     List<ControlAction> end(String id, AttemptOutcome outcome, double took) {
-        String at = nodeOf(id);
-        return tell(new AttemptEnded(id, tries.get(id) - 1, at, outcome, took, outcome == AttemptOutcome.SERVED, false, 0,
-            -1, Map.of()));
+        return on(new AttemptEnded(id, attempts.get(id) - 1, nodeOf(id), outcome, took, outcome == AttemptOutcome.SERVED,
+            false, 0, -1, Map.of()));
     }
 
+    /** Where the newest attempt of a request went to. */
     String nodeOf(String id) {
-        String at = null;
-        for (ControlAction a : actions) {
-            if (a instanceof SendAttempt s && s.id().equals(id)) {
-                at = s.node();
+        String node = null;
+        for (ControlAction action : actions) {
+            if (action instanceof SendAttempt send && send.id().equals(id)) {
+                node = send.node();
             }
         }
-        return at;
+        return node;
     }
 
     /** Lets time pass with nothing but timers. */
-    void pass(double until) {
+    void advanceTo(double until) {
         while (now < until) {
             now = Math.min(until, now + 5);
-            tell(new TimerFired("wake"));
+            on(new TimerFired("wake"));
         }
     }
 
+    /** The requests that were sent, once for each attempt. */
     List<String> sent() {
         return actions.stream().filter(a -> a instanceof SendAttempt).map(a -> ((SendAttempt) a).id()).toList();
     }
 
+    /** The final answers that the instance gave itself. */
     List<String> answered() {
         return actions.stream().filter(a -> a instanceof RejectRequest || a instanceof FailRequest)
-            .map(a -> a instanceof RejectRequest r ? "refused " + r.id() : "failed " + ((FailRequest) a).id()).toList();
+            .map(a -> a instanceof RejectRequest r ? "rejected " + r.id() : "failed " + ((FailRequest) a).id()).toList();
     }
 
-    final Map<String, Integer> ended = new HashMap<>();
-
-    boolean doneAlready(String id) {
-        return ended.getOrDefault(id, 0) >= tries.getOrDefault(id, 0);
+    /** Whether all attempts of a request were ended by {@link #serve} or {@link #fail}. */
+    boolean hasEnded(String id) {
+        return ended.getOrDefault(id, 0) >= attempts.getOrDefault(id, 0);
     }
 
-    void finish(String id, double took) {
+    void serve(String id, double took) {
         ended.merge(id, 1, Integer::sum);
         end(id, AttemptOutcome.SERVED, took);
     }
@@ -141,8 +162,8 @@
         end(id, AttemptOutcome.ERROR, 5);
     }
 
-    /** Drops what is over from the record of actions, so that long runs stay quick. */
-    void forget() {
-        actions.removeIf(a -> !(a instanceof SendAttempt s) || doneAlready(s.id()));
+    /** Drops what has ended from the record of actions, so that long runs stay quick. */
+    void forgetEnded() {
+        actions.removeIf(a -> !(a instanceof SendAttempt s) || hasEnded(s.id()));
     }
 }
--- a/src/test/java/kelphollow/decision/ManyInstancesTest.java
+++ b/src/test/java/kelphollow/decision/ManyInstancesTest.java
@@ -43,8 +43,8 @@
         return fleet;
     }
 
-    /** A lost discovery fails all watches at one instant; a crowd that comes back as one fails them again. */
-    @Test void callsForTheListAfterACommonFailureAreSpread() {
+    /** A lost discovery service fails all watches at one instant; a crowd that comes back as one fails them again. */
+    @Test void pollsAfterACommonFailureAreSpread() {
         List<Control> fleet = fleet(true);
         fleet.forEach(Control::start);
         fleet.forEach(c -> c.on(START, new EndpointPollFailed(EndpointPollFailure.UNREACHABLE)));
@@ -59,7 +59,8 @@
                 }
             }
         }
-        int most = 0, all = 0;
+        int most = 0;
+        int all = 0;
         for (int n : calls) {
             most = Math.max(most, n);
             all += n;
@@ -70,80 +71,115 @@
         assertEquals(HOSTS * 4_000 / mean, all, HOSTS, "calls in 4 s, seed " + SEED);
     }
 
-    private record Answer(double at, Control to, AttemptEnded done) {}
-
-    /** Units sent in each second to twenty nodes that start at one instant, as a share of what the rule bears. */
-    private static double[] coldLoad(double demand) {
-        int nodes = 20;
-        double perNode = 20, service = 150;                   // units a second at full power; an answer's least time
-        double[] freeAt = new double[nodes];                  // what a node has taken it works off in turn
-        List<Control> fleet = fleet(false);
-        List<Endpoint> list = new ArrayList<>();
-        for (int n = 0; n < nodes; n++) {
-            list.add(ControlHarness.node("n" + n, n, EndpointState.HEALTHY, START));
-        }
-        fleet.forEach(c -> c.on(START, new EndpointsReceived(list, true, false)));
-        Random random = new Random(SEED);
-        PriorityQueue<Answer> answers = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
-        double[] sent = new double[12];
-        for (int t = 0, id = 0; t < 12_000; t += 2) {
-            double now = START + t;
-            List<Control> heard = new ArrayList<>();
-            List<List<ControlAction>> did = new ArrayList<>();
-            while (!answers.isEmpty() && answers.peek().at <= now) {
-                Answer a = answers.poll();
-                heard.add(a.to);
-                did.add(a.to.on(now, a.done));
+    @Test void allInstancesTogetherSendNodesInSlowStartLessThanTheRuleBears() {
+        for (double demand : new double[] {0.75, 1.0}) {      // as a share of the nodes' full capacity
+            double[] load = new NodesInSlowStart(demand).play();
+            for (int s = 0; s < load.length; s++) {
+                String where = "second " + s + " at " + demand + " of the capacity: " + load[s] + ", seed " + SEED;
+                assertTrue(load[s] < 1, where);
+                assertTrue(load[s] > 0.1, "nodes in slow start are used, " + where);
             }
-            if (random.nextDouble() < nodes * perNode / 2 * demand * 2 / 1_000) {   // of 2 units, every 2 ms
-                // A third of the hosts get half of the traffic.
-                int h = random.nextInt(random.nextBoolean() ? HOSTS / 3 : HOSTS);
-                heard.add(fleet.get(h));
-                did.add(fleet.get(h).on(now, new RequestArrived("q" + id++, "read", "free", null, now + 2_000,
-                    "v" + random.nextInt(400), 2, random.nextInt(nodes), 3)));
+        }
+    }
+
+    /** A surge of half as much again as warm nodes could bear: the rule leaves a little for chance, and no more. */
+    @Test void aSurgeOnNodesInSlowStartIsHeldBackByTheirAnswers() {
+        double[] load = new NodesInSlowStart(1.5).play();
+        for (int s = 0; s < load.length; s++) {
+            assertTrue(load[s] < (s == 0 ? 1.05 : 1), "second " + s + ": " + load[s] + ", seed " + SEED);
+        }
+    }
+
+    private record Answer(double at, Control to, AttemptEnded event) {}
+
+    /** Twenty nodes that start at one instant; each works off in turn what it was sent. Times are milliseconds. */
+    private static final class NodesInSlowStart {
+        private static final int NODES = 20;
+        private static final int SECONDS = 12;
+        private static final int STEP = 2;
+        /** Units a second of one node at full capacity. */
+        private static final double CAPACITY = 20;
+        private static final double LEAST_LATENCY = 150;
+        private static final double UNITS = 2;
+
+        private final double demand;
+        private final List<Control> fleet = fleet(false);
+        private final Random random = new Random(SEED);
+        private final double[] freeAt = new double[NODES];
+        private final double[] sent = new double[SECONDS];
+        private final PriorityQueue<Answer> answers = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
+        private final List<Control> actors = new ArrayList<>();
+        private final List<List<ControlAction>> actions = new ArrayList<>();
+        private int step;
+        private double now;
+        private int requests;
+
+        /** {@code demand}: what clients ask of the nodes, as a share of their full capacity. */
+        NodesInSlowStart(double demand) {
+            this.demand = demand;
+            List<Endpoint> list = new ArrayList<>();
+            for (int n = 0; n < NODES; n++) {
+                list.add(ControlHarness.node("n" + n, n, EndpointState.HEALTHY, START));
             }
-            if (t % 10 == 0) {
-                for (Control c : fleet) {
-                    heard.add(c);
-                    did.add(c.on(now, new TimerFired("wake")));
+            fleet.forEach(c -> c.on(START, new EndpointsReceived(list, true, false)));
+        }
+
+        /** Units sent in each second, as a share of what the rule bears. */
+        double[] play() {
+            for (step = 0; step < SECONDS * 1_000; step += STEP) {
+                now = START + step;
+                actors.clear();
+                actions.clear();
+                while (!answers.isEmpty() && answers.peek().at <= now) {
+                    Answer answer = answers.poll();
+                    tell(answer.to, answer.event);
                 }
-            }
-            for (int i = 0; i < did.size(); i++) {
-                for (ControlAction a : did.get(i)) {
-                    if (a instanceof SendAttempt s) {
-                        sent[t / 1_000] += 2;
-                        int n = Integer.parseInt(s.node().substring(1));
-                        double power = perNode * (0.2 + 0.8 * t / 18_000);
-                        freeAt[n] = Math.max(freeAt[n], now) + 2 / power * 1_000;
-                        double at = Math.max(freeAt[n], now + service);
-                        answers.add(new Answer(at, heard.get(i), new AttemptEnded(s.id(), 0, s.node(),
-                            AttemptOutcome.SERVED, at - now, true, false, 0, -1, Map.of())));
-                    }
+                arrive();
+                if (step % 10 == 0) {
+                    fleet.forEach(c -> tell(c, new TimerFired("wake")));
                 }
+                carryOut();
             }
+            for (int s = 0; s < sent.length; s++) {
+                double ramp = 0.2 + 0.8 * (s + 0.5) / 18;
+                sent[s] /= NODES * 2 * CAPACITY * ramp;
+            }
+            return sent;
         }
-        for (int s = 0; s < sent.length; s++) {
-            double ramp = 0.2 + 0.8 * (s + 0.5) / 18;
-            sent[s] /= nodes * 2 * perNode * ramp;
+
+        private void tell(Control control, ControlEvent event) {
+            actors.add(control);
+            actions.add(control.on(now, event));
         }
-        return sent;
-    }
 
-    @Test void allHostsTogetherSendColdNodesLessThanTheRuleBears() {
-        for (double demand : new double[] {0.75, 1.0}) {      // as a share of the nodes' full power
-            double[] load = coldLoad(demand);
-            for (int s = 0; s < load.length; s++) {
-                assertTrue(load[s] < 1, "second " + s + " at " + demand + " of the power: " + load[s] + ", seed " + SEED);
-                assertTrue(load[s] > 0.1, "cold nodes are used, second " + s + ": " + load[s]);
+        /** A third of the instances get half of the traffic. */
+        private void arrive() {
+            if (random.nextDouble() < NODES * CAPACITY / UNITS * demand * STEP / 1_000) {
+                int host = random.nextInt(random.nextBoolean() ? HOSTS / 3 : HOSTS);
+                tell(fleet.get(host), new RequestArrived("q" + requests, "read", "free", null, now + 2_000,
+                    "v" + random.nextInt(400), UNITS, random.nextInt(NODES), 3));
+                requests++;
             }
         }
-    }
 
-    /** A surge of half as much again as warm nodes could bear: the rule leaves a little for chance, and no more. */
-    @Test void aSurgeOnColdNodesIsHeldBackByTheirAnswers() {
-        double[] load = coldLoad(1.5);
-        for (int s = 0; s < load.length; s++) {
-            assertTrue(load[s] < (s == 0 ? 1.05 : 1), "second " + s + ": " + load[s] + ", seed " + SEED);
+        private void carryOut() {
+            for (int i = 0; i < actions.size(); i++) {
+                for (ControlAction action : actions.get(i)) {
+                    if (action instanceof SendAttempt send) {
+                        send(actors.get(i), send);
+                    }
+                }
+            }
+        }
+
+        private void send(Control from, SendAttempt send) {
+            sent[step / 1_000] += UNITS;
+            int n = Integer.parseInt(send.node().substring(1));
+            double capacity = CAPACITY * (0.2 + 0.8 * step / 18_000);
+            freeAt[n] = Math.max(freeAt[n], now) + UNITS / capacity * 1_000;
+            double at = Math.max(freeAt[n], now + LEAST_LATENCY);
+            answers.add(new Answer(at, from, new AttemptEnded(send.id(), 0, send.node(), AttemptOutcome.SERVED, at - now,
+                true, false, 0, -1, Map.of())));
         }
     }
 }
