--- a/src/main/java/kelphollow/decision/EndpointListLease.java
+++ b/src/main/java/kelphollow/decision/EndpointListLease.java
@@ -3,15 +3,15 @@
 import kelphollow.decision.ControlEvent.EndpointPollFailure;
 
 /**
- * A lease on the node list: until when an instance may act on the list that it holds. Guards against sending
- * by a list that nobody has confirmed for longer than the time after which a change counts as told, whatever
- * the reason: a process that has just started and has only the list of its configuration, a service that
- * turns its calls away, a watch that is silent.
+ * A lease on the endpoint list: until when an instance may act on the list that it holds. Guards against
+ * sending by a list that nobody has confirmed for longer than the time after which a change is in force,
+ * whatever the reason: a process that has just started and has only the list of its configuration, a service
+ * that rejects its calls, a watch that is silent.
  *
- * <p>The lease runs for a fixed term from the latest moment of which this is sure: nothing unheard can have
- * begun to count by then. Such a moment is one up to which the service's word is complete, or one at which
- * the service could not be reached, since a change only counts once it can. Failures that show a service
- * which is there do not renew the lease.
+ * <p>The lease runs for a fixed term from the latest moment of which this is sure: nothing unreceived can
+ * have begun to be in force by then. Such a moment is one up to which the received list is complete, or one
+ * at which the service could not be reached, since a change is in force only once it can be received.
+ * Failures that show a service which is there do not renew the lease.
  *
  * <p>Times are milliseconds. Constant memory; for one thread; no clock of its own.
  */
@@ -19,128 +19,129 @@
     /** What the lease rests on. */
     public enum State {
         /**
-         * Nothing has come from the service since the start, and it has not been found down: the list may not
-         * be used.
+         * Nothing was received since the start, and the service was not found down: the list may not be used.
          */
         NEVER_HEARD,
-        /** The service's word is young enough. */
+        /** The received list is recent enough. */
         CURRENT,
-        /** The service was found down a short while ago: its last word stands. */
+        /** The service was found down a short while ago: the last list stands. */
         SERVICE_DOWN,
-        /**
-         * The service is there for all that is known, and its last word is too old: the list may not be used.
-         */
+        /** The service is there for all that is known, and the last list is too old: it may not be used. */
         EXPIRED
     }
 
+    /** Failures in a row that show an instance which has just started that the service is down. */
+    static final int FAILURES_AT_START = 2;
     /**
-     * So many calls in a row without an answer, over at least the time that a crowd may last, show an
-     * instance that has just started that the service is down.
+     * A crowd of all instances is over in this multiple of the time over which their first calls are spread.
      */
-    static final int SIGNS_AT_START = 2;
-    /**
-     * A crowd of all instances is over in this many times the time over which {@link EndpointPollSchedule} spreads them.
-     */
-    static final double CROWD_SPREADS = 2;
-    /** The longest time for which a crowd is reckoned with, in milliseconds. */
-    static final double LONGEST_CROWD = 30_000;
-    /** After a move to another service its news counts after this time, in milliseconds. */
-    static final double MOVED_TOLD_AFTER = 4_000;
+    static final double SPREADS_PER_CROWD = 2;
+    /** The longest time for which a crowd is reckoned with. */
+    static final double LONGEST_CROWD_MS = 30_000;
+    /** After a move to another service a change there is in force after this time. */
+    static final double IN_FORCE_AFTER_MOVE_MS = 4_000;
 
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     private final double term;
-    private final double toldAfter;
+    private final double inForceAfter;
     private final boolean pushed;
     private final double crowdLasts;
-    private double heardUpTo = NEVER;
+    private double confirmedUpTo = NEVER;
     private double downAt = NEVER;
-    private double notBefore = Double.POSITIVE_INFINITY;
-    private int signs;
-    private double firstSignAt;
+    /**
+     * Bound on the moment that the lease runs from, until the new source has answered; infinite without a
+     * move.
+     */
+    private double sourceChangeBound = Double.POSITIVE_INFINITY;
+    private int failures;
+    private double firstFailureAt;
 
-    private EndpointListLease(double toldAfter, double ownLateness, boolean pushed, double crowdLasts) {
-        this.toldAfter = toldAfter;
-        this.term = toldAfter - ownLateness;
+    private EndpointListLease(double inForceAfter, double ownLateness, boolean pushed, double crowdLasts) {
+        this.inForceAfter = inForceAfter;
+        this.term = inForceAfter - ownLateness;
         this.pushed = pushed;
         this.crowdLasts = crowdLasts;
     }
 
-    /** For a list that so many instances must ask for: nothing is sent before the service has spoken. */
-    public static EndpointListLease asked(double toldAfter, double ownLateness, int instances) {
-        double crowd = Math.min(LONGEST_CROWD, CROWD_SPREADS * instances * EndpointPollSchedule.SPREAD_PER_INSTANCE);
-        return new EndpointListLease(toldAfter, ownLateness, false, crowd);
-    }
-
     /**
-     * For a list that an agent on the same machine is sent and gives out at once. It is silent only while
-     * the service is down; a refused connection shows at once that there is none.
+     * For a list that instances poll: nothing is sent before the service has answered.
+     *
+     * @param inForceAfter time after which a change at the service is in force
+     * @param ownLateness time by which this instance may act late
+     * @param instances number of instances that poll the service
      */
-    public static EndpointListLease pushed(double toldAfter, double ownLateness) {
-        return new EndpointListLease(toldAfter, ownLateness, true, 0);
+    public static EndpointListLease polled(double inForceAfter, double ownLateness, int instances) {
+        double spread = SPREADS_PER_CROWD * instances * EndpointPollSchedule.SPREAD_PER_INSTANCE_MS;
+        return new EndpointListLease(inForceAfter, ownLateness, false, Math.min(LONGEST_CROWD_MS, spread));
     }
 
     /**
-     * For lists whose source nobody holds this instance to, such as one written into the configuration: it
-     * never ends.
+     * For a list that an agent on the same machine is sent and gives out at once. It is silent only while the
+     * service is down; a refused connection shows at once that there is none.
      */
+    public static EndpointListLease pushed(double inForceAfter, double ownLateness) {
+        return new EndpointListLease(inForceAfter, ownLateness, true, 0);
+    }
+
+    /** For a list without a source that must be obeyed, such as one of the configuration: it never ends. */
     public static EndpointListLease unbounded() {
         EndpointListLease lease = new EndpointListLease(0, 0, true, 0);
-        lease.heardUpTo = Double.POSITIVE_INFINITY;
+        lease.confirmedUpTo = Double.POSITIVE_INFINITY;
         return lease;
     }
 
     /** A list has come that is complete up to {@code asOf}. */
     public void confirmed(double asOf) {
-        heardUpTo = Math.max(heardUpTo, asOf);
-        notBefore = Double.POSITIVE_INFINITY;
-        signs = 0;
+        confirmedUpTo = Math.max(confirmedUpTo, asOf);
+        sourceChangeBound = Double.POSITIVE_INFINITY;
+        failures = 0;
     }
 
-    /** A call that was made at {@code calledAt} failed after so many milliseconds. */
+    /** A call that was made at {@code calledAt} failed after {@code took}. */
     public void failed(EndpointPollFailure failure, double calledAt, double took) {
         if (!showsServiceDown(failure, took)) {
-            signs = failure == EndpointPollFailure.WATCH_BROKEN ? signs : 0;
+            failures = failure == EndpointPollFailure.WATCH_BROKEN ? failures : 0;
             return;
         }
-        firstSignAt = signs == 0 ? calledAt : firstSignAt;
-        signs++;
-        if (heardUpTo > NEVER || showsItAtStart(failure, calledAt + took)) {
+        firstFailureAt = failures == 0 ? calledAt : firstFailureAt;
+        failures++;
+        if (confirmedUpTo > NEVER || showsServiceDownAtStart(failure, calledAt + took)) {
             downAt = Math.max(downAt, calledAt);
         }
     }
 
-    private boolean showsItAtStart(EndpointPollFailure failure, double now) {
+    private boolean showsServiceDownAtStart(EndpointPollFailure failure, double now) {
         if (pushed && failure == EndpointPollFailure.UNREACHABLE) {
             return true;
         }
-        return signs >= SIGNS_AT_START && now - firstSignAt >= crowdLasts;
+        return failures >= FAILURES_AT_START && now - firstFailureAt >= crowdLasts;
     }
 
     /**
-     * A call to begin a watch that was refused, reset, or turned away after it had waited; and silence, where
-     * the list is pushed. Elsewhere silence is a broken watch, and a call that is turned away at once has met
-     * a full queue: the service is there, and its news counts.
+     * A call to begin a watch that was refused, reset, or rejected after it had been queued; and silence,
+     * where the list is pushed. Elsewhere silence is a broken watch, and a call that is rejected at once has
+     * met a full queue: the service is there, and its changes are in force.
      */
     private boolean showsServiceDown(EndpointPollFailure failure, double took) {
         return switch (failure) {
             case UNREACHABLE -> true;
             case TIMED_OUT -> pushed;
-            case REJECTED -> took >= EndpointPollSchedule.WAITED_ITS_TURN;
+            case REJECTED -> took >= EndpointPollSchedule.QUEUED_AFTER_MS;
             case WATCH_BROKEN, INVALID_RESPONSE -> false;
         };
     }
 
-    /** The list comes from another service from now on, whose news counts sooner. */
-    public void moved(double now) {
-        notBefore = Math.min(notBefore, now + MOVED_TOLD_AFTER - toldAfter);
-        downAt = Math.min(downAt, notBefore);
-        signs = 0;
+    /** The list comes from another service from now on, whose changes are in force sooner. */
+    public void sourceChanged(double now) {
+        sourceChangeBound = Math.min(sourceChangeBound, now + IN_FORCE_AFTER_MOVE_MS - inForceAfter);
+        downAt = Math.min(downAt, sourceChangeBound);
+        failures = 0;
     }
 
     /** Until when the list may be acted on. */
     public double validUntil() {
-        return Math.min(Math.max(heardUpTo, downAt), Math.max(notBefore, downAt)) + term;
+        return Math.min(Math.max(confirmedUpTo, downAt), Math.max(sourceChangeBound, downAt)) + term;
     }
 
     /** Whether the list may be acted on now. */
@@ -151,8 +152,9 @@
     /** What the lease rests on now. */
     public State state(double now) {
         if (isValid(now)) {
-            return now < Math.min(heardUpTo, notBefore) + term ? State.CURRENT : State.SERVICE_DOWN;
+            boolean current = now < Math.min(confirmedUpTo, sourceChangeBound) + term;
+            return current ? State.CURRENT : State.SERVICE_DOWN;
         }
-        return heardUpTo == NEVER ? State.NEVER_HEARD : State.EXPIRED;
+        return confirmedUpTo == NEVER ? State.NEVER_HEARD : State.EXPIRED;
     }
 }
--- a/src/main/java/kelphollow/decision/EndpointPollSchedule.java
+++ b/src/main/java/kelphollow/decision/EndpointPollSchedule.java
@@ -3,33 +3,35 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When one instance asks a shared discovery service for the node list. Guards against a fleet whose calls
- * keep the service overloaded by themselves: the service works through a queue of bounded length, whether or
- * not the callers still wait, so that a full queue serves nobody in time, and only fewer calls a second empty
- * it.
+ * When one instance polls a shared discovery service for the endpoint list. Guards against a fleet whose
+ * calls keep the service overloaded by themselves: the service works through a queue of bounded length,
+ * whether or not the callers still wait, so that a full queue serves nobody in time, and only fewer calls a
+ * second empty it.
  *
- * <p>The first call after a start is spread over the fleet's size, and a failed call is repeated after a
- * jittered pause. The pause doubles once a call was turned away at once, which is what a full queue does, and
- * from then on with each call that is turned away. An outage, whose calls fail late or by a reset, does not
- * lengthen it: news counts as told soon after the service is back.
+ * <p>The first call after a start is spread over the fleet's size, and a failed call is retried after a
+ * backoff with jitter. The backoff doubles once a call was rejected at once, which is what a full queue does,
+ * and from then on with each call that is rejected. An outage, whose calls fail late or by a reset, does not
+ * lengthen it: a change is in force soon after the service is back.
  *
  * <p>Times are milliseconds. Constant memory; for one thread.
  */
 public final class EndpointPollSchedule {
-    /** The longest pause after a failure that is no sign of a full queue. */
-    public static final double LONGEST_PAUSE = 1_400;
-    /** The shortest pause, as a share of the longest one. */
-    static final double SHORTEST_SHARE = 0.3;
+    /** The longest backoff after a failure that is no sign of a full queue. */
+    public static final double BASE_BACKOFF_MS = 1_400;
+    /** The shortest backoff, as a share of the longest one: the jitter is between the two. */
+    static final double LEAST_BACKOFF_SHARE = 0.3;
     /** What each instance of the fleet adds to the time over which the first calls are spread. */
-    static final double SPREAD_PER_INSTANCE = 60;
-    /** The part of the time for which an instance need not ask that its first call may use up. */
+    static final double SPREAD_PER_INSTANCE_MS = 60;
+    /** Share of the poll interval that the first call may use up. */
     static final double FIRST_CALL_SHARE = 0.6;
-    /** A call that was turned away sooner than this has not waited its turn: the queue was full. */
-    static final double WAITED_ITS_TURN = 300;
-    /** The longest pause before a full queue is called again, as a multiple of that time. */
-    static final double BACKOFF_SPREAD = 4;
-    /** The longest pause at any size of the fleet. */
-    static final double LONGEST_BACKOFF = 120_000;
+    /** A call that was rejected sooner than this has not been queued: the queue was full. */
+    static final double QUEUED_AFTER_MS = 300;
+    /**
+     * The longest backoff from a full queue, as a multiple of the time over which the first calls are spread.
+     */
+    static final double SPREADS_PER_BACKOFF = 4;
+    /** The longest backoff at any size of the fleet. */
+    static final double MAX_BACKOFF_MS = 120_000;
 
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
@@ -37,20 +39,23 @@
     private final double firstCallWithin;
     private final double longestBackoff;
     private double dueAt = NEVER;
-    private double askedAt;
-    private double pause = LONGEST_PAUSE;
-    /** A call has met a full queue since the list was last heard. */
+    private double calledAt;
+    private double backoff = BASE_BACKOFF_MS;
+    /** Whether a call has met a full queue since a list was last received. */
     private boolean queueFull;
 
     /**
      * @param instances the size of the fleet that shares the service, at least 1
-     * @param askEvery for how long an instance without a watch need not ask; 0: its first call is due at once
+     * @param pollInterval time for which an instance without a watch need not poll; 0: its first call is due
+     *     at once
+     * @param random the source of the jitter
      */
     EndpointPollSchedule(int instances, double pollInterval, RandomGenerator random) {
         this.random = random;
-        double spread = instances * SPREAD_PER_INSTANCE;
+        double spread = instances * SPREAD_PER_INSTANCE_MS;
         this.firstCallWithin = Math.min(spread, pollInterval * FIRST_CALL_SHARE);
-        this.longestBackoff = Math.max(LONGEST_PAUSE, Math.min(spread * BACKOFF_SPREAD, LONGEST_BACKOFF));
+        double most = Math.min(spread * SPREADS_PER_BACKOFF, MAX_BACKOFF_MS);
+        this.longestBackoff = Math.max(BASE_BACKOFF_MS, most);
     }
 
     /** The instance has started; its first call becomes due. */
@@ -59,31 +64,31 @@
     }
 
     /**
-     * The service has been replaced by another one, whose news soon counts as told: a call is due at once.
+     * The service has been replaced by another one, whose changes are soon in force: a call is due at once.
      */
-    void moved(double now) {
-        pause = LONGEST_PAUSE;
+    void sourceChanged(double now) {
+        backoff = BASE_BACKOFF_MS;
         queueFull = false;
         dueAt = now;
     }
 
     /** The list has come, and its watch goes on by itself. */
-    void heard() {
-        pause = LONGEST_PAUSE;
+    void received() {
+        backoff = BASE_BACKOFF_MS;
         queueFull = false;
         dueAt = NEVER;
     }
 
     /**
-     * A call or a watch has failed; {@code turnedAway}: it was to begin a watch, and the service would not
-     * serve it.
+     * A call or a watch has failed; {@code rejected}: the service would not serve a call that was to begin a
+     * watch.
      */
-    void failed(double now, boolean turnedAway) {
-        queueFull |= turnedAway && now - askedAt < WAITED_ITS_TURN;
-        if (turnedAway && queueFull) {
-            pause = Math.min(longestBackoff, 2 * pause);
+    void failed(double now, boolean rejected) {
+        queueFull |= rejected && now - calledAt < QUEUED_AFTER_MS;
+        if (rejected && queueFull) {
+            backoff = Math.min(longestBackoff, 2 * backoff);
         }
-        dueAt = now + pause * (SHORTEST_SHARE + (1 - SHORTEST_SHARE) * random.nextDouble());
+        dueAt = now + backoff * (LEAST_BACKOFF_SHARE + (1 - LEAST_BACKOFF_SHARE) * random.nextDouble());
     }
 
     /** Whether a call is due; it is then taken as made now. */
@@ -91,7 +96,7 @@
         if (now < dueAt) {
             return false;
         }
-        askedAt = now;
+        calledAt = now;
         dueAt = NEVER;
         return true;
     }
--- a/src/main/java/kelphollow/decision/EventHandler.java
+++ b/src/main/java/kelphollow/decision/EventHandler.java
@@ -74,7 +74,7 @@
 
     @Override public void endpointsReceived(EndpointsReceived event) {
         if (!event.cached()) {
-            pollSchedule.heard();
+            pollSchedule.received();
         }
         state.nodes.apply(event);
     }
@@ -88,7 +88,7 @@
     }
 
     @Override public void endpointSourceChanged(EndpointSourceChanged event) {
-        pollSchedule.moved(state.now());
+        pollSchedule.sourceChanged(state.now());
     }
 
     @Override public void nodesSuspected(NodesSuspected event) {
--- a/src/main/java/kelphollow/program/Scheduler.java
+++ b/src/main/java/kelphollow/program/Scheduler.java
@@ -115,7 +115,7 @@
 
     /** On the platform the list binds by the terms of {@link EndpointUpdateBudget}. */
     private static EndpointListLease lease(ControlSettings settings) {
-        return settings.endpointsPolled() ? EndpointListLease.asked(EndpointUpdateBudget.TOLD_AFTER,
+        return settings.endpointsPolled() ? EndpointListLease.polled(EndpointUpdateBudget.TOLD_AFTER,
             EndpointUpdateBudget.OWN_LATENESS, settings.hosts())
             : EndpointListLease.pushed(EndpointUpdateBudget.TOLD_AFTER, EndpointUpdateBudget.OWN_LATENESS);
     }
--- a/src/main/java/kelphollow/routing/EndpointUpdateBudget.java
+++ b/src/main/java/kelphollow/routing/EndpointUpdateBudget.java
@@ -41,6 +41,6 @@
      */
     public static double longest(boolean pushed) {
         double longestCall = Math.max(WAIT + PATIENCE, TURN_PATIENCE);
-        return longestCall + (pushed ? AGENT_PAUSE : EndpointPollSchedule.LONGEST_PAUSE) + TURN + OWN_LATENESS;
+        return longestCall + (pushed ? AGENT_PAUSE : EndpointPollSchedule.BASE_BACKOFF_MS) + TURN + OWN_LATENESS;
     }
 }
--- a/src/main/java/kelphollow/routing/RequestRouter.java
+++ b/src/main/java/kelphollow/routing/RequestRouter.java
@@ -113,7 +113,7 @@
     /** From now on the list comes from another directory, which is asked at once; all that is open goes on. */
     public void follow(EndpointSource next, boolean pushed) {
         list.follow(next, pushed);
-        lease.moved(now());
+        lease.sourceChanged(now());
         tellLease();
         if (pushed) {
             list.ask();
--- a/src/test/java/kelphollow/decision/EndpointListLeaseTest.java
+++ b/src/test/java/kelphollow/decision/EndpointListLeaseTest.java
@@ -10,97 +10,101 @@
 import kelphollow.decision.EndpointListLease.State;
 import org.junit.jupiter.api.Test;
 
-/** What a lease on the node list rests on, and that it never outlasts what may count as told. */
+/** What a lease on the endpoint list rests on, and that it never outlasts what may be in force. */
 class EndpointListLeaseTest {
-    private static final double TOLD_AFTER = 6_000, LATENESS = 150, TERM = TOLD_AFTER - LATENESS, TURN = 2_000;
+    private static final double IN_FORCE_AFTER = 6_000;
+    private static final double LATENESS = 150;
+    private static final double TERM = IN_FORCE_AFTER - LATENESS;
+    /** A call that fails after this time has been queued at the service. */
+    private static final double QUEUED = 2_000;
 
     /** How a call of a service that is there fails. */
     private static final List<EndpointPollFailure> LOST = List.of(EndpointPollFailure.WATCH_BROKEN,
         EndpointPollFailure.TIMED_OUT,
         EndpointPollFailure.INVALID_RESPONSE);
 
-    private final EndpointListLease asked = EndpointListLease.asked(TOLD_AFTER, LATENESS, 1);
+    private final EndpointListLease polled = EndpointListLease.polled(IN_FORCE_AFTER, LATENESS, 1);
 
-    @Test void aListOfUnknownAgeMayNotBeUsedBeforeTheServiceHasSpoken() {
-        assertEquals(State.NEVER_HEARD, asked.state(0));
-        assertFalse(asked.isValid(0));
-        asked.confirmed(1_000);
-        assertTrue(asked.isValid(1_000 + TERM - 1));
-        assertFalse(asked.isValid(1_000 + TERM));
-        assertEquals(State.EXPIRED, asked.state(1_000 + TERM));
+    @Test void aListOfUnknownAgeMayNotBeUsedBeforeTheServiceHasAnswered() {
+        assertEquals(State.NEVER_HEARD, polled.state(0));
+        assertFalse(polled.isValid(0));
+        polled.confirmed(1_000);
+        assertTrue(polled.isValid(1_000 + TERM - 1));
+        assertFalse(polled.isValid(1_000 + TERM));
+        assertEquals(State.EXPIRED, polled.state(1_000 + TERM));
     }
 
-    @Test void aPushedStartWaitsForItsAgentToSpeakOrToStaySilentTwice() {
-        EndpointListLease pushed = EndpointListLease.pushed(TOLD_AFTER, LATENESS);
+    @Test void aPushedStartWaitsForItsAgentToAnswerOrToTimeOutTwice() {
+        EndpointListLease pushed = EndpointListLease.pushed(IN_FORCE_AFTER, LATENESS);
         assertFalse(pushed.isValid(500));
         pushed.failed(EndpointPollFailure.TIMED_OUT, 500, 2_300);
-        assertFalse(pushed.isValid(2_800), "what the agent had before may have counted from the start");
+        assertFalse(pushed.isValid(2_800), "what the agent had before may have been in force from the start");
         pushed.failed(EndpointPollFailure.TIMED_OUT, 2_900, 2_300);
         assertTrue(pushed.isValid(2_900 + TERM - 1), "an agent is silent only while the service is down");
-        EndpointListLease alone = EndpointListLease.pushed(TOLD_AFTER, LATENESS);
+        EndpointListLease alone = EndpointListLease.pushed(IN_FORCE_AFTER, LATENESS);
         alone.failed(EndpointPollFailure.UNREACHABLE, 500, 1);
         assertTrue(alone.isValid(501), "there is no agent");
     }
 
     @Test void aServiceThatIsThereDoesNotRenewItByFailing() {
-        asked.confirmed(0);
+        polled.confirmed(0);
         for (EndpointPollFailure failure : List.of(EndpointPollFailure.WATCH_BROKEN, EndpointPollFailure.INVALID_RESPONSE,
             EndpointPollFailure.TIMED_OUT)) {
-            asked.failed(failure, 3_000, TURN);
-            assertEquals(TERM, asked.validUntil(), failure.toString());
+            polled.failed(failure, 3_000, QUEUED);
+            assertEquals(TERM, polled.validUntil(), failure.toString());
         }
-        asked.failed(EndpointPollFailure.REJECTED, 3_000, 5);
-        assertEquals(TERM, asked.validUntil(), "a full queue is that of a service which is up");
+        polled.failed(EndpointPollFailure.REJECTED, 3_000, 5);
+        assertEquals(TERM, polled.validUntil(), "a full queue is that of a service which is up");
     }
 
-    @Test void aServiceThatIsDownLetsTheLastWordStand() {
-        asked.confirmed(0);
-        asked.failed(EndpointPollFailure.REJECTED, 3_000, TURN);
-        assertEquals(3_000 + TERM, asked.validUntil(), "from the making of the call: at its end it may be back");
-        assertEquals(State.SERVICE_DOWN, asked.state(TERM + 1));
-        asked.failed(EndpointPollFailure.UNREACHABLE, 8_000, 1);
-        assertEquals(8_000 + TERM, asked.validUntil());
+    @Test void aServiceThatIsDownLetsTheLastListStand() {
+        polled.confirmed(0);
+        polled.failed(EndpointPollFailure.REJECTED, 3_000, QUEUED);
+        assertEquals(3_000 + TERM, polled.validUntil(), "from the making of the call: at its end it may be back");
+        assertEquals(State.SERVICE_DOWN, polled.state(TERM + 1));
+        polled.failed(EndpointPollFailure.UNREACHABLE, 8_000, 1);
+        assertEquals(8_000 + TERM, polled.validUntil());
     }
 
-    @Test void aStartNeedsTwoSignsInARowThatTheServiceIsDown() {
-        asked.failed(EndpointPollFailure.REJECTED, 100, TURN);
-        assertFalse(asked.isValid(2_100), "it may have waited in vain in a crowd");
-        asked.failed(EndpointPollFailure.REJECTED, 3_000, 5);
-        asked.failed(EndpointPollFailure.REJECTED, 4_000, TURN);
-        assertFalse(asked.isValid(6_000), "a full queue in between");
-        asked.failed(EndpointPollFailure.UNREACHABLE, 7_000, 1);
-        assertTrue(asked.isValid(7_001));
-        assertEquals(State.SERVICE_DOWN, asked.state(7_001));
+    @Test void aStartNeedsTwoFailuresInARowThatShowTheServiceDown() {
+        polled.failed(EndpointPollFailure.REJECTED, 100, QUEUED);
+        assertFalse(polled.isValid(2_100), "it may have waited in vain in a crowd");
+        polled.failed(EndpointPollFailure.REJECTED, 3_000, 5);
+        polled.failed(EndpointPollFailure.REJECTED, 4_000, QUEUED);
+        assertFalse(polled.isValid(6_000), "a full queue in between");
+        polled.failed(EndpointPollFailure.UNREACHABLE, 7_000, 1);
+        assertTrue(polled.isValid(7_001));
+        assertEquals(State.SERVICE_DOWN, polled.state(7_001));
     }
 
     @Test void aStartInALargeFleetWaitsForAsLongAsACrowdMayLast() {
-        EndpointListLease lease = EndpointListLease.asked(TOLD_AFTER, LATENESS, 100);
+        EndpointListLease lease = EndpointListLease.polled(IN_FORCE_AFTER, LATENESS, 100);
         for (double calledAt = 1_000; calledAt < 11_000; calledAt += 3_000) {
-            lease.failed(EndpointPollFailure.REJECTED, calledAt, TURN);
-            assertFalse(lease.isValid(calledAt + TURN), "called at " + calledAt);
+            lease.failed(EndpointPollFailure.REJECTED, calledAt, QUEUED);
+            assertFalse(lease.isValid(calledAt + QUEUED), "called at " + calledAt);
         }
-        lease.failed(EndpointPollFailure.REJECTED, 11_000, TURN);
+        lease.failed(EndpointPollFailure.REJECTED, 11_000, QUEUED);
         assertTrue(lease.isValid(13_000), "12 s after the first of them: twice 60 ms for each instance");
     }
 
-    @Test void anotherServicesNewsCountsSooner() {
-        asked.confirmed(10_000);
-        asked.moved(11_000);
-        assertEquals(11_000 + EndpointListLease.MOVED_TOLD_AFTER - LATENESS, asked.validUntil());
-        asked.confirmed(12_000);
-        assertEquals(12_000 + TERM, asked.validUntil());
-        asked.failed(EndpointPollFailure.UNREACHABLE, 13_000, 1);
-        asked.moved(13_100);
-        double told = 13_100 + EndpointListLease.MOVED_TOLD_AFTER;
-        assertEquals(told - LATENESS, asked.validUntil(), "the old one's outage says nothing");
-        asked.moved(15_000);
-        assertEquals(told - LATENESS, asked.validUntil(), "a second move puts off nothing that the first one owes");
+    @Test void changesAtAnotherServiceAreInForceSooner() {
+        polled.confirmed(10_000);
+        polled.sourceChanged(11_000);
+        assertEquals(11_000 + EndpointListLease.IN_FORCE_AFTER_MOVE_MS - LATENESS, polled.validUntil());
+        polled.confirmed(12_000);
+        assertEquals(12_000 + TERM, polled.validUntil());
+        polled.failed(EndpointPollFailure.UNREACHABLE, 13_000, 1);
+        polled.sourceChanged(13_100);
+        double inForce = 13_100 + EndpointListLease.IN_FORCE_AFTER_MOVE_MS;
+        assertEquals(inForce - LATENESS, polled.validUntil(), "the old one's outage says nothing");
+        polled.sourceChanged(15_000);
+        assertEquals(inForce - LATENESS, polled.validUntil(), "a second move puts off nothing that the first one owes");
     }
 
     @Test void anUnboundedOneNeverEnds() {
         EndpointListLease lease = EndpointListLease.unbounded();
         lease.failed(EndpointPollFailure.WATCH_BROKEN, 5, 1);
-        lease.moved(10);
+        lease.sourceChanged(10);
         lease.confirmed(Double.POSITIVE_INFINITY);
         assertTrue(lease.isValid(1e15));
         assertEquals(State.CURRENT, lease.state(1e15));
@@ -108,13 +112,14 @@
 
     /**
      * A service that goes down and comes back, and calls that are served, lost, cut or kept waiting: while the lease is
-     * valid, no change that the caller has not heard may count. What counts is worked out from the history alone.
+     * valid, no change that the caller has not received may be in force. What is in force is worked out from the history
+     * alone.
      */
-    @Test void noUnheardChangeCountsWhileItIsValid() {
+    @Test void noUnreceivedChangeIsInForceWhileItIsValid() {
         for (long seed = 0; seed < 2_000; seed++) {
             Random random = new Random(seed);
-            EndpointListLease lease = EndpointListLease.asked(TOLD_AFTER, LATENESS, 1);
-            double now = 0, upSince = 0, downUntil = -1, heardAt = -1, unheardCounts = Double.POSITIVE_INFINITY;
+            EndpointListLease lease = EndpointListLease.polled(IN_FORCE_AFTER, LATENESS, 1);
+            double now = 0, upSince = 0, downUntil = -1, receivedAt = -1, unreceivedInForce = Double.POSITIVE_INFINITY;
             for (int call = 0; call < 40; call++) {
                 double calledAt = now;
                 boolean down = now < downUntil;
@@ -127,18 +132,18 @@
                     : EndpointPollFailure.UNREACHABLE
                     : LOST.get(random.nextInt(LOST.size()));
                 boolean served = !down && random.nextInt(3) > 0;
-                now += served ? 1_400 * random.nextDouble() : down ? TURN : 2_300 * random.nextDouble();
+                now += served ? 1_400 * random.nextDouble() : down ? QUEUED : 2_300 * random.nextDouble();
                 if (served) {
-                    heardAt = calledAt;
+                    receivedAt = calledAt;
                     lease.confirmed(calledAt);
                 } else {
                     lease.failed(failure, calledAt, now - calledAt);
                 }
-                // The earliest change that it cannot know: right after what it heard; it counts from when it can be told.
-                unheardCounts = Math.max(heardAt, Math.min(upSince, now)) + TOLD_AFTER;
+                // The earliest change that it cannot know: right after what it received; in force once it can be received.
+                unreceivedInForce = Math.max(receivedAt, Math.min(upSince, now)) + IN_FORCE_AFTER;
                 double look = now + 2_000 * random.nextDouble();
                 if (lease.isValid(look) && look >= upSince) {
-                    assertTrue(look < unheardCounts, "seed " + seed + ", call " + call + ": at " + look);
+                    assertTrue(look < unreceivedInForce, "seed " + seed + ", call " + call + ": at " + look);
                 }
                 now += 1_400 * random.nextDouble();
             }
--- a/src/test/java/kelphollow/decision/EndpointListTest.java
+++ b/src/test/java/kelphollow/decision/EndpointListTest.java
@@ -32,7 +32,7 @@
 
     @Test void theListIsPolledOnceAndAgainAfterAFailureWithABackoff() {
         ControlHarness scheduler = new ControlHarness(true, 50_000);
-        double spread = 2 * EndpointPollSchedule.SPREAD_PER_INSTANCE;
+        double spread = 2 * EndpointPollSchedule.SPREAD_PER_INSTANCE_MS;
         scheduler.advanceTo(scheduler.now + spread);
         assertEquals(1, polls(scheduler));
         scheduler.on(new EndpointPollFailed(EndpointPollFailure.UNREACHABLE));
--- a/src/test/java/kelphollow/decision/ManyInstancesTest.java
+++ b/src/test/java/kelphollow/decision/ManyInstancesTest.java
@@ -66,8 +66,8 @@
             all += n;
         }
         assertTrue(most <= HOSTS / 4, most + " of " + HOSTS + " calls within 100 ms, seed " + SEED);
-        // News counts as told 6 s after the service is back, so nobody may stay away for long.
-        double mean = EndpointPollSchedule.LONGEST_PAUSE * (1 + EndpointPollSchedule.SHORTEST_SHARE) / 2;
+        // A change is in force 6 s after the service is back, so nobody may stay away for long.
+        double mean = EndpointPollSchedule.BASE_BACKOFF_MS * (1 + EndpointPollSchedule.LEAST_BACKOFF_SHARE) / 2;
         assertEquals(HOSTS * 4_000 / mean, all, HOSTS, "calls in 4 s, seed " + SEED);
     }
 
--- a/src/test/java/kelphollow/routing/SendEligibilityTest.java
+++ b/src/test/java/kelphollow/routing/SendEligibilityTest.java
@@ -15,7 +15,7 @@
 /** Without a lease on the node list nothing is sent: not at a start, not after silence, not by a dial that comes up late. */
 class SendEligibilityTest {
     private static final double TERM = EndpointUpdateBudget.TOLD_AFTER - EndpointUpdateBudget.OWN_LATENESS;
-    private final EndpointListLease lease = EndpointListLease.asked(EndpointUpdateBudget.TOLD_AFTER,
+    private final EndpointListLease lease = EndpointListLease.polled(EndpointUpdateBudget.TOLD_AFTER,
         EndpointUpdateBudget.OWN_LATENESS, 1);
     private final RouterHarness h = new RouterHarness(lease);
 
@@ -94,7 +94,7 @@
         SendEligibility gate = new SendEligibility(h.ticker, node -> true, test.lease);
         gate.confirms(attempt, h.now);
         gate.confirms(attempt, h.now + 1_999);   // decided in time, however late it is now
-        new SendEligibility(h.ticker, node -> true, EndpointListLease.asked(TERM, 0, 1)).confirms(attempt, h.now);
+        new SendEligibility(h.ticker, node -> true, EndpointListLease.polled(TERM, 0, 1)).confirms(attempt, h.now);
         new SendEligibility(h.ticker, node -> false, test.lease).confirms(attempt, h.now);
         System.exit((int) Invariant.broken());
     }
