--- a/src/main/java/kelphollow/adapter/Loop.java
+++ b/src/main/java/kelphollow/adapter/Loop.java
@@ -5,25 +5,29 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 
-/** Runs the adapter over a pair of streams. */
+/** Runs the adapter over a pair of streams, on the calling thread. */
 public final class Loop {
     private Loop() {}
 
-    /** One reply a line until the input ends; returns the exit code. */
+    /**
+     * Answers each line with one line until the input ends.
+     *
+     * @return the exit code: 1 after a malformed line or a broken stream, which is reported on {@code err}
+     */
     public static int run(BufferedReader in, OutputStream out, PrintStream err) {
         Adapter adapter = new Adapter();
-        long number = 0;
+        long lineNumber = 0;
         try {
             String line;
             while ((line = in.readLine()) != null) {
-                number++;
+                lineNumber++;
                 byte[] reply = adapter.answer(line);
                 out.write(reply);
                 out.flush();
             }
             return 0;
-        } catch (Adapter.BadInput | IOException e) {
-            err.println("kelphollow adapter: line " + number + ": " + e.getMessage().replace('\n', ' '));
+        } catch (MalformedMessageException | IOException e) {
+            err.println("kelphollow adapter: line " + lineNumber + ": " + e.getMessage().replace('\n', ' '));
             return 1;
         }
     }
--- a/src/main/java/kelphollow/adapter/SettingsReader.java
+++ b/src/main/java/kelphollow/adapter/SettingsReader.java
@@ -1,76 +1,80 @@
 package kelphollow.adapter;
 
+import static kelphollow.adapter.JsonFields.listOrEmpty;
+import static kelphollow.adapter.JsonFields.numberOr;
+import static kelphollow.adapter.JsonFields.object;
+import static kelphollow.adapter.JsonFields.objectOrEmpty;
+import static kelphollow.adapter.JsonFields.text;
+import static kelphollow.adapter.JsonFields.textOr;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import kelphollow.decision.ControlSettings;
+import kelphollow.decision.ControlSettings.Plan;
+import kelphollow.decision.ControlSettings.RequestClass;
+import kelphollow.decision.ControlSettings.Rules;
 
-/** Reads the settings of an instance from the wire's first message. Unknown keys are skipped. */
+/**
+ * Reads the settings of an instance from the message that starts it. Each key of the wire occurs here once, in the place of
+ * the setting that it stands for. Unknown keys are skipped; missing ones are 0, false or empty.
+ */
 public final class SettingsReader {
     private SettingsReader() {}
 
-    public static ControlSettings read(Map<?, ?> params) throws Adapter.BadInput {
-        Map<?, ?> ceilings = part(params, "ceilings");
-        Map<?, ?> rules = part(params, "contract");
-        Map<?, ?> extra = part(params, "extra");
-        List<ControlSettings.RequestClass> classes = new ArrayList<>();
-        for (Object item : items(params, "request_classes")) {
-            Map<?, ?> c = Adapter.object(item, "request_classes");
-            String effect = word(c, "effect", "side_effect");
-            String scope = word(c, "dedup_scope", "cell");
-            classes.add(new ControlSettings.RequestClass(Adapter.text(c.get("name"), "request_classes name"),
-                value(c, "aim"), value(c, "deadline"), value(c, "worth"), value(c, "late_share"),
-                switch (effect) {
-                    case "pure" -> ControlSettings.Idempotency.IDEMPOTENT;
-                    case "token" -> ControlSettings.Idempotency.IDEMPOTENCY_KEY;
-                    case "side_effect" -> ControlSettings.Idempotency.NOT_IDEMPOTENT;
-                    default -> throw new Adapter.BadInput("unknown effect " + effect);
-                },
-                switch (scope) {
-                    case "all" -> ControlSettings.DeduplicationScope.ALL;
-                    case "zone" -> ControlSettings.DeduplicationScope.ZONE;
-                    case "cell" -> ControlSettings.DeduplicationScope.CELL;
-                    default -> throw new Adapter.BadInput("unknown dedup_scope " + scope);
-                },
-                value(c, "window"), flag(c, "sequential"), flag(c, "streaming")));
+    /**
+     * Reads the settings.
+     *
+     * @param params the message's object, as {@link kelphollow.protocol.json.Json} parses it
+     * @throws MalformedMessageException naming the value that is not of its form or a word that is not known
+     */
+    public static ControlSettings read(Map<?, ?> params) throws MalformedMessageException {
+        Map<?, ?> ceilings = objectOrEmpty(params.get("ceilings"));
+        Map<?, ?> extra = objectOrEmpty(params.get("extra"));
+        List<RequestClass> classes = new ArrayList<>();
+        for (Object item : listOrEmpty(params.get("request_classes"))) {
+            classes.add(requestClass(object(item, "request_classes")));
         }
-        List<ControlSettings.Plan> plans = new ArrayList<>();
-        for (Object item : items(params, "grades")) {
-            Map<?, ?> g = Adapter.object(item, "grades");
-            plans.add(new ControlSettings.Plan(Adapter.text(g.get("name"), "grades name"), value(g, "rate"),
-                value(g, "reserve"), value(g, "proportion"), value(g, "value_factor"),
-                value(g, "ceiling_rate"), value(g, "limit_burst"), value(g, "tolerance")));
+        List<Plan> plans = new ArrayList<>();
+        for (Object item : listOrEmpty(params.get("grades"))) {
+            plans.add(plan(object(item, "grades")));
         }
-        return new ControlSettings((int) value(params, "me"), (int) value(params, "fleet_size"),
-            word(params, "my_zone", ""), value(params, "tick"), (int) value(ceilings, "most_tries"),
-            (int) value(ceilings, "open_cap"), flag(ceilings, "cancel"),
-            word(params, "discovery", "automatic").equals("subscribe"),
-            flag(ceilings, "retry_after") ? value(ceilings, "max_retry_after") : 0, value(extra, "unit_mean"),
-            value(extra, "share_worth"), value(extra, "beyond_share"),
-            List.copyOf(classes), List.copyOf(plans),
-            new ControlSettings.Rules(value(rules, "drain_grace"), value(rules, "cold_share"), value(rules, "cold"),
-                value(rules, "tip_multiple"), value(rules, "fall"), value(extra, "young_limit"),
-                value(rules, "key_rest"), value(rules, "extra_floor"), value(rules, "extra_ratio"),
-                value(rules, "counted_over"), value(rules, "ask_every")));
+        boolean endpointsPolled = textOr(params.get("discovery"), "automatic").equals("subscribe");
+        double maxRetryAfter = isTrue(ceilings, "retry_after") ? number(ceilings, "max_retry_after") : 0;
+        return new ControlSettings((int) number(params, "me"), (int) number(params, "fleet_size"),
+            textOr(params.get("my_zone"), ""), number(params, "tick"), (int) number(ceilings, "most_tries"),
+            (int) number(ceilings, "open_cap"), isTrue(ceilings, "cancel"), endpointsPolled, maxRetryAfter,
+            number(extra, "unit_mean"), number(extra, "share_worth"), number(extra, "beyond_share"),
+            List.copyOf(classes), List.copyOf(plans), rules(objectOrEmpty(params.get("contract")), extra));
     }
 
-    private static Map<?, ?> part(Map<?, ?> map, String key) {
-        return map.get(key) instanceof Map<?, ?> m ? m : Map.of();
+    private static RequestClass requestClass(Map<?, ?> map) throws MalformedMessageException {
+        String idempotency = textOr(map.get("effect"), "side_effect");
+        String scope = textOr(map.get("dedup_scope"), "cell");
+        return new RequestClass(text(map.get("name"), "request_classes name"), number(map, "aim"),
+            number(map, "deadline"), number(map, "worth"), number(map, "late_share"),
+            WireWords.idempotency(idempotency), WireWords.deduplicationScope(scope), number(map, "window"),
+            isTrue(map, "sequential"), isTrue(map, "streaming"));
     }
 
-    private static List<?> items(Map<?, ?> map, String key) {
-        return map.get(key) instanceof List<?> l ? l : List.of();
+    private static Plan plan(Map<?, ?> map) throws MalformedMessageException {
+        return new Plan(text(map.get("name"), "grades name"), number(map, "rate"), number(map, "reserve"),
+            number(map, "proportion"), number(map, "value_factor"), number(map, "ceiling_rate"),
+            number(map, "limit_burst"), number(map, "tolerance"));
     }
 
-    private static double value(Map<?, ?> map, String key) {
-        return map.get(key) instanceof Double d ? d : 0;
+    private static Rules rules(Map<?, ?> contract, Map<?, ?> extra) {
+        return new Rules(number(contract, "drain_grace"), number(contract, "cold_share"), number(contract, "cold"),
+            number(contract, "tip_multiple"), number(contract, "fall"), number(extra, "young_limit"),
+            number(contract, "key_rest"), number(contract, "extra_floor"), number(contract, "extra_ratio"),
+            number(contract, "counted_over"), number(contract, "ask_every"));
     }
 
-    private static boolean flag(Map<?, ?> map, String key) {
-        return Boolean.TRUE.equals(map.get(key));
+    private static double number(Map<?, ?> map, String key) {
+        return numberOr(map.get(key), 0);
     }
 
-    private static String word(Map<?, ?> map, String key, String absent) {
-        return map.get(key) instanceof String s ? s : absent;
+    private static boolean isTrue(Map<?, ?> map, String key) {
+        return Boolean.TRUE.equals(map.get(key));
     }
 }
--- a/src/main/java/kelphollow/program/Config.java
+++ b/src/main/java/kelphollow/program/Config.java
@@ -5,7 +5,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import kelphollow.adapter.Adapter;
+import kelphollow.adapter.MalformedMessageException;
 import kelphollow.adapter.SettingsReader;
 import kelphollow.decision.ControlSettings;
 import kelphollow.protocol.discovery.DiscoveryListParser;
@@ -136,7 +136,7 @@
             ControlSettings settings = SettingsReader.read(map);
             new kelphollow.decision.Control(settings, 0, 0);   // the module checks the rest
             return settings;
-        } catch (Adapter.BadInput | IllegalArgumentException e) {
+        } catch (MalformedMessageException | IllegalArgumentException e) {
             throw new Bad(e.getMessage().startsWith("settings") ? e.getMessage() : "settings: " + e.getMessage());
         }
     }
