--- a/src/bench/java/kelphollow/capacity/NodeConnections.java
+++ b/src/bench/java/kelphollow/capacity/NodeConnections.java
@@ -5,9 +5,9 @@
 import java.util.Random;
 
 /**
- * Connections between one scheduler and one node as {@code transport.Pools} keeps them, simulated by seed: the one used
- * last is
- * taken first, none within its quarantine, and old ones are closed: {@code mvn -B -q -Pbench test-compile exec:exec@pairs}.
+ * Connections between one scheduler and one node as {@code transport.ConnectionPools} keeps them, simulated by seed:
+ * the one used last is taken first, none within its quarantine, and old ones are closed: {@code mvn -B -q -Pbench
+ * test-compile exec:exec@pairs}.
  */
 public final class NodeConnections {
     private static final int[] SCHEDULERS = {20, 50, 100, 200, 510, 1_000};
--- a/src/bench/java/kelphollow/capacity/NodeListCost.java
+++ b/src/bench/java/kelphollow/capacity/NodeListCost.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 import kelphollow.decision.Control;
+import kelphollow.protocol.discovery.DiscoveryList;
 import kelphollow.protocol.discovery.DiscoveryListParser;
 import kelphollow.protocol.json.Json;
 import kelphollow.routing.Attempt;
@@ -13,8 +14,8 @@
 import kelphollow.routing.Ticker;
 
 /**
- * A whole node list against a change of one node: bytes, time to parse, memory, time in {@code RequestRouter.learn}:
- * {@code mvn -B -q -Pbench test-compile exec:exec@list}.
+ * A whole node list against a change of one node: bytes, time to parse, memory, time in {@code
+ * RequestRouter.updateEndpoints}: {@code mvn -B -q -Pbench test-compile exec:exec@list}.
  */
 public final class NodeListCost {
     private static final int[] NODES = {10, 20, 50, 100, 200, 510, 1_000};
@@ -34,9 +35,9 @@
         return "{\"seq\":123456,\"whole\":" + whole + ",\"hosts\":[" + hosts + "]}";
     }
 
-    private static DiscoveryListParser read(String text) {
+    private static DiscoveryList read(String text) {
         try {
-            return DiscoveryListParser.read(Json.parse(text));
+            return DiscoveryListParser.parse(Json.parse(text));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -55,9 +56,9 @@
         Backend backend = new Backend() {
             @Override public void start(Attempt attempt) {}
 
-            @Override public void abandon(Attempt attempt) {}
+            @Override public void cancel(Attempt attempt) {}
 
-            @Override public void retire(String node) {}
+            @Override public void closeIdleConnections(String node) {}
         };
         return new RequestRouter(new Control(ControlPlay.settings(510), 1, ControlPlay.START), ticker, backend);
     }
@@ -80,16 +81,16 @@
         for (int i = 0; i < NODES.length; i++) {
             int nodes = at(at, i);
             String whole = json(0, nodes, true), change = json(0, 1, false);
-            DiscoveryListParser all = read(whole), one = read(change);
+            DiscoveryList all = read(whole), one = read(change);
             RequestRouter router = router();
             columns[0][i] = whole.getBytes(StandardCharsets.UTF_8).length;
             columns[1][i] = change.getBytes(StandardCharsets.UTF_8).length;
             columns[2][i] = micros(() -> read(whole));
-            columns[3][i] = micros(() -> router.learn(all.members(), true, false));
-            columns[4][i] = micros(() -> router.learn(one.members(), false, false));
+            columns[3][i] = micros(() -> router.updateEndpoints(all.endpoints(), true));
+            columns[4][i] = micros(() -> router.updateEndpoints(one.endpoints(), false));
             columns[5][i] = Meter.retained(() -> {
                 RequestRouter kept = router();
-                kept.learn(read(whole).members(), true, false);
+                kept.updateEndpoints(read(whole).endpoints(), true);
                 return kept;
             }) / 1e3;
             System.out.printf(Locale.ROOT, "| %d | %.0f | %.0f | %.0f | %.0f | %.1f | %.0f |%n", nodes, columns[0][i],
--- a/src/bench/java/kelphollow/program/SchedulerProcess.java
+++ b/src/bench/java/kelphollow/program/SchedulerProcess.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
-import kelphollow.protocol.discovery.DiscoveryListParser;
+import kelphollow.protocol.discovery.DiscoveryList;
 import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.transport.WheelTicker;
 
@@ -42,7 +42,7 @@
         Map<String, Object> settings = ServerHarness.part(ServerHarness.example(), "settings");
         Config config = new Config("capacity", null, new InetSocketAddress("127.0.0.1", 1), 1, Integer.parseInt(args[2]),
             DIAL_TIMEOUT,
-            IDLE_TIME, new DiscoveryListParser(1, true, members), Config.settings(settings), Config.Operations.NONE);
+            IDLE_TIME, new DiscoveryList(1, true, members), Config.settings(settings), Config.Operations.NONE);
         Scheduler scheduler = Scheduler.of(config, loop, new WheelTicker(loop, TICK));
         System.out.println(scheduler.listen(new InetSocketAddress("127.0.0.1", 0)).getPort());
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in));
--- a/src/main/java/kelphollow/decision/ControlAction.java
+++ b/src/main/java/kelphollow/decision/ControlAction.java
@@ -2,6 +2,30 @@
 
 /** What the decision module wants done. Times are milliseconds on the host's clock. */
 public sealed interface ControlAction {
+    /** Calls the visitor's method for this kind of action. */
+    void accept(Visitor visitor);
+
+    /** What executes actions: one method for each kind. */
+    interface Visitor {
+        /** Sends an attempt. */
+        void visit(SendAttempt action);
+
+        /** Rejects a request. */
+        void visit(RejectRequest action);
+
+        /** Fails a request. */
+        void visit(FailRequest action);
+
+        /** Cancels an attempt. */
+        void visit(CancelAttempt action);
+
+        /** Sets a timer. */
+        void visit(SetTimer action);
+
+        /** Polls the endpoint list. */
+        void visit(PollEndpoints action);
+    }
+
     /** Why a request got a final answer without being served. */
     enum Reason {
         /** Its class or plan is not known. */
@@ -28,20 +52,44 @@
      * @param timeout how long to wait for an answer; 0: until the request's deadline
      * @param writeBy clock time by which writing must have begun; 0: no such bound
      */
-    record SendAttempt(String id, String node, double timeout, double writeBy) implements ControlAction {}
+    record SendAttempt(String id, String node, double timeout, double writeBy) implements ControlAction {
+        @Override public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
 
     /** Final answer: rejected. The client may safely retry, best after {@code retryAfter} (0: no advice). */
-    record RejectRequest(String id, double retryAfter, Reason reason) implements ControlAction {}
+    record RejectRequest(String id, double retryAfter, Reason reason) implements ControlAction {
+        @Override public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
 
     /** Final answer: failed. The request may have been executed. */
-    record FailRequest(String id, Reason reason) implements ControlAction {}
+    record FailRequest(String id, Reason reason) implements ControlAction {
+        @Override public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
 
     /** Stop waiting for an attempt. */
-    record CancelAttempt(String id, int attempt) implements ControlAction {}
+    record CancelAttempt(String id, int attempt) implements ControlAction {
+        @Override public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
 
     /** Notify this instance by {@link ControlEvent.TimerFired} at a time. */
-    record SetTimer(double at, String name) implements ControlAction {}
+    record SetTimer(double at, String name) implements ControlAction {
+        @Override public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
 
     /** Poll the endpoint list and watch for later changes. */
-    record PollEndpoints() implements ControlAction {}
+    record PollEndpoints() implements ControlAction {
+        @Override public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
 }
--- a/src/main/java/kelphollow/fleet/Fleet.java
+++ b/src/main/java/kelphollow/fleet/Fleet.java
@@ -121,7 +121,7 @@
     public void start() {
         router.limitRetries(options.repeats(), REPEATS_IN);
         if (shedding != null) {
-            router.admit(shedding);
+            router.setAdmissionFilter(shedding);
         }
         router.onEndpointsReceived(this::listed);
         events.tell("started", options.name(), membership.epoch(), "", Map.of());
@@ -266,7 +266,7 @@
         });
         if (!silent.equals(doubted)) {
             doubted = silent;
-            router.doubt(silent);
+            router.suspect(silent);
         }
     }
 
--- a/src/main/java/kelphollow/fleet/SheddingFilter.java
+++ b/src/main/java/kelphollow/fleet/SheddingFilter.java
@@ -3,6 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.OptionalDouble;
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.zip.CRC32C;
@@ -53,13 +54,14 @@
         return kind == null || plan == null ? -1 : kind.priorityWeight() * plan.price();
     }
 
-    @Override public double advice(RequestArrived arrival) {
+    @Override public OptionalDouble retryAfter(RequestArrived arrival) {
         double worth = worth(arrival);
         if (worth < 0 || arrival.cell() < 0 || isReserved(arrival)
             || giveWay.admits(ticker.now(), arrival.cell(), worth, lot(arrival.key()))) {
-            return -1;
+            return OptionalDouble.empty();
         }
-        return random.nextDouble() * longestAdvice;   // full jitter: what is shed together must not come again together
+        // Full jitter: what is shed together must not come again together.
+        return OptionalDouble.of(random.nextDouble() * longestAdvice);
     }
 
     @Override public void rejected(RequestArrived arrival) {
--- a/src/main/java/kelphollow/ledger/NodeRecords.java
+++ b/src/main/java/kelphollow/ledger/NodeRecords.java
@@ -85,7 +85,7 @@
             if (m.endpoint().state() != EndpointState.REMOVED) {
                 Endpoint e = m.endpoint();
                 usable.add(new ResolvedEndpoint(new Endpoint(e.node(), e.zone(), e.cell(), e.state(),
-                    CachedEndpointsAge.bornFor(trust, e.startedAt(), now)), m.address()));
+                    CachedEndpointsAge.effectiveStart(trust, e.startedAt(), now)), m.address()));
             }
         }
         return usable;
--- a/src/main/java/kelphollow/maintenance/MaintenanceSet.java
+++ b/src/main/java/kelphollow/maintenance/MaintenanceSet.java
@@ -7,69 +7,79 @@
 import java.util.TreeSet;
 
 /**
- * Which storage nodes the operators have taken out for maintenance. A ban is a set, not a count: two calls out and
- * one call back free the node. No I/O and no clock of its own; the text form is what the next process reads.
+ * The storage nodes that operators have taken out for maintenance. A set, not a count: one call ends the maintenance of a
+ * node however many have started it. No I/O; the text form is what the next process reads. For one thread.
  */
 public final class MaintenanceSet {
-    /** Longest id that a ban may name, in characters; a longer one is no storage node's. */
-    public static final int LONGEST_ID = 128;
-    private final Set<String> held = new TreeSet<>();
+    /** Longest id of a storage node, in characters. */
+    public static final int MAX_ID_LENGTH = 128;
+    /** Last line of the text form; no node's id. */
+    private static final String END = "end";
 
-    /** Takes the node out; returns whether it was in. */
-    public boolean take(String node) {
-        return held.add(node);
+    private final Set<String> nodes = new TreeSet<>();
+
+    /**
+     * The way from one set to another.
+     *
+     * @param added nodes that are missing, in order of their ids
+     * @param removed nodes that are too many, in order of their ids
+     */
+    public record Change(List<String> added, List<String> removed) {
+        /** Whether both sets are the same. */
+        public boolean isEmpty() {
+            return added.isEmpty() && removed.isEmpty();
+        }
     }
 
-    /** Lets the node serve again; returns whether it was banned. */
-    public boolean release(String node) {
-        return held.remove(node);
+    /** Adds a node; returns whether it was missing. */
+    public boolean add(String node) {
+        return nodes.add(node);
     }
 
-    public boolean holds(String node) {
-        return held.contains(node);
+    /** Removes a node; returns whether it was there. */
+    public boolean remove(String node) {
+        return nodes.remove(node);
     }
 
-    /** The banned nodes, in order of their ids; a copy. */
-    public Set<String> nodes() {
-        return Collections.unmodifiableSet(new TreeSet<>(held));
+    /** Whether the node is in maintenance. */
+    public boolean contains(String node) {
+        return nodes.contains(node);
     }
 
-    /** What to take and what to release so that the bans become {@code told}: the file another process wrote. */
-    public record Change(List<String> take, List<String> release) {
-        public boolean none() {
-            return take.isEmpty() && release.isEmpty();
-        }
+    /** The nodes in maintenance, in order of their ids; a copy. */
+    public Set<String> nodes() {
+        return Collections.unmodifiableSet(new TreeSet<>(nodes));
     }
 
-    public Change towards(Set<String> told) {
-        List<String> take = new ArrayList<>();
-        List<String> release = new ArrayList<>();
-        told.stream().filter(n -> !held.contains(n)).sorted().forEach(take::add);
-        held.stream().filter(n -> !told.contains(n)).forEach(release::add);
-        return new Change(take, release);
+    /** What to add and to remove so that just the wanted nodes are in maintenance. Changes nothing. */
+    public Change changeTo(Set<String> wanted) {
+        List<String> added = new ArrayList<>();
+        List<String> removed = new ArrayList<>();
+        wanted.stream().filter(node -> !nodes.contains(node)).sorted().forEach(added::add);
+        nodes.stream().filter(node -> !wanted.contains(node)).forEach(removed::add);
+        return new Change(added, removed);
     }
 
-    /** The text form: one id a line, and a last line {@code end} that shows the text is whole. */
-    public static String text(Set<String> nodes) {
+    /** The text form: one id a line, and a last line {@code end} which shows that the text is complete. */
+    public static String format(Set<String> nodes) {
         StringBuilder out = new StringBuilder();
-        new TreeSet<>(nodes).forEach(n -> out.append(n).append('\n'));
-        return out.append("end\n").toString();
+        new TreeSet<>(nodes).forEach(node -> out.append(node).append('\n'));
+        return out.append(END).append('\n').toString();
     }
 
     /**
      * Reads the text form.
      *
-     * @throws IllegalArgumentException if the text is cut short (no last line {@code end}) or names an id that no
-     *     ban could hold
+     * @throws IllegalArgumentException if the text is truncated (no last line {@code end}) or has a line that is no id
      */
-    public static Set<String> read(String text) {
-        if (!text.endsWith("end\n")) {
-            throw new IllegalArgumentException("the bans are cut short");
+    public static Set<String> parse(String text) {
+        if (!text.endsWith(END + '\n')) {
+            throw new IllegalArgumentException("the list of nodes in maintenance is truncated");
         }
         Set<String> nodes = new TreeSet<>();
         String[] lines = text.split("\n");
         for (int i = 0; i < lines.length - 1; i++) {
-            if (!validId(lines[i])) {
+            if (!isValidId(lines[i])) {
                 throw new IllegalArgumentException("line " + (i + 1) + " is no storage node's id");
             }
             nodes.add(lines[i]);
@@ -77,11 +87,11 @@
         return nodes;
     }
 
-    /** Printable ASCII without spaces, 1 to {@link #LONGEST_ID} characters. */
-    public static boolean validId(String id) {
-        if (id.isEmpty() || id.length() > LONGEST_ID || id.equals("end")) {
+    /** Whether this may be a node's id: printable ASCII without spaces, 1 to {@link #MAX_ID_LENGTH} characters. */
+    public static boolean isValidId(String id) {
+        if (id.isEmpty() || id.length() > MAX_ID_LENGTH || id.equals(END)) {
             return false;
         }
-        return id.chars().allMatch(c -> c > 0x20 && c < 0x7f);
+        return id.chars().allMatch(c -> c > ' ' && c <= '~');
     }
 }
--- a/src/main/java/kelphollow/program/CheckConfig.java
+++ b/src/main/java/kelphollow/program/CheckConfig.java
@@ -16,7 +16,7 @@
             return 0;
         }
         Config config = Config.platform(System.getenv());
-        out.println("configuration of " + config.name() + " is sound: " + config.known().members().size()
+        out.println("configuration of " + config.name() + " is sound: " + config.known().endpoints().size()
             + " nodes known, " + config.settings().classes().size() + " classes, "
             + config.settings().plans().size() + " plans");
         return 0;
--- a/src/main/java/kelphollow/program/ClassArchiveTraining.java
+++ b/src/main/java/kelphollow/program/ClassArchiveTraining.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
-import kelphollow.protocol.discovery.DiscoveryListParser;
+import kelphollow.protocol.discovery.DiscoveryList;
 import kelphollow.protocol.resp.RespWarmup;
 import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.transport.WheelTicker;
@@ -44,7 +44,7 @@
         // It is its own storage node, which fails a request since its id is open, and its own discovery, which fails.
         ResolvedEndpoint node = new ResolvedEndpoint(new Endpoint("self", "", 0, EndpointState.HEALTHY, 0), self);
         try (WheelTicker ticker = new WheelTicker(loop, Serve.TICK)) {
-            Config config = new Config("train", self, self, 0, 256, 250, 12_000, new DiscoveryListParser(1, true, List.of(
+            Config config = new Config("train", self, self, 0, 256, 250, 12_000, new DiscoveryList(1, true, List.of(
                 node)), settings,
                 Config.Operations.NONE);
             Scheduler.of(config, loop, ticker).listen(self);
--- a/src/main/java/kelphollow/program/Config.java
+++ b/src/main/java/kelphollow/program/Config.java
@@ -8,12 +8,13 @@
 import kelphollow.adapter.Adapter;
 import kelphollow.adapter.SettingsReader;
 import kelphollow.decision.ControlSettings;
+import kelphollow.protocol.discovery.DiscoveryList;
 import kelphollow.protocol.discovery.DiscoveryListParser;
 import kelphollow.protocol.json.Json;
 
 /** The one place where configuration is read, checked and given its defaults. Faults name their key. */
 record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-              int dialTimeout, double idleTime, DiscoveryListParser known, ControlSettings settings, Operations operations) {
+              int dialTimeout, double idleTime, DiscoveryList known, ControlSettings settings, Operations operations) {
     /**
      * What the operators reach and what the platform hands down: the management address (null: none) and whether
      * the clients' listening socket is inherited as descriptor 0 rather than opened.
@@ -141,12 +142,12 @@
         }
     }
 
-    private static DiscoveryListParser known(Map<?, ?> json) throws Bad {
+    private static DiscoveryList known(Map<?, ?> json) throws Bad {
         if (json.get("known") == null) {
-            return new DiscoveryListParser(-1, true, java.util.List.of());
+            return new DiscoveryList(-1, true, java.util.List.of());
         }
         try {
-            return DiscoveryListParser.read(json.get("known"));
+            return DiscoveryListParser.parse(json.get("known"));
         } catch (IllegalArgumentException e) {
             throw new Bad("known: " + e.getMessage());
         }
@@ -162,7 +163,7 @@
 
     static InetSocketAddress address(String text, String key) throws Bad {
         try {
-            return DiscoveryListParser.address(text, key);
+            return DiscoveryListParser.parseAddress(text, key);
         } catch (IllegalArgumentException e) {
             throw new Bad(e.getMessage());
         }
--- a/src/main/java/kelphollow/program/Management.java
+++ b/src/main/java/kelphollow/program/Management.java
@@ -158,10 +158,12 @@
             case STATUS -> CompletableFuture.completedFuture(status());
             case FLEET_STATUS -> scheduler.onLoop(router -> scheduler.fleetStatus())
                 .thenApply(text -> text == null ? "NAK this instance is in no fleet" : "ACK " + text);
-            case MAINT_ON -> scheduler.onLoop(router -> router.ban(call.node()) ? router.bans() : null)
+            case MAINT_ON -> scheduler.onLoop(router -> router.startMaintenance(call.node()) ? router.nodesInMaintenance()
+                : null)
                 .thenApplyAsync(bans -> bans == null ? "NAK no storage node is named " + call.node()
                     : keep(bans, "ACK " + call.node() + " is out"), own);
-            case MAINT_OFF -> scheduler.onLoop(router -> router.lift(call.node()) ? router.bans() : null)
+            case MAINT_OFF -> scheduler.onLoop(router -> router.endMaintenance(call.node()) ? router.nodesInMaintenance()
+                : null)
                 .thenApplyAsync(bans -> bans == null ? "NAK no storage node is named " + call.node()
                     : keep(bans, "ACK " + call.node() + " may serve"), own);
         };
@@ -181,7 +183,7 @@
 
     /** Writes the bans whole, then renames: a reader sees the old text or the new one, never a part. */
     private String keep(Set<String> bans, String answer) {
-        String text = MaintenanceSet.text(bans);
+        String text = MaintenanceSet.format(bans);
         try {
             Path part = file.resolveSibling(file.getFileName() + ".part");
             Files.writeString(part, text, StandardCharsets.US_ASCII);
@@ -206,10 +208,10 @@
             return;
         }
         try {
-            Set<String> told = MaintenanceSet.read(text);
+            Set<String> told = MaintenanceSet.parse(text);
             lastText = text;
             scheduler.onLoop(router -> {
-                router.adoptBans(told);
+                router.adoptMaintenance(told);
                 return null;
             });
         } catch (IllegalArgumentException e) {
--- a/src/main/java/kelphollow/program/Scheduler.java
+++ b/src/main/java/kelphollow/program/Scheduler.java
@@ -36,7 +36,7 @@
 import kelphollow.store.StoreFault;
 import kelphollow.transport.Front;
 import kelphollow.transport.HttpCall;
-import kelphollow.transport.Pools;
+import kelphollow.transport.ConnectionPools;
 import kelphollow.transport.Server;
 
 /** One scheduler, wired: a front, the core with its module, a backend and a directory, all on one event loop. */
@@ -97,12 +97,13 @@
         scheduler.serveOn = Math.max(LISTEN_ON, killed - LAST_REQUESTS);
         scheduler.answerBy = killed - LAST_ANSWERS;
         loop.submit(() -> {
-            Pools pools = new Pools(loop, ticker,
-                new Pools.Limits(config.dialTimeout(), config.idleTime(), nodes(config.sockets())), RespBackend::codec);
+            ConnectionPools pools = new ConnectionPools(loop, ticker,
+                new ConnectionPools.Limits(config.dialTimeout(), config.idleTime(), nodes(config.sockets())),
+                RespBackend::codec);
             RequestRouter router = scheduler.router = new RequestRouter(
                 new Control(config.settings(), config.seed(), ticker.now()), ticker, new RespBackend(pools, ticker),
                 lease(config.settings()));
-            router.learn(config.known().members(), true, true);
+            router.restoreEndpoints(config.known().endpoints());
             router.onFirstResponse(scheduler.firstResponse::countDown);
             scheduler.listAt = config.discovery();
             scheduler.pushed = !config.settings().endpointsPolled();
@@ -115,9 +116,9 @@
 
     /** On the platform the list binds by the terms of {@link EndpointUpdateBudget}. */
     private static EndpointListLease lease(ControlSettings settings) {
-        return settings.endpointsPolled() ? EndpointListLease.asked(EndpointUpdateBudget.TOLD_AFTER,
-            EndpointUpdateBudget.OWN_LATENESS, settings.hosts())
-            : EndpointListLease.pushed(EndpointUpdateBudget.TOLD_AFTER, EndpointUpdateBudget.OWN_LATENESS);
+        return settings.endpointsPolled() ? EndpointListLease.asked(EndpointUpdateBudget.NOTIFIED_AFTER,
+            EndpointUpdateBudget.LOCAL_DELAY, settings.hosts())
+            : EndpointListLease.pushed(EndpointUpdateBudget.NOTIFIED_AFTER, EndpointUpdateBudget.LOCAL_DELAY);
     }
 
     /** The gateway of the object API. Its store, if it has one, is opened here and not on the event loop. */
@@ -150,16 +151,17 @@
 
     private void wire(ObjectConfig config, List<ResolvedEndpoint> known, Map<String, Double> limits)
         throws IOException, StoreFault {
-        Pools pools = new Pools(loop, ticker,
-            new Pools.Limits(config.dialTimeout(), config.idleTime(), nodes(config.sockets())), ObjectBackend::codec);
+        ConnectionPools pools = new ConnectionPools(loop, ticker,
+            new ConnectionPools.Limits(config.dialTimeout(), config.idleTime(), nodes(config.sockets())),
+            ObjectBackend::codec);
         router = new RequestRouter(new Control(config.settings(), config.seed(), ticker.now()), ticker,
             new ObjectBackend(pools, ticker, config.stall()));
         ObjectConfig.Xds xds = config.xds();
         EndpointSource directory = () -> {};
         if (xds.server() == null) {
-            router.learn(xds.inline(), true, false);
+            router.updateEndpoints(xds.inline(), true);
         } else {
-            router.learn(known, true, true);
+            router.restoreEndpoints(known);
             directory = poll(config);
         }
         router.start(directory, false);   // xDS by REST must be asked, whatever the settings say of the platform's list
@@ -207,7 +209,7 @@
         Map<String, Double> levels = new HashMap<>();
         config.options().buckets().forEach((name, bucket) -> config.settings().plans().stream()
             .filter(p -> p.name().equals(bucket.plan()) && p.limitRate() > 0)
-            .forEach(p -> levels.put(name, LimitRecovery.level(saved.get(name), 1.0 / bucket.hosts(), p.limitRate(),
+            .forEach(p -> levels.put(name, LimitRecovery.initialTokens(saved.get(name), 1.0 / bucket.hosts(), p.limitRate(),
                 p.limitBurst(), p.limitSlack(), now))));
         return levels;
     }
@@ -271,7 +273,7 @@
             if (!config.discovery().equals(listAt) || nowPushed != pushed) {
                 listAt = config.discovery();
                 pushed = nowPushed;
-                router.follow(watch(listAt, -1), pushed);
+                router.changeEndpointSource(watch(listAt, -1), pushed);
             }
             retune(new SettingsReload.Tuning(config.settings().classes(), config.settings().maxAttempts()));
         });
@@ -284,14 +286,14 @@
         }
         List<SettingsReload.Step> steps = SettingsReload.plan(tuning, next, ticker.now());
         SettingsReload.Step first = steps.get(0), then = steps.get(1);
-        router.retune(first.classes(), first.maxAttempts());
+        router.changeSettings(first.classes(), first.maxAttempts());
         if (front instanceof RespFront resp) {
             resp.know(first.classes());
         }
         tuning = new SettingsReload.Tuning(then.classes(), then.maxAttempts());
         settling = ticker.after(then.at() - ticker.now(), () -> {
             settling = null;
-            router.retune(then.classes(), then.maxAttempts());
+            router.changeSettings(then.classes(), then.maxAttempts());
         });
     }
 
@@ -299,10 +301,10 @@
     void reload(ObjectConfig config) {
         loop.execute(() -> {
             if (config.xds().server() == null) {
-                router.follow(() -> {}, false);
-                router.learn(config.xds().inline(), true, false);
+                router.changeEndpointSource(() -> {}, false);
+                router.updateEndpoints(config.xds().inline(), true);
             } else {
-                router.follow(poll(config), false);
+                router.changeEndpointSource(poll(config), false);
             }
         });
     }
@@ -363,11 +365,11 @@
                 fleet.leave();
             }
             if (answerBy < Double.POSITIVE_INFINITY) {
-                router.leave(ticker.now() + answerBy);
+                router.startShutdown(ticker.now() + answerBy);
             }
             ticker.after(serveOn, () -> {
                 server.stop();
-                front.leave(whenLeft);
+                front.shutDown(whenLeft);
             });
         });
     }
--- a/src/main/java/kelphollow/protocol/discovery/DiscoveryListParser.java
+++ b/src/main/java/kelphollow/protocol/discovery/DiscoveryListParser.java
@@ -8,37 +8,50 @@
 import kelphollow.decision.ControlEvent.EndpointState;
 import kelphollow.routing.ResolvedEndpoint;
 
-/** A node list in discovery's form. */
-public record DiscoveryListParser(long version, boolean complete, List<ResolvedEndpoint> members) {
-    /** Reads a list; throws {@link IllegalArgumentException} naming the fault. Nothing of a faulty list is used. */
-    public static DiscoveryListParser read(Object json) {
+/** Reads discovery's JSON form of an endpoint list, and maps its words to the terms used here. Stateless. */
+public final class DiscoveryListParser {
+    private DiscoveryListParser() {}
+
+    /**
+     * Reads a list.
+     *
+     * @param json the parsed document
+     * @throws IllegalArgumentException naming the fault; nothing of a faulty list is used
+     */
+    public static DiscoveryList parse(Object json) {
         if (!(json instanceof Map<?, ?> map) || !(map.get("hosts") instanceof List<?> rows)) {
             throw new IllegalArgumentException("'hosts' is missing");
         }
-        List<ResolvedEndpoint> members = new ArrayList<>();
+        List<ResolvedEndpoint> endpoints = new ArrayList<>();
         for (Object row : rows) {
-            members.add(member(row));
+            endpoints.add(endpoint(row));
         }
-        return new DiscoveryListParser((long) number(map, "seq"), Boolean.TRUE.equals(map.get("whole")), members);
+        return new DiscoveryList((long) number(map, "seq"), Boolean.TRUE.equals(map.get("whole")), endpoints);
     }
 
-    private static ResolvedEndpoint member(Object row) {
-        if (!(row instanceof Map<?, ?> m)) {
+    private static ResolvedEndpoint endpoint(Object row) {
+        if (!(row instanceof Map<?, ?> map)) {
             throw new IllegalArgumentException("a host is not an object");
         }
-        EndpointState phase = switch (word(m, "health")) {
+        EndpointState state = switch (text(map, "health")) {
             case "ready" -> EndpointState.HEALTHY;
             case "draining" -> EndpointState.DRAINING;
             case "gone" -> EndpointState.REMOVED;
-            default -> throw new IllegalArgumentException("'health' is '" + m.get("health") + "'");
+            default -> throw new IllegalArgumentException("'health' is '" + map.get("health") + "'");
         };
-        double born = m.get("born_ms") == null ? 0 : number(m, "born_ms");
-        return new ResolvedEndpoint(new Endpoint(word(m, "host"), m.get("site") instanceof String s ? s : null,
-            (int) number(m, "block"), phase, born), address(word(m, "dial"), "dial"));
+        double startedAt = map.get("born_ms") == null ? 0 : number(map, "born_ms");
+        String zone = map.get("site") instanceof String site ? site : null;
+        Endpoint endpoint = new Endpoint(text(map, "host"), zone, (int) number(map, "block"), state, startedAt);
+        return new ResolvedEndpoint(endpoint, parseAddress(text(map, "dial"), "dial"));
     }
 
-    /** An address and port; {@code key} is named if it is none. Names are not looked up: there is no DNS. */
-    public static InetSocketAddress address(String text, String key) {
+    /**
+     * Reads an IP address and port. Names are not looked up: there is no DNS.
+     *
+     * @param key names the place of the text in the message
+     * @throws IllegalArgumentException if it is none
+     */
+    public static InetSocketAddress parseAddress(String text, String key) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
@@ -47,21 +60,21 @@
                 return new InetSocketAddress(host, port);
             }
         } catch (IllegalArgumentException e) {
-            // told below
+            // thrown below, with the key
         }
         throw new IllegalArgumentException("'" + key + "' is '" + text + "', not ADDRESS:PORT");
     }
 
-    private static String word(Map<?, ?> map, String key) {
-        if (map.get(key) instanceof String s && !s.isEmpty()) {
-            return s;
+    private static String text(Map<?, ?> map, String key) {
+        if (map.get(key) instanceof String value && !value.isEmpty()) {
+            return value;
         }
         throw new IllegalArgumentException("'" + key + "' is missing or not a text");
     }
 
     private static double number(Map<?, ?> map, String key) {
-        if (map.get(key) instanceof Double d) {
-            return d;
+        if (map.get(key) instanceof Double value) {
+            return value;
         }
         throw new IllegalArgumentException("'" + key + "' is missing or not a number");
     }
--- a/src/main/java/kelphollow/protocol/mgmt/MgmtLine.java
+++ b/src/main/java/kelphollow/protocol/mgmt/MgmtLine.java
@@ -45,7 +45,7 @@
         if (words.length != 2) {
             return new Bad(name + " takes one storage node's id");
         }
-        return MaintenanceSet.validId(words[1]) ? new Call(verb, words[1]) : new Bad("'" + shortened(words[1])
+        return MaintenanceSet.isValidId(words[1]) ? new Call(verb, words[1]) : new Bad("'" + shortened(words[1])
             + "' is no id");
     }
 
--- a/src/main/java/kelphollow/protocol/object/NodeQuestion.java
+++ b/src/main/java/kelphollow/protocol/object/NodeQuestion.java
@@ -25,7 +25,7 @@
     void ask(ObjectCall list, Transfer.Client client) {
         asking = true;
         try {
-            Request taken = front.router.take(front.arrival(list), new Transfer(list, null, client), this);
+            Request taken = front.router.submit(front.arrival(list), new Transfer(list, null, client), this);
             asked = asking ? taken : null;
         } catch (S3Error e) {
             end(e);
@@ -40,7 +40,7 @@
     void callOff() {
         if (asking) {
             asking = false;
-            front.router.gone(asked);
+            front.router.clientDisconnected(asked);
         }
     }
 
--- a/src/main/java/kelphollow/protocol/object/ObjectBackend.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectBackend.java
@@ -31,7 +31,7 @@
 import kelphollow.routing.AttemptResult;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.PooledConnection;
-import kelphollow.transport.Pools;
+import kelphollow.transport.ConnectionPools;
 
 /** Carries attempts to object servers over HTTP. */
 public final class ObjectBackend implements Backend {
@@ -45,12 +45,12 @@
         "if-modified-since", "if-none-match", "if-unmodified-since", "range", "user-agent");
     private static final Pattern CONTENT_RANGE = Pattern.compile("bytes (\\d{1,18})-(\\d{1,18})/(\\d{1,18}|\\*)");
 
-    private final Pools pools;
+    private final ConnectionPools pools;
     private final Ticker ticker;
     private final double stall;
 
     /** {@code stall} is how long a body may stand still before its attempt is given up. */
-    public ObjectBackend(Pools pools, Ticker ticker, double stall) {
+    public ObjectBackend(ConnectionPools pools, Ticker ticker, double stall) {
         this.pools = pools;
         this.ticker = ticker;
         this.stall = stall;
@@ -63,18 +63,18 @@
 
     @Override public void start(Attempt attempt) {
         Exchange exchange = new Exchange(attempt);
-        attempt.carrier = exchange;
-        exchange.link = pools.lease(attempt.target().endpoint().node(), attempt.target().address(), exchange);
+        attempt.transportHandle = exchange;
+        exchange.link = pools.acquire(attempt.target().endpoint().node(), attempt.target().address(), exchange);
     }
 
-    @Override public void abandon(Attempt attempt) {
-        if (attempt.carrier instanceof Exchange exchange) {
+    @Override public void cancel(Attempt attempt) {
+        if (attempt.transportHandle instanceof Exchange exchange) {
             exchange.close();
         }
     }
 
-    @Override public void retire(String node) {
-        pools.retire(node);
+    @Override public void closeIdleConnections(String node) {
+        pools.closeIdle(node);
     }
 
     /** One request and its answer on a connection. */
@@ -94,7 +94,7 @@
             this.transfer = (Transfer) attempt.request().message();
         }
 
-        @Override public void up(PooledConnection up) {
+        @Override public void connected(PooledConnection up) {
             link = up;
             if (!attempt.maySend() || transfer.streamsBody() && transfer.isSpent()) {
                 up.release();
@@ -144,7 +144,7 @@
         // ------------------------------------------------------------ the body goes up
 
         private void startBody() {
-            if (bodyStarted || !attempt.isOut()) {
+            if (bodyStarted || !attempt.isInFlight()) {
                 return;
             }
             bodyStarted = true;
@@ -156,7 +156,7 @@
 
         @Override public void piece(ByteBuf piece, boolean last) {
             pieceWanted = false;
-            if (!attempt.isOut() || head != null) {
+            if (!attempt.isInFlight() || head != null) {
                 piece.release();
                 return;
             }
@@ -166,7 +166,7 @@
             if (last) {
                 written = write;
                 transfer.bodyIsWhole();
-                attempt.sentWhole();
+                attempt.requestSent();
             } else {
                 wantPiece();
             }
@@ -193,7 +193,7 @@
                 if (message instanceof HttpResponse response) {
                     response(response);
                 }
-                if (message instanceof HttpContent content && attempt.isOut()) {
+                if (message instanceof HttpContent content && attempt.isInFlight()) {
                     content(content);
                 }
             } finally {
@@ -224,7 +224,7 @@
             } else {
                 movedAt = ticker.now();
                 watchForStall();
-                attempt.began();
+                attempt.responseStarted();
             }
         }
 
@@ -260,7 +260,7 @@
                 return;            // what ends an interim answer
             }
             if (content.decoderResult().isFailure()) {
-                broken(link, content.decoderResult().cause());
+                connectionFailed(link, content.decoderResult().cause());
                 return;
             }
             boolean last = content instanceof LastHttpContent;
@@ -334,7 +334,7 @@
         // ------------------------------------------------------------ ends
 
         /** A request whose last byte was not written never ran; a body that was used up can't be sent again. */
-        @Override public void broken(PooledConnection on, Throwable cause) {
+        @Override public void connectionFailed(PooledConnection on, Throwable cause) {
             cancelTimer();
             boolean never = written == null || !written.isSuccess();
             boolean spent = transfer.isSpent() || transfer.isHeadPassed() && !transfer.isResumable();
@@ -346,11 +346,11 @@
 
         private void watchForStall() {
             timer = ticker.after(stall / 2, () -> {
-                if (attempt.isOut() && ticker.now() - movedAt < stall) {
+                if (attempt.isInFlight() && ticker.now() - movedAt < stall) {
                     watchForStall();
-                } else if (attempt.isOut() && transfer.waitsForClient()) {
+                } else if (attempt.isInFlight() && transfer.waitsForClient()) {
                     transfer.clientStalled();
-                } else if (attempt.isOut()) {
+                } else if (attempt.isInFlight()) {
                     close();
                     attempt.ended(AttemptResult.of(AttemptOutcome.TIMED_OUT, null, !transfer.isResumable()));
                 }
--- a/src/main/java/kelphollow/protocol/object/ObjectExchange.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectExchange.java
@@ -108,7 +108,7 @@
     void send(byte[] body) {
         try {
             transfer = new Transfer(call, body, this);
-            Request taken = front.router.take(front.arrival(call), transfer, this);
+            Request taken = front.router.submit(front.arrival(call), transfer, this);
             routed = over ? null : taken;
         } catch (S3Error e) {
             answer(e);
@@ -322,7 +322,7 @@
             intent.callOff();
         }
         if (routed != null) {
-            front.router.gone(routed);
+            front.router.clientDisconnected(routed);
             routed = null;
         }
         if (part != null) {
--- a/src/main/java/kelphollow/protocol/object/ObjectFront.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectFront.java
@@ -82,7 +82,7 @@
             .min(Comparator.comparingDouble(ObjectClient::idleSince)).ifPresent(ObjectClient::close);
     }
 
-    @Override public void leave(Runnable whenLeft) {
+    @Override public void shutDown(Runnable whenLeft) {
         leaving = whenLeft;
         List.copyOf(clients).forEach(ObjectClient::leaveIfIdle);
         checkLeft();
--- a/src/main/java/kelphollow/protocol/resp/RespBackend.java
+++ b/src/main/java/kelphollow/protocol/resp/RespBackend.java
@@ -20,7 +20,7 @@
 import kelphollow.routing.AttemptResult;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.PooledConnection;
-import kelphollow.transport.Pools;
+import kelphollow.transport.ConnectionPools;
 
 /** Carries attempts to the platform's storage nodes. */
 public final class RespBackend implements Backend {
@@ -34,10 +34,10 @@
     /** A value, the figures on use and the load report. */
     static final int ANSWER_PARTS = 3;
     private static final Pattern FIGURE = Pattern.compile("([a-z]+)=(\\d{1,9}(?:\\.\\d{1,9})?)");
-    private final Pools pools;
+    private final ConnectionPools pools;
     private final Ticker ticker;
 
-    public RespBackend(Pools pools, Ticker ticker) {
+    public RespBackend(ConnectionPools pools, Ticker ticker) {
         this.pools = pools;
         this.ticker = ticker;
     }
@@ -49,19 +49,19 @@
 
     @Override public void start(Attempt attempt) {
         Exchange exchange = new Exchange(attempt);
-        attempt.carrier = exchange;
-        PooledConnection link = pools.lease(attempt.target().endpoint().node(), attempt.target().address(), exchange);
+        attempt.transportHandle = exchange;
+        PooledConnection link = pools.acquire(attempt.target().endpoint().node(), attempt.target().address(), exchange);
         exchange.link = link;
     }
 
-    @Override public void abandon(Attempt attempt) {
-        if (attempt.carrier instanceof Exchange exchange) {
+    @Override public void cancel(Attempt attempt) {
+        if (attempt.transportHandle instanceof Exchange exchange) {
             exchange.close();
         }
     }
 
-    @Override public void retire(String node) {
-        pools.retire(node);
+    @Override public void closeIdleConnections(String node) {
+        pools.closeIdle(node);
     }
 
     /** One command and its answer on a connection. */
@@ -77,7 +77,7 @@
             this.attempt = attempt;
         }
 
-        @Override public void up(PooledConnection up) {
+        @Override public void connected(PooledConnection up) {
             link = up;
             if (!attempt.maySend()) {
                 up.release();
@@ -95,14 +95,14 @@
         @Override public void received(PooledConnection on, Object message) {
             if (message instanceof LongValueSplitter.Head head) {
                 value = new LongValue(head.length(), on.channel(), ticker);
-                partly(on);
+                partialMessage(on);
                 return;
             }
             if (message instanceof ByteBuf bytes) {
                 attempt.progressed();
-                partly(on);
+                partialMessage(on);
                 if (value.take(bytes) && !value.hasBegun()) {
-                    attempt.began();
+                    attempt.responseStarted();
                     value.begin(call().taker());
                 }
                 return;
@@ -138,7 +138,7 @@
         }
 
         /** Guards against an answer that begins and never ends, such as a length that says too much. */
-        @Override public void partly(PooledConnection on) {
+        @Override public void partialMessage(PooledConnection on) {
             partlyAt = ticker.now();
             if (standstill == null) {
                 standstill = ticker.after(STANDSTILL, this::look);
@@ -164,7 +164,7 @@
          * A connection that ends before the last byte was written proves that the attempt never ran. Noise in place
          * of an answer is an error, no sign of a dead node.
          */
-        @Override public void broken(PooledConnection on, Throwable cause) {
+        @Override public void connectionFailed(PooledConnection on, Throwable cause) {
             cancelTimer();
             boolean neverRan = written == null || !written.isSuccess();
             dropUnbegun();
--- a/src/main/java/kelphollow/protocol/resp/RespFront.java
+++ b/src/main/java/kelphollow/protocol/resp/RespFront.java
@@ -116,7 +116,7 @@
         }
     }
 
-    @Override public void leave(Runnable whenLeft) {
+    @Override public void shutDown(Runnable whenLeft) {
         leaving = whenLeft;
         List.copyOf(clients).forEach(Client::flushAnswers);
         checkLeft();
@@ -256,7 +256,7 @@
             }
             open++;
             slot.isOpen = true;
-            Request request = router.take(arrival, new RespCall(command, slot), slot);
+            Request request = router.submit(arrival, new RespCall(command, slot), slot);
             slot.request = slot.reply == null ? request : null;
         }
 
@@ -340,7 +340,7 @@
             for (Slot slot : slots) {
                 openIds.remove(slot.id);
                 if (slot.request != null) {
-                    router.gone(slot.request);
+                    router.clientDisconnected(slot.request);
                     slot.request = null;
                 }
                 if (slot.value != null) {
--- a/src/main/java/kelphollow/protocol/resp/RespWarmup.java
+++ b/src/main/java/kelphollow/protocol/resp/RespWarmup.java
@@ -37,13 +37,13 @@
         long end = System.nanoTime() + LONGEST_NANOS;
         Loopless world = new Loopless();
         RequestRouter router = new RequestRouter(new Control(settings, seed, world.now()), world, world);
-        router.mute();
+        router.disableLogging();
         List<ResolvedEndpoint> members = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             members.add(new ResolvedEndpoint(new Endpoint("n" + i, "", i, EndpointState.HEALTHY, 0), new InetSocketAddress(
                 0)));
         }
-        router.learn(members, true, true);
+        router.restoreEndpoints(members);
         router.start(() -> {}, false);
         EmbeddedChannel client = new EmbeddedChannel();
         new RespFront(router, world, settings, 1).accept(client);
@@ -107,11 +107,11 @@
             waiting.add(attempt);
         }
 
-        @Override public void abandon(Attempt attempt) {
+        @Override public void cancel(Attempt attempt) {
             waiting.remove(attempt);
         }
 
-        @Override public void retire(String name) {}
+        @Override public void closeIdleConnections(String name) {}
 
         void pass(double millis) {
             now += millis;
--- a/src/main/java/kelphollow/protocol/xds/XdsClusters.java
+++ b/src/main/java/kelphollow/protocol/xds/XdsClusters.java
@@ -1,5 +1,10 @@
 package kelphollow.protocol.xds;
 
+import static kelphollow.protocol.xds.ProtoJson.field;
+import static kelphollow.protocol.xds.ProtoJson.list;
+import static kelphollow.protocol.xds.ProtoJson.message;
+import static kelphollow.protocol.xds.ProtoJson.text;
+
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -11,96 +16,119 @@
 import kelphollow.routing.ResolvedEndpoint;
 
 /**
- * Envoy's Cluster and ClusterLoadAssignment in proto3 JSON, read into a node list. Both spellings of a field are
- * taken, {@code lb_endpoints} and {@code lbEndpoints}. A faulty resource throws {@link IllegalArgumentException}
- * naming its place, and nothing of it is used.
+ * Reads Envoy's Cluster and ClusterLoadAssignment in proto3 JSON into an endpoint list. A faulty resource throws
+ * {@link IllegalArgumentException} naming its place, and nothing of it is used. Stateless.
  */
 public final class XdsClusters {
+    /** Type URL of a cluster. */
     public static final String CLUSTER = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
+    /** Type URL of the endpoints of a cluster. */
     public static final String ASSIGNMENT = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
-    // Where an endpoint's metadata holds its shard and, if told, its last start.
+    /** Namespace of an endpoint's metadata that holds its shard and, if known, its last start. */
     private static final String METADATA = "kelphollow";
+    private static final int MAX_PORT = 65_535;
 
     private XdsClusters() {}
 
-    /** A cluster: the name that its endpoints are asked by, and those it brings itself (or null). */
+    /**
+     * A cluster.
+     *
+     * @param name its own
+     * @param serviceName the name by which its endpoints are requested
+     * @param inline the endpoints that it brings itself, or null
+     */
     public record Cluster(String name, String serviceName, List<ResolvedEndpoint> inline) {}
 
-    /** Finds the named cluster among resources. */
+    /** Finds the named cluster among resources; {@code shards}: how many there are. */
     public static Cluster cluster(List<?> resources, String wanted, int shards) {
         for (int i = 0; i < resources.size(); i++) {
-            Map<?, ?> c = typed(resources.get(i), "clusters[" + i + "]", CLUSTER);
-            String name = text(c, "clusters[" + i + "]", "name");
+            String path = "clusters[" + i + "]";
+            Map<?, ?> cluster = resource(resources.get(i), path, CLUSTER);
+            String name = text(cluster, path, "name");
             if (name.equals(wanted)) {
-                String service = field(c, "eds_cluster_config") instanceof Map<?, ?> eds
-                    && field(eds, "service_name") instanceof String s && !s.isEmpty() ? s : name;
-                Object inline = field(c, "load_assignment");
-                return new Cluster(name, service,
-                    inline == null ? null : members(inline, "clusters[" + i + "].load_assignment", shards));
+                Object inline = field(cluster, "load_assignment");
+                return new Cluster(name, serviceName(cluster, name),
+                    inline == null ? null : endpoints(inline, path + ".load_assignment", shards));
             }
         }
         throw new IllegalArgumentException("clusters: '" + wanted + "' is missing");
     }
 
-    /** Finds the endpoints of a cluster among resources. */
+    private static String serviceName(Map<?, ?> cluster, String name) {
+        return field(cluster, "eds_cluster_config") instanceof Map<?, ?> config
+            && field(config, "service_name") instanceof String service && !service.isEmpty() ? service : name;
+    }
+
+    /** Finds the endpoints of a cluster among resources; {@code shards}: how many there are. */
     public static List<ResolvedEndpoint> endpoints(List<?> resources, String service, int shards) {
         for (int i = 0; i < resources.size(); i++) {
             String path = "endpoints[" + i + "]";
-            Map<?, ?> assignment = typed(resources.get(i), path, ASSIGNMENT);
+            Map<?, ?> assignment = resource(resources.get(i), path, ASSIGNMENT);
             if (text(assignment, path, "cluster_name").equals(service)) {
-                return members(assignment, path, shards);
+                return endpoints(assignment, path, shards);
             }
         }
         throw new IllegalArgumentException("endpoints: those of '" + service + "' are missing");
     }
 
-    private static List<ResolvedEndpoint> members(Object assignment, String path, int shards) {
-        if (!(assignment instanceof Map<?, ?> a)) {
+    private static List<ResolvedEndpoint> endpoints(Object assignment, String path, int shards) {
+        if (!(assignment instanceof Map<?, ?> map)) {
             throw new IllegalArgumentException(path + " is not an object");
         }
-        List<ResolvedEndpoint> members = new ArrayList<>();
+        List<ResolvedEndpoint> found = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        List<?> localities = list(a, path, "endpoints");
+        List<?> localities = list(map, path, "endpoints");
         for (int i = 0; i < localities.size(); i++) {
-            String at = path + ".endpoints[" + i + "]";
-            if (!(localities.get(i) instanceof Map<?, ?> group)) {
-                throw new IllegalArgumentException(at + " is not an object");
+            String place = path + ".endpoints[" + i + "]";
+            if (!(localities.get(i) instanceof Map<?, ?> locality)) {
+                throw new IllegalArgumentException(place + " is not an object");
             }
-            String zone = field(group, "locality") instanceof Map<?, ?> l && field(l, "zone") instanceof String z ? z : null;
-            List<?> endpoints = list(group, at, "lb_endpoints");
-            for (int j = 0; j < endpoints.size(); j++) {
-                ResolvedEndpoint member = member(endpoints.get(j), at + ".lb_endpoints[" + j + "]", zone, shards);
-                if (!names.add(member.endpoint().node())) {
-                    throw new IllegalArgumentException(at + ": " + member.endpoint().node() + " is there twice");
-                }
-                members.add(member);
+            addEndpoints(locality, place, shards, names, found);
+        }
+        return found;
+    }
+
+    private static void addEndpoints(Map<?, ?> locality, String path, int shards, Set<String> names,
+        List<ResolvedEndpoint> found) {
+        String zone = field(locality, "locality") instanceof Map<?, ?> place && field(place, "zone") instanceof String name
+            ? name : null;
+        List<?> endpoints = list(locality, path, "lb_endpoints");
+        for (int i = 0; i < endpoints.size(); i++) {
+            ResolvedEndpoint endpoint = endpoint(endpoints.get(i), path + ".lb_endpoints[" + i + "]", zone, shards);
+            if (!names.add(endpoint.endpoint().node())) {
+                throw new IllegalArgumentException(path + ": " + endpoint.endpoint().node() + " is there twice");
             }
+            found.add(endpoint);
         }
-        return members;
     }
 
-    private static ResolvedEndpoint member(Object endpoint, String path, String zone, int shards) {
-        Map<?, ?> e = object(endpoint, path);
-        Map<?, ?> socket = object(field(object(field(object(field(e, "endpoint"), path + ".endpoint"), "address"),
-            path + ".endpoint.address"), "socket_address"), path + ".endpoint.address.socket_address");
-        String host = text(socket, path + ".endpoint.address.socket_address", "address");
-        int port = complete(field(socket, "port_value"), path + ".endpoint.address.socket_address.port_value", 1, 65_535);
+    private static ResolvedEndpoint endpoint(Object value, String path, String zone, int shards) {
+        Map<?, ?> endpoint = message(value, path);
+        String socketPath = path + ".endpoint.address.socket_address";
+        Map<?, ?> socket = socketAddress(endpoint, path);
+        String host = text(socket, socketPath, "address");
+        int port = ProtoJson.integer(field(socket, "port_value"), socketPath + ".port_value", 1, MAX_PORT);
         if (!host.matches("[0-9.]+|[0-9a-fA-F:.]*:[0-9a-fA-F:.]*")) {
-            throw new IllegalArgumentException(path + ".endpoint.address.socket_address.address is no IP address");
+            throw new IllegalArgumentException(socketPath + ".address is no IP address");
         }
-        Map<?, ?> metadata = object(field(e, "metadata"), path + ".metadata");
-        String place = path + ".metadata.filter_metadata." + METADATA;
-        Map<?, ?> own = object(object(field(metadata, "filter_metadata"), path + ".metadata.filter_metadata")
-            .get(METADATA), place);
-        int shard = complete(own.get("shard"), place + ".shard", 0, shards - 1);
-        double born = own.get("born_ms") instanceof Double d ? d : 0;
-        Object health = field(e, "health_status");
-        return new ResolvedEndpoint(new Endpoint(host + ':' + port, zone, shard, phase(health, path), born),
+        String metadataPath = path + ".metadata.filter_metadata." + METADATA;
+        Map<?, ?> metadata = message(message(field(message(field(endpoint, "metadata"), path + ".metadata"),
+            "filter_metadata"), path + ".metadata.filter_metadata").get(METADATA), metadataPath);
+        int shard = ProtoJson.integer(metadata.get("shard"), metadataPath + ".shard", 0, shards - 1);
+        double startedAt = metadata.get("born_ms") instanceof Double time ? time : 0;
+        EndpointState state = state(field(endpoint, "health_status"), path);
+        return new ResolvedEndpoint(new Endpoint(host + ':' + port, zone, shard, state, startedAt),
             new InetSocketAddress(host, port));
     }
 
-    /** Only what is held healthy gets new work; the list is not asked to tell why another is not. */
-    private static EndpointState phase(Object health, String path) {
+    private static Map<?, ?> socketAddress(Map<?, ?> endpoint, String path) {
+        Map<?, ?> inner = message(field(endpoint, "endpoint"), path + ".endpoint");
+        Map<?, ?> address = message(field(inner, "address"), path + ".endpoint.address");
+        return message(field(address, "socket_address"), path + ".endpoint.address.socket_address");
+    }
+
+    /** Only what is healthy accepts new requests; the list is not asked why another does not. */
+    private static EndpointState state(Object health, String path) {
         String word = health == null ? "UNKNOWN" : String.valueOf(health);
         return switch (word) {
             case "UNKNOWN", "HEALTHY", "DEGRADED" -> EndpointState.HEALTHY;
@@ -109,56 +137,12 @@
         };
     }
 
-    private static Map<?, ?> typed(Object resource, String path, String type) {
-        Map<?, ?> map = object(resource, path);
-        Object told = map.get("@type");
-        if (told != null && !told.equals(type)) {
-            throw new IllegalArgumentException(path + ".@type is '" + told + "'");
-        }
-        return map;
-    }
-
-    private static Object field(Map<?, ?> map, String name) {
-        Object value = map.get(name);
-        if (value != null) {
-            return value;
-        }
-        StringBuilder camel = new StringBuilder();
-        for (String word : name.split("_")) {
-            camel.append(camel.isEmpty() ? word : Character.toUpperCase(word.charAt(0)) + word.substring(1));
-        }
-        return map.get(camel.toString());
-    }
-
-    private static Map<?, ?> object(Object value, String path) {
-        if (value instanceof Map<?, ?> map) {
-            return map;
-        }
-        throw new IllegalArgumentException(path + " is missing or not an object");
-    }
-
-    private static List<?> list(Map<?, ?> map, String path, String name) {
-        Object value = field(map, name);
-        if (value == null) {
-            return List.of();     // proto3 JSON leaves empty lists out
-        }
-        if (value instanceof List<?> list) {
-            return list;
-        }
-        throw new IllegalArgumentException(path + "." + name + " is not a list");
-    }
-
-    private static String text(Map<?, ?> map, String path, String name) {
-        if (field(map, name) instanceof String s && !s.isEmpty()) {
-            return s;
-        }
-        throw new IllegalArgumentException(path + "." + name + " is missing or not a text");
-    }
-
-    private static int complete(Object value, String path, int least, int most) {
-        if (value instanceof Double d && d >= least && d <= most && d == Math.rint(d)) {
-            return d.intValue();
+    private static Map<?, ?> resource(Object value, String path, String type) {
+        Map<?, ?> resource = message(value, path);
+        Object found = resource.get("@type");
+        if (found != null && !found.equals(type)) {
+            throw new IllegalArgumentException(path + ".@type is '" + found + "'");
         }
-        throw new IllegalArgumentException(path + " must be a whole number from " + least + " to " + most);
+        return resource;
     }
 }
--- a/src/main/java/kelphollow/recovery/CachedEndpointsAge.java
+++ b/src/main/java/kelphollow/recovery/CachedEndpointsAge.java
@@ -1,13 +1,13 @@
 package kelphollow.recovery;
 
 /**
- * How far a node list that was kept may be believed. No I/O; times are Unix milliseconds. A list says where nodes were,
- * not where they are: what its age allows is for the start, until the list's source is heard again.
+ * How far a cached endpoint list may be trusted, by its age. A list says where nodes were, not where they are: what
+ * its age allows holds for the start, until the list's source has answered. Times are Unix milliseconds. Stateless.
  */
 public final class CachedEndpointsAge {
-    /** What may be done with it. */
+    /** What may be done with the list. */
     public enum Trust {
-        /** It is as old as lists on their way usually are. */
+        /** It is as old as lists usually are when they arrive. */
         FRESH,
         /** Most nodes are where they were; each has to be confirmed by its answers. */
         AGED,
@@ -15,7 +15,7 @@
         EXPIRED
     }
 
-    /** A list reaches an instance up to this late anyway. */
+    /** Age up to which a list is fresh: one from its source may be as late. */
     static final double FRESH_FOR = 10_000;
 
     private CachedEndpointsAge() {}
@@ -25,16 +25,22 @@
         return savedAt > now ? expiresAfter : now - savedAt;
     }
 
+    /** What may be done with a list; it expires at the age {@code expiresAfter}. */
     public static Trust trust(double savedAt, double now, double expiresAfter) {
         double age = age(savedAt, now, expiresAfter);
-        return age >= expiresAfter ? Trust.EXPIRED : age <= FRESH_FOR ? Trust.FRESH : Trust.AGED;
+        if (age >= expiresAfter) {
+            return Trust.EXPIRED;
+        }
+        return age <= FRESH_FOR ? Trust.FRESH : Trust.AGED;
     }
 
     /**
-     * When a node of such a list counts as last started, for the rule on cold nodes: a node of an aged list may have
-     * started anew since and be cold, so that it gets no more than a cold one bears.
+     * When a node of such a list counts as started. A node of an aged list may have restarted since, so it is in slow
+     * start.
+     *
+     * @param startedAt when it started by the list
      */
-    public static double bornFor(Trust trust, double born, double now) {
-        return trust == Trust.FRESH ? born : Math.max(born, now);
+    public static double effectiveStart(Trust trust, double startedAt, double now) {
+        return trust == Trust.FRESH ? startedAt : Math.max(startedAt, now);
     }
 }
--- a/src/main/java/kelphollow/recovery/RecoveredOutcome.java
+++ b/src/main/java/kelphollow/recovery/RecoveredOutcome.java
@@ -1,23 +1,23 @@
 package kelphollow.recovery;
 
 /**
- * What is known of one unsafe piece of work from the records that were found. The intent is written before the first
- * byte goes out and the outcome after it, so that nothing goes out without a trace.
+ * What is known of one non-idempotent piece of work from the records that were found. The intent is recorded before
+ * the first byte is sent and the outcome after it, so that nothing is sent without a trace.
  *
  * @param kind what is known
- * @param safeFrom from this time on no attempt of an earlier life can still take effect, in milliseconds on the clock
+ * @param safeFrom from this time on no attempt of an earlier process can still take effect, in milliseconds on the clock
  *     of {@link RecoveredOutcomes}; only for {@link Kind#UNKNOWN}
  */
 public record RecoveredOutcome(Kind kind, double safeFrom) {
-    /** What may follow from it. */
+    /** What is known. */
     public enum Kind {
-        /** It ran, and its outcome is recorded: answer from the record, never send. */
+        /** It was executed, and its outcome is recorded: answer from the record, never send. */
         RAN,
-        /** It is proved never to have run: it may be sent. */
+        /** It is proved never to have been executed: it may be sent. */
         NEVER_RAN,
-        /** It may have run, or may yet: ask, and never send it blind. */
+        /** It may have been executed, or may yet be: ask the node, and never send it unasked. */
         UNKNOWN,
-        /** It is out right now, in this very life. */
+        /** It is in flight, sent by this process. */
         RUNNING
     }
 
--- a/src/main/java/kelphollow/routing/AdmissionFilter.java
+++ b/src/main/java/kelphollow/routing/AdmissionFilter.java
@@ -1,21 +1,30 @@
 package kelphollow.routing;
 
+import java.util.OptionalDouble;
 import kelphollow.decision.ControlEvent.RequestArrived;
 
-/** Looks at requests before the module does, and hears which of them found no room. Lives on the core's loop. */
+/**
+ * Admission control ahead of the decision module: it may reject a request at once, and is notified of those that the
+ * module rejects. Confined to the router's event loop.
+ */
 public interface AdmissionFilter {
-    /** No request is held back. */
+    /** Admits every request. */
     AdmissionFilter ALL = new AdmissionFilter() {
-        @Override public double advice(RequestArrived arrival) {
-            return -1;
+        @Override public OptionalDouble retryAfter(RequestArrived arrival) {
+            return OptionalDouble.empty();
         }
 
         @Override public void rejected(RequestArrived arrival) {}
     };
 
-    /** Below 0: the request goes on to the module. Else it is refused, with the advice to come again after so many milliseconds. */
-    double advice(RequestArrived arrival);
+    /**
+     * Decides on a request before the decision module is notified of it.
+     *
+     * @return empty if the request is admitted; else it is rejected, with a Retry-After of so many milliseconds (0: no
+     *     advice)
+     */
+    OptionalDouble retryAfter(RequestArrived arrival);
 
-    /** The module refused a request that no node had taken. */
+    /** The decision module has rejected an admitted request of which no attempt was sent. */
     void rejected(RequestArrived arrival);
 }
--- a/src/main/java/kelphollow/routing/Attempt.java
+++ b/src/main/java/kelphollow/routing/Attempt.java
@@ -1,138 +1,183 @@
 package kelphollow.routing;
 
-/** One sending of a request to one node. Backends hold it; only {@link RequestRouter} changes it. */
+/**
+ * One sending of a request to one node. A {@link Backend} carries it and reports what becomes of it; only
+ * {@link AttemptLifecycle} and this class change its state. Confined to the event loop.
+ */
 public final class Attempt {
-    // How often the module hears that a body moves on, in milliseconds.
-    private static final double HEARD_EVERY = 50;
-
-    /** Free for the backend that carries it. */
-    public Object carrier;
-    final int number;
-    Ticker.Timeout timeout;
-    private final RequestRouter router;
+    /** The states in their only order; {@link #RESPONDING} is skipped by an answer that is not streamed. */
+    private enum State {
+        /** The node may still answer. */
+        IN_FLIGHT,
+        /** The answer is being streamed to the client. */
+        RESPONDING,
+        /** It has its outcome; whatever is reported later is ignored. */
+        ENDED
+    }
+
+    /** Shortest time between two notices of progress to the decision module, in milliseconds. */
+    private static final double PROGRESS_INTERVAL = 50;
+
+    /** What the backend carries the attempt by; free for its use. */
+    public Object transportHandle;
+    private final AttemptLifecycle lifecycle;
     private final Request request;
+    private final int number;
     private final ResolvedEndpoint target;
-    private final double sentAt, giveUpAt, writeBy;
-    private boolean out = true;
-    private double beganAt = -1;
-    private double heardAt;
-    private double owedSince;
+    private final double sentAt;
+    private final double timeoutAt;
+    private final double writeBy;
+    private State state = State.IN_FLIGHT;
+    private Ticker.Timeout timeout;
+    private double responseStartedAt = Double.NaN;
+    private double lastProgressAt;
+    private double responseDueSince;
+    /** How long the event loop had been stalled in all when the response became due. */
     private double stalledBefore;
 
-    Attempt(RequestRouter router, Request request, int number, ResolvedEndpoint target, double sentAt, double giveUpAt,
-        double writeBy) {
-        this.router = router;
+    /**
+     * @param number of the attempt within its request, from 0
+     * @param sentAt clock time now
+     * @param timeoutAt clock time up to which an answer is waited for
+     * @param writeBy clock time before which a retry must begin to be written; 0: no such bound
+     */
+    Attempt(AttemptLifecycle lifecycle, Request request, int number, ResolvedEndpoint target, double sentAt,
+        double timeoutAt, double writeBy) {
+        this.lifecycle = lifecycle;
         this.request = request;
         this.number = number;
         this.target = target;
         this.sentAt = sentAt;
-        this.owedSince = sentAt;
-        this.stalledBefore = router.stalledFor();
-        this.giveUpAt = giveUpAt;
+        this.timeoutAt = timeoutAt;
         this.writeBy = writeBy;
+        this.responseDueSince = sentAt;
+        this.stalledBefore = lifecycle.stalledFor();
     }
 
+    /** The request that it belongs to. */
     public Request request() {
         return request;
     }
 
+    /** The node that it goes to. */
     public ResolvedEndpoint target() {
         return target;
     }
 
-    /** How long it will be waited for from now on, in milliseconds. */
-    public double remaining() {
-        return giveUpAt - router.now();
+    /** Number of the attempt within its request, from 0. */
+    int number() {
+        return number;
     }
 
-    public boolean isOut() {
-        return out;
+    double sentAt() {
+        return sentAt;
     }
 
-    /**
-     * To be asked when a connection is up and before the first byte is written, which must follow at once. Guards against
-     * a drain, a cancellation, a deadline or the end of the time in which repeats are dropped that came while the connection
-     * was being dialled.
-     */
-    public boolean maySend() {
-        return router.maySend(this);
+    double timeoutAt() {
+        return timeoutAt;
     }
 
-    /** Names it in the log: request and attempt by the core's numbers, and the node. */
-    @Override public String toString() {
-        String state = out ? " (out)" : "";
-        return "request " + request.arrival().id() + " attempt " + number + " at " + target.endpoint().node() + state;
+    double writeBy() {
+        return writeBy;
     }
 
-    /** Whether its answer has begun to be passed on. */
-    boolean hasBegun() {
-        return beganAt >= 0;
+    /** How long an answer is waited for from now on, in milliseconds; below 0 past the timeout. */
+    public double remaining() {
+        return timeoutAt - lifecycle.now();
     }
 
-    /** Until when it is waited for at most. */
-    double giveUpAt() {
-        return giveUpAt;
+    /** Whether it has no outcome yet. */
+    public boolean isInFlight() {
+        return state != State.ENDED;
     }
 
-    /** When a repeat must have begun to be written; 0: there is no such time. */
-    double writeBy() {
-        return writeBy;
+    /** Whether its answer is being streamed to the client. */
+    boolean isResponding() {
+        return state == State.RESPONDING;
     }
 
-    double sentAt() {
-        return sentAt;
+    /**
+     * Whether the first byte may be written now. A backend asks once the connection is up, and writes at once if so.
+     * Guards against a drain, a cancellation, a deadline or the end of an idempotency window that came while the
+     * connection was being established.
+     */
+    public boolean maySend() {
+        return lifecycle.maySend(this);
     }
 
-    /** The answer has begun to be passed on to the client: from here on no deadline runs. */
-    public void began() {
-        if (out && beganAt < 0) {
-            beganAt = answeredAt();
-            router.began(this);
-        }
+    /** The last byte of the request's body has been written: from here on the node owes a response. */
+    public void requestSent() {
+        responseDueSince = lifecycle.now();
+        stalledBefore = lifecycle.stalledFor();
     }
 
-    /** The node has taken or given part of a body; the module hears of it now and then. */
-    public void progressed() {
-        double now = router.now();
-        if (out && now - heardAt > HEARD_EVERY) {
-            heardAt = now;
-            router.progressed(this);
+    /** The response has begun to be streamed to the client: it has no deadline from here on. */
+    public void responseStarted() {
+        if (advance(State.RESPONDING)) {
+            responseStartedAt = responseSeenAt();
+            lifecycle.responseStarted(this);
         }
     }
 
-    /** The last byte of the request's body has been written: only from here on does the node owe an answer. */
-    public void sentWhole() {
-        owedSince = router.now();
-        stalledBefore = router.stalledFor();
+    /** The node has taken or given part of a body. The decision module is notified at a bounded rate. */
+    public void progressed() {
+        double now = lifecycle.now();
+        if (isInFlight() && now - lastProgressAt > PROGRESS_INTERVAL) {
+            lastProgressAt = now;
+            lifecycle.progressed(this);
+        }
     }
 
-    /** Ends the attempt; later calls are ignored, since an abandoned connection may still report its end. */
+    /** The attempt has its outcome. Later calls are ignored, since a cancelled connection may still report its end. */
     public void ended(AttemptResult result) {
-        if (out) {
-            router.ended(this, result);
+        if (isInFlight()) {
+            lifecycle.ended(this, result);
         }
     }
 
-    /** Takes the attempt out of play; true the first time. */
-    boolean finish() {
-        boolean first = out;
-        out = false;
+    /** Sets the timer that ends the attempt at its timeout. */
+    void setTimeout(Ticker.Timeout timer) {
+        timeout = timer;
+    }
+
+    void cancelTimeout() {
         if (timeout != null) {
             timeout.cancel();
         }
+    }
+
+    /** Ends the attempt; true the first time. */
+    boolean finish() {
+        boolean first = advance(State.ENDED);
+        cancelTimeout();
         return first;
     }
 
     /**
-     * Time to the answer, or to its beginning where it was streamed, from when all had been sent. Guards against
-     * taking a client that sends or reads slowly, or this scheduler itself, for a slow node.
+     * Latency of the node in milliseconds: from when the response was due until it came, or began where it was streamed.
+     * Guards against taking a client that sends or reads slowly, or this scheduler itself, for a slow node.
      */
-    double took() {
-        return (beganAt < 0 ? answeredAt() : beganAt) - owedSince;
+    double latency() {
+        return (Double.isNaN(responseStartedAt) ? responseSeenAt() : responseStartedAt) - responseDueSince;
+    }
+
+    /** Clock time now, less the time since the response was due in which this scheduler was stalled. */
+    private double responseSeenAt() {
+        return Math.max(responseDueSince, lifecycle.now() - (lifecycle.stalledFor() - stalledBefore));
     }
 
-    /** Now, less the time since the sending in which this scheduler was stalled. */
-    private double answeredAt() {
-        return Math.max(owedSince, router.now() - (router.stalledFor() - stalledBefore));
+    /** The one transition: to a later state only. Returns whether the state has changed. */
+    private boolean advance(State next) {
+        if (next.compareTo(state) <= 0) {
+            return false;
+        }
+        state = next;
+        return true;
+    }
+
+    /** Names it in the log: request and attempt by the router's numbers, and the node. */
+    @Override public String toString() {
+        String suffix = isInFlight() ? " (out)" : "";
+        return "request " + request.arrival().id() + " attempt " + number + " at " + target.endpoint().node() + suffix;
     }
 }
--- a/src/main/java/kelphollow/routing/Backend.java
+++ b/src/main/java/kelphollow/routing/Backend.java
@@ -1,13 +1,16 @@
 package kelphollow.routing;
 
-/** Carries attempts to storage nodes over some wire. Everything happens on the event loop. */
+/** Carries attempts to storage nodes over some protocol. Confined to the router's event loop. */
 public interface Backend {
-    /** Starts an attempt; it must end by {@link Attempt#ended} exactly once, unless it is abandoned first. */
+    /**
+     * Starts an attempt. Before its first byte the backend asks {@link Attempt#maySend}. The attempt ends by
+     * {@link Attempt#ended} exactly once, unless it is cancelled first.
+     */
     void start(Attempt attempt);
 
-    /** Gives an attempt up by closing what carries it; nothing more may come of it. */
-    void abandon(Attempt attempt);
+    /** Cancels an attempt by closing the connection that carries it; nothing more may be reported of it. */
+    void cancel(Attempt attempt);
 
-    /** The node wants nothing new, or has started anew: connections to it that carry nothing are closed. */
-    void retire(String node);
+    /** Closes the connections to a node that carry nothing: the node accepts nothing new, or has restarted. */
+    void closeIdleConnections(String node);
 }
--- a/src/main/java/kelphollow/routing/BoundedLog.java
+++ b/src/main/java/kelphollow/routing/BoundedLog.java
@@ -4,8 +4,9 @@
 import java.util.logging.Logger;
 
 /**
- * Passes so many lines of one kind on to a logger in each period and counts the rest, which the next period's first line
- * tells. Guards against a fault whose log lines cost more than the fault. For one thread.
+ * Limits the rate of log lines of one kind: so many are logged in each period, the rest is counted, and the next period's
+ * first line says how many were suppressed. Guards against a fault whose log lines cost more than the fault. For one
+ * thread.
  */
 final class BoundedLog {
     /** Length of a period in milliseconds. */
@@ -14,27 +15,27 @@
     static final int LINES = 10;
 
     private final Logger logger;
-    private double periodEnds = Double.NEGATIVE_INFINITY;
-    private int written;
+    private double periodEndsAt = Double.NEGATIVE_INFINITY;
+    private int logged;
     private long suppressed;
 
     BoundedLog(Logger logger) {
         this.logger = logger;
     }
 
-    /** Logs the line, or counts it if the period has had its lines. {@code now} in milliseconds. */
+    /** Logs the line, or counts it if the period has had its lines; {@code now} in milliseconds. */
     void info(double now, Supplier<String> line) {
-        if (now >= periodEnds) {
-            periodEnds = now + PERIOD;
-            written = 0;
+        if (now >= periodEndsAt) {
+            periodEndsAt = now + PERIOD;
+            logged = 0;
         }
-        if (written >= LINES) {
+        if (logged >= LINES) {
             suppressed++;
             return;
         }
-        written++;
-        String more = suppressed == 0 ? "" : " (" + suppressed + " like this were not logged before)";
+        logged++;
+        String suffix = suppressed == 0 ? "" : " (" + suppressed + " like this were suppressed before)";
         suppressed = 0;
-        logger.info(() -> line.get() + more);
+        logger.info(() -> line.get() + suffix);
     }
 }
--- /dev/null
+++ b/src/main/java/kelphollow/routing/EndpointOverrides.java
@@ -0,0 +1,88 @@
+package kelphollow.routing;
+
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.decision.ControlEvent.EndpointsReceived;
+import kelphollow.maintenance.MaintenanceSet;
+
+/**
+ * What is laid over the endpoint list: maintenance, by the operators, and ejection, on the word of other instances.
+ * Either shows a node to the decision module as draining. Confined to the event loop.
+ */
+final class EndpointOverrides {
+    private final Ticker ticker;
+    private final DecisionLoop decisions;
+    private final EndpointTable table;
+    private final Consumer<String> closeIdleConnections;
+
+    /** {@code closeIdleConnections}: closes the connections to a node that carry nothing. */
+    EndpointOverrides(Ticker ticker, DecisionLoop decisions, EndpointTable table, Consumer<String> closeIdleConnections) {
+        this.ticker = ticker;
+        this.decisions = decisions;
+        this.table = table;
+        this.closeIdleConnections = closeIdleConnections;
+    }
+
+    /** See {@link RequestRouter#startMaintenance}. */
+    boolean startMaintenance(String node) {
+        ResolvedEndpoint endpoint = table.find(node);
+        if (endpoint == null) {
+            return table.maintenance().contains(node);
+        }
+        if (table.maintenance().add(node)) {
+            notifyChanged(List.of(table.effective(endpoint.endpoint())));
+            closeIdleConnections.accept(node);
+        }
+        return true;
+    }
+
+    /** See {@link RequestRouter#endMaintenance}. */
+    boolean endMaintenance(String node) {
+        boolean wasInMaintenance = table.maintenance().remove(node);
+        ResolvedEndpoint endpoint = table.find(node);
+        if (wasInMaintenance && endpoint != null) {
+            notifyChanged(List.of(table.effective(restarted(endpoint.endpoint()))));
+            closeIdleConnections.accept(node);
+        }
+        return wasInMaintenance || endpoint != null;
+    }
+
+    /** The entry of a node that may have restarted while it was in maintenance, and is in slow start. */
+    private Endpoint restarted(Endpoint endpoint) {
+        return new Endpoint(endpoint.node(), endpoint.zone(), endpoint.cell(), endpoint.state(),
+            Math.max(endpoint.startedAt(), ticker.now()));
+    }
+
+    /** See {@link RequestRouter#adoptMaintenance}. */
+    void adoptMaintenance(Set<String> nodes) {
+        MaintenanceSet.Change change = table.maintenance().changeTo(nodes);
+        for (String node : change.added()) {
+            if (!startMaintenance(node)) {
+                table.maintenance().add(node);   // the list does not name it yet; it is in maintenance once it does
+            }
+        }
+        change.removed().forEach(this::endMaintenance);
+    }
+
+    /** The nodes in maintenance; a copy. */
+    Set<String> nodesInMaintenance() {
+        return table.maintenance().nodes();
+    }
+
+    /** See {@link FleetRouting#eject}. */
+    void eject(Set<String> nodes) {
+        List<Endpoint> changed = table.eject(nodes);
+        if (!changed.isEmpty()) {
+            notifyChanged(changed);
+            changed.stream().filter(e -> e.state() != EndpointState.HEALTHY).map(Endpoint::node).forEach(
+                closeIdleConnections);
+        }
+    }
+
+    private void notifyChanged(List<Endpoint> entries) {
+        decisions.handle(new EndpointsReceived(entries, false, true));
+    }
+}
--- a/src/main/java/kelphollow/routing/EndpointSource.java
+++ b/src/main/java/kelphollow/routing/EndpointSource.java
@@ -1,10 +1,13 @@
 package kelphollow.routing;
 
-/** Where the node list comes from: tells {@link RequestRouter#learn} of news and {@link RequestRouter#endpointPollFailed} of failures. */
+/**
+ * Where the endpoint list comes from. It reports lists by {@link RequestRouter#updateEndpoints} and failures by
+ * {@link RequestRouter#endpointPollFailed}. Confined to the router's event loop.
+ */
 public interface EndpointSource {
-    /** Asks for the list and all later changes; does nothing while an earlier such call goes on, or after the end. */
+    /** Polls the list and watches for later changes; no effect while an earlier watch goes on, or once stopped. */
     void watch();
 
-    /** Another takes its place: it tells nothing from now on. */
+    /** Ends the watch for good: nothing is reported from now on. */
     default void stop() {}
 }
--- a/src/main/java/kelphollow/routing/EndpointTable.java
+++ b/src/main/java/kelphollow/routing/EndpointTable.java
@@ -1,7 +1,6 @@
 package kelphollow.routing;
 
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -11,75 +10,85 @@
 import kelphollow.maintenance.MaintenanceSet;
 
 /**
- * The node list as it was last told, with addresses, and what is laid over it: the operators' bans, and the nodes that are
- * left alone by the word of other instances. A node that either names is shown as draining. For the core's event loop.
+ * The endpoint list as it was received last, with addresses, and what is laid over it: nodes in maintenance, and nodes
+ * ejected on the word of other instances. The effective state of either is draining. Confined to the event loop.
  */
 final class EndpointTable {
-    /** What a list brings for the module, and the nodes whose resting connections must close. */
-    record News(List<Endpoint> entries, List<String> retired) {}
+    /**
+     * What follows from an update.
+     *
+     * @param effective the entries received, in their effective state
+     * @param unusable nodes whose idle connections must be closed
+     */
+    record Update(List<Endpoint> effective, List<String> unusable) {}
 
-    private final Map<String, ResolvedEndpoint> members = new HashMap<>();
-    private final MaintenanceSet bans = new MaintenanceSet();
+    private final Map<String, ResolvedEndpoint> endpoints = new HashMap<>();
+    private final MaintenanceSet maintenance = new MaintenanceSet();
     private Set<String> ejected = Set.of();
 
-    /** The node with its address, or null if no list names it. */
-    ResolvedEndpoint member(String node) {
-        return members.get(node);
+    /** The node with its address, or null if the list does not name it. */
+    ResolvedEndpoint find(String node) {
+        return endpoints.get(node);
     }
 
-    Collection<ResolvedEndpoint> members() {
-        return members.values();
+    /** The nodes in maintenance, named by the list or not. */
+    MaintenanceSet maintenance() {
+        return maintenance;
     }
 
-    MaintenanceSet bans() {
-        return bans;
-    }
-
-    /** The entry as the module sees it. */
-    Endpoint shown(Endpoint e) {
-        if (!bans.holds(e.node()) && !ejected.contains(e.node()) || e.state() != EndpointState.HEALTHY) {
-            return e;
+    /** The entry as the decision module is to see it. */
+    Endpoint effective(Endpoint endpoint) {
+        boolean overridden = maintenance.contains(endpoint.node()) || ejected.contains(endpoint.node());
+        if (!overridden || endpoint.state() != EndpointState.HEALTHY) {
+            return endpoint;
         }
-        return new Endpoint(e.node(), e.zone(), e.cell(), EndpointState.DRAINING, e.startedAt());
+        return new Endpoint(endpoint.node(), endpoint.zone(), endpoint.cell(), EndpointState.DRAINING, endpoint.startedAt());
     }
 
-    /** Whether the node may have new work. */
-    boolean wantsWork(String node) {
-        ResolvedEndpoint m = members.get(node);
-        return m != null && shown(m.endpoint()).state() == EndpointState.HEALTHY;
+    /** Whether new requests may go to the node. */
+    boolean acceptsWork(String node) {
+        ResolvedEndpoint found = endpoints.get(node);
+        return found != null && effective(found.endpoint()).state() == EndpointState.HEALTHY;
     }
 
-    /** Follows a list, changes only or all of it. */
-    News learn(List<ResolvedEndpoint> news, boolean complete) {
-        List<String> retired = new ArrayList<>();
+    /** Applies a list that was received: all of it if {@code complete}, else changes only. */
+    Update update(List<ResolvedEndpoint> received, boolean complete) {
+        List<String> unusable = new ArrayList<>();
         if (complete) {
-            Map<String, ResolvedEndpoint> before = new HashMap<>(members);
-            members.clear();
-            news.forEach(m -> before.remove(m.endpoint().node()));
-            retired.addAll(before.keySet());
+            Map<String, ResolvedEndpoint> before = new HashMap<>(endpoints);
+            endpoints.clear();
+            received.forEach(entry -> before.remove(entry.endpoint().node()));
+            unusable.addAll(before.keySet());
         }
         List<Endpoint> entries = new ArrayList<>();
-        for (ResolvedEndpoint m : news) {
-            ResolvedEndpoint old = members.put(m.endpoint().node(), m);
-            boolean moved = old != null
-                && (!old.address().equals(m.address()) || old.endpoint().startedAt() != m.endpoint().startedAt());
-            Endpoint said = shown(m.endpoint());
-            if (moved || said.state() != EndpointState.HEALTHY) {
-                retired.add(m.endpoint().node());
+        for (ResolvedEndpoint entry : received) {
+            String node = entry.endpoint().node();
+            ResolvedEndpoint old = endpoints.put(node, entry);
+            Endpoint effective = effective(entry.endpoint());
+            if (hasRestarted(old, entry) || effective.state() != EndpointState.HEALTHY) {
+                unusable.add(node);
             }
-            entries.add(said);
-            if (m.endpoint().state() == EndpointState.REMOVED) {
-                members.remove(m.endpoint().node());
+            entries.add(effective);
+            if (entry.endpoint().state() == EndpointState.REMOVED) {
+                endpoints.remove(node);
             }
         }
-        return new News(entries, retired);
+        return new Update(entries, unusable);
+    }
+
+    private static boolean hasRestarted(ResolvedEndpoint old, ResolvedEndpoint entry) {
+        return old != null
+            && (!old.address().equals(entry.address()) || old.endpoint().startedAt() != entry.endpoint().startedAt());
     }
 
-    /** From now on just these nodes are left alone; the result is what has changed by it. */
+    /**
+     * From now on just these nodes are ejected. Returns the entries whose ejection has changed, in their effective
+     * state.
+     */
     List<Endpoint> eject(Set<String> nodes) {
         Set<String> before = ejected;
         ejected = Set.copyOf(nodes);
-        return members.values().stream().map(ResolvedEndpoint::endpoint)
-            .filter(e -> before.contains(e.node()) != ejected.contains(e.node())).map(this::shown).toList();
+        return endpoints.values().stream().map(ResolvedEndpoint::endpoint)
+            .filter(e -> before.contains(e.node()) != ejected.contains(e.node())).map(this::effective).toList();
     }
 }
--- a/src/main/java/kelphollow/routing/EndpointUpdateBudget.java
+++ b/src/main/java/kelphollow/routing/EndpointUpdateBudget.java
@@ -3,44 +3,48 @@
 import kelphollow.decision.EndpointPollSchedule;
 
 /**
- * How long news of the node list may take, as one sum. Discovery's terms: whatever failed before, a change counts as
- * told {@link #TOLD_AFTER} ms after discovery had it and could be reached, and a scheduler that has not heard it by then,
- * plus the grace for drains, breaks its promise. All times are milliseconds.
+ * How long an update of the endpoint list may take to arrive, as one sum. By discovery's terms, whatever failed before, a
+ * change counts as notified {@link #NOTIFIED_AFTER} after discovery had it and could be reached; a scheduler that has not
+ * received it by then, plus the grace for drains, breaks its promise. All times are milliseconds.
  */
 public final class EndpointUpdateBudget {
-    public static final double TOLD_AFTER = 6_000;
-    /** The longest that a call waits for news. Each is a little shorter by chance, so that the fleet's calls part again. */
-    public static final double WAIT = 1_400;
-    /** What a call of a watch that goes on may take beyond its wait; then its connection is taken for silent. */
-    public static final double PATIENCE = 900;
-    /** A call that begins a watch may wait its turn at discovery for so long; then discovery turns it away. */
-    public static final double TURN = 2_000;
+    /** Time after which a change counts as notified, by discovery's terms. */
+    public static final double NOTIFIED_AFTER = 6_000;
+    /** The longest that a poll waits for a change. Each is shortened at random, which spreads the fleet's polls. */
+    public static final double LONG_POLL_WAIT = 1_400;
+    /** What a poll may take beyond its wait; after that its connection counts as stalled. */
+    public static final double POLL_MARGIN = 900;
+    /** The longest that a poll which begins a watch is queued at discovery before it is rejected. */
+    public static final double QUEUE_WAIT = 2_000;
     /**
-     * What a call that begins a watch may take. It outlasts its turn: a call that is given up stays in the queue of the
-     * service, and the next one would wait behind it.
+     * Timeout of a poll that begins a watch. It is longer than the time in the queue: a poll that times out stays
+     * queued at the service, ahead of the next one.
      */
-    public static final double TURN_PATIENCE = TURN + 300;
-    /** What a call to a service of a new configuration may take: its news counts as told after 4 s, one lost call included. */
-    public static final double MOVED_PATIENCE = 1_800;
-    /** What this program adds by being late itself; 25 ms were measured, 9 in 10 calls, of a process at half a core. */
-    public static final double OWN_LATENESS = 150;
+    public static final double FIRST_POLL_TIMEOUT = QUEUE_WAIT + 300;
+    /** Timeout of a poll to a new service: its changes count as notified after 4 s, one lost poll included. */
+    public static final double NEW_SOURCE_TIMEOUT = 1_800;
+    /** Delay that this program adds by being scheduled late. */
+    public static final double LOCAL_DELAY = 150;
 
     /**
-     * The pause after a failed call to an agent, which serves this scheduler alone. While its service is down an agent is
-     * silent, and what it gets at the return counts at once: a pause must be shorter than the grace for drains, however long
-     * the service was away.
+     * Delay before an agent is polled again after a failure. An agent serves this scheduler alone; while its service
+     * is down it is silent, and a change counts as notified as soon as the service is back: the delay must be shorter
+     * than the grace for drains, however long the service was down.
      */
-    static final double AGENT_PAUSE = 100;
+    static final double AGENT_RETRY_DELAY = 100;
 
     private EndpointUpdateBudget() {}
 
     /**
-     * The longest way of news, while the service answers: a call was made just before the watch fell silent, or the
-     * service went down, or came back; then the longest pause; and the next call brings it. Calls that a service with a
-     * full queue turns away are not in it: {@link EndpointPollSchedule} spreads those.
+     * The longest time from a change to its arrival, while the service answers: a poll was made just before the watch
+     * stalled, or the service went down or came back; then the longest backoff; then the poll that brings the change.
+     * Polls that a service with a full queue rejects are not in it: {@link EndpointPollSchedule} spreads those.
+     *
+     * @param pushed whether the list comes from an agent on this machine
      */
-    public static double longest(boolean pushed) {
-        double longestCall = Math.max(WAIT + PATIENCE, TURN_PATIENCE);
-        return longestCall + (pushed ? AGENT_PAUSE : EndpointPollSchedule.LONGEST_PAUSE) + TURN + OWN_LATENESS;
+    public static double longestDelay(boolean pushed) {
+        double longestPoll = Math.max(LONG_POLL_WAIT + POLL_MARGIN, FIRST_POLL_TIMEOUT);
+        double longestBackoff = pushed ? AGENT_RETRY_DELAY : EndpointPollSchedule.LONGEST_PAUSE;
+        return longestPoll + longestBackoff + QUEUE_WAIT + LOCAL_DELAY;
     }
 }
--- a/src/main/java/kelphollow/routing/EndpointWatch.java
+++ b/src/main/java/kelphollow/routing/EndpointWatch.java
@@ -3,60 +3,63 @@
 import java.util.logging.Logger;
 
 /**
- * Keeps the watch of the node list going. A list that must be asked for is one service's work for all schedulers, so
- * the module says when to ask again after a failure. A pushed one is had from an agent on this machine, at no cost and
- * for this scheduler alone: nobody decides anything there, and the watch is renewed here. Guards against a scheduler
- * that lives on the list it was started with because no one asked. Lives on the core's event loop.
+ * Keeps the watch of the endpoint list going. A list that is polled is one service's work for all schedulers, so the
+ * decision module says when to poll again after a failure. A pushed one comes from an agent on this machine that
+ * serves this scheduler alone: the watch is renewed here. Guards against a scheduler that lives on the list it was
+ * started with because no one polls. Confined to the event loop.
  */
 final class EndpointWatch {
     private static final Logger LOG = Logger.getLogger(EndpointWatch.class.getName());
 
     private final Ticker ticker;
-    private EndpointSource directory = () -> {};
-    private boolean pushed;
-    private Ticker.Timeout renewal;
     private final double startedAt;
-    private boolean heard;
+    private EndpointSource source = () -> {};
+    private boolean pushed;
+    private Ticker.Timeout retry;
+    private boolean received;
 
     EndpointWatch(Ticker ticker) {
         this.ticker = ticker;
         this.startedAt = ticker.now();
     }
 
-    /** The list comes from here from now on; whatever came before tells nothing more. {@link #ask} begins the watch. */
-    void follow(EndpointSource next, boolean isPushed) {
-        cancel();
-        directory.stop();
-        directory = next;
-        pushed = isPushed;
+    /**
+     * The list comes from this source from now on, and nothing more from the one before. {@link #poll} begins the
+     * watch.
+     */
+    void follow(EndpointSource next, boolean nextIsPushed) {
+        cancelRetry();
+        source.stop();
+        source = next;
+        pushed = nextIsPushed;
     }
 
     /** Begins the watch, unless it goes on. */
-    void ask() {
-        directory.watch();
+    void poll() {
+        source.watch();
     }
 
-    /** A list has come. */
-    void heard() {
-        if (!heard) {
-            heard = true;
-            LOG.info(() -> "node list: first heard " + (long) (ticker.now() - startedAt) + " ms after the start");
+    /** A list has come from the source. */
+    void received() {
+        if (!received) {
+            received = true;
+            LOG.info(() -> "endpoint list: first received " + (long) (ticker.now() - startedAt) + " ms after the start");
         }
     }
 
-    /** The watch has ended. Returns whether the module must say when it begins again. */
+    /** The watch has ended. Returns whether the decision module must say when it begins again. */
     boolean failed() {
         if (pushed) {
-            cancel();
-            renewal = ticker.after(EndpointUpdateBudget.AGENT_PAUSE, directory::watch);
+            cancelRetry();
+            retry = ticker.after(EndpointUpdateBudget.AGENT_RETRY_DELAY, source::watch);
         }
         return !pushed;
     }
 
-    private void cancel() {
-        if (renewal != null) {
-            renewal.cancel();
-            renewal = null;
+    private void cancelRetry() {
+        if (retry != null) {
+            retry.cancel();
+            retry = null;
         }
     }
 }
--- a/src/main/java/kelphollow/routing/Invariant.java
+++ b/src/main/java/kelphollow/routing/Invariant.java
@@ -4,18 +4,27 @@
 import java.util.function.Supplier;
 import java.util.logging.Logger;
 
-/** What must hold: asserted where assertions are on ({@code -ea}), counted and logged everywhere else. */
+/**
+ * Conditions that must hold: asserted where assertions are on ({@code -ea}), counted and logged elsewhere.
+ * Thread-safe.
+ */
 public final class Invariant {
     private static final Logger LOG = Logger.getLogger(Invariant.class.getName());
     private static final AtomicLong BROKEN = new AtomicLong();
 
     private Invariant() {}
 
+    /**
+     * Checks a condition.
+     *
+     * @param what names the condition in the log
+     * @return whether it holds
+     */
     public static boolean holds(boolean condition, String what) {
         return holds(condition, () -> what);
     }
 
-    /** The same; what must hold is put into words only if it does not. */
+    /** The same; the name is made only if the condition does not hold. */
     public static boolean holds(boolean condition, Supplier<String> what) {
         if (!condition) {
             long count = BROKEN.incrementAndGet();
@@ -25,7 +34,7 @@
         return condition;
     }
 
-    /** How many invariants were found broken since the start. */
+    /** How many conditions have not held since the start. */
     public static long broken() {
         return BROKEN.get();
     }
--- a/src/main/java/kelphollow/routing/RequestCounters.java
+++ b/src/main/java/kelphollow/routing/RequestCounters.java
@@ -7,24 +7,24 @@
 import kelphollow.decision.EndpointListLease;
 
 /**
- * What became of requests and attempts since the start, by reason, for the log. Constant memory; for the core's event
+ * Counts what became of requests and attempts since the start, by reason. Constant memory; confined to the event
  * loop.
  */
 final class RequestCounters {
-    private long taken;
+    private long submitted;
     private long served;
-    private long clientsGone;
-    private long repeats;
+    private long clientsDisconnected;
+    private long retries;
     private long overdue;
     private final Map<Reason, Long> rejected = new EnumMap<>(Reason.class);
     private final Map<Reason, Long> failed = new EnumMap<>(Reason.class);
     private final Map<AttemptOutcome, Long> attempts = new EnumMap<>(AttemptOutcome.class);
-    private final Map<SendVerdict, Long> notWritten = new EnumMap<>(SendVerdict.class);
-    /** Attempts written, by what the lease on the list rested on. */
-    private final Map<EndpointListLease.State, Long> written = new EnumMap<>(EndpointListLease.State.class);
+    private final Map<SendVerdict, Long> notSent = new EnumMap<>(SendVerdict.class);
+    /** Attempts sent, by what the lease on the endpoint list rested on. */
+    private final Map<EndpointListLease.State, Long> sent = new EnumMap<>(EndpointListLease.State.class);
 
-    void taken() {
-        taken++;
+    void submitted() {
+        submitted++;
     }
 
     void served() {
@@ -35,12 +35,12 @@
         overdue++;
     }
 
-    void clientGone() {
-        clientsGone++;
+    void clientDisconnected() {
+        clientsDisconnected++;
     }
 
-    void repeat() {
-        repeats++;
+    void retry() {
+        retries++;
     }
 
     void rejected(Reason reason) {
@@ -55,19 +55,18 @@
         attempts.merge(outcome, 1L, Long::sum);
     }
 
-    void notWritten(SendVerdict verdict) {
-        notWritten.merge(verdict, 1L, Long::sum);
+    void notSent(SendVerdict verdict) {
+        notSent.merge(verdict, 1L, Long::sum);
     }
 
-    void written(EndpointListLease.State state) {
-        written.merge(state, 1L, Long::sum);
+    void sent(EndpointListLease.State state) {
+        sent.merge(state, 1L, Long::sum);
     }
 
-    /** One line with all that is not zero. */
+    /** All counters as one log line. */
     String summary() {
-        return "requests: taken=" + taken + " served=" + served + " clients gone=" + clientsGone + " overdue=" + overdue
-            + " refused=" + rejected
-            + " failed=" + failed + "; attempts: ended=" + attempts + " repeats=" + repeats + " not written=" + notWritten
-            + " written=" + written;
+        return "requests: submitted=" + submitted + " served=" + served + " disconnected=" + clientsDisconnected
+            + " overdue=" + overdue + " rejected=" + rejected + " failed=" + failed + "; attempts: ended=" + attempts
+            + " retries=" + retries + " not sent=" + notSent + " sent=" + sent;
     }
 }
--- /dev/null
+++ b/src/main/java/kelphollow/routing/RequestLifecycle.java
@@ -0,0 +1,123 @@
+package kelphollow.routing;
+
+import java.util.Map;
+import java.util.OptionalDouble;
+import kelphollow.decision.ControlAction.FailRequest;
+import kelphollow.decision.ControlAction.RejectRequest;
+import kelphollow.decision.ControlEvent.ClientDisconnected;
+import kelphollow.decision.ControlEvent.RequestArrived;
+
+/**
+ * Takes requests from fronts and sees to it that each gets exactly one final answer: served, rejected or failed, or none
+ * once its client has disconnected. Confined to the event loop.
+ */
+final class RequestLifecycle {
+    private static final int ID_RADIX = 36;
+
+    private final Map<String, Request> open;
+    private final DecisionLoop decisions;
+    private final RequestLog log;
+    private AdmissionFilter admission = AdmissionFilter.ALL;
+    private long nextId;
+
+    /** {@code open}: the requests without a final answer by their ids; only this object changes it. */
+    RequestLifecycle(Map<String, Request> open, DecisionLoop decisions, RequestLog log) {
+        this.open = open;
+        this.decisions = decisions;
+        this.log = log;
+    }
+
+    /** From now on each request is offered to this filter before the decision module is notified of it. */
+    void setAdmissionFilter(AdmissionFilter filter) {
+        admission = filter;
+    }
+
+    /** Takes a request, under an id of the router's own; see {@link RequestRouter#submit}. */
+    Request submit(RequestArrived arrival, Object message, ResponseCallback callback) {
+        RequestArrived numbered = numbered(arrival);
+        Request request = new Request(numbered, message, callback);
+        log.submitted();
+        OptionalDouble retryAfter = admission.retryAfter(numbered);
+        if (retryAfter.isPresent()) {
+            request.finish();
+            callback.rejected(retryAfter.getAsDouble(), false);
+            return request;
+        }
+        open.put(numbered.id(), request);
+        decisions.handle(numbered);
+        return request;
+    }
+
+    private RequestArrived numbered(RequestArrived arrival) {
+        String id = Long.toString(nextId++, ID_RADIX);
+        return new RequestArrived(id, arrival.requestClass(), arrival.plan(), arrival.key(), arrival.deadline(),
+            arrival.volume(), arrival.units(), arrival.cell(), arrival.hosts(), arrival.isRetry());
+    }
+
+    /** The open request of this id, or null. */
+    Request find(String id) {
+        return open.get(id);
+    }
+
+    int openCount() {
+        return open.size();
+    }
+
+    /** The client has disconnected: no answer is owed, and attempts in flight are cancelled. */
+    void clientDisconnected(Request request) {
+        if (request.isFinished()) {
+            return;
+        }
+        log.clientDisconnected();
+        close(request);
+        decisions.handle(new ClientDisconnected(request.arrival().id()));
+    }
+
+    /** An attempt was answered with success. That is the final answer, unless the request has had one. */
+    void served(Request request, Object answer) {
+        if (request.isFinished()) {
+            return;
+        }
+        close(request);
+        log.served();
+        request.callback().served(answer);
+    }
+
+    /** Gives the final answer that the decision module wants. */
+    void reject(RejectRequest action) {
+        Request request = conclude(action.id());
+        if (request == null) {
+            return;
+        }
+        log.rejected(action.reason());
+        if (request.attemptCount() == 0) {
+            admission.rejected(request.arrival());
+        }
+        request.callback().rejected(action.retryAfter(), request.timedOut());
+    }
+
+    /** Gives the final answer that the decision module wants. */
+    void fail(FailRequest action) {
+        Request request = conclude(action.id());
+        if (request == null) {
+            return;
+        }
+        log.failed(action.reason());
+        request.callback().failed(request.timedOut());
+    }
+
+    /** Closes the request for its final answer; null, and an invariant broken, if it has had one. */
+    private Request conclude(String id) {
+        Request request = open.get(id);
+        if (!Invariant.holds(request != null && !request.isFinished(), () -> "one final answer for " + id)) {
+            return null;
+        }
+        close(request);
+        return request;
+    }
+
+    private void close(Request request) {
+        request.finish();
+        open.remove(request.arrival().id());
+    }
+}
--- a/src/main/java/kelphollow/routing/RequestLog.java
+++ b/src/main/java/kelphollow/routing/RequestLog.java
@@ -7,66 +7,67 @@
 import kelphollow.decision.EndpointListLease;
 
 /**
- * Tells the log what becomes of requests and attempts: counters in one line every {@link #COUNTERS_EVERY} ms while they
- * change, and single cases that should be rare at a bounded rate. Decides nothing. For the core's event loop.
+ * Logs what becomes of requests and attempts: the counters as one line every {@link #COUNTERS_INTERVAL} ms while they
+ * change, and single cases that should be rare at a bounded rate. Decides nothing. Confined to the event loop.
  */
 final class RequestLog {
     private static final Logger LOG = Logger.getLogger(RequestLog.class.getName());
     /** How often the counters are logged while they change, in milliseconds. */
-    private static final double COUNTERS_EVERY = 10_000;
-    /** How long past its time a request is open when it is told, and how often that is looked at, in milliseconds. */
+    private static final double COUNTERS_INTERVAL = 10_000;
+    /** How long past its deadline an open request is logged, and how often they are inspected, in milliseconds. */
     private static final double OVERDUE = 200;
 
     private final Ticker ticker;
     private final Collection<Request> open;
     private final EndpointListLease lease;
-    private boolean muted;
+    private boolean disabled;
     private final RequestCounters counters = new RequestCounters();
-    private final BoundedLog withheld = new BoundedLog(LOG);
+    private final BoundedLog notSent = new BoundedLog(LOG);
     private final BoundedLog unconfirmed = new BoundedLog(LOG);
     private final BoundedLog overdue = new BoundedLog(LOG);
 
-    /** {@code open}: the requests that have no final answer yet, as they are at any time. */
+    /** {@code open}: a view of the requests that have no final answer yet. */
     RequestLog(Ticker ticker, Collection<Request> open, EndpointListLease lease) {
         this.ticker = ticker;
         this.open = open;
         this.lease = lease;
     }
 
-    /** From now on nothing is logged, as for a rehearsal. */
-    void mute() {
-        muted = true;
+    /** From now on nothing is logged, as for a warm-up. */
+    void disable() {
+        disabled = true;
     }
 
-    /** Starts the lines that come by time; they end with the loop. */
+    /** Starts the lines that are logged by time; they end with the loop. */
     void start() {
-        if (muted) {
+        if (disabled) {
             return;
         }
-        countLater(counters.summary());
-        lookForOverdue();
+        scheduleCounters(counters.summary());
+        inspectOverdue();
     }
 
-    private void countLater(String told) {
-        ticker.after(COUNTERS_EVERY, () -> {
+    private void scheduleCounters(String logged) {
+        ticker.after(COUNTERS_INTERVAL, () -> {
             String summary = counters.summary();
-            if (!summary.equals(told)) {
+            if (!summary.equals(logged)) {
                 LOG.info(summary);
             }
-            countLater(summary);
+            scheduleCounters(summary);
         });
     }
 
-    private void lookForOverdue() {
+    private void inspectOverdue() {
         double now = ticker.now();
         for (Request request : open) {
-            if (now > request.arrival().deadline() + OVERDUE && request.becomesOverdue()) {
+            double deadline = request.arrival().deadline();
+            if (now > deadline + OVERDUE && request.becomesOverdue()) {
                 counters.overdue();
                 overdue.info(now, () -> "request " + request.arrival().id() + " has no final answer "
-                    + (long) (now - request.arrival().deadline()) + " ms after its time: " + request.attempts);
+                    + (long) (now - deadline) + " ms after its deadline: " + request.attempts());
             }
         }
-        ticker.after(OVERDUE, this::lookForOverdue);
+        ticker.after(OVERDUE, this::inspectOverdue);
     }
 
     /** All counters as one line. */
@@ -74,16 +75,16 @@
         return counters.summary();
     }
 
-    void taken() {
-        counters.taken();
+    void submitted() {
+        counters.submitted();
     }
 
     void served() {
         counters.served();
     }
 
-    void clientGone() {
-        counters.clientGone();
+    void clientDisconnected() {
+        counters.clientDisconnected();
     }
 
     void rejected(Reason reason) {
@@ -94,32 +95,32 @@
         counters.failed(reason);
     }
 
-    void sent(Attempt attempt) {
-        if (attempt.number > 0) {
-            counters.repeat();
+    void attemptStarted(Attempt attempt) {
+        if (attempt.number() > 0) {
+            counters.retry();
         }
     }
 
-    void ended(AttemptOutcome outcome) {
+    void attemptEnded(AttemptOutcome outcome) {
         counters.attemptEnded(outcome);
     }
 
-    /** An attempt's connection is up, and this became of the question whether it may be written. */
-    void looked(Attempt attempt, SendVerdict verdict) {
-        if (muted) {
+    /** An attempt's connection is up, and this is the verdict on its first byte. */
+    void eligibilityChecked(Attempt attempt, SendVerdict verdict) {
+        if (disabled) {
             return;
         }
         double now = ticker.now();
         if (verdict != SendVerdict.ALLOWED) {
-            counters.notWritten(verdict);
-            withheld.info(now, () -> attempt + " is not written: " + verdict + ", " + (long) (now - attempt.sentAt())
-                + " ms after it was sent");
+            counters.notSent(verdict);
+            notSent.info(now, () -> attempt + " is not sent: " + verdict + ", " + (long) (now - attempt.sentAt())
+                + " ms after the decision");
             return;
         }
         EndpointListLease.State state = lease.state(now);
-        counters.written(state);
+        counters.sent(state);
         if (state != EndpointListLease.State.CURRENT) {
-            unconfirmed.info(now, () -> attempt + " is written by a list that is not confirmed: " + state);
+            unconfirmed.info(now, () -> attempt + " is sent by an unconfirmed endpoint list: " + state);
         }
     }
 }
--- a/src/main/java/kelphollow/routing/ResponseCallback.java
+++ b/src/main/java/kelphollow/routing/ResponseCallback.java
@@ -1,13 +1,25 @@
 package kelphollow.routing;
 
-/** The front's side of one request. The core calls exactly one of these, once, unless the client has gone. */
+/**
+ * The front's side of one request. The router calls exactly one of these methods, once, unless the client has
+ * disconnected. Called on the router's event loop.
+ */
 public interface ResponseCallback {
-    /** A node served the request; {@code answer} is what the backend of the same protocol made of it. */
+    /** A node has served the request; {@code answer} is what the backend of the same protocol made of it. */
     void served(Object answer);
 
-    /** Refused: coming again is harmless, best after so many milliseconds (0: no advice). */
-    void rejected(double after, boolean timedOut);
+    /**
+     * The request is rejected: it was not executed, and the client may safely retry.
+     *
+     * @param retryAfter milliseconds after which a retry may succeed; 0: no advice
+     * @param timedOut whether its last attempt timed out
+     */
+    void rejected(double retryAfter, boolean timedOut);
 
-    /** Failed: it may have run, nothing is promised. */
+    /**
+     * The request has failed: it may have been executed.
+     *
+     * @param timedOut whether its last attempt timed out
+     */
     void failed(boolean timedOut);
 }
--- a/src/main/java/kelphollow/routing/SendEligibility.java
+++ b/src/main/java/kelphollow/routing/SendEligibility.java
@@ -4,20 +4,21 @@
 import kelphollow.decision.EndpointListLease;
 
 /**
- * The one place that says whether something may be sent to a node now, first tries and repeats alike. It is asked when the
- * module has decided to send, as a check of the module, and again when the connection is up, before the first byte: what
- * was true at the decision may have ended while the connection was dialled. Decides by facts only: the request's and the
- * attempt's state, the time, the node list with all that is laid over it, and the lease on that list.
+ * The one place that says whether something may be sent to a node, first attempts and retries alike. It is asked when the
+ * decision module has decided to send, as a check of the module, and again when the connection is up, before the
+ * first byte: what was true at the decision may have ended while the connection was being established. It goes by
+ * facts only: the state of the request and of the attempt, the time, the endpoint list with its overrides, and the
+ * lease on that list. Confined to the event loop.
  */
 final class SendEligibility {
     private final Ticker ticker;
-    private final Predicate<String> nodeWanted;
+    private final Predicate<String> acceptsWork;
     private final EndpointListLease lease;
 
-    /** {@code nodeWanted}: whether the list, with bans and the like laid over it, lets a node have new work. */
-    SendEligibility(Ticker ticker, Predicate<String> nodeWanted, EndpointListLease lease) {
+    /** {@code acceptsWork}: whether new requests may go to a node by the endpoint list and its overrides. */
+    SendEligibility(Ticker ticker, Predicate<String> acceptsWork, EndpointListLease lease) {
         this.ticker = ticker;
-        this.nodeWanted = nodeWanted;
+        this.acceptsWork = acceptsWork;
         this.lease = lease;
     }
 
@@ -27,28 +28,28 @@
     }
 
     private SendVerdict verdict(Attempt attempt, double now) {
-        if (!attempt.isOut()) {
+        if (!attempt.isInFlight()) {
             return SendVerdict.ATTEMPT_ENDED;
         }
-        if (attempt.request().over) {
+        if (attempt.request().isFinished()) {
             return SendVerdict.REQUEST_FINISHED;
         }
-        if (attempt.giveUpAt() <= now) {
+        if (attempt.timeoutAt() <= now) {
             return SendVerdict.DEADLINE_EXCEEDED;
         }
         if (attempt.writeBy() > 0 && now >= attempt.writeBy()) {
             return SendVerdict.IDEMPOTENCY_WINDOW_EXPIRED;
         }
-        if (!nodeWanted.test(attempt.target().endpoint().node())) {
+        if (!acceptsWork.test(attempt.target().endpoint().node())) {
             return SendVerdict.ENDPOINT_NOT_ELIGIBLE;
         }
         return lease.isValid(now) ? SendVerdict.ALLOWED : SendVerdict.LEASE_EXPIRED;
     }
 
-    /** The module has decided at this time to send: it must not have decided what might not be sent then. */
-    boolean confirms(Attempt attempt, double decidedAt) {
+    /** The decision module has decided at this time to send: an invariant is broken if that was not allowed then. */
+    void checkDecision(Attempt attempt, double decidedAt) {
         SendVerdict verdict = verdict(attempt, decidedAt);
-        boolean holds = verdict == SendVerdict.ALLOWED;
-        return Invariant.holds(holds, () -> "the module sends what may not be sent: " + attempt + ", " + verdict);
+        Invariant.holds(verdict == SendVerdict.ALLOWED,
+            () -> "the module sends what may not be sent: " + attempt + ", " + verdict);
     }
 }
--- a/src/main/java/kelphollow/routing/SendVerdict.java
+++ b/src/main/java/kelphollow/routing/SendVerdict.java
@@ -4,16 +4,16 @@
 public enum SendVerdict {
     /** It may. */
     ALLOWED,
-    /** The attempt has ended, by its time-out or by a cancellation. */
+    /** The attempt has ended, by its timeout or by a cancellation. */
     ATTEMPT_ENDED,
-    /** Its request has had its final answer, or its client has left. */
+    /** Its request has had its final answer, or its client has disconnected. */
     REQUEST_FINISHED,
-    /** Nothing is left of the time for which the attempt would be waited for. */
+    /** The timeout of the attempt has passed. */
     DEADLINE_EXCEEDED,
-    /** A repeat, and nodes may have forgotten the first attempt by now. */
+    /** It is a retry, and nodes may have forgotten the idempotency key by now. */
     IDEMPOTENCY_WINDOW_EXPIRED,
-    /** The node drains, is gone from the list, banned, or left alone for the sake of other instances. */
+    /** The node is draining, not on the endpoint list, in maintenance or ejected. */
     ENDPOINT_NOT_ELIGIBLE,
-    /** The lease on the node list has ended, or has not begun. */
+    /** The lease on the endpoint list has expired, or has not begun. */
     LEASE_EXPIRED
 }
--- a/src/main/java/kelphollow/routing/StallDetector.java
+++ b/src/main/java/kelphollow/routing/StallDetector.java
@@ -2,17 +2,18 @@
 
 /**
  * Measures for how long an event loop has been stalled: a heartbeat on a timer, and by how much each is late. Guards
- * against taking the scheduler's own stalls, at its start or when its part of the core is used up, for slow nodes.
- * Used on that loop only.
+ * against taking the scheduler's own stalls, at its start or when its share of the processor is used up, for slow nodes.
+ * Confined to that loop.
  */
 final class StallDetector {
     /** Time between two heartbeats, in milliseconds: short against any node's latency that counts. */
     private static final double HEARTBEAT_INTERVAL = 10;
-    /** A heartbeat that is late by no more than this, in milliseconds, is no stall. */
+    /** Lateness of a heartbeat that is no stall, in milliseconds. */
     private static final double TOLERANCE = 5;
 
     private final Ticker ticker;
-    private double nextHeartbeatAt, stalledBefore;
+    private double nextHeartbeatAt;
+    private double stalledBefore;
 
     StallDetector(Ticker ticker) {
         this.ticker = ticker;
--- a/src/main/java/kelphollow/transport/LingeringClose.java
+++ b/src/main/java/kelphollow/transport/LingeringClose.java
@@ -9,14 +9,15 @@
 import kelphollow.routing.Ticker;
 
 /**
- * Closes clients' connections without losing what was last sent on them (a lingering close, RFC 9112, 9.6): the sending
- * ends, what still comes is read and thrown away, and the connection closes once the client has, or after a bound. Guards
- * against a close over unread bytes, which resets the connection, and answers on their way with it; and against sending on
- * a request that crossed the end: its client sees that it was not answered and asks elsewhere. Each holds a descriptor up
- * to the bound, so they are counted; beyond {@code most} a connection closes hard. For the event loop alone.
+ * Closes client connections without losing what was last sent on them (RFC 9112, 9.6): the output is shut down, further
+ * input is read and discarded, and the connection closes once the client has closed it, or after a timeout. Guards
+ * against a close over unread bytes, which resets the connection and loses responses on their way; and against
+ * serving a request that crossed the close: its client sees that it was not answered and retries elsewhere. Each such
+ * connection holds a descriptor, so their number is bounded; beyond it a connection closes at once. Confined to the
+ * event loop.
  */
 public final class LingeringClose {
-    /** Throws away what comes, before any codec sees it; the connection is still read, so that its end is noticed. */
+    /** Releases all input before any codec sees it; the connection is still read, so that its end is noticed. */
     public static final class Discard extends ChannelInboundHandlerAdapter {
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
             ReferenceCountUtil.release(message);
@@ -26,44 +27,48 @@
     }
 
     private final Ticker ticker;
-    private final double overall, bound;
-    private final int most;
+    private final double overallTimeout;
+    private final double clientTimeout;
+    private final int maxConnections;
     private int connections;
 
     /**
-     * {@code overall}: how long it may take in all, with a client that is slow to read what it is owed; {@code bound}: how
-     * long a client may take to close after the last byte has left. In milliseconds.
+     * Closes connections within these bounds.
+     *
+     * @param overallTimeout milliseconds that a close may take in all, with a client that is slow to read what it is owed
+     * @param clientTimeout milliseconds that a client may take to close after the last byte has been sent
+     * @param maxConnections connections that may be closing at once
      */
-    public LingeringClose(Ticker ticker, double overall, double bound, int most) {
+    public LingeringClose(Ticker ticker, double overallTimeout, double clientTimeout, int maxConnections) {
         this.ticker = ticker;
-        this.overall = overall;
-        this.bound = bound;
-        this.most = most;
+        this.overallTimeout = overallTimeout;
+        this.clientTimeout = clientTimeout;
+        this.maxConnections = maxConnections;
     }
 
-    /** How many connections are being closed. */
+    /** How many connections are closing. */
     public int connections() {
         return connections;
     }
 
-    /** Ends the sending behind what has been written so far, then closes. */
+    /** Shuts the output down behind what has been written so far, then closes. */
     public void begin(Channel channel) {
-        if (!(channel instanceof SocketChannel socket) || !channel.isActive() || connections >= most) {
+        if (!(channel instanceof SocketChannel socket) || !channel.isActive() || connections >= maxConnections) {
             channel.close();
             return;
         }
         connections++;
         channel.pipeline().addFirst(new Discard());
         channel.config().setAutoRead(true);
-        Ticker.Timeout end = ticker.after(overall, channel::close);
+        Ticker.Timeout overall = ticker.after(overallTimeout, channel::close);
         channel.closeFuture().addListener(closed -> {
             connections--;
-            end.cancel();
+            overall.cancel();
         });
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(sent -> {
             if (channel.isActive()) {
                 socket.shutdownOutput();
-                ticker.after(bound, channel::close);
+                ticker.after(clientTimeout, channel::close);
             }
         });
     }
--- a/src/main/java/kelphollow/transport/PooledConnection.java
+++ b/src/main/java/kelphollow/transport/PooledConnection.java
@@ -7,76 +7,125 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One dialled connection to a node. It carries one exchange at a time, so that none waits behind another. Its codec
- * is there only while an exchange goes on: what a node sends behind an answer, or unasked, then comes here as it is
- * and closes the connection. Guards against taking such bytes for the answer to the next request.
+ * One connection to a node, from a {@link ConnectionPools}. It carries one exchange at a time, so that none waits behind
+ * another. Its codec is in the pipeline only while an exchange goes on: what a node sends behind a response, or unasked,
+ * then arrives here undecoded and closes the connection. Guards against taking such bytes for the response to the next
+ * request. Confined to the event loop.
  */
 public final class PooledConnection extends ChannelInboundHandlerAdapter {
-    /** Who uses the connection just now. After {@link #broken} or {@link PooledConnection#release} it hears nothing more. */
+    /**
+     * Who uses the connection now. After {@link #connectionFailed} or {@link PooledConnection#release} it gets no
+     * more calls.
+     */
     public interface User {
-        /** The connection is up; write now or {@link PooledConnection#release} it. */
-        void up(PooledConnection link);
+        /** The connection is established: write now, or {@link PooledConnection#release} it. */
+        void connected(PooledConnection connection);
 
-        /** A decoded message; the user releases it. */
-        void received(PooledConnection link, Object message);
+        /** A decoded message, which the user releases. */
+        void received(PooledConnection connection, Object message);
 
-        /** All that was written so far is in the kernel's hands, or the socket is full: see {@link Channel#isWritable}. */
-        default void writable(PooledConnection link) {}
+        /** The channel has become writable again: see {@link Channel#isWritable}. */
+        default void writable(PooledConnection connection) {}
 
         /** Bytes have come that make no message yet. */
-        default void partly(PooledConnection link) {}
-
-        /** The connection was not made, has ended, or brought what its codec cannot read. */
-        void broken(PooledConnection link, Throwable cause);
-    }
-
-    private final Pools pools;
-    final Pools.HostPool hostPool;
-    double idleSince;
+        default void partialMessage(PooledConnection connection) {}
+
+        /**
+         * The connection was not established, has ended, or brought what its codec cannot read.
+         *
+         * @param cause null if the node closed it
+         */
+        void connectionFailed(PooledConnection connection, Throwable cause);
+    }
+
+    /** Of the connection, in their only order. */
+    private enum State {
+        /** No exchange has begun on it. */
+        CONNECTING,
+        /** An exchange has begun on it; it is in use, or idle. */
+        ESTABLISHED,
+        /** It was not established, or has ended. */
+        CLOSED
+    }
+
+    /** Of what one read from the socket has brought so far. */
+    private enum ReadState {
+        /** No message, or no read is under way. */
+        NO_MESSAGE,
+        /** At least one message. */
+        MESSAGE_READ,
+        /** The connection was released within the read: it is idle once the read is complete. */
+        RELEASED
+    }
+
+    private final ConnectionPools pools;
+    private final ConnectionPools.HostPool hostPool;
+    private State state = State.CONNECTING;
+    private ReadState readState = ReadState.NO_MESSAGE;
     private User user;
     private Channel channel;
-    private boolean closed, reading, releasing, begun;
+    private double idleSince;
 
-    PooledConnection(Pools pools, Pools.HostPool hostPool, User user) {
+    PooledConnection(ConnectionPools pools, ConnectionPools.HostPool hostPool, User user) {
         this.pools = pools;
         this.hostPool = hostPool;
         this.user = user;
     }
 
-    void use(User next) {
-        user = next;
-        begin();
+    ConnectionPools.HostPool hostPool() {
+        return hostPool;
     }
 
-    private void begin() {
-        begun = true;
-        channel.pipeline().addFirst(pools.codec());
-        user.up(this);
+    /** Clock time since which nothing has used the connection. */
+    double idleSince() {
+        return idleSince;
     }
 
+    /** The channel, for writing; null until the connection is being established. */
     public Channel channel() {
         return channel;
     }
 
-    public boolean isUsedBy(User who) {
-        return user == who;
+    /** Whether this user has the connection now. */
+    public boolean isUsedBy(User other) {
+        return user == other;
     }
 
-    /** Gives the connection back; it is kept for the next exchange if it stands and nothing came behind the answer. */
+    /** Gives an idle connection to its next user, who is notified at once. */
+    void use(User next) {
+        user = next;
+        beginExchange();
+    }
+
+    private void beginExchange() {
+        state = State.ESTABLISHED;
+        channel.pipeline().addFirst(pools.newCodec());
+        user.connected(this);
+    }
+
+    /** Gives the connection back; it is kept for the next exchange if it is open and nothing came behind the response. */
     public void release() {
         user = null;
-        // The decoder hands on what it has not read yet when it is taken away: see channelRead.
-        for (ChannelHandler first; !closed && (first = channel.pipeline().first()) != this;) {
-            channel.pipeline().remove(first);
+        removeCodec();
+        if (readState != ReadState.NO_MESSAGE) {
+            readState = ReadState.RELEASED;
+        } else if (state != State.CLOSED) {
+            pools.addIdle(this);
         }
-        if (reading) {
-            releasing = true;
-        } else if (!closed) {
-            pools.keep(this);
+    }
+
+    /** A decoder that is removed passes on the bytes that it has not decoded: see {@link #channelRead}. */
+    private void removeCodec() {
+        while (state != State.CLOSED) {
+            ChannelHandler first = channel.pipeline().first();
+            if (first == this) {
+                return;
+            }
+            channel.pipeline().remove(first);
         }
     }
 
-    /** Closes the connection, the sign to a node that its answer is no longer waited for. */
+    /** Closes the connection, which tells a node that its response is no longer waited for. */
     public void close() {
         user = null;
         if (channel != null) {
@@ -89,43 +138,45 @@
     }
 
     /**
-     * The exchange begins once all that came with the connection's coming up has been read. Guards against a first byte
-     * for a client whose end, or to a node whose drain, was there to be read before it.
+     * The exchange begins once all has been read that came while the connection was established. Guards against a
+     * first byte for a client whose end, or to a node whose drain, was there to be read before.
      */
     @Override public void channelActive(ChannelHandlerContext ctx) {
         if (user == null) {
-            ctx.close();       // given up while it was dialled
+            ctx.close();       // closed by its user while it was being established
             return;
         }
         idleSince = pools.now();
         ctx.channel().eventLoop().execute(() -> {
             if (user != null) {
-                begin();
+                beginExchange();
             }
         });
     }
 
+    /** Passes the message on to the user, who releases it; releases it here if there is none. */
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
-        reading = true;
-        if (user == null || !begun) {
+        if (readState == ReadState.NO_MESSAGE) {
+            readState = ReadState.MESSAGE_READ;
+        }
+        if (user == null || state == State.CONNECTING) {
             ReferenceCountUtil.release(message);
-            ctx.close();       // a node speaks only when asked
+            ctx.close();       // a node responds to requests only
         } else {
             user.received(this, message);
         }
     }
 
     @Override public void channelReadComplete(ChannelHandlerContext ctx) {
-        boolean whole = reading;
-        reading = false;
-        if (releasing) {
-            releasing = false;
-            if (!closed && channel.isActive()) {
+        ReadState completed = readState;
+        readState = ReadState.NO_MESSAGE;
+        if (completed == ReadState.RELEASED) {
+            if (state != State.CLOSED && channel.isActive()) {
                 idleSince = pools.now();
-                pools.keep(this);
+                pools.addIdle(this);
             }
-        } else if (user != null && !whole) {
-            user.partly(this);
+        } else if (user != null && completed == ReadState.NO_MESSAGE) {
+            user.partialMessage(this);
         }
     }
 
@@ -144,15 +195,16 @@
         ctx.close();
     }
 
+    /** The connection was not established, or has ended: its user and the pool are notified, each once. */
     void ended(Throwable cause) {
         User last = user;
         user = null;
-        if (!closed) {
-            closed = true;
-            pools.forget(this);
+        if (state != State.CLOSED) {
+            state = State.CLOSED;
+            pools.remove(this);
         }
         if (last != null) {
-            last.broken(this, cause);
+            last.connectionFailed(this, cause);
         }
     }
 }
--- a/src/main/java/kelphollow/transport/Server.java
+++ b/src/main/java/kelphollow/transport/Server.java
@@ -11,23 +11,27 @@
 import io.netty.channel.RecvByteBufAllocator;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import java.net.InetSocketAddress;
+import java.nio.channels.ServerSocketChannel;
 
-/** A listening socket; each connection that comes gets its handlers from a front. */
+/** A listening socket; each connection that it accepts gets its handlers from a {@link Front}. */
 public final class Server {
-    // One arena for the one event loop, in chunks of 256 KiB: Netty's own sizes do not fit a small machine.
+    /** One arena for the one event loop, in chunks of 256 KiB: Netty's own sizes do not fit a small machine. */
     static final ByteBufAllocator ALLOCATOR = new PooledByteBufAllocator(true, 0, 1, 8192, 5, 0, 0, false);
-    // A read goes on until nothing is left, so that a client's end right behind its request is seen with it.
-    private static final RecvByteBufAllocator UNTIL_NOTHING =
+    /** A read goes on until nothing is left, so that a client's end right behind its request is seen with it. */
+    private static final RecvByteBufAllocator READ_ALL =
         new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false).maxMessagesPerRead(16);
+    /** Connections that the kernel holds before they are accepted. */
     private static final int BACKLOG = 512;
-    private final int mostConnections;
+
+    private final int maxConnections;
     private Channel listener;
 
-    public Server(int mostConnections) {
-        this.mostConnections = mostConnections;
+    /** {@code maxConnections}: served at once; beyond them an idle one is evicted, or the new one is closed. */
+    public Server(int maxConnections) {
+        this.maxConnections = maxConnections;
     }
 
-    /** Opens the socket; blocks until it listens. Called from outside the event loop. */
+    /** Opens the socket; blocks until it listens. Called from outside the event loop. Returns the bound address. */
     public InetSocketAddress listen(EventLoop loop, InetSocketAddress address, Front front) {
         listener = bootstrap(loop, front).channel(NioServerSocketChannel.class)
             .bind(address).syncUninterruptibly().channel();
@@ -35,10 +39,10 @@
     }
 
     /**
-     * Takes connections from a socket that listens already, one that the platform handed down. Closing it later
+     * Accepts connections from a socket that listens already, one that the platform handed down. Closing it later
      * closes only this process's descriptor: the socket stays with whoever else holds it.
      */
-    public InetSocketAddress listen(EventLoop loop, java.nio.channels.ServerSocketChannel inherited, Front front) {
+    public InetSocketAddress listen(EventLoop loop, ServerSocketChannel inherited, Front front) {
         listener = bootstrap(loop, front).channelFactory(() -> new NioServerSocketChannel(inherited))
             .register().syncUninterruptibly().channel();
         return (InetSocketAddress) listener.localAddress();
@@ -50,22 +54,27 @@
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childOption(ChannelOption.ALLOCATOR, ALLOCATOR)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, UNTIL_NOTHING)
+            .childOption(ChannelOption.RECVBUF_ALLOCATOR, READ_ALL)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override protected void initChannel(Channel channel) {
-                    if (front.connections() >= mostConnections) {
-                        front.evictIdle();
-                    }
-                    if (front.connections() >= mostConnections) {
-                        channel.close();   // descriptors are few; nothing was taken on it yet
-                        return;
-                    }
-                    front.accept(channel);
+                    admit(channel, front);
                 }
             });
     }
 
-    /** Takes no new connections; those that stand go on. */
+    /** Descriptors are few: a connection beyond them is closed, as nothing has been taken from it yet. */
+    private void admit(Channel channel, Front front) {
+        if (front.connections() >= maxConnections) {
+            front.evictIdle();
+        }
+        if (front.connections() >= maxConnections) {
+            channel.close();
+            return;
+        }
+        front.accept(channel);
+    }
+
+    /** Accepts no new connections; those that are open go on. */
     public void stop() {
         if (listener != null) {
             listener.close();
--- a/src/main/java/kelphollow/transport/WheelTicker.java
+++ b/src/main/java/kelphollow/transport/WheelTicker.java
@@ -6,27 +6,32 @@
 import java.util.concurrent.TimeUnit;
 import kelphollow.routing.Ticker;
 
-/** Netty's wheel with coarse ticks; its tasks run on the event loop, so that nothing else needs a lock. */
+/**
+ * A ticker on Netty's timer wheel with coarse ticks. The wheel has a thread of its own; tasks run on the event loop,
+ * so that nothing else needs a lock. The clock may be read on any thread.
+ */
 public final class WheelTicker implements Ticker, AutoCloseable {
     private static final int SLOTS = 512;
+    /** By how many milliseconds the wall clock is off, for tests: nothing between instances may depend on it. */
+    private static final long CLOCK_OFFSET = Long.getLong("kelphollow.clock.off.ms", 0);
+
     private final HashedWheelTimer wheel;
-    /** A wall clock that is off by so much, for tests: nothing between instances may depend on it. */
-    private static final long OFF = Long.getLong("kelphollow.clock.off.ms", 0);
-    private final double wallAtStart = System.currentTimeMillis() + OFF;
+    private final double wallAtStart = System.currentTimeMillis() + CLOCK_OFFSET;
     private final long nanosAtStart = System.nanoTime();
 
+    /** Starts at once; {@code tickMillis} is the granularity of its timers. */
     public WheelTicker(EventLoop loop, long tickMillis) {
         wheel = new HashedWheelTimer(new DefaultThreadFactory("wheel", true), tickMillis, TimeUnit.MILLISECONDS,
             SLOTS, false, 0, loop);
     }
 
-    /** The wall clock as it stood at the start, carried on by the monotonic one: a step of the former does no harm. */
+    /** The wall clock as it was at the start, carried on by the monotonic one: a step of the former does no harm. */
     @Override public double now() {
         return wallAtStart + (System.nanoTime() - nanosAtStart) / 1e6;
     }
 
     @Override public Timeout after(double millis, Runnable task) {
-        io.netty.util.Timeout timeout = wheel.newTimeout(t -> task.run(),
+        io.netty.util.Timeout timeout = wheel.newTimeout(expired -> task.run(),
             (long) (Math.max(0, millis) * 1e6), TimeUnit.NANOSECONDS);
         return timeout::cancel;
     }
--- a/src/test/java/kelphollow/fleet/SheddingFilterTest.java
+++ b/src/test/java/kelphollow/fleet/SheddingFilterTest.java
@@ -36,7 +36,7 @@
         }, new Random(1));
         for (int i = 0; i < 10; i++) {
             RequestArrived arrival = new RequestArrived("r" + i, "read", plan, "k" + i, 3_000, "v", 1, 7, 2, again);
-            assertTrue(shedding.advice(arrival) < 0, "goes on to the module");
+            assertTrue(shedding.retryAfter(arrival).isEmpty(), "goes on to the module");
             shedding.rejected(arrival);
         }
         Digest digest = new Digest("i0", 1, 10_000, 10);
--- a/src/test/java/kelphollow/maintenance/MaintenanceSetTest.java
+++ b/src/test/java/kelphollow/maintenance/MaintenanceSetTest.java
@@ -10,46 +10,50 @@
 import org.junit.jupiter.api.Test;
 
 class MaintenanceSetTest {
-    @Test void twoCallsOutAndOneBackFreeTheNode() {
-        MaintenanceSet bans = new MaintenanceSet();
-        assertTrue(bans.take("s-1"));
-        assertFalse(bans.take("s-1"));
-        assertTrue(bans.holds("s-1"));
-        assertTrue(bans.release("s-1"));
-        assertFalse(bans.holds("s-1"));
-        assertFalse(bans.release("s-1"));
+    private final MaintenanceSet maintenance = new MaintenanceSet();
+
+    @Test void oneRemovalEndsTheMaintenanceHoweverOftenItWasStarted() {
+        assertTrue(maintenance.add("s-1"));
+        assertFalse(maintenance.add("s-1"));
+        assertTrue(maintenance.contains("s-1"));
+
+        assertTrue(maintenance.remove("s-1"));
+        assertFalse(maintenance.contains("s-1"));
+        assertFalse(maintenance.remove("s-1"));
     }
 
-    @Test void theTextFormSurvivesAndACutOneIsRefused() {
+    @Test void theTextFormIsReadBackAndATruncatedOneIsRejected() {
         Set<String> nodes = Set.of("s-b", "s-a");
-        assertEquals("s-a\ns-b\nend\n", MaintenanceSet.text(nodes));
-        assertEquals(nodes, MaintenanceSet.read(MaintenanceSet.text(nodes)));
-        assertEquals(Set.of(), MaintenanceSet.read(MaintenanceSet.text(Set.of())));
-        assertThrows(IllegalArgumentException.class, () -> MaintenanceSet.read("s-a\ns-b\n"));
-        assertThrows(IllegalArgumentException.class, () -> MaintenanceSet.read("s a\nend\n"));
-        String whole = MaintenanceSet.text(nodes);
-        for (int cut = 0; cut < whole.length(); cut++) {
-            String part = whole.substring(0, cut);
-            assertThrows(IllegalArgumentException.class, () -> MaintenanceSet.read(part), part);
+        String text = MaintenanceSet.format(nodes);
+
+        assertEquals("s-a\ns-b\nend\n", text);
+        assertEquals(nodes, MaintenanceSet.parse(text));
+        assertEquals(Set.of(), MaintenanceSet.parse(MaintenanceSet.format(Set.of())));
+        assertThrows(IllegalArgumentException.class, () -> MaintenanceSet.parse("s-a\ns-b\n"));
+        assertThrows(IllegalArgumentException.class, () -> MaintenanceSet.parse("s a\nend\n"));
+        for (int length = 0; length < text.length(); length++) {
+            String truncated = text.substring(0, length);
+            assertThrows(IllegalArgumentException.class, () -> MaintenanceSet.parse(truncated), truncated);
         }
     }
 
-    @Test void followsWhatAnotherProcessWrote() {
-        MaintenanceSet bans = new MaintenanceSet();
-        bans.take("s-1");
-        bans.take("s-2");
-        MaintenanceSet.Change change = bans.towards(Set.of("s-2", "s-3"));
-        assertEquals(List.of("s-3"), change.take());
-        assertEquals(List.of("s-1"), change.release());
-        assertTrue(bans.towards(Set.of("s-1", "s-2")).none());
+    @Test void theChangeToAnotherSetNamesWhatIsMissingAndWhatIsTooMany() {
+        maintenance.add("s-1");
+        maintenance.add("s-2");
+
+        MaintenanceSet.Change change = maintenance.changeTo(Set.of("s-2", "s-3"));
+
+        assertEquals(List.of("s-3"), change.added());
+        assertEquals(List.of("s-1"), change.removed());
+        assertTrue(maintenance.changeTo(Set.of("s-1", "s-2")).isEmpty());
     }
 
     @Test void idsAreShortPrintableWords() {
-        assertTrue(MaintenanceSet.validId("s-5be2a07c"));
-        assertFalse(MaintenanceSet.validId(""));
-        assertFalse(MaintenanceSet.validId("end"));
-        assertFalse(MaintenanceSet.validId("a b"));
-        assertFalse(MaintenanceSet.validId("x".repeat(MaintenanceSet.LONGEST_ID + 1)));
-        assertFalse(MaintenanceSet.validId("\u00e9"));
+        assertTrue(MaintenanceSet.isValidId("s-5be2a07c"));
+        assertFalse(MaintenanceSet.isValidId(""));
+        assertFalse(MaintenanceSet.isValidId("end"));
+        assertFalse(MaintenanceSet.isValidId("a b"));
+        assertFalse(MaintenanceSet.isValidId("x".repeat(MaintenanceSet.MAX_ID_LENGTH + 1)));
+        assertFalse(MaintenanceSet.isValidId("\u00e9"));
     }
 }
--- a/src/test/java/kelphollow/program/PoolsTest.java
+++ b/src/test/java/kelphollow/program/ConnectionPoolsTest.java
@@ -14,67 +14,72 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import kelphollow.transport.ConnectionPools;
 import kelphollow.transport.PooledConnection;
-import kelphollow.transport.Pools;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** When a kept connection may carry the next exchange. */
+/** When an idle connection may carry the next exchange. */
 @Timeout(20)
-class PoolsTest {
+class ConnectionPoolsTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ManualTicker ticker = new ManualTicker(loop);
-    private final Pools pools = new Pools(loop, ticker, new Pools.Limits(250, 12_000, 10), () -> new ChannelHandler[0]);
-    private final BlockingQueue<PooledConnection> up = new LinkedBlockingQueue<>();
+    private final ConnectionPools pools = new ConnectionPools(loop, ticker,
+        new ConnectionPools.Limits(250, 12_000, 10), () -> new ChannelHandler[0]);
+    private final BlockingQueue<PooledConnection> connected = new LinkedBlockingQueue<>();
     private final PooledConnection.User user = new PooledConnection.User() {
-        @Override public void up(PooledConnection link) {
-            up.add(link);
+        @Override public void connected(PooledConnection connection) {
+            connected.add(connection);
         }
 
-        @Override public void received(PooledConnection link, Object message) {
-            fail("nothing is to be taken for an answer");
+        @Override public void received(PooledConnection connection, Object message) {
+            fail("nothing is to be taken for a response");
         }
 
-        @Override public void broken(PooledConnection link, Throwable cause) {}
+        @Override public void connectionFailed(PooledConnection connection, Throwable cause) {}
     };
 
     @AfterEach void end() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private PooledConnection lease(ScriptedPeer node) throws Exception {
-        loop.submit(() -> pools.lease("n", node.address(), user)).sync();
-        return up.poll(10, TimeUnit.SECONDS);
+    private PooledConnection acquire(ScriptedPeer node) throws Exception {
+        loop.submit(() -> pools.acquire("n", node.address(), user)).sync();
+        return connected.poll(10, TimeUnit.SECONDS);
     }
 
     @Test void aConnectionThatStayedQuietCarriesTheNextExchange() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer()) {
-            PooledConnection first = lease(node);
+            PooledConnection first = acquire(node);
             loop.submit(first::release).sync();
+
             for (int i = 0; i < 5; i++) {
                 ticker.advance(10);
                 ServerHarness.turn(loop);
             }
-            assertSame(first, lease(node));
+
+            assertSame(first, acquire(node));
             assertEquals(1, pools.dialled());
         }
     }
 
-    @Test void whatCameWhileTheLoopStoodStillIsReadBeforeItsConnectionIsUsedAgain() throws Exception {
+    @Test void whatCameWhileTheLoopWasStalledIsReadBeforeItsConnectionIsUsedAgain() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer()) {
-            PooledConnection first = lease(node);
+            PooledConnection first = acquire(node);
             ScriptedPeer.Line line = node.accept();
             loop.submit(first::release).sync();
+
             loop.submit(() -> {
                 line.send("noise");            // is there, and is not read while this task runs
                 ticker.advance(100);
-                return pools.lease("n", node.address(), user);
+                return pools.acquire("n", node.address(), user);
             }).sync();
-            assertNotSame(first, up.poll(10, TimeUnit.SECONDS));
+
+            assertNotSame(first, connected.poll(10, TimeUnit.SECONDS));
             assertEquals(2, pools.dialled());
-            assertTrue(line.hasEnded(), "a node speaks only when asked");
+            assertTrue(line.hasEnded(), "a node responds to requests only");
         }
     }
 }
--- a/src/test/java/kelphollow/program/HttpCallTest.java
+++ b/src/test/java/kelphollow/program/HttpCallTest.java
@@ -20,21 +20,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Each answer belongs to the call whose connection brings it, however calls, time-outs and answers cross. */
+/** Each response belongs to the call whose connection brings it, however calls, timeouts and responses cross. */
 @Timeout(20)
 class HttpCallTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ManualTicker ticker = new ManualTicker(loop);
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
     /** One for all calls, as a watch of discovery is. */
-    private final HttpCall.Reply reply = new HttpCall.Reply() {
-        @Override public void answered(int status, String body) {
-            told.add(body);
+    private final HttpCall.ResponseHandler handler = new HttpCall.ResponseHandler() {
+        @Override public void responseReceived(int status, String body) {
+            outcomes.add(body);
         }
 
-        @Override public void failed(HttpCall.Failure failure, String why) {
-            told.add("failed: " + why);
+        @Override public void callFailed(HttpCall.Failure failure, String reason) {
+            outcomes.add("failed: " + reason);
         }
     };
 
@@ -42,119 +42,129 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private void ask(HttpCall calls, String path) {
+    private void send(HttpCall calls, String path) {
         calls.send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER), 1_000,
-            reply);
+            handler);
     }
 
-    private static String answer(String body) {
+    private static String response(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static String asked(ScriptedPeer.Line line) throws Exception {
+    private static String requestedPath(ScriptedPeer.Line line) throws Exception {
         return line.until("\r\n\r\n").split(" ")[1];
     }
 
-    private String told() throws InterruptedException {
-        return told.poll(10, TimeUnit.SECONDS);
+    private String outcome() throws InterruptedException {
+        return outcomes.poll(10, TimeUnit.SECONDS);
     }
 
-    @Test void aDialThatComesUpAfterItsCallWasGivenUpSendsNothing() throws Exception {
+    @Test void aConnectionEstablishedAfterItsCallHasFailedSendsNothing() throws Exception {
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
-            // The loop begins the dial, and sees it come up only when the second call is under way.
+            // The loop begins to connect, and sees the connection established only when the second call is under way.
             loop.execute(() -> {
-                ask(calls, "/first");
+                send(calls, "/first");
                 loop.execute(() -> {
                     ticker.advance(1_000);
-                    ask(calls, "/second");
+                    send(calls, "/second");
                 });
             });
-            assertEquals("failed: no answer in time", told());
+
+            assertEquals("failed: no answer in time", outcome());
             assertTrue(peer.accept().hasEnded());
             ScriptedPeer.Line second = peer.accept();
-            assertEquals("/second", asked(second));
-            second.send(answer("b"));
-            assertEquals("b", told());
+            assertEquals("/second", requestedPath(second));
+            second.send(response("b"));
+            assertEquals("b", outcome());
         }
     }
 
-    @Test void aSecondAnswerThatComesLateIsNotTheNextCallsAnswer() throws Exception {
+    @Test void aSecondResponseThatComesLateIsNotTheNextCallsResponse() throws Exception {
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
-            loop.execute(() -> ask(calls, "/first"));
+            loop.execute(() -> send(calls, "/first"));
             ScriptedPeer.Line first = peer.accept();
-            assertEquals("/first", asked(first));
-            first.send(answer("a"));
-            assertEquals("a", told());
-            loop.submit(() -> ask(calls, "/second")).sync();
+            assertEquals("/first", requestedPath(first));
+            first.send(response("a"));
+            assertEquals("a", outcome());
+
+            loop.submit(() -> send(calls, "/second")).sync();
             ScriptedPeer.Line second = peer.accept();
-            assertEquals("/second", asked(second));
-            first.send(answer("late"));
+            assertEquals("/second", requestedPath(second));
+            first.send(response("late"));
+
             assertTrue(first.hasEnded(), "nothing is taken from it any more");
-            second.send(answer("b"));
-            assertEquals("b", told());
-            assertNull(told.poll());
+            second.send(response("b"));
+            assertEquals("b", outcome());
+            assertNull(outcomes.poll());
         }
     }
 
     @Test void aConnectionThatStayedQuietCarriesTheNextCall() throws Exception {
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
-            loop.execute(() -> ask(calls, "/first"));
+            loop.execute(() -> send(calls, "/first"));
             ScriptedPeer.Line only = peer.accept();
-            asked(only);
-            only.send(answer("a"));
-            assertEquals("a", told());
+            requestedPath(only);
+            only.send(response("a"));
+            assertEquals("a", outcome());
+
             ticker.advance(50);
-            loop.execute(() -> ask(calls, "/second"));
-            assertEquals("/second", asked(only));
-            only.send(answer("b"));
-            assertEquals("b", told());
+            loop.execute(() -> send(calls, "/second"));
+
+            assertEquals("/second", requestedPath(only));
+            only.send(response("b"));
+            assertEquals("b", outcome());
         }
     }
 
-    @Test void anAnswerWithoutALengthEndsByACloseAndNotByAReset() throws Exception {
+    @Test void aResponseWithoutALengthEndsByACloseAndNotByAReset() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
             try (ScriptedPeer peer = new ScriptedPeer()) {
                 HttpCall calls = new HttpCall(loop, ticker, peer.address());
-                loop.execute(() -> ask(calls, "/list"));
+                loop.execute(() -> send(calls, "/list"));
                 ScriptedPeer.Line line = peer.accept();
-                asked(line);
+                requestedPath(line);
                 line.send("HTTP/1.1 200 OK\r\n\r\nhalf");
+
                 if (reset) {
                     line.reset();
-                    assertEquals("failed: connection reset", told());
+                    assertEquals("failed: connection reset", outcome());
                 } else {
                     line.shutdown();
-                    assertEquals("half", told());
+                    assertEquals("half", outcome());
                 }
             }
         }
     }
 
-    @Test void aCallThatIsStoppedWhileItDialsSendsAndTellsNothing() throws Exception {
+    @Test void aCallThatIsClosedWhileItConnectsSendsAndReportsNothing() throws Exception {
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
+
             loop.execute(() -> {
-                ask(calls, "/list");
-                loop.execute(calls::close);        // the dial has begun and has not been seen to come up
+                send(calls, "/list");
+                loop.execute(calls::close);        // the connection is being established
             });
+
             assertTrue(peer.accept().hasEnded());
             ticker.advance(2_000);
-            assertNull(told.poll());
+            assertNull(outcomes.poll());
         }
     }
 
-    @Test void anAnswerThatNeverEndsIsGivenUpInTime() throws Exception {
+    @Test void aResponseThatNeverEndsTimesOut() throws Exception {
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
-            loop.execute(() -> ask(calls, "/list"));
+            loop.execute(() -> send(calls, "/list"));
             ScriptedPeer.Line line = peer.accept();
-            asked(line);
+            requestedPath(line);
+
             line.send("HTTP/1.1 200 OK\r\n\r\nand so on");
             ticker.advance(1_000);
-            assertEquals("failed: no answer in time", told());
+
+            assertEquals("failed: no answer in time", outcome());
             assertTrue(line.hasEnded());
         }
     }
--- a/src/test/java/kelphollow/program/LingeringCloseTest.java
+++ b/src/test/java/kelphollow/program/LingeringCloseTest.java
@@ -21,34 +21,38 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How a connection ends whose client closes, does not close, or does not read. */
+/** How a connection closes whose client closes it, does not close it, or does not read. */
 @Timeout(20)
 class LingeringCloseTest {
+    private static final int FEW_BYTES = 5;
+    /** More than the socket's buffers hold. */
+    private static final int MANY_BYTES = 32 * 1024 * 1024;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ManualTicker ticker = new ManualTicker(loop);
     private final LingeringClose lingering = new LingeringClose(ticker, 400, 250, 1);
     private final BlockingQueue<Channel> accepted = new LinkedBlockingQueue<>();
-    private final InetSocketAddress address = new Server(10).listen(loop, new InetSocketAddress("127.0.0.1", 0),
-        new Front() {
-            @Override public void accept(Channel channel) {
-                accepted.add(channel);
-            }
+    private final Front front = new Front() {
+        @Override public void accept(Channel channel) {
+            accepted.add(channel);
+        }
 
-            @Override public int connections() {
-                return 0;
-            }
+        @Override public int connections() {
+            return 0;
+        }
 
-            @Override public void evictIdle() {}
+        @Override public void evictIdle() {}
 
-            @Override public void leave(Runnable whenLeft) {}
-        });
+        @Override public void shutDown(Runnable whenClosed) {}
+    };
+    private final InetSocketAddress address =
+        new Server(10).listen(loop, new InetSocketAddress("127.0.0.1", 0), front);
 
     @AfterEach void end() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private Channel taken() throws InterruptedException {
+    private Channel accepted() throws InterruptedException {
         return accepted.poll(10, TimeUnit.SECONDS);
     }
 
@@ -62,28 +66,32 @@
     @Test void itClosesWithItsClient() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer()) {
             ScriptedPeer.Line client = clients.connect(address);
-            Channel channel = taken();
-            begin(channel, 5);
-            assertEquals(5, client.receive(5).length());
+            Channel channel = accepted();
+
+            begin(channel, FEW_BYTES);
+            assertEquals(FEW_BYTES, client.receive(FEW_BYTES).length());
             assertTrue(client.hasEnded());
             client.socket.close();
+
             channel.closeFuture().sync();
             ServerHarness.turn(loop);
             assertEquals(0, lingering.connections());
         }
     }
 
-    @Test void aClientThatStaysIsClosedAfterTheBoundAndOneThatDoesNotReadAfterTheWhole() throws Exception {
-        for (int owed : new int[] {5, 32 * 1024 * 1024}) {
+    @Test void aClientThatStaysIsClosedAfterItsTimeoutAndOneThatDoesNotReadAfterTheOverallOne() throws Exception {
+        for (int owed : new int[] {FEW_BYTES, MANY_BYTES}) {
             try (ScriptedPeer clients = new ScriptedPeer()) {
                 clients.connect(address);
-                Channel channel = taken();
+                Channel channel = accepted();
                 begin(channel, owed);
+
                 ticker.advance(249);
                 assertTrue(channel.isOpen());
-                ticker.advance(owed == 5 ? 1 : 150);
-                assertEquals(owed != 5, channel.isOpen());
+                ticker.advance(owed == FEW_BYTES ? 1 : 150);
+                assertEquals(owed != FEW_BYTES, channel.isOpen());
                 ticker.advance(1);
+
                 assertFalse(channel.isOpen(), owed + " bytes owed");
                 ServerHarness.turn(loop);
                 assertEquals(0, lingering.connections());
@@ -94,10 +102,12 @@
     @Test void beyondItsDescriptorsAConnectionClosesAtOnce() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer()) {
             clients.connect(address);
-            begin(taken(), 5);
+            begin(accepted(), FEW_BYTES);
             clients.connect(address);
-            Channel second = taken();
-            begin(second, 5);
+            Channel second = accepted();
+
+            begin(second, FEW_BYTES);
+
             assertFalse(second.isOpen());
             assertEquals(1, lingering.connections());
         }
--- a/src/test/java/kelphollow/program/ReloadTest.java
+++ b/src/test/java/kelphollow/program/ReloadTest.java
@@ -75,7 +75,7 @@
                 assertTrue(next.asked.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=8&wait="));
                 assertTrue(old.asked.isEmpty());
                 bench.reload(next.address());
-                bench.ticker.advance((int) (EndpointUpdateBudget.WAIT / 2));
+                bench.ticker.advance((int) (EndpointUpdateBudget.LONG_POLL_WAIT / 2));
                 assertTrue(next.asked.isEmpty(), "the watch goes on if its address is the same");
             }
         }
--- a/src/test/java/kelphollow/program/RequestBreakTest.java
+++ b/src/test/java/kelphollow/program/RequestBreakTest.java
@@ -35,7 +35,7 @@
 import kelphollow.routing.RequestRouter;
 import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.transport.Front;
-import kelphollow.transport.Pools;
+import kelphollow.transport.ConnectionPools;
 import kelphollow.transport.Server;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -100,8 +100,8 @@
         return all.toArray(ChannelHandler[]::new);
     }
 
-    private Pools pools(java.util.function.Supplier<ChannelHandler[]> usual) {
-        return new Pools(loop, ticker, new Pools.Limits(250, 12_000, 1_000), () -> codec(usual.get()));
+    private ConnectionPools pools(java.util.function.Supplier<ChannelHandler[]> usual) {
+        return new ConnectionPools(loop, ticker, new ConnectionPools.Limits(250, 12_000, 1_000), () -> codec(usual.get()));
     }
 
     private RequestRouter router(ControlSettings settings, int shards, kelphollow.routing.Backend backend) {
@@ -110,7 +110,7 @@
         for (int i = 0; i < shards; i++) {             // each shard has a node of its own, all of them the one peer
             members.add(new ResolvedEndpoint(new Endpoint("n" + i, "", i, EndpointState.HEALTHY, 0), node.address()));
         }
-        router.learn(members, true, false);
+        router.updateEndpoints(members, true);
         router.start(() -> {}, false);
         return router;
     }
--- a/src/test/java/kelphollow/program/ServerHarness.java
+++ b/src/test/java/kelphollow/program/ServerHarness.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CountDownLatch;
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
-import kelphollow.protocol.discovery.DiscoveryListParser;
+import kelphollow.protocol.discovery.DiscoveryList;
 import kelphollow.protocol.json.Json;
 import kelphollow.routing.RequestRouter;
 import kelphollow.routing.ResolvedEndpoint;
@@ -72,7 +72,7 @@
             "window", 4000.0, "worth", 2.0, "late_share", 0.1));
         settings.put("request_classes", classes);
         bench.config = new Config("test", null, discovery == null ? new InetSocketAddress("127.0.0.1", 1) : discovery, 1,
-            SOCKETS, 250, 12_000, new DiscoveryListParser(1, true, members), Config.settings(settings),
+            SOCKETS, 250, 12_000, new DiscoveryList(1, true, members), Config.settings(settings),
             Config.Operations.NONE);
         bench.start(Scheduler.of(bench.config, bench.loop, bench.ticker));
         return bench;
@@ -91,7 +91,7 @@
 
     /** A whole list, as if discovery told it; on the loop. */
     void learn(List<ResolvedEndpoint> whole) {
-        router.learn(whole, true, false);
+        router.updateEndpoints(whole, true);
     }
 
     /** The task runs when all that the loop's next turn reads has been dealt with, before it reads again; on the loop. */
--- /dev/null
+++ b/src/test/java/kelphollow/program/StalledWatchTest.java
@@ -0,0 +1,57 @@
+package kelphollow.program;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import kelphollow.routing.EndpointUpdateBudget;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** A watch that was answered for 13 s and then stalls is broken as soon as one that was silent from the start. */
+@Timeout(20)
+class StalledWatchTest {
+    private static final int ANSWERED_FOR = 13_000;
+    private static final int STEP = 20;
+    private static final List<String> MODES = List.of("automatic", "subscribe");
+
+    private static void respond(ScriptedPeer.Line poll, int version) throws Exception {
+        String list = StandInDiscovery.list(version, false);
+        poll.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
+    }
+
+    @Test void itIsBegunAnewInTimeThoughNothingEndsItsConnection() throws Exception {
+        for (String mode : MODES) {
+            try (ScriptedPeer discovery = new ScriptedPeer();
+                 ServerHarness server = ServerHarness.respWith(mode, discovery.address())) {
+                int version = 1;
+                for (int passed = 0; passed < ANSWERED_FOR; passed += 500) {
+                    ScriptedPeer.Line poll = discovery.accept();
+                    assertTrue(poll.until("\r\n\r\n").contains("?index=" + version + "&wait="), mode);
+                    server.ticker.advance(500);
+                    version++;
+                    respond(poll, version);
+                }
+                ScriptedPeer.Line stalled = discovery.accept();
+                stalled.until("\r\n\r\n");
+
+                ScriptedPeer.Line again = nextConnection(discovery, server, mode);
+
+                assertTrue(again.until("\r\n\r\n").contains("?index=" + version + "&wait="), mode);
+                assertTrue(stalled.hasEnded(), mode);
+            }
+        }
+    }
+
+    /** Moves the clock on until the program connects again, which it must within the budget. */
+    private static ScriptedPeer.Line nextConnection(ScriptedPeer discovery, ServerHarness server, String mode)
+        throws Exception {
+        double longest = EndpointUpdateBudget.longestDelay(mode.equals("automatic")) - EndpointUpdateBudget.QUEUE_WAIT;
+        ScriptedPeer.Line next = null;
+        for (int passed = 0; next == null; passed += STEP) {
+            assertTrue(passed < longest, mode + ": " + passed + " ms of silence");
+            server.ticker.advance(STEP);
+            next = discovery.acceptIfAny();
+        }
+        return next;
+    }
+}
--- a/src/test/java/kelphollow/program/XdsTest.java
+++ b/src/test/java/kelphollow/program/XdsTest.java
@@ -4,7 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.List;
@@ -12,10 +14,12 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
 import kelphollow.program.StandInServer.Stored;
 import kelphollow.protocol.json.Json;
 import kelphollow.protocol.xds.XdsClusters;
+import kelphollow.routing.ResolvedEndpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -24,6 +28,7 @@
 class XdsTest {
     private static final InetSocketAddress ONE = new InetSocketAddress("127.0.0.1", 9101);
     private static final InetSocketAddress TWO = new InetSocketAddress("127.0.0.1", 9102);
+    private static final String SERVICE = "dump-store-endpoints";
 
     private static List<?> resources(String text) throws Exception {
         return List.of(Json.parse(text));
@@ -31,102 +36,127 @@
 
     @Test void endpointsAreReadInBothSpellings() throws Exception {
         String text = ServerHarness.assignment("DRAINING", ONE, TWO);
-        var members = XdsClusters.endpoints(resources(text), "dump-store-endpoints", 2);
-        assertEquals(2, members.size());
-        assertEquals("127.0.0.1:9102", members.get(1).endpoint().node());
-        assertEquals(1, members.get(1).endpoint().cell());
-        assertEquals(EndpointState.DRAINING, members.get(1).endpoint().state());
-        String camel = text.replace("lb_endpoints", "lbEndpoints").replace("socket_address", "socketAddress")
+        String camelCase = text.replace("lb_endpoints", "lbEndpoints").replace("socket_address", "socketAddress")
             .replace("port_value", "portValue").replace("health_status", "healthStatus")
             .replace("filter_metadata", "filterMetadata").replace("cluster_name", "clusterName");
-        assertEquals(members, XdsClusters.endpoints(resources(camel), "dump-store-endpoints", 2));
+
+        List<ResolvedEndpoint> endpoints = XdsClusters.endpoints(resources(text), SERVICE, 2);
+
+        assertEquals(2, endpoints.size());
+        Endpoint second = endpoints.get(1).endpoint();
+        assertEquals("127.0.0.1:9102", second.node());
+        assertEquals(1, second.cell());
+        assertEquals(EndpointState.DRAINING, second.state());
+        assertEquals(endpoints, XdsClusters.endpoints(resources(camelCase), SERVICE, 2));
     }
 
     @Test void aFaultyResourceIsRejectedAndItsPlaceNamed() throws Exception {
         String text = ServerHarness.assignment("HEALTHY", ONE, TWO);
-        for (String[] fault : new String[][] {
+        String[][] faults = {
             {"\"port_value\":9102", "\"port_value\":99999", "lb_endpoints[1].endpoint.address.socket_address.port_value"},
             {"\"shard\":1", "\"shard\":7", "lb_endpoints[1].metadata.filter_metadata.kelphollow.shard"},
-            {"HEALTHY", "FINE", "health_status is 'FINE'"}, {"9102", "9101", "127.0.0.1:9101 is there twice"},
-            {"\"endpoints\":[", "\"endpoints\":[7,", "endpoints[0]"}, {"127.0.0.1", "store.example", "no IP address"}}) {
+            {"HEALTHY", "FINE", "health_status is 'FINE'"},
+            {"9102", "9101", "127.0.0.1:9101 is there twice"},
+            {"\"endpoints\":[", "\"endpoints\":[7,", "endpoints[0]"},
+            {"127.0.0.1", "store.example", "no IP address"}};
+
+        for (String[] fault : faults) {
             assertTrue(text.contains(fault[0]));
-            String bad = text.replace(fault[0], fault[1]);
-            String told = assertThrows(IllegalArgumentException.class,
-                () -> XdsClusters.endpoints(resources(bad), "dump-store-endpoints", 2)).getMessage();
-            assertTrue(told.contains(fault[2]), told);
+            String faulty = text.replace(fault[0], fault[1]);
+            String message = assertThrows(IllegalArgumentException.class,
+                () -> XdsClusters.endpoints(resources(faulty), SERVICE, 2)).getMessage();
+            assertTrue(message.contains(fault[2]), message);
         }
     }
 
-    /** A control plane whose endpoints the test sets; its queue holds how it was asked. */
-    @Test void aDrainingServerGetsNothingNewAndAFaultyAnswerChangesNothing() throws Exception {
-        String[] endpoints = new String[1];
-        int[] version = {1};
-        BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-        HttpServer plane = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
-        plane.createContext("/v3/", exchange -> {
-            String body = new String(exchange.getRequestBody().readAllBytes());
-            boolean clusters = exchange.getRequestURI().getPath().endsWith(":clusters");
-            synchronized (endpoints) {
-                byte[] answer = ("{\"version_info\":\"" + (clusters ? "c" : "e" + version[0]) + "\",\"resources\":["
-                    + (clusters
-                        ? "{\"name\":\"dump-store\",\"eds_cluster_config\":{\"service_name\":\"dump-store-endpoints\"}}"
-                        : endpoints[0])
-                    + "]}").getBytes();
-                exchange.sendResponseHeaders(200, answer.length);
-                exchange.getResponseBody().write(answer);
-            }
-            exchange.close();
-            asked.add(body);
-        });
-        plane.start();
-        try (StandInServer server = new StandInServer()) {
+    @Test void aDrainingServerGetsNothingNewAndAnInvalidResponseChangesNothing() throws Exception {
+        try (StandInServer server = new StandInServer();
+             ControlPlane plane = new ControlPlane(ServerHarness.assignment("HEALTHY", server.address()));
+             ServerHarness gateway = ServerHarness.objects(plane.config(), server.address());
+             StandInClient client = new StandInClient(gateway.address)) {
             server.objects.put("/symbols/a", new Stored("x".getBytes(), "\"e\""));
-            endpoints[0] = ServerHarness.assignment("HEALTHY", server.address());
+            assertTrue(plane.requests.take().contains("\"resource_names\":[\"dump-store\"]"));
+            assertTrue(plane.requests.take().contains(SERVICE));
+            plane.awaitRounds(gateway, 1);
+            assertEquals(200, client.call("GET /symbols/a", "", null).status());
+
+            plane.setEndpoints("{\"cluster_name\":7}");
+            plane.awaitRounds(gateway, 1);
+            assertEquals(200, client.call("GET /symbols/a", "", null).status(), "the last good list stands");
+
+            plane.setEndpoints(ServerHarness.assignment("DRAINING", server.address()));
+            plane.awaitRounds(gateway, 2);
+            int before = server.seen.size();
+            client.send("GET /symbols/a", "", null);
+            ServerHarness.turn(gateway.loop);        // the request has been read
+            ServerHarness.turn(gateway.loop);        // and submitted, since its client's end did not come right behind
+            gateway.ticker.advance(300);
+            assertEquals(503, client.answer().status());
+            assertEquals(before, server.seen.size(), "nothing new went to the draining server");
+        }
+    }
+
+    /** A control plane whose endpoints the test sets. */
+    private static final class ControlPlane implements AutoCloseable {
+        /** The bodies of the requests that it has got. */
+        final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+        private final HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
+        private String endpoints;
+        private int version = 1;
+
+        ControlPlane(String endpoints) throws IOException {
+            this.endpoints = endpoints;
+            server.createContext("/v3/", this::respond);
+            server.start();
+        }
+
+        Map<String, Object> config() throws Exception {
             Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
             objects.put("shards", 1.0);
-            Map<String, Object> xds = Map.of("cluster", "dump-store", "server", "127.0.0.1:" + plane.getAddress().getPort());
-            try (ServerHarness bench = ServerHarness.objects(Map.of("objects", objects, "xds", xds), server.address());
-                 StandInClient client = new StandInClient(bench.address)) {
-                assertTrue(asked.take().contains("\"resource_names\":[\"dump-store\"]"));
-                assertTrue(asked.take().contains("dump-store-endpoints"));
-                rounds(bench, asked, 1);
-                assertEquals(200, client.call("GET /symbols/a", "", null).status());
-
-                synchronized (endpoints) {
-                    endpoints[0] = "{\"cluster_name\":7}";
-                    version[0]++;
-                }
-                rounds(bench, asked, 1);
-                assertEquals(200, client.call("GET /symbols/a", "", null).status(), "the last good list stands");
+            Map<String, Object> xds = Map.of("cluster", "dump-store", "server", "127.0.0.1:" + server.getAddress()
+                .getPort());
+            return Map.of("objects", objects, "xds", xds);
+        }
 
-                synchronized (endpoints) {
-                    endpoints[0] = ServerHarness.assignment("DRAINING", server.address());
-                    version[0]++;
+        /** Sets the endpoints of a new version. */
+        synchronized void setEndpoints(String next) {
+            endpoints = next;
+            version++;
+        }
+
+        private void respond(HttpExchange exchange) throws IOException {
+            String body = new String(exchange.getRequestBody().readAllBytes());
+            byte[] response = response(exchange.getRequestURI().getPath().endsWith(":clusters")).getBytes();
+            exchange.sendResponseHeaders(200, response.length);
+            exchange.getResponseBody().write(response);
+            exchange.close();
+            requests.add(body);
+        }
+
+        private synchronized String response(boolean clusters) {
+            String cluster = "{\"name\":\"dump-store\",\"eds_cluster_config\":{\"service_name\":\"" + SERVICE + "\"}}";
+            return "{\"version_info\":\"" + (clusters ? "c" : "e" + version) + "\",\"resources\":["
+                + (clusters ? cluster : endpoints) + "]}";
+        }
+
+        /**
+         * Moves the clock until the endpoints were requested so many times more, and the response to the last was
+         * read.
+         */
+        void awaitRounds(ServerHarness gateway, int rounds) throws Exception {
+            requests.clear();
+            for (int seen = 0; seen <= rounds;) {
+                String body = requests.poll(5, TimeUnit.MILLISECONDS);
+                if (body == null) {
+                    gateway.ticker.advance(10);
+                } else if (body.contains(SERVICE)) {
+                    seen++;
                 }
-                rounds(bench, asked, 2);
-                int before = server.seen.size();
-                client.send("GET /symbols/a", "", null);
-                ServerHarness.turn(bench.loop);        // the request has been read
-                ServerHarness.turn(bench.loop);        // and taken, since its client's end did not come right behind
-                bench.ticker.advance(300);
-                assertEquals(503, client.answer().status());
-                assertEquals(before, server.seen.size(), "nothing new went to the draining server");
             }
-        } finally {
-            plane.stop(0);
         }
-    }
 
-    /** Moves the clock until the endpoints were asked for so many times more, and the answer to the last was read. */
-    private static void rounds(ServerHarness bench, BlockingQueue<String> asked, int rounds) throws Exception {
-        asked.clear();
-        for (int seen = 0; seen <= rounds;) {
-            String body = asked.poll(5, TimeUnit.MILLISECONDS);
-            if (body == null) {
-                bench.ticker.advance(10);
-            } else if (body.contains("dump-store-endpoints")) {
-                seen++;
-            }
+        @Override public void close() {
+            server.stop(0);
         }
     }
 }
--- a/src/test/java/kelphollow/routing/EndpointWatchTest.java
+++ b/src/test/java/kelphollow/routing/EndpointWatchTest.java
@@ -6,11 +6,13 @@
 import kelphollow.decision.ControlEvent.EndpointPollFailure;
 import org.junit.jupiter.api.Test;
 
-/** Who begins the watch of the node list, and who begins it again. */
+/** Who begins the watch of the endpoint list, and who begins it again. */
 class EndpointWatchTest {
-    private final RouterHarness h = new RouterHarness();
-    private int watches, stops;
-    private final EndpointSource directory = new EndpointSource() {
+    private final RouterHarness harness = new RouterHarness();
+    private final RequestRouter router = harness.router;
+    private int watches;
+    private int stops;
+    private final EndpointSource source = new EndpointSource() {
         @Override public void watch() {
             watches++;
         }
@@ -20,43 +22,51 @@
         }
     };
 
-    @Test void anyListIsWatchedAtTheStartThoughTheModuleDoesNotAsk() {
-        h.router.start(directory, true);
+    @Test void anyListIsWatchedAtTheStartThoughTheModuleDoesNotPoll() {
+        router.start(source, true);
         assertEquals(1, watches, "pushed");
-        h.router.follow(directory, false);
-        assertTrue(watches > 1, "asked");
+
+        router.changeEndpointSource(source, false);
+
+        assertTrue(watches > 1, "polled");
         assertEquals(1, stops, "the one before ends");
     }
 
-    /** What an agent gets at the return of its service counts at once: longer pauses would outlast the grace for drains. */
-    @Test void aPushedWatchIsRenewedAfterTheSameShortPauseHoweverLongItFails() {
-        h.router.start(directory, true);
+    /**
+     * A change that an agent gets at the return of its service counts at once: longer delays would outlast the drain
+     * grace.
+     */
+    @Test void aPushedWatchIsRenewedAfterTheSameShortDelayHoweverLongItFails() {
+        router.start(source, true);
+
         for (int failure = 0; failure < 20; failure++) {
             int before = watches;
-            h.router.endpointPollFailed(EndpointPollFailure.TIMED_OUT, h.now);
-            h.pass(99);
+            router.endpointPollFailed(EndpointPollFailure.TIMED_OUT, harness.now);
+            harness.advance(99);
             assertEquals(before, watches, "failure " + failure);
-            h.pass(1);
+            harness.advance(1);
             assertEquals(before + 1, watches, "failure " + failure);
         }
     }
 
-    @Test void anAskedWatchIsRenewedWhenTheModuleSaysSo() {
-        h.router.start(directory, false);
+    @Test void aPolledWatchIsRenewedWhenTheModuleSaysSo() {
+        router.start(source, false);
         assertEquals(1, watches);
-        h.router.endpointPollFailed(EndpointPollFailure.UNREACHABLE, h.now);
-        assertEquals(1, watches, "all schedulers share the service: the module draws a pause");
-        for (int i = 0; i < 160; i++) {
-            h.pass(10);
-        }
+
+        router.endpointPollFailed(EndpointPollFailure.UNREACHABLE, harness.now);
+        assertEquals(1, watches, "all schedulers share the service: the module draws a backoff");
+        harness.advance(10, 160);
+
         assertEquals(2, watches);
     }
 
     @Test void aWatchThatWasReplacedIsNotRenewed() {
-        h.router.start(directory, true);
-        h.router.endpointPollFailed(EndpointPollFailure.UNREACHABLE, h.now);
-        h.router.follow(() -> {}, true);
-        h.pass(1_000);
+        router.start(source, true);
+        router.endpointPollFailed(EndpointPollFailure.UNREACHABLE, harness.now);
+
+        router.changeEndpointSource(() -> {}, true);
+        harness.advance(1_000);
+
         assertEquals(1, watches);
     }
 }
