--- a/src/test/java/kelphollow/routing/MaintenanceTest.java
+++ b/src/test/java/kelphollow/routing/MaintenanceTest.java
@@ -6,88 +6,100 @@
 
 import java.util.List;
 import java.util.Set;
-import kelphollow.decision.ControlEvent.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Bans laid over the node list: nothing new to a banned node, whatever discovery says, until it is lifted. */
+/**
+ * Maintenance and ejections laid over the endpoint list: nothing new to the node, whatever discovery says, until they
+ * end.
+ */
 class MaintenanceTest {
-    @Test void aNodeCordonedByTheWordOfOthersGetsNothingNewAndComesBackAsItWas() {
-        RouterHarness h = new RouterHarness();
-        h.router.start(() -> {}, false);
-        h.router.learn(List.of(RouterHarness.node("a", EndpointState.HEALTHY)), true, false);
-        h.router.eject(java.util.Set.of("a", "unknown"));
-        assertEquals(List.of("a"), h.retired);
-        h.ask("read", "free", "k1");
-        assertEquals(List.of(), h.sentTo());
-        h.router.learn(List.of(RouterHarness.node("a", EndpointState.HEALTHY)), true, false);
-        h.ask("read", "free", "k2");
-        assertEquals(List.of(), h.sentTo(), "its list does not lift it");
-        h.router.ban("a");
-        h.router.lift("a");
-        h.ask("read", "free", "k4");
-        assertEquals(List.of(), h.sentTo(), "nor does an operator's word about a ban");
-        h.router.eject(java.util.Set.of());
-        h.ask("read", "free", "k3");
-        assertTrue(h.sentTo().contains("a"));
-    }
+    private final RouterHarness harness = new RouterHarness();
+    private final RequestRouter router = harness.router;
 
-    private final RouterHarness h = new RouterHarness();
-    private final RequestRouter router = h.router;
+    private void start(String... nodes) {
+        router.updateEndpoints(RouterHarness.healthy(nodes), true);
+        router.start(() -> {}, false);
+    }
 
-    private void ask(int count) {
+    private void submit(int count) {
         for (int i = 0; i < count; i++) {
-            h.ask("read", "free", "k" + i);
+            harness.submit("read", "free", "k" + i);
         }
     }
 
-    @Test void aBannedNodeGetsNothingNewEvenWhenDiscoveryCallsItReady() {
-        router.learn(List.of(RouterHarness.node("a", EndpointState.HEALTHY), RouterHarness.node("b", EndpointState.HEALTHY)),
-            true, false);
+    @Test void anEjectedNodeGetsNothingNewAndComesBackAsItWas() {
         router.start(() -> {}, false);
-        assertTrue(router.ban("a"));
-        assertEquals(List.of("a"), h.retired, "its idle connections are closed");
-        router.learn(List.of(RouterHarness.node("a", EndpointState.HEALTHY), RouterHarness.node("b", EndpointState.HEALTHY)),
-            true, false);
-        ask(20);
-        assertFalse(h.sent.isEmpty());
-        assertFalse(h.sentTo().contains("a"), h.sentTo().toString());
-        assertFalse(router.wantsWork("a"));
+        router.updateEndpoints(RouterHarness.healthy("a"), true);
+
+        router.eject(Set.of("a", "unknown"));
+        assertEquals(List.of("a"), harness.closedIdle);
+        harness.submit("read", "free", "k1");
+        assertEquals(List.of(), harness.sentTo());
+
+        router.updateEndpoints(RouterHarness.healthy("a"), true);
+        harness.submit("read", "free", "k2");
+        assertEquals(List.of(), harness.sentTo(), "its list does not end the ejection");
+
+        router.startMaintenance("a");
+        router.endMaintenance("a");
+        harness.submit("read", "free", "k4");
+        assertEquals(List.of(), harness.sentTo(), "nor does an operator's maintenance");
+
+        router.eject(Set.of());
+        harness.submit("read", "free", "k3");
+        assertTrue(harness.sentTo().contains("a"));
     }
 
-    @Test void anIdThatNoListNamesIsRefused() {
-        router.learn(List.of(RouterHarness.node("a", EndpointState.HEALTHY)), true, false);
-        router.start(() -> {}, false);
-        assertFalse(router.ban("zz"));
-        assertFalse(router.lift("zz"));
-        assertTrue(router.lift("a"), "a known node that is not banned may be freed again");
-        assertEquals(Set.of(), router.bans());
+    @Test void aNodeInMaintenanceGetsNothingNewEvenWhenDiscoveryCallsItHealthy() {
+        start("a", "b");
+
+        assertTrue(router.startMaintenance("a"));
+        assertEquals(List.of("a"), harness.closedIdle, "its idle connections are closed");
+        router.updateEndpoints(RouterHarness.healthy("a", "b"), true);
+        submit(20);
+
+        assertFalse(harness.sent.isEmpty());
+        assertFalse(harness.sentTo().contains("a"), harness.sentTo().toString());
+        assertFalse(router.acceptsWork("a"));
     }
 
-    @Test void aLiftedNodeComesBackColdAndServesAgain() {
-        router.learn(List.of(RouterHarness.node("a", EndpointState.HEALTHY)), true, false);
-        router.start(() -> {}, false);
-        router.ban("a");
-        router.ban("a");
-        h.now += 5_000;
-        ask(3);
-        assertTrue(h.sent.isEmpty(), "its only node is out");
-        assertTrue(router.lift("a"));
-        assertTrue(router.wantsWork("a"));
-        assertEquals(Set.of(), router.bans(), "one call back frees it after two out");
-        ask(3);
-        assertTrue(h.sentTo().contains("a"));
+    @Test void anIdThatNoListNamesIsRejected() {
+        start("a");
+
+        assertFalse(router.startMaintenance("zz"));
+        assertFalse(router.endMaintenance("zz"));
+        assertTrue(router.endMaintenance("a"), "the maintenance of a known node may be ended again");
+        assertEquals(Set.of(), router.nodesInMaintenance());
     }
 
-    @Test void bansOfAnotherProcessAreFollowedAndWaitForTheirNode() {
-        router.learn(List.of(RouterHarness.node("a", EndpointState.HEALTHY)), true, false);
-        router.start(() -> {}, false);
-        router.adoptBans(Set.of("a", "later"));
-        assertEquals(Set.of("a", "later"), router.bans());
-        assertFalse(router.wantsWork("a"));
-        router.learn(List.of(RouterHarness.node("later", EndpointState.HEALTHY)), false, false);
-        assertFalse(router.wantsWork("later"), "a ban told before the node was listed holds when it is");
-        router.adoptBans(Set.of());
-        assertTrue(router.wantsWork("a"));
-        assertTrue(router.wantsWork("later"));
+    @Test void aNodeComesBackInSlowStartAndServesAgain() {
+        start("a");
+
+        router.startMaintenance("a");
+        router.startMaintenance("a");
+        harness.now += 5_000;
+        submit(3);
+        assertTrue(harness.sent.isEmpty(), "its only node is in maintenance");
+
+        assertTrue(router.endMaintenance("a"));
+        assertTrue(router.acceptsWork("a"));
+        assertEquals(Set.of(), router.nodesInMaintenance(), "one call ends it after two have started it");
+        submit(3);
+        assertTrue(harness.sentTo().contains("a"));
+    }
+
+    @Test void maintenanceOfAnotherProcessIsAdoptedAndWaitsForItsNode() {
+        start("a");
+
+        router.adoptMaintenance(Set.of("a", "later"));
+        assertEquals(Set.of("a", "later"), router.nodesInMaintenance());
+        assertFalse(router.acceptsWork("a"));
+
+        router.updateEndpoints(RouterHarness.healthy("later"), false);
+        assertFalse(router.acceptsWork("later"), "it began before the node was listed, and holds when it is");
+
+        router.adoptMaintenance(Set.of());
+        assertTrue(router.acceptsWork("a"));
+        assertTrue(router.acceptsWork("later"));
     }
 }
--- a/src/test/java/kelphollow/routing/RouterHarness.java
+++ b/src/test/java/kelphollow/routing/RouterHarness.java
@@ -15,22 +15,27 @@
 import kelphollow.decision.ControlSettings.Rules;
 import kelphollow.decision.EndpointListLease;
 
-/** A core with the real module, a clock that the test moves, and a backend that only notes what it is given. */
+/** A router with the real decision module, a clock that the test moves, and a backend that only notes its calls. */
 final class RouterHarness {
     static final RequestClass READ = new RequestClass("read", 300, 2000, 2, 0.1, Idempotency.IDEMPOTENT,
-        DeduplicationScope.ALL, 0, false,
-        false);
-    /** Repeats of it are dropped for less time than a dial may take. */
+        DeduplicationScope.ALL, 0, false, false);
+    /** Nodes drop duplicates of it for less time than connecting may take. */
     static final RequestClass KEYED = new RequestClass("keyed", 300, 2000, 2, 0.1, Idempotency.IDEMPOTENCY_KEY,
-        DeduplicationScope.CELL, 120, false,
-        false);
+        DeduplicationScope.CELL, 120, false, false);
+    /** A plan without a limit. */
+    static final Plan FREE = new Plan("free", 10, 5, 1, 1, 0, 0, 0);
+    private static final Rules RULES = new Rules(250, 0.25, 10_000, 2, 1000, 6, 0, 0, 0, 0, 0);
+    /** Timers of more milliseconds than this are never run: the attempts' timeouts. */
+    private static final double LONGEST_TIMER = 1_500;
+
+    private record Timer(double at, Runnable task) {}
+
     double now = 1_000;
     final List<Attempt> sent = new ArrayList<>();
-    final List<String> retired = new ArrayList<>();
+    /** Nodes whose idle connections were to be closed. */
+    final List<String> closedIdle = new ArrayList<>();
+    /** Keys of the requests that were rejected or failed. */
     final List<String> rejected = new ArrayList<>();
-    private record Timer(double at, Runnable task) {}
-
-    /** Wake-ups, run by {@link #pass} when due; the attempts' time-outs (over 1.5 s) are left out. */
     private final List<Timer> timers = new ArrayList<>();
     final Ticker ticker = new Ticker() {
         @Override public double now() {
@@ -39,52 +44,62 @@
 
         @Override public Timeout after(double millis, Runnable task) {
             Timer timer = new Timer(now + millis, task);
-            if (millis <= 1_500) {
+            if (millis <= LONGEST_TIMER) {
                 timers.add(timer);
             }
             return () -> timers.remove(timer);
         }
     };
+    private final Backend backend = new Backend() {
+        @Override public void start(Attempt attempt) {
+            sent.add(attempt);
+        }
+
+        @Override public void cancel(Attempt attempt) {}
+
+        @Override public void closeIdleConnections(String node) {
+            closedIdle.add(node);
+        }
+    };
     final RequestRouter router;
 
+    RouterHarness() {
+        this(FREE);
+    }
+
     RouterHarness(Plan plan) {
         this(plan, EndpointListLease.unbounded());
     }
 
     RouterHarness(EndpointListLease lease) {
-        this(new Plan("free", 10, 5, 1, 1, 0, 0, 0), lease);
+        this(FREE, lease);
     }
 
     private RouterHarness(Plan plan, EndpointListLease lease) {
-        router = new RequestRouter(new Control(new ControlSettings(0, 1, "", 1, 3, 100, true, false, 0, 2, 0.4, 0.05, List
-            .of(READ, KEYED),
-            List.of(plan), new Rules(250, 0.25, 10_000, 2, 1000, 6, 0, 0, 0, 0, 0)), 1, now), ticker, new Backend() {
-                @Override public void start(Attempt attempt) {
-                    sent.add(attempt);
-                }
-
-                @Override public void abandon(Attempt attempt) {}
-
-                @Override public void retire(String node) {
-                    retired.add(node);
-                }
-            }, lease);
+        ControlSettings settings = new ControlSettings(0, 1, "", 1, 3, 100, true, false, 0, 2, 0.4, 0.05,
+            List.of(READ, KEYED), List.of(plan), RULES);
+        router = new RequestRouter(new Control(settings, 1, now), ticker, backend, lease);
     }
 
-    RouterHarness() {
-        this(new Plan("free", 10, 5, 1, 1, 0, 0, 0));
+    static ResolvedEndpoint node(String name, EndpointState state) {
+        return new ResolvedEndpoint(new Endpoint(name, "", 0, state, 0), new InetSocketAddress(1));
     }
 
-    static ResolvedEndpoint node(String name, EndpointState phase) {
-        return new ResolvedEndpoint(new Endpoint(name, "", 0, phase, 0), new InetSocketAddress(1));
+    static List<ResolvedEndpoint> healthy(String... names) {
+        List<ResolvedEndpoint> nodes = new ArrayList<>();
+        for (String name : names) {
+            nodes.add(node(name, EndpointState.HEALTHY));
+        }
+        return nodes;
     }
 
-    /** A request of this class and plan, due in 2 s; refusals and failures are noted by key. */
-    void ask(String kind, String plan, String key) {
-        router.take(new RequestArrived("", kind, plan, key, now + 2_000, "v", 1, 0, 1), null, new ResponseCallback() {
+    /** Submits a request of this class and plan with a deadline in 2 s. */
+    void submit(String requestClass, String plan, String key) {
+        RequestArrived arrival = new RequestArrived("", requestClass, plan, key, now + 2_000, "v", 1, 0, 1);
+        router.submit(arrival, null, new ResponseCallback() {
             @Override public void served(Object answer) {}
 
-            @Override public void rejected(double after, boolean timedOut) {
+            @Override public void rejected(double retryAfter, boolean timedOut) {
                 rejected.add(key);
             }
 
@@ -94,14 +109,23 @@
         });
     }
 
-    void pass(double millis) {
+    /** Moves the clock on, then runs each timer that is due, once. */
+    void advance(double millis) {
         now += millis;
-        List<Timer> due = timers.stream().filter(t -> t.at <= now).toList();
+        List<Timer> due = timers.stream().filter(timer -> timer.at <= now).toList();
         timers.removeAll(due);
-        due.forEach(t -> t.task.run());
+        due.forEach(timer -> timer.task.run());
+    }
+
+    /** The same in steps, so that timers set by timers run too. */
+    void advance(double millis, int times) {
+        for (int i = 0; i < times; i++) {
+            advance(millis);
+        }
     }
 
+    /** The nodes that the attempts went to, in order. */
     List<String> sentTo() {
-        return sent.stream().map(a -> a.target().endpoint().node()).toList();
+        return sent.stream().map(attempt -> attempt.target().endpoint().node()).toList();
     }
 }
--- a/src/test/java/kelphollow/routing/SendVerdictTest.java
+++ b/src/test/java/kelphollow/routing/SendVerdictTest.java
@@ -10,62 +10,75 @@
 import kelphollow.decision.ControlEvent.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Every bound that held when a node was chosen holds when the first byte is written, however long the dial took. */
+/** Every bound that held when a node was chosen holds when the first byte is written, however long connecting took. */
 class SendVerdictTest {
-    private final RouterHarness h = new RouterHarness();
+    private final RouterHarness harness = new RouterHarness();
+    private final RequestRouter router = harness.router;
 
-    private Attempt dialling(String kind) {
-        h.router.learn(List.of(RouterHarness.node("a", EndpointState.HEALTHY)), true, false);
-        h.ask(kind, "free", "k");
-        Attempt first = h.sent.get(0);
+    private Attempt connecting(String requestClass) {
+        router.updateEndpoints(RouterHarness.healthy("a"), true);
+        harness.submit(requestClass, "free", "k");
+        Attempt first = harness.sent.get(0);
         assertTrue(first.maySend());
         return first;
     }
 
-    @Test void aRepeatIsNotWrittenOnceNodesMayHaveForgottenTheFirst() {
-        Attempt first = dialling("keyed");
-        h.pass(10);
+    private void receive(EndpointState state) {
+        router.updateEndpoints(List.of(RouterHarness.node("a", state)), false);
+    }
+
+    @Test void aRetryIsNotSentOnceNodesMayHaveForgottenTheFirstAttempt() {
+        Attempt first = connecting("keyed");
+        harness.advance(10);
         first.ended(AttemptResult.of(AttemptOutcome.RESET));
-        h.pass(50);
-        assertEquals(2, h.sent.size());
-        Attempt repeat = h.sent.get(1);
-        h.pass(58);
-        assertTrue(repeat.maySend(), "118 ms after the first, which is remembered for 120");
-        h.pass(1);
-        assertFalse(repeat.maySend());
+        harness.advance(50);
+        assertEquals(2, harness.sent.size());
+        Attempt retry = harness.sent.get(1);
+
+        harness.advance(58);
+        assertTrue(retry.maySend(), "118 ms after the first, which is remembered for 120");
+        harness.advance(1);
+        assertFalse(retry.maySend());
     }
 
-    @Test void whatNeverRanHasNoSuchBound() {
-        Attempt first = dialling("keyed");
-        h.pass(10);
+    @Test void aRetryOfWhatWasNeverExecutedHasNoSuchBound() {
+        Attempt first = connecting("keyed");
+        harness.advance(10);
         first.ended(AttemptResult.of(AttemptOutcome.CONNECT_FAILED));
-        for (int i = 0; h.sent.size() < 2; i++) {
+        for (int i = 0; harness.sent.size() < 2; i++) {
             assertTrue(i < 100);
-            h.pass(10);
+            harness.advance(10);
         }
-        h.pass(500);
-        assertTrue(h.sent.get(1).maySend());
+
+        harness.advance(500);
+
+        assertTrue(harness.sent.get(1).maySend());
     }
 
-    @Test void nothingIsWrittenToANodeThatBeganToDrainOrWasBannedMeanwhile() {
-        Attempt draining = dialling("read");
-        h.router.learn(List.of(RouterHarness.node("a", EndpointState.DRAINING)), false, false);
-        assertFalse(draining.maySend());
-        h.router.learn(List.of(RouterHarness.node("a", EndpointState.HEALTHY)), false, false);
-        assertTrue(draining.maySend());
-        h.router.adoptBans(Set.of("a"));
-        assertFalse(draining.maySend());
+    @Test void nothingIsSentToANodeThatDrainsOrIsInMaintenanceByNow() {
+        Attempt attempt = connecting("read");
+
+        receive(EndpointState.DRAINING);
+        assertFalse(attempt.maySend());
+        receive(EndpointState.HEALTHY);
+        assertTrue(attempt.maySend());
+        router.adoptMaintenance(Set.of("a"));
+        assertFalse(attempt.maySend());
     }
 
-    @Test void nothingIsWrittenForAClientThatHasGone() {
-        Attempt attempt = dialling("read");
-        h.router.gone(attempt.request());
+    @Test void nothingIsSentForAClientThatHasDisconnected() {
+        Attempt attempt = connecting("read");
+
+        router.clientDisconnected(attempt.request());
+
         assertFalse(attempt.maySend());
     }
 
-    @Test void nothingIsWrittenToANodeThatAWholeListNoLongerNames() {
-        Attempt attempt = dialling("read");
-        h.router.learn(List.of(RouterHarness.node("b", EndpointState.HEALTHY)), true, false);
+    @Test void nothingIsSentToANodeThatACompleteListNoLongerNames() {
+        Attempt attempt = connecting("read");
+
+        router.updateEndpoints(RouterHarness.healthy("b"), true);
+
         assertFalse(attempt.maySend());
     }
 }
