--- a/src/test/java/kelphollow/ledger/StoredRecordsTest.java
+++ b/src/test/java/kelphollow/ledger/StoredRecordsTest.java
@@ -172,7 +172,7 @@
             readOutcomes(ledger, lines);
             readNodes(ledger.nodes(), lines);
             new TreeMap<>(ledger.limits().take()).forEach((volume, saved) -> lines.add("limit " + volume + " level="
-                + saved.level() + " at=" + saved.at() + " clean=" + saved.clean()));
+                + saved.tokens() + " at=" + saved.at() + " clean=" + saved.clean()));
         }
         return lines;
     }
--- a/src/test/java/kelphollow/program/FleetNamesTest.java
+++ b/src/test/java/kelphollow/program/FleetNamesTest.java
@@ -144,7 +144,7 @@
 
         @Override public void limitRetries(double share, double span) {}
 
-        @Override public void admit(AdmissionFilter by) {}
+        @Override public void setAdmissionFilter(AdmissionFilter filter) {}
 
         @Override public void onEndpointsReceived(Consumer<List<Endpoint>> heard) {
             list = heard;
@@ -152,7 +152,7 @@
 
         @Override public void eject(Set<String> names) {}
 
-        @Override public void doubt(Set<String> names) {}
+        @Override public void suspect(Set<String> names) {}
 
         @Override public Map<String, Integer> unresponsiveNodes() {
             Map<String, Integer> silent = new LinkedHashMap<>();
--- a/src/test/java/kelphollow/program/StoredNamesTest.java
+++ b/src/test/java/kelphollow/program/StoredNamesTest.java
@@ -39,7 +39,7 @@
     }
 
     private static List<ResolvedEndpoint> members() throws Exception {
-        return DiscoveryListParser.read(Json.parse(NODES)).members();
+        return DiscoveryListParser.parse(Json.parse(NODES)).endpoints();
     }
 
     @Test void recordsAreWrittenAsRecorded() throws Exception {
