--- a/src/bench/java/kelphollow/store/CommitBench.java
+++ b/src/bench/java/kelphollow/store/CommitBench.java
@@ -3,14 +3,11 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
-import java.util.Comparator;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import java.util.stream.Stream;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -27,9 +24,9 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Synced records a second, by how many are under way at once, beside the bare appending and syncing of the same bytes
- * to two files: {@code raw} writes as many records with each sync as there are writers, which is the best that group
- * commit can do.
+ * Synced records per second, by how many are in flight, compared with the bare appending and syncing of the same bytes to
+ * two files: {@code raw} writes as many records with each sync as there are writers, which is the best that group commit
+ * can do.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.Throughput)
@@ -48,20 +45,20 @@
     private Store store;
     private FileChannel[] raw;
     private ByteBuffer group;
+    /** A permit for each record that may still be in flight. */
     private Semaphore free;
     private final AtomicLong keys = new AtomicLong();
 
-    /** The folder is on the disk that {@code -Dkelphollow.bench.folder} names, or in the system's temporary one. */
+    /** Uses a folder in the one that {@code -Dkelphollow.bench.folder} names, or in the system's temporary folder. */
     @Setup(Level.Trial) public void open() throws Exception {
-        String where = System.getProperty("kelphollow.bench.folder");
-        folder = where == null ? Files.createTempDirectory("bench") : Files.createTempDirectory(Path.of(where), "bench");
+        folder = BenchFolder.create();
         store = Store.open(new FolderDisk(folder.resolve("a")), new FolderDisk(folder.resolve("b")),
-            StoreOptions.USUAL.withCompactBytesPerSecond(1 << 20), System::currentTimeMillis);
+            StoreOptions.DEFAULTS.withCompactBytesPerSecond(1 << 20), System::currentTimeMillis);
         raw = new FileChannel[2];
         for (int i = 0; i < 2; i++) {
             raw[i] = FileChannel.open(folder.resolve("raw" + i), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         }
-        int record = Format.FRAME_HEAD + Format.opLength(2 + 8, VALUE.length);
+        int record = Format.FRAME_HEAD + Operation.lengthOf(2 + 8, VALUE.length);
         group = ByteBuffer.allocateDirect(writers * record);
         free = new Semaphore(writers);
     }
@@ -71,11 +68,7 @@
         for (FileChannel channel : raw) {
             channel.close();
         }
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
-                Files.delete(path);
-            }
-        }
+        BenchFolder.delete(folder);
     }
 
     @Benchmark @OperationsPerInvocation(RECORDS) public void store() throws InterruptedException {
--- a/src/bench/java/kelphollow/store/CommitTurns.java
+++ b/src/bench/java/kelphollow/store/CommitTurns.java
@@ -3,81 +3,93 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
-import java.util.Comparator;
 import java.util.concurrent.Semaphore;
-import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
 
 /**
  * One writer that waits for each of its records, and the bare appending and syncing of the same bytes to two files, in
- * turn: ten of these, ten of those. A disk that swings from second to second then swings for both, which two rounds of
- * {@link CommitBench} one after the other do not have. Prints microseconds and the ratio bare to store.
+ * turn: ten of these, ten of those. The speed of a disk that varies from second to second then varies for both, unlike in
+ * two rounds of {@link CommitBench} one after the other. Prints microseconds and the ratio bare to store.
  */
 final class CommitTurns {
-    private static final int TURNS = 1_000, IN_TURN = 10;
+    private static final int TURNS = 1_000;
+    /** Turns that are not counted. */
+    private static final int WARM_UP_TURNS = TURNS / 10;
+    private static final int RECORDS_IN_TURN = 10;
+    private static final int KEYS = 100_000;
+    private static final double NANOS_PER_MICRO = 1e3;
     private static final byte[] VALUE = new byte[100];
 
     private CommitTurns() {}
 
-    public static void main(String[] args) throws Exception {
-        String where = System.getProperty("kelphollow.bench.folder");
-        Path folder = where == null ? Files.createTempDirectory("turns") : Files.createTempDirectory(Path.of(where),
-            "turns");
-        Histogram bare = new Histogram(3), stored = new Histogram(3);
-        try (Store store = Store.open(new FolderDisk(folder.resolve("a")), new FolderDisk(folder.resolve("b")),
-            StoreOptions.USUAL.withCompactBytesPerSecond(1 << 20), System::currentTimeMillis);
-             FileChannel one = open(folder.resolve("raw0")); FileChannel two = open(folder.resolve("raw1"))) {
-            FileChannel[] raw = {one, two};
-            ByteBuffer record = ByteBuffer.allocateDirect(Format.FRAME_HEAD + Format.opLength(2 + 8, VALUE.length));
+    /** Runs the comparison and prints it. */
+    public static void main(String[] args) throws IOException, InterruptedException, StoreFault {
+        Path folder = BenchFolder.create();
+        Histogram bare = new Histogram(3);
+        Histogram stored = new Histogram(3);
+        StoreOptions options = StoreOptions.DEFAULTS.withCompactBytesPerSecond(1 << 20);
+        try (Store store = Store.open(new FolderDisk(folder.resolve("a")), new FolderDisk(folder.resolve("b")), options,
+            System::currentTimeMillis);
+             FileChannel first = open(folder.resolve("raw0"));
+             FileChannel second = open(folder.resolve("raw1"))) {
+            FileChannel[] raw = {first, second};
+            ByteBuffer record = ByteBuffer.allocateDirect(Format.FRAME_HEAD + Operation.lengthOf(2 + 8, VALUE.length));
             Semaphore done = new Semaphore(0);
-            for (int turn = 0, key = 0; turn < TURNS; turn++) {
-                boolean counts = turn >= TURNS / 10;       // what comes before is warm-up
-                for (int i = 0; i < IN_TURN; i++) {
+            int key = 0;
+            for (int turn = 0; turn < TURNS; turn++) {
+                boolean counts = turn >= WARM_UP_TURNS;
+                for (int i = 0; i < RECORDS_IN_TURN; i++) {
                     long began = System.nanoTime();
-                    bare(raw, record);
-                    note(bare, began, counts);
+                    writeBare(raw, record);
+                    count(bare, began, counts);
                 }
-                for (int i = 0; i < IN_TURN; i++) {
-                    byte[] bytes = ByteBuffer.allocate(8).putLong(key++ % 100_000).array();
+                for (int i = 0; i < RECORDS_IN_TURN; i++) {
+                    byte[] bytes = ByteBuffer.allocate(8).putLong(key % KEYS).array();
+                    key++;
                     long began = System.nanoTime();
-                    store.write(new Batch().put("outcomes", bytes, VALUE), Durability.SYNCED, Runnable::run, fault -> {
-                        if (fault != null) {
-                            throw new IllegalStateException(fault);
-                        }
-                        done.release();
-                    });
-                    done.acquire();
-                    note(stored, began, counts);
+                    write(store, bytes, done);
+                    count(stored, began, counts);
                 }
             }
         }
-        for (double p : new double[] {25, 50, 75, 90}) {
-            double b = bare.getValueAtPercentile(p) / 1e3, s = stored.getValueAtPercentile(p) / 1e3;
-            System.out.printf("%.0f%%: bare %.0f us, store %.0f us, ratio %.2f%n", p, b, s, b / s);
-        }
-        System.out.printf("mean: bare %.0f us, store %.0f us, ratio %.2f%n", bare.getMean() / 1e3, stored.getMean() / 1e3,
-            bare.getMean() / stored.getMean());
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
-                Files.delete(path);
+        print(bare, stored);
+        BenchFolder.delete(folder);
+    }
+
+    private static void write(Store store, byte[] key, Semaphore done) throws InterruptedException {
+        store.write(new Batch().put("outcomes", key, VALUE), Durability.SYNCED, Runnable::run, fault -> {
+            if (fault != null) {
+                throw new IllegalStateException(fault);
             }
+            done.release();
+        });
+        done.acquire();
+    }
+
+    private static void print(Histogram bare, Histogram stored) {
+        for (double percentile : new double[] {25, 50, 75, 90}) {
+            double bareMicros = bare.getValueAtPercentile(percentile) / NANOS_PER_MICRO;
+            double storedMicros = stored.getValueAtPercentile(percentile) / NANOS_PER_MICRO;
+            System.out.printf("%.0f%%: bare %.0f us, store %.0f us, ratio %.2f%n", percentile, bareMicros, storedMicros,
+                bareMicros / storedMicros);
         }
+        System.out.printf("mean: bare %.0f us, store %.0f us, ratio %.2f%n", bare.getMean() / NANOS_PER_MICRO,
+            stored.getMean() / NANOS_PER_MICRO, bare.getMean() / stored.getMean());
     }
 
     private static FileChannel open(Path path) throws IOException {
         return FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    private static void note(Histogram histogram, long began, boolean counts) {
+    private static void count(Histogram histogram, long began, boolean counts) {
         if (counts) {
             histogram.recordValue(System.nanoTime() - began);
         }
     }
 
-    private static void bare(FileChannel[] raw, ByteBuffer record) throws IOException {
+    private static void writeBare(FileChannel[] raw, ByteBuffer record) throws IOException {
         for (FileChannel channel : raw) {
             ByteBuffer bytes = record.duplicate();
             while (bytes.hasRemaining()) {
--- a/src/bench/java/kelphollow/store/RecoveryBench.java
+++ b/src/bench/java/kelphollow/store/RecoveryBench.java
@@ -2,11 +2,8 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Comparator;
 import java.util.concurrent.TimeUnit;
-import java.util.stream.Stream;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -20,7 +17,7 @@
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Opening a store of a million records, beside reading the same bytes of both copies and computing their checksum. */
+/** Opening a store of a million records, compared with reading the same bytes and computing their checksum. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.SingleShotTime)
 @OutputTimeUnit(TimeUnit.MILLISECONDS)
@@ -29,14 +26,16 @@
 @Measurement(iterations = 10)
 public class RecoveryBench {
     private static final int RECORDS = 1_000_000;
+    /** Bytes of a key in the index: 16 and the number of its table. */
+    private static final int KEY_BYTES = 16 + Tables.NUMBER_BYTES;
     private Path folder;
-    private FolderDisk a, b;
+    private FolderDisk first;
+    private FolderDisk second;
 
     @Setup(Level.Trial) public void fill() throws Exception {
-        String where = System.getProperty("kelphollow.bench.folder");
-        folder = where == null ? Files.createTempDirectory("bench") : Files.createTempDirectory(Path.of(where), "bench");
-        a = new FolderDisk(folder.resolve("a"));
-        b = new FolderDisk(folder.resolve("b"));
+        folder = BenchFolder.create();
+        first = new FolderDisk(folder.resolve("a"));
+        second = new FolderDisk(folder.resolve("b"));
         try (Store store = open(false)) {
             Runtime runtime = Runtime.getRuntime();
             System.gc();
@@ -45,32 +44,33 @@
             for (int i = 0; i < RECORDS; i += 100) {
                 Batch batch = new Batch();
                 for (int j = i; j < i + 100; j++) {
-                    // As request identities come: in no order.
-                    batch.put("outcomes", ByteBuffer.allocate(16).putLong(j * 0x9E3779B97F4A7C15L).putLong(j).array(),
-                        value);
+                    batch.put("outcomes", key(j), value);
                 }
                 store.write(batch, Durability.BUFFERED, Runnable::run, fault -> {});
             }
             System.gc();
             long heap = runtime.totalMemory() - runtime.freeMemory() - before;
-            Store.Stats s = store.stats();
+            Store.Stats stats = store.stats();
+            double amplification = stats.written() / (double) stats.payload();
             System.out.printf(
                 "heap a key beside the key: %.1f bytes; written for a byte of payload: %.2f, of it %.2f a copy%n",
-                heap / (double) s.keys() - 18, s.written() / (double) s.payload(), s.written() / 2.0 / s.payload());
-            store.tidy();
+                heap / (double) stats.keys() - KEY_BYTES, amplification, amplification / 2);
+            store.runMaintenance();
         }
     }
 
-    private Store open(boolean all) throws IOException, StoreFault {
-        return Store.open(a, b, StoreOptions.USUAL.withInline(true).withCheckAll(all), System::currentTimeMillis);
+    /** Keys in no order, as request identities are. */
+    private static byte[] key(long number) {
+        return ByteBuffer.allocate(16).putLong(number * 0x9E3779B97F4A7C15L).putLong(number).array();
+    }
+
+    private Store open(boolean checkAll) throws IOException, StoreFault {
+        StoreOptions options = StoreOptions.DEFAULTS.withInline(true).withCheckAll(checkAll);
+        return Store.open(first, second, options, System::currentTimeMillis);
     }
 
     @TearDown(Level.Trial) public void delete() throws IOException {
-        try (Stream<Path> files = Files.walk(folder)) {
-            for (Path path : files.sorted(Comparator.reverseOrder()).toList()) {
-                Files.delete(path);
-            }
-        }
+        BenchFolder.delete(folder);
     }
 
     @Benchmark public int openByHints() throws IOException, StoreFault {
@@ -87,7 +87,7 @@
 
     @Benchmark public int readAndChecksum() throws IOException {
         int sum = 0;
-        for (FolderDisk disk : new FolderDisk[] {a, b}) {
+        for (FolderDisk disk : new FolderDisk[] {first, second}) {
             for (String name : disk.names()) {
                 if (name.endsWith(".seg")) {
                     byte[] bytes = AtomicFile.read(disk, name);
--- a/src/main/java/kelphollow/program/StoreCommand.java
+++ b/src/main/java/kelphollow/program/StoreCommand.java
@@ -13,8 +13,8 @@
 import kelphollow.ledger.Ledger;
 import kelphollow.store.FolderDisk;
 import kelphollow.store.Inspection;
-import kelphollow.store.Progress;
-import kelphollow.store.Report;
+import kelphollow.store.IntegrityReport;
+import kelphollow.store.ProgressListener;
 import kelphollow.store.Snapshot;
 import kelphollow.store.Store;
 import kelphollow.store.StoreFault;
@@ -53,7 +53,7 @@
         @Argument(index = 1, metaVar = "FOLDER", usage = "the second folder")
         private String second;
 
-        StoreOptions options = StoreOptions.USUAL;
+        StoreOptions options = StoreOptions.DEFAULTS;
         FolderDisk a, b;
 
         @Override public int run(PrintStream out, PrintStream err) throws Exception {
@@ -97,7 +97,7 @@
         }
 
         /** A line a second at most, on the side of the output that scripts do not read. */
-        private static Progress progress(PrintStream err) {
+        private static ProgressListener progress(PrintStream err) {
             long[] saidAt = {System.nanoTime()};
             return (done, total) -> {
                 if (System.nanoTime() - saidAt[0] > 1_000_000_000L) {
@@ -107,20 +107,20 @@
             };
         }
 
-        abstract int work(PrintStream out, Progress progress) throws IOException, StoreFault;
+        abstract int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault;
 
-        Store open(Progress progress) throws IOException, StoreFault {
+        Store open(ProgressListener progress) throws IOException, StoreFault {
             return Store.open(a, b, options.withInline(true), System::currentTimeMillis, progress);
         }
 
-        static void print(PrintStream out, Report report) {
-            report.lines().forEach(out::println);
+        static void print(PrintStream out, IntegrityReport report) {
+            report.findings().forEach(out::println);
         }
     }
 
     /** {@code inspect}: what is in it. */
     public static final class Inspect extends Tool {
-        @Override int work(PrintStream out, Progress progress) throws IOException, StoreFault {
+        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             Inspection i = Store.inspect(a, b, options, progress);
             out.println("store id=" + i.store() + " generation=" + i.generation() + " sequence=" + i.lastSequence()
                 + " time=" + i.time() + " bytes=" + i.length() + " live=" + i.live());
@@ -135,10 +135,10 @@
 
     /** {@code verify}: reads every byte of both copies and changes nothing. */
     public static final class Verify extends Tool {
-        @Override int work(PrintStream out, Progress progress) throws IOException, StoreFault {
+        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             Inspection i = Store.inspect(a, b, options, progress);
             print(out, i.report());
-            boolean differs = i.report().lines().stream().anyMatch(l -> l.what().equals("differs"));
+            boolean differs = i.report().contains(IntegrityReport.Kind.DIFFERS);
             String state = i.report().isDamaged() ? "damaged" : differs ? "differs" : "sound";
             out.println("state=" + state + " segments=" + i.segments().size() + " bytes=" + i.length());
             return i.report().isDamaged() ? DAMAGED : differs ? DIFFERS : 0;
@@ -150,7 +150,7 @@
         @Option(name = "--table", metaVar = "NAME", usage = "only this table")
         private String only;
 
-        @Override int work(PrintStream out, Progress progress) throws IOException, StoreFault {
+        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             try (Store store = open(progress); Snapshot snapshot = store.snapshot()) {
                 List<String> tables = new ArrayList<>(store.tableNames());
                 tables.removeIf(t -> only != null && !only.equals(t));
@@ -190,7 +190,7 @@
 
     /** {@code compact}: gives back what is dead. */
     public static final class Compact extends Tool {
-        @Override int work(PrintStream out, Progress progress) throws IOException, StoreFault {
+        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             try (Store store = open(progress)) {
                 Store.Stats before = store.stats();
                 store.compactAll();
@@ -207,7 +207,7 @@
         @Option(name = "--accept-loss", usage = "give up what is missing: damaged in both copies, or newer than a restored backup")
         private boolean acceptLoss;
 
-        @Override int work(PrintStream out, Progress progress) throws IOException, StoreFault {
+        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             options = options.withCheckAll(true);
             try (Store store = acceptLoss ? Store.openAcceptingLoss(a, b, options.withInline(true),
                 System::currentTimeMillis, progress) : open(progress)) {
--- a/src/main/java/kelphollow/program/StoreConfig.java
+++ b/src/main/java/kelphollow/program/StoreConfig.java
@@ -11,7 +11,7 @@
 import kelphollow.ledger.Ledger;
 import kelphollow.routing.Ticker;
 import kelphollow.store.FolderDisk;
-import kelphollow.store.Report;
+import kelphollow.store.IntegrityReport;
 import kelphollow.store.Store;
 import kelphollow.store.StoreFault;
 import kelphollow.store.StoreOptions;
@@ -44,12 +44,13 @@
         if (store.get("check_all") != null && !(store.get("check_all") instanceof Boolean)) {
             throw new Config.Bad("store.check_all must be true or false");
         }
-        StoreOptions usual = StoreOptions.USUAL;
-        long largest = whole(store, "largest_batch", usual.largestBatch(), 256, 256 << 20);
-        StoreOptions options = new StoreOptions(whole(store, "segment_bytes", usual.segmentBytes(), 4096, 1 << 30),
-            (int) largest, whole(store, "queue_bytes", Math.max(largest, usual.queueBytes()), largest, 1L << 40),
-            usual.groupBytes(), whole(store, "compact_bytes_per_second", usual.compactBytesPerSecond(), 4096, 1L << 40),
-            whole(store, "scrub_hours", usual.scrubEvery() / HOUR, 0, 24 * 366) * HOUR,
+        StoreOptions defaults = StoreOptions.DEFAULTS;
+        long largest = whole(store, "largest_batch", defaults.largestBatch(), 256, 256 << 20);
+        StoreOptions options = new StoreOptions(whole(store, "segment_bytes", defaults.segmentBytes(), 4096, 1 << 30),
+            (int) largest, whole(store, "queue_bytes", Math.max(largest, defaults.queueBytes()), largest, 1L << 40),
+            defaults.groupBytes(),
+            whole(store, "compact_bytes_per_second", defaults.compactBytesPerSecond(), 4096, 1L << 40),
+            whole(store, "scrub_hours", defaults.scrubEvery() / HOUR, 0, 24 * 366) * HOUR,
             Boolean.TRUE.equals(store.get("check_all")), false);
         return new StoreConfig(first, second, options,
             Config.number(store, "store.", "list_expires_ms", LIST_EXPIRES, 0));
@@ -80,8 +81,8 @@
         try {
             Store store = Store.open(new FolderDisk(first), new FolderDisk(second), options,
                 () -> (long) ticker.now());
-            for (Report.Line line : store.report().lines()) {
-                LOG.log(line.what().equals("created") ? Level.INFO : Level.WARNING, "store: {0}", line);
+            for (IntegrityReport.Finding finding : store.report().findings()) {
+                LOG.log(finding.kind() == IntegrityReport.Kind.CREATED ? Level.INFO : Level.WARNING, "store: {0}", finding);
             }
             return Ledger.open(store, loop);
         } catch (StoreFault e) {
--- a/src/main/java/kelphollow/store/AtomicFile.java
+++ b/src/main/java/kelphollow/store/AtomicFile.java
@@ -4,13 +4,13 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Writing of whole files so that they are there entirely or not at all. */
+/** Writes files so that they are there completely or not at all, and reads them. Stateless; blocks on the disk. */
 final class AtomicFile {
-    private static final int PIECE = 256 * 1024;
+    private static final int PIECE_BYTES = 256 * 1024;
 
     private AtomicFile() {}
 
-    /** Writes a new file and makes it safe; one of that name left by a crash is replaced. */
+    /** Writes and syncs a new file; one of that name left by a crash is replaced. */
     static void write(Disk disk, String name, byte[] bytes) throws IOException {
         disk.delete(name);
         try (Disk.File file = disk.create(name)) {
@@ -19,43 +19,43 @@
         }
     }
 
-    /** Writes under the other name first, makes that safe, and only then renames it. */
-    static void replace(Disk disk, String name, String newName, byte[] bytes) throws IOException {
-        write(disk, newName, bytes);
-        disk.rename(newName, name);
+    /** Writes and syncs under the temporary name first, and only then renames it. */
+    static void replace(Disk disk, String name, String temporaryName, byte[] bytes) throws IOException {
+        write(disk, temporaryName, bytes);
+        disk.rename(temporaryName, name);
         disk.syncFolder();
     }
 
-    /** The whole file, or nothing at all where there is none. */
+    /** The contents of a file, empty if there is none. */
     static byte[] read(Disk disk, String name) throws IOException {
         if (!disk.has(name)) {
             return new byte[0];
         }
         try (Disk.File file = disk.open(name)) {
-            return Disk.all(file);
+            return Disk.readAll(file);
         }
     }
 
-    /** The same, but gives {@code like} itself where the file holds just that: two equal copies need room for one. */
-    static byte[] read(Disk disk, String name, byte[] like) throws IOException {
+    /** Like {@link #read(Disk, String)}, but returns {@code expected} itself, without a copy, if the file equals it. */
+    static byte[] read(Disk disk, String name, byte[] expected) throws IOException {
         if (!disk.has(name)) {
             return new byte[0];
         }
         try (Disk.File file = disk.open(name)) {
-            return isSame(file, like) ? like : Disk.all(file);
+            return isEqual(file, expected) ? expected : Disk.readAll(file);
         }
     }
 
-    private static boolean isSame(Disk.File file, byte[] like) throws IOException {
-        if (file.size() != like.length) {
+    private static boolean isEqual(Disk.File file, byte[] expected) throws IOException {
+        if (file.size() != expected.length) {
             return false;
         }
-        ByteBuffer piece = ByteBuffer.allocate(Math.min(like.length, PIECE));
-        for (int at = 0; at < like.length; at += piece.position()) {
-            piece.clear().limit(Math.min(PIECE, like.length - at));
+        ByteBuffer piece = ByteBuffer.allocate(Math.min(expected.length, PIECE_BYTES));
+        for (int at = 0; at < expected.length; at += piece.position()) {
+            piece.clear().limit(Math.min(PIECE_BYTES, expected.length - at));
             file.read(piece, at);
             int end = at + piece.position();
-            if (piece.hasRemaining() || !Arrays.equals(piece.array(), 0, piece.position(), like, at, end)) {
+            if (piece.hasRemaining() || !Arrays.equals(piece.array(), 0, piece.position(), expected, at, end)) {
                 return false;
             }
         }
--- a/src/main/java/kelphollow/store/Batch.java
+++ b/src/main/java/kelphollow/store/Batch.java
@@ -6,55 +6,61 @@
 import java.util.List;
 import java.util.Map;
 
-/** Changes that take effect together or not at all. Of two changes to one key the later stands. Not thread-safe. */
+/** Changes that take effect together or not at all. Of two changes of one key the later wins. Not thread-safe. */
 public final class Batch {
-    record Change(String table, byte[] key, byte[] value, long expires) {
+    /** One change; {@code value} is null for a removal, {@code expiresAt} 0 for never. */
+    record Change(String table, byte[] key, byte[] value, long expiresAt) {
         boolean isPut() {
             return value != null;
         }
+
+        /** Bytes of its operation in a segment. */
+        private long bytes() {
+            return Operation.HEAD + (long) Tables.NUMBER_BYTES + key.length + (isPut() ? value.length : 0);
+        }
     }
 
     private record Name(String table, String key) {}
 
     private final Map<Name, Change> changes = new LinkedHashMap<>();
-    private long bytes;
+    private long operationBytes;
 
-    /** Sets the value of a key, for good. Neither array may be changed afterwards. */
+    /** Sets the value of a key, without an expiry. Neither array may be changed afterwards. */
     public Batch put(String table, byte[] key, byte[] value) {
         return put(table, key, value, 0);
     }
 
-    /** Sets the value of a key until a time on the store's clock, in Unix milliseconds; 0 is for good. */
-    public Batch put(String table, byte[] key, byte[] value, long expires) {
-        return add(new Change(table, key, value, expires));
+    /** Sets the value of a key until a time on the store's clock, in Unix milliseconds; 0 is for ever. */
+    public Batch put(String table, byte[] key, byte[] value, long expiresAt) {
+        return add(new Change(table, key, value, expiresAt));
     }
 
+    /** Removes a key, if it is there. The array may not be changed afterwards. */
     public Batch remove(String table, byte[] key) {
         return add(new Change(table, key, null, 0));
     }
 
     private Batch add(Change change) {
-        if (change.key.length > Format.LONGEST_KEY) {
-            throw new IllegalArgumentException("a key of " + change.key.length + " bytes; 65535 are allowed");
+        if (change.key.length > Operation.MAX_KEY_BYTES) {
+            throw new IllegalArgumentException("a key of " + change.key.length + " bytes; " + Operation.MAX_KEY_BYTES
+                + " are allowed");
         }
-        Change old = changes.put(new Name(change.table, new String(change.key, StandardCharsets.ISO_8859_1)), change);
-        bytes += size(change) - (old == null ? 0 : size(old));
+        Name name = new Name(change.table, new String(change.key, StandardCharsets.ISO_8859_1));
+        Change replaced = changes.put(name, change);
+        operationBytes += change.bytes() - (replaced == null ? 0 : replaced.bytes());
         return this;
     }
 
-    private static long size(Change change) {
-        return Format.OP_HEAD + 2L + change.key.length + (change.isPut() ? change.value.length : 0);
-    }
-
     List<Change> changes() {
         return new ArrayList<>(changes.values());
     }
 
     /** Its length in a segment, without the names of new tables. */
     long bytes() {
-        return Format.FRAME_HEAD + bytes;
+        return Format.FRAME_HEAD + operationBytes;
     }
 
+    /** Whether it changes nothing. */
     public boolean isEmpty() {
         return changes.isEmpty();
     }
--- a/src/main/java/kelphollow/store/CommitLog.java
+++ b/src/main/java/kelphollow/store/CommitLog.java
@@ -6,51 +6,70 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ExecutorService;
-import java.util.function.LongSupplier;
+import java.util.concurrent.Executors;
 
 /**
- * The append-only log as it is written: the active segment, the manifest, the editor of the index, and the space that
- * each segment holds. Puts batches into frames, writes them to both copies, syncs, rotates segments and puts compacted
- * ones in force. No locks: only the thread of {@link Writer} calls it, between or within its groups. After the first
- * exception nothing may be called any more, since nobody knows what the disk holds.
+ * The append-only log: the active segment, the manifest, the editor of the index, and the usage of each segment. Puts
+ * batches into frames, writes them to both copies, syncs, rotates segments and puts compacted ones in force. Confined to
+ * the thread of {@link Writer}. After the first exception nothing may be called any more but {@link #stopThreads}, since the
+ * contents of the disk are not known.
  */
 final class CommitLog {
-    private record Change(byte kind, byte[] key, Index.Place place) {}
+    private static final int BUFFER_BYTES = 64 * 1024;
+    /** Everything is in two copies. */
+    private static final long COPIES = 2;
 
-    private final Store store;
+    private record Change(byte kind, byte[] key, Index.Location location) {}
+
+    private final SegmentSet segments;
     private final StoreOptions options;
-    private final LongSupplier clock;
-    /** Where the second copy is synced, on a thread of its own; null where all is done in the caller's thread. */
-    private final ExecutorService second;
-    private Manifest manifest;
-    private Segment active;
-    private final Index.Editor editor;
-    private final SegmentUsage space;
+    private final StoreClock clock;
     private final Tables tables;
-    private final FrameWriter out = new FrameWriter(64 * 1024);
+    private final SegmentUsage usage;
+    private final IndexEditor editor;
+    private final Runnable segmentSealed;
+    /** Syncs the second copy on a thread of its own; null where all is done in the caller's thread. */
+    private final ExecutorService secondCopy;
+    private final FrameWriter out = new FrameWriter(BUFFER_BYTES);
+    /** What {@link #out} holds, for the index. */
     private final List<Change> pending = new ArrayList<>();
-    private int pendingOps;
-    private long sequence, safeTo, markerCovers, time, nextSegment;
+    private Manifest manifest;
+    private Segment active;
+    private long nextSegment;
+    private long time;
+    private long sequence;
+    private long syncedUpTo;
+    /** What the last commit marker says to be synced. */
+    private long markedUpTo;
     /** Whether the last frame of the active segment says that nothing is missing behind it. */
     private boolean clean = true;
     private boolean unsynced;
-    private long written, payload, syncs;
+    private long writtenBytes;
+    private long payloadBytes;
+    private long syncs;
 
-    CommitLog(Store store, StoreOpener.State state, Tables tables, SegmentUsage space, StoreOptions options,
-        LongSupplier clock,
-        ExecutorService second) {
-        this.store = store;
+    /** Calls {@code segmentSealed} when there is a segment that can be compacted. */
+    CommitLog(SegmentSet segments, StoreOpener.Recovered recovered, Tables tables, StoreOptions options, StoreClock clock,
+        Runnable segmentSealed) {
+        this.segments = segments;
         this.options = options;
-        this.second = second;
         this.clock = clock;
         this.tables = tables;
-        this.space = space;
-        this.manifest = state.manifest();
-        this.active = state.active();
-        this.editor = new Index.Editor(state.index());
-        this.sequence = this.safeTo = this.markerCovers = state.lastSequence();
-        this.time = state.time();
+        this.segmentSealed = segmentSealed;
+        this.usage = recovered.usage();
+        this.manifest = recovered.manifest();
+        this.active = recovered.active();
+        this.editor = new IndexEditor(recovered.index());
+        this.sequence = recovered.lastSequence();
+        this.syncedUpTo = sequence;
+        this.markedUpTo = sequence;
+        this.time = recovered.time();
         this.nextSegment = manifest.nextSegment();
+        this.secondCopy = options.inline() ? null : Executors.newSingleThreadExecutor(task -> {
+            Thread thread = new Thread(task, "store-second");
+            thread.setDaemon(true);
+            return thread;
+        });
     }
 
     // ---------------------------------------------------------------- appending
@@ -62,7 +81,7 @@
 
     /** Makes what was flushed visible to readers. */
     void publish() {
-        store.publish(editor.publish());
+        segments.publish(editor.publish());
     }
 
     /** Whether something was written since the last sync. */
@@ -70,98 +89,107 @@
         return unsynced;
     }
 
-    /** Adds a batch to what is to be written, in the segment that has room for it. */
+    /** Adds a batch to the buffer, for the segment that has room for it. */
     void append(Batch batch) throws IOException {
         List<Batch.Change> changes = batch.changes();
-        List<String> names = tables.missing(changes);
+        List<String> newTables = tables.missing(changes);
         long bytes = batch.bytes();
-        for (String name : names) {
-            bytes += Format.opLength(2 + name.getBytes(StandardCharsets.UTF_8).length, 2);
-        }
-        if (active == null) {
-            rotate();
-        } else if (active.length() + out.length() + bytes > options.segmentBytes()
-            && (!active.isEmpty() || pendingOps > 0)) {
-            flush();
-            rotate();
+        for (String name : newTables) {
+            bytes += Operation.lengthOf(Tables.NUMBER_BYTES + name.getBytes(StandardCharsets.UTF_8).length,
+                Tables.NUMBER_BYTES);
         }
-        if (safeTo > markerCovers && out.isEmpty()) {
+        makeRoom(bytes);
+        if (syncedUpTo > markedUpTo && out.isEmpty()) {
             writeMarker(false);
         }
         sequence++;
         int frame = out.begin(bytes - Format.FRAME_HEAD);
-        for (String name : names) {
-            op(Format.PUT, Tables.nameKey(name), tables.add(name), 0);
+        for (String name : newTables) {
+            addOperation(Operation.PUT, Tables.nameKey(name), tables.add(name), 0);
         }
-        for (Batch.Change c : changes) {
-            byte[] key = tables.key(c.table(), c.key());
-            if (c.isPut()) {
-                op(Format.PUT, key, c.value(), c.expires());
-            } else {
-                op(Format.REMOVE, key, new byte[0], 0);
-            }
-            payload += c.key().length + (c.isPut() ? c.value().length : 0);
+        for (Batch.Change change : changes) {
+            add(change);
         }
         out.end(frame, Format.BATCH, sequence, active.id(), active.length() + frame);
     }
 
-    private void op(byte kind, byte[] key, byte[] value, long expires) {
-        int at = out.op(kind, key, value, sequence, expires);
-        pendingOps++;
-        pending.add(new Change(kind, key, new Index.Place((int) active.id(), (int) active.length() + at,
-            Format.opLength(key.length, value.length), sequence, expires)));
+    private void makeRoom(long bytes) throws IOException {
+        if (active == null) {
+            rotate();
+        } else if (active.length() + out.length() + bytes > options.segmentBytes()
+            && (!active.isEmpty() || !pending.isEmpty())) {
+            flush();
+            rotate();
+        }
+    }
+
+    private void add(Batch.Change change) {
+        byte[] key = tables.key(change.table(), change.key());
+        if (change.isPut()) {
+            addOperation(Operation.PUT, key, change.value(), change.expiresAt());
+            payloadBytes += change.value().length;
+        } else {
+            addOperation(Operation.REMOVE, key, new byte[0], 0);
+        }
+        payloadBytes += change.key().length;
+    }
+
+    private void addOperation(byte kind, byte[] key, byte[] value, long expiresAt) {
+        int at = out.operation(kind, key, value, sequence, expiresAt);
+        pending.add(new Change(kind, key, new Index.Location((int) active.id(), (int) active.length() + at,
+            Operation.lengthOf(key.length, value.length), sequence, expiresAt)));
     }
 
     private void writeMarker(boolean closed) {
-        out.commitMarker(safeTo, time, closed, active.id(), active.length() + out.length());
-        markerCovers = safeTo;
+        out.commitMarker(syncedUpTo, time, closed, active.id(), active.length() + out.length());
+        markedUpTo = syncedUpTo;
     }
 
-    /** Writes to both copies and then changes the index, which nobody sees before it is published. */
+    /** Writes the buffer to both copies and then changes the index, which nobody sees before it is published. */
     void flush() throws IOException {
         if (out.isEmpty()) {
             return;
         }
         clean = false;
         unsynced = true;
-        written += 2L * out.length();
-        active.append(out.bytes(), pendingOps);
+        writtenBytes += COPIES * out.length();
+        active.append(out.bytes(), pending.size());
         out.clear();
-        for (Change c : pending) {
-            if (c.kind == Format.PUT) {
-                space.dead(editor.put(c.key, c.place));
-                space.live(c.place.segment(), c.place.length());
+        for (Change change : pending) {
+            Index.Location location = change.location;
+            if (change.kind == Operation.PUT) {
+                usage.addDead(editor.put(change.key, location));
+                usage.addLive(location.segment(), location.length());
             } else {
-                space.dead(editor.remove(c.key));
-                space.removal(c.place.segment(), c.place.length());
+                usage.addDead(editor.remove(change.key));
+                usage.addTombstones(location.segment(), location.length());
             }
         }
         pending.clear();
-        pendingOps = 0;
-        space.segment(active.id(), active.firstSequence(), active.length(), false);
+        usage.setSegment(active.id(), active.firstSequence(), active.length(), false);
     }
 
-    /** Makes all that was flushed safe in both copies; waits for the disks. */
+    /** Syncs all that was flushed in both copies; blocks on the disks. */
     void sync() throws IOException {
-        if (second == null) {
+        if (secondCopy == null) {
             active.sync();
         } else {
-            active.sync(second);
+            active.sync(secondCopy);
         }
         syncs++;
         unsynced = false;
-        safeTo = sequence;
+        syncedUpTo = sequence;
     }
 
-    /** Says that what was synced is safe, unless a commit marker says so already; needs no sync of its own. */
+    /** Records what was synced, unless a commit marker did already; needs no sync of its own. */
     void writeMarkerIfDue() throws IOException {
-        if (safeTo > markerCovers) {
+        if (syncedUpTo > markedUpTo) {
             writeMarker(false);
             flush();
         }
     }
 
-    /** Syncs what is left and says that nothing is missing behind it; an orderly end. */
+    /** Syncs what is left and records that nothing is missing behind it; an orderly end. */
     void close() throws IOException {
         if (active != null && !clean) {
             sync();
@@ -171,6 +199,13 @@
         }
     }
 
+    /** Ends the thread of the second copy; after a failure too. */
+    void stopThreads() {
+        if (secondCopy != null) {
+            secondCopy.shutdown();
+        }
+    }
+
     // ---------------------------------------------------------------- segments and manifest
 
     /** Seals the active segment and begins the next; both manifests name it before anything is written to it. */
@@ -178,19 +213,19 @@
         List<Manifest.Entry> entries = new ArrayList<>(manifest.segments());
         if (active != null) {
             sync();
-            entries.removeIf(e -> e.id() == active.id());
-            entries.add(active.sealed());
-            space.segment(active.id(), active.firstSequence(), active.length(), true);
+            entries.removeIf(entry -> entry.id() == active.id());
+            entries.add(active.sealedEntry());
+            usage.setSegment(active.id(), active.firstSequence(), active.length(), true);
         }
-        Segment next = Segment.create(store.disks(), manifest.store(), newSegment(), sequence + 1);
-        entries.add(next.active());
+        Segment next = Segment.create(segments.disks(), manifest.store(), newSegment(), sequence + 1);
+        entries.add(next.activeEntry());
         adopt(entries);
-        written += 2L * next.length();
-        space.segment(next.id(), next.firstSequence(), next.length(), false);
+        writtenBytes += COPIES * next.length();
+        usage.setSegment(next.id(), next.firstSequence(), next.length(), false);
         active = next;
-        store.begun(next);
+        segments.add(next);
         if (entries.size() > 1) {
-            store.wakeCompactor();
+            segmentSealed.run();
         }
     }
 
@@ -198,10 +233,10 @@
     private void adopt(List<Manifest.Entry> entries) throws IOException {
         manifest = new Manifest(manifest.store(), manifest.generation() + 1, nextSegment, sequence + 1,
             time, List.copyOf(entries));
-        manifest.replace(store.disks());
+        manifest.replace(segments.disks());
     }
 
-    // ---------------------------------------------------------------- for compaction, in tasks
+    // ---------------------------------------------------------------- tasks of the compactor
 
     /** A number for a segment that compaction writes. */
     long newSegment() {
@@ -213,9 +248,9 @@
         return manifest;
     }
 
-    /** What is live in each segment. */
-    SegmentUsage space() {
-        return space;
+    /** The usage of each segment. */
+    SegmentUsage usage() {
+        return usage;
     }
 
     /** Unix milliseconds, as the store's clock shows them. */
@@ -223,49 +258,52 @@
         return clock.getAsLong();
     }
 
-    /** Names the hint of a sealed segment. */
-    void hint(long segment, int length, int crc) throws IOException {
+    /** Puts the hint of a sealed segment in force. */
+    void adoptHint(long segment, SegmentHint hint) throws IOException {
         List<Manifest.Entry> entries = new ArrayList<>(manifest.segments());
-        entries.replaceAll(e -> e.id() == segment ? e.withHint(length, crc) : e);
+        entries.replaceAll(entry -> entry.id() == segment ? entry.withHint(hint.bytes().length, hint.crc()) : entry);
         adopt(entries);
     }
 
-    /** Puts compacted segments in the place of others. Values that have changed meanwhile stay where they are. */
-    void replace(List<Long> victims, List<Manifest.Entry> compacted, List<Segment> opened, Map<Long, Long> removals,
-        List<byte[]> keys, Map<Index.Place, Index.Place> moved) throws IOException {
+    /** Puts compacted segments in the place of others. Keys that were written meanwhile keep their new locations. */
+    void replace(List<Long> replaced, CompactionOutput output) throws IOException {
         if (unsynced) {
             sync();          // what makes a value dead must be safe before the value goes
         }
         List<Manifest.Entry> entries = new ArrayList<>(manifest.segments());
-        entries.removeIf(e -> victims.contains(e.id()));
-        entries.addAll(0, compacted);
+        entries.removeIf(entry -> replaced.contains(entry.id()));
+        entries.addAll(0, output.entries());
         adopt(entries);
-        for (Manifest.Entry e : compacted) {
-            space.segment(e.id(), e.firstSequence(), e.length(), true);
-            space.removal(e.id(), removals.getOrDefault(e.id(), 0L));
-            written += 2 * e.length();
+        for (Manifest.Entry entry : output.entries()) {
+            usage.setSegment(entry.id(), entry.firstSequence(), entry.length(), true);
+            usage.addTombstones(entry.id(), output.tombstoneBytes(entry.id()));
+            writtenBytes += COPIES * entry.length();
         }
-        opened.forEach(store::begun);
+        output.segments().forEach(segments::add);
+        relocate(output.keys(), output.relocated());
+        replaced.forEach(usage::remove);
+        publish();
+        replaced.forEach(segments::retire);
+    }
+
+    private void relocate(List<byte[]> keys, Map<Index.Location, Index.Location> relocated) {
         for (byte[] key : keys) {
-            Index.Place place = editor.get(key);
-            Index.Place now = place == null ? null : moved.get(place);
-            if (now != null) {
-                editor.put(key, now);
-                space.live(now.segment(), now.length());
+            Index.Location before = editor.get(key);
+            Index.Location after = before == null ? null : relocated.get(before);
+            if (after != null) {
+                editor.put(key, after);
+                usage.addLive(after.segment(), after.length());
             }
         }
-        victims.forEach(space::drop);
-        publish();
-        victims.forEach(store::replaced);
     }
 
-    /** Removes what has expired, unless it was written again meanwhile. */
+    /** Removes what has expired, unless it was written again meanwhile; returns how many keys. */
     int expire(List<byte[]> keys) throws IOException {
         time = time();
         Batch batch = new Batch();
         for (byte[] key : keys) {
-            Index.Place place = editor.get(key);
-            if (place != null && place.expires() > 0 && place.expires() <= time) {
+            Index.Location location = editor.get(key);
+            if (location != null && location.isExpired(time)) {
                 batch.remove(tables.name(key), Tables.keyOf(key));
             }
         }
@@ -278,9 +316,9 @@
         return count;
     }
 
-    /** The figures as they are now. */
+    /** The counters as they are now. */
     Store.Stats stats() {
-        return new Store.Stats(editor.size(), space.segments(), space.length(), space.live(), written, payload, syncs,
-            safeTo);
+        return new Store.Stats(editor.size(), usage.segments(), usage.length(), usage.live(), writtenBytes, payloadBytes,
+            syncs, syncedUpTo);
     }
 }
--- a/src/main/java/kelphollow/store/Compactor.java
+++ b/src/main/java/kelphollow/store/Compactor.java
@@ -2,49 +2,59 @@
 
 import java.io.IOException;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.locks.ReentrantLock;
+import java.util.function.Consumer;
 
 /**
- * Work in the background: hints for sealed segments, removal of what has expired, compaction, scrubbing. It writes new
- * files beside the old ones and asks the writer to put them in force; a crash at any step leaves files that no manifest
- * names, which the next opening deletes. If it cannot write (a full disk) it gives up for now and the store goes on.
+ * Background work: hints for sealed segments, removal of what has expired, compaction, scrubbing. It writes new files
+ * beside the old ones and has the writer put them in force; a crash at any step leaves files that no manifest names, which
+ * the next opening deletes. If it cannot write (a full disk) it gives up for now and the store goes on. Thread-safe: one
+ * piece of work at a time, whoever asks.
  */
 final class Compactor implements Runnable {
-    static final int FRAME_BYTES = 64 * 1024;
-    private static final int EXPIRED_AT_ONCE = 1_000;
-    private static final long PAUSE = 1_000;
+    private static final int MAX_EXPIRED_AT_ONCE = 1_000;
+    private static final long PAUSE_MILLIS = 1_000;
 
-    private final Store store;
+    private final SegmentSet segments;
     private final Writer writer;
     private final StoreOptions options;
-    private final Pace pace;
+    private final StoreClock clock;
+    private final Consumer<String> onWarning;
+    private final IoThrottle throttle;
+    private final SealedSegments sealed;
+    private final Scrubber scrubber;
     private final ReentrantLock busy = new ReentrantLock();
     private boolean closing;
     private long scrubbedAt;
 
-    Compactor(Store store, Writer writer, StoreOptions options) {
-        this.store = store;
+    /** Calls {@code onWarning} with what an operator should know, on the thread that works. */
+    Compactor(SegmentSet segments, Writer writer, StoreOptions options, StoreClock clock, Consumer<String> onWarning) {
+        this.segments = segments;
         this.writer = writer;
         this.options = options;
-        this.scrubbedAt = store.time();
-        this.pace = options.inline() ? Pace.FREE : Pace.of(options.compactBytesPerSecond());
+        this.clock = clock;
+        this.onWarning = onWarning;
+        this.scrubbedAt = clock.getAsLong();
+        this.throttle = options.inline() ? IoThrottle.UNLIMITED : IoThrottle.of(options.compactBytesPerSecond());
+        this.sealed = new SealedSegments(segments, writer, throttle);
+        this.scrubber = new Scrubber(segments, writer, sealed);
     }
 
+    // ---------------------------------------------------------------- the background thread
+
     @Override public void run() {
         while (!isClosing()) {
             try {
-                while (!isClosing() && turn()) {
-                    // until nothing is left to do
+                while (!isClosing() && runOnce()) {
+                    // until nothing is due
                 }
             } catch (StoreFault e) {
-                return;          // closed, or failed, which has been said
+                return;          // closed, or failed, which has been logged
             } catch (IOException e) {
-                store.warn("compaction gives up for now: " + e.getMessage());
+                onWarning.accept("compaction gives up for now: " + e.getMessage());
             }
-            rest();
+            pause();
         }
     }
 
@@ -52,17 +62,17 @@
         return closing;
     }
 
-    private synchronized void rest() {
+    private synchronized void pause() {
         try {
             if (!closing) {
-                wait(PAUSE);
+                wait(PAUSE_MILLIS);
             }
         } catch (InterruptedException e) {
             closing = true;
         }
     }
 
-    /** Has it look for work now. */
+    /** Ends the pause, because there may be work. */
     synchronized void wake() {
         notifyAll();
     }
@@ -72,215 +82,86 @@
         notifyAll();
     }
 
-    /** One piece of work; false if there was none. One at a time, whoever asks. */
-    boolean turn() throws IOException, StoreFault {
+    /** Does one piece of work; false if none was due. */
+    boolean runOnce() throws IOException, StoreFault {
         busy.lock();
         try {
-            return hint() || expire() || compact() || scrubIfDue();
+            return writeMissingHint() || expire() || compact() || scrubIfDue();
         } finally {
             busy.unlock();
         }
     }
 
-    // ---------------------------------------------------------------- hints
-
-    private boolean hint() throws IOException, StoreFault {
-        Manifest[] manifest = new Manifest[1];
-        writer.run(() -> manifest[0] = writer.log().manifest());
-        for (Manifest.Entry entry : manifest[0].segments()) {
+    private boolean writeMissingHint() throws IOException, StoreFault {
+        for (Manifest.Entry entry : writer.call(CommitLog::manifest).segments()) {
             if (entry.isSealed() && entry.hintLength() == 0 && entry.operations() > 0) {
-                SegmentHint hint = writeHint(entry.id(), whole(entry));
-                writer.run(() -> writer.log().hint(entry.id(), hint.bytes().length, hint.crc()));
+                SegmentHint hint = sealed.writeHint(entry.id(), sealed.read(entry));
+                writer.run(log -> log.adoptHint(entry.id(), hint));
                 return true;
             }
         }
         return false;
     }
 
-    private SegmentHint writeHint(long segment, SegmentMerge merge) throws IOException {
-        SegmentHint hint = SegmentHint.of(store.id(), merge, segment);
-        pace.take(2L * hint.bytes().length);
-        for (Disk disk : store.disks()) {
-            AtomicFile.write(disk, Format.hintName(segment), hint.bytes());
-            disk.syncFolder();
-        }
-        return hint;
-    }
-
-    /** Reads a sealed segment and checks it; the second copy is read only if the first is not whole. */
-    private SegmentMerge whole(Manifest.Entry entry) throws IOException, StoreFault {
-        Segment segment = store.segment(entry.id());
-        if (segment == null || !segment.pin()) {
-            throw new IOException(Format.segmentName(entry.id()) + " has been closed");
-        }
-        try {
-            byte[] a = segment.copy(0);
-            pace.take(a.length);
-            SegmentMerge merge = new SegmentMerge(a, a, store.id(), entry);
-            if (merge.damages().isEmpty() && merge.isWholeInA()) {
-                return merge;
-            }
-            merge = new SegmentMerge(a, segment.copy(1), store.id(), entry);
-            if (!merge.damages().isEmpty()) {
-                throw store.damaged(segment, merge);
-            }
-            return merge;
-        } finally {
-            segment.release();
-        }
-    }
-
-    // ---------------------------------------------------------------- expiry
-
     private boolean expire() throws IOException, StoreFault {
-        long[] now = new long[1];
-        writer.run(() -> now[0] = writer.log().time());
-        List<byte[]> keys = new ArrayList<>();
-        store.index().walk(new byte[0], (key, place) -> {
-            if (place.expires() > 0 && place.expires() <= now[0]) {
-                keys.add(key);
+        long now = writer.call(CommitLog::time);
+        List<byte[]> expired = new ArrayList<>();
+        for (Index.Entry entry : segments.index().entriesFrom(new byte[0])) {
+            if (entry.location().isExpired(now)) {
+                expired.add(entry.key());
+                if (expired.size() == MAX_EXPIRED_AT_ONCE) {
+                    break;
+                }
             }
-            return keys.size() < EXPIRED_AT_ONCE;
-        });
-        if (keys.isEmpty()) {
-            return false;
         }
-        int[] count = new int[1];
-        writer.run(() -> count[0] = writer.log().expire(keys));
-        return count[0] > 0;
+        return !expired.isEmpty() && writer.call(log -> log.expire(expired)) > 0;
     }
 
     // ---------------------------------------------------------------- compaction
 
-    /** What one compaction has written so far. */
-    private final class Output {
-        final List<Manifest.Entry> entries = new ArrayList<>();
-        final List<Segment> segments = new ArrayList<>();
-        final Map<Long, Long> removals = new HashMap<>();
-        final List<byte[]> keys = new ArrayList<>();
-        final Map<Index.Place, Index.Place> moved = new HashMap<>();
-        final FrameWriter frame = new FrameWriter(2 * FRAME_BYTES);
-        final long firstSequence;
-        private Segment current;
-        private int frameAt = -1, ops;
-        private long highest;
-
-        Output(long firstSequence) {
-            this.firstSequence = firstSequence;
-        }
-
-        void add(Format.Op op, Index.Place from) throws IOException, StoreFault {
-            if (current != null && current.length() + frame.length() + op.length() > options.segmentBytes()
-                && current.length() + frame.length() > Format.SEGMENT_HEADER + Format.FRAME_HEAD) {
-                finish();
-            }
-            if (current == null) {
-                long[] id = new long[1];
-                writer.run(() -> id[0] = writer.log().newSegment());
-                current = Segment.create(store.disks(), store.id(), id[0], firstSequence);
-                segments.add(current);
-            }
-            if (frameAt < 0) {
-                frameAt = frame.begin(op.length());
-            }
-            int at = frame.op(op);
-            ops++;
-            highest = Math.max(highest, op.sequence());
-            if (from == null) {
-                removals.merge(current.id(), (long) op.length(), Long::sum);
-            } else {
-                keys.add(op.key());
-                moved.put(from, new Index.Place((int) current.id(), (int) current.length() + at, op.length(),
-                    op.sequence(), op.expires()));
-            }
-            if (frame.length() >= FRAME_BYTES) {
-                flush();
-            }
-        }
-
-        private void flush() throws IOException {
-            if (frameAt >= 0) {
-                frame.end(frameAt, Format.MOVED, highest, current.id(), current.length());
-                pace.take(2L * frame.length());
-                current.append(frame.bytes(), ops);
-                frame.clear();
-                frameAt = -1;
-                ops = 0;
-                highest = 0;
-            }
-        }
-
-        /** Ends the segment at hand and makes it, with its hint, safe in both folders. */
-        void finish() throws IOException, StoreFault {
-            if (current != null) {
-                flush();
-                current.sync();
-                Manifest.Entry entry = current.sealed();
-                byte[] copy = current.copy(0);
-                SegmentMerge merge = new SegmentMerge(copy, copy, store.id(), entry);
-                if (!merge.damages().isEmpty()) {
-                    throw new IOException(Format.segmentName(entry.id()) + " cannot be read back");
-                }
-                SegmentHint hint = writeHint(entry.id(), merge);
-                entries.add(entry.withHint(hint.bytes().length, hint.crc()));
-                current = null;
-            }
-        }
-
-        /** What was written is of no use; after a fault of the store nobody knows whether a manifest names it. */
-        void abandon(boolean delete) {
-            for (Segment s : segments) {
-                if (delete) {
-                    s.replaced();
-                }
-                s.release();
-            }
-        }
-    }
+    /** What to compact: the numbers of the segments, and the manifest's entries at that time. */
+    private record Choice(List<Long> victims, List<Manifest.Entry> entries) {}
 
     private boolean compact() throws IOException, StoreFault {
-        List<Long> victims = new ArrayList<>();
-        List<Manifest.Entry> entries = new ArrayList<>();
-        writer.run(() -> {
-            victims.addAll(writer.log().space().choose(options.segmentBytes()));
-            entries.addAll(writer.log().manifest().segments());
-        });
-        return !victims.isEmpty() && compact(victims, entries);
+        long segmentBytes = options.segmentBytes();
+        Choice choice =
+            writer.call(log -> new Choice(log.usage().choose(segmentBytes), log.manifest().segments()));
+        return !choice.victims.isEmpty() && compact(choice);
     }
 
-    /** Compacts all sealed segments, whatever is live in them. */
+    /** Compacts all sealed segments, whatever is live in them; false if there is none. */
     boolean compactAll() throws IOException, StoreFault {
         busy.lock();
         try {
-            List<Manifest.Entry> entries = new ArrayList<>();
-            writer.run(() -> entries.addAll(writer.log().manifest().segments()));
-            List<Long> sealed = entries.stream().filter(Manifest.Entry::isSealed).map(Manifest.Entry::id).toList();
-            return !sealed.isEmpty() && compact(sealed, entries);
+            List<Manifest.Entry> entries = writer.call(CommitLog::manifest).segments();
+            List<Long> all = entries.stream().filter(Manifest.Entry::isSealed).map(Manifest.Entry::id).toList();
+            return !all.isEmpty() && compact(new Choice(all, entries));
         } finally {
             busy.unlock();
         }
     }
 
-    private boolean compact(List<Long> victims, List<Manifest.Entry> entries) throws IOException, StoreFault {
-        long first = Long.MAX_VALUE, olderElsewhere = Long.MAX_VALUE;
-        for (Manifest.Entry e : entries) {
-            if (victims.contains(e.id())) {
-                first = Math.min(first, e.firstSequence());
+    private boolean compact(Choice choice) throws IOException, StoreFault {
+        long firstSequence = Long.MAX_VALUE;
+        long oldestElsewhere = Long.MAX_VALUE;
+        for (Manifest.Entry entry : choice.entries) {
+            if (choice.victims.contains(entry.id())) {
+                firstSequence = Math.min(firstSequence, entry.firstSequence());
             } else {
-                olderElsewhere = Math.min(olderElsewhere, e.firstSequence());
+                oldestElsewhere = Math.min(oldestElsewhere, entry.firstSequence());
             }
         }
-        Output output = new Output(first);
+        CompactionOutput output = new CompactionOutput(segments, writer, sealed, throttle, options.segmentBytes(),
+            firstSequence);
         boolean inForce = false;
         try {
-            for (Manifest.Entry e : entries) {
-                if (victims.contains(e.id())) {
-                    copy(e, output, olderElsewhere);
+            for (Manifest.Entry entry : choice.entries) {
+                if (choice.victims.contains(entry.id())) {
+                    copy(entry, output, oldestElsewhere);
                 }
             }
             output.finish();
-            writer.run(() -> writer.log().replace(victims, output.entries, output.segments, output.removals, output.keys,
-                output.moved));
+            writer.run(log -> log.replace(choice.victims, output));
             inForce = true;
         } finally {
             if (!inForce) {
@@ -291,97 +172,44 @@
     }
 
     /** Copies what is live, and removals that still hide something older in a segment that stays. */
-    private void copy(Manifest.Entry victim, Output output, long olderElsewhere) throws IOException, StoreFault {
-        SegmentMerge merge = whole(victim);
-        Index index = store.index();
-        List<Format.Op> ops = new ArrayList<>();
-        for (SegmentMerge.Frame frame : merge.frames()) {
-            SegmentMerge.ops(merge.image(), frame, ops::add);
-        }
-        for (Format.Op op : ops) {
-            Index.Place place = index.get(op.key());
-            if (op.kind() == Format.REMOVE) {
-                boolean hides = olderElsewhere < op.sequence() && (place == null || place.sequence() < op.sequence());
-                if (hides) {
-                    output.add(op, null);
+    private void copy(Manifest.Entry victim, CompactionOutput output, long oldestElsewhere)
+        throws IOException, StoreFault {
+        SegmentMerge merge = sealed.read(victim);
+        Index index = segments.index();
+        for (Operation operation : merge.operations()) {
+            Index.Location latest = index.get(operation.key());
+            if (operation.kind() == Operation.REMOVE) {
+                boolean hidesOlder = oldestElsewhere < operation.sequence()
+                    && (latest == null || latest.sequence() < operation.sequence());
+                if (hidesOlder) {
+                    output.addTombstone(operation);
                 }
-            } else if (place != null && place.segment() == victim.id() && place.offset() == op.at()) {
-                output.add(op, place);
+            } else if (latest != null && latest.segment() == victim.id() && latest.offset() == operation.at()) {
+                output.addLive(operation, latest);
             }
         }
     }
 
     // ---------------------------------------------------------------- scrubbing
 
-    /** Never says that there was work: what it does is not done again at once. */
+    /** Never reports work done: what is due now is not due again at once. */
     private boolean scrubIfDue() throws IOException, StoreFault {
-        if (options.scrubEvery() > 0 && store.time() - scrubbedAt >= options.scrubEvery()) {
-            scrubbedAt = store.time();
-            Report report = new Report();
-            scrubAll(report);
-            report.lines().forEach(line -> store.warn("scrubbing " + line));
+        if (options.scrubEvery() > 0 && clock.getAsLong() - scrubbedAt >= options.scrubEvery()) {
+            scrubbedAt = clock.getAsLong();
+            IntegrityReport report = new IntegrityReport();
+            scrubber.scrubAll(report);
+            report.findings().forEach(finding -> onWarning.accept("scrubbing " + finding));
         }
         return false;
     }
 
-    /** Reads both copies of every sealed segment, and repairs the one that is not whole from the other. */
-    int scrub(Report report) throws IOException, StoreFault {
+    /** Reads both copies of all sealed segments now and repairs what is damaged in one; the number of repaired files. */
+    int scrub(IntegrityReport report) throws IOException, StoreFault {
         busy.lock();
         try {
-            return scrubAll(report);
+            return scrubber.scrubAll(report);
         } finally {
             busy.unlock();
         }
     }
-
-    private int scrubAll(Report report) throws IOException, StoreFault {
-        List<Manifest.Entry> entries = new ArrayList<>();
-        writer.run(() -> entries.addAll(writer.log().manifest().segments()));
-        int repaired = 0;
-        for (Manifest.Entry entry : entries) {
-            Segment segment = entry.isSealed() ? store.segment(entry.id()) : null;
-            if (segment == null || !segment.pin()) {
-                continue;        // compaction has replaced it meanwhile
-            }
-            try {
-                repaired += scrub(segment, entry, report);
-            } finally {
-                segment.release();
-            }
-        }
-        return repaired;
-    }
-
-    private int scrub(Segment segment, Manifest.Entry entry, Report report) throws IOException, StoreFault {
-        byte[] a = segment.copy(0), b = segment.copy(1);
-        pace.take(a.length + (long) b.length);
-        SegmentMerge merge = new SegmentMerge(a, b, store.id(), entry);
-        if (!merge.damages().isEmpty()) {
-            throw store.damaged(segment, merge);
-        }
-        int repaired = 0;
-        for (int i = 0; i < 2; i++) {
-            if (!(i == 0 ? merge.isWholeInA() : merge.isWholeInB())) {
-                segment.repair(i, merge.image());
-                report.repaired(store.disks()[i].place() + "/" + Format.segmentName(entry.id()),
-                    "from " + store.disks()[1 - i].place());
-                repaired++;
-            }
-        }
-        return repaired + (entry.hintLength() > 0 ? scrubHint(merge, entry, report) : 0);
-    }
-
-    private int scrubHint(SegmentMerge merge, Manifest.Entry entry, Report report) throws IOException {
-        SegmentHint hint = SegmentHint.of(store.id(), merge, entry.id());
-        String name = Format.hintName(entry.id());
-        int repaired = 0;
-        for (Disk disk : store.disks()) {
-            if (AtomicFile.read(disk, name, hint.bytes()) != hint.bytes()) {
-                AtomicFile.replace(disk, name, name + FolderFiles.REPLACEMENT, hint.bytes());
-                report.repaired(disk.place() + "/" + name, "from " + Format.segmentName(entry.id()));
-                repaired++;
-            }
-        }
-        return repaired;
-    }
 }
--- a/src/main/java/kelphollow/store/Disk.java
+++ b/src/main/java/kelphollow/store/Disk.java
@@ -6,42 +6,46 @@
 import java.util.Set;
 
 /**
- * What the store asks of a file system: one folder, flat, with names. The seam at which tests cut operations off, let
- * a crash forget or reorder what no sync has made safe, and make them fail. Calls block; none is made on an event loop.
+ * What the store needs of a file system: one flat folder of named files. The seam at which tests cut operations off, let a
+ * crash lose or reorder what was not synced, and make operations fail. Calls block; none is made on an event loop. Files
+ * may be created, renamed and deleted by one thread at a time.
  */
 public interface Disk {
     /** Where it is, for messages. */
     String place();
 
-    /** Makes sure that the folder is there and can be used. */
+    /** Makes sure that the folder exists and can be used. */
     void prepare() throws IOException;
 
     /** The names of all files in the folder. */
     Set<String> names() throws IOException;
 
+    /** Whether there is a file of this name. */
     default boolean has(String name) throws IOException {
         return names().contains(name);
     }
 
-    /** A new, empty file that must not be there yet. */
+    /** Creates an empty file, which must not exist yet. */
     File create(String name) throws IOException;
 
-    /** A file that is there, for reading and for appending behind its end. */
+    /** Opens a file that exists, for reading and for appending behind its end. */
     File open(String name) throws IOException;
 
-    /** Gives a file another name and replaces what had it, in one step; safe only after {@link #syncFolder}. */
+    /** Renames a file and replaces the one that had the name, in one step; safe only after {@link #syncFolder}. */
     void rename(String from, String to) throws IOException;
 
+    /** Deletes a file, if it exists; safe only after {@link #syncFolder}. */
     void delete(String name) throws IOException;
 
     /** Makes names given, changed and deleted so far safe. */
     void syncFolder() throws IOException;
 
-    /** Keeps all other processes out until it is closed; null when one is in already. */
+    /** Keeps all other processes out until it is closed; null when another one holds it. */
     Closeable lock(String name) throws IOException;
 
-    /** One file. Reads may come from several threads, the rest from one. */
+    /** One file. Any thread may read, one at a time may do the rest. */
     interface File extends Closeable {
+        /** Its size in bytes. */
         long size() throws IOException;
 
         /** Fills the buffer from this offset on, as far as the file goes. */
@@ -50,14 +54,14 @@
         /** Writes all that remains in the buffer behind the end, or fails. */
         void append(ByteBuffer bytes) throws IOException;
 
-        /** Makes what was appended so far safe; after a failure nobody knows what of it is. */
+        /** Makes what was appended so far safe; after a failure it is not known what of it is. */
         void sync() throws IOException;
     }
 
-    /** The whole of a file. */
-    static byte[] all(File file) throws IOException {
+    /** All bytes of a file. */
+    static byte[] readAll(File file) throws IOException {
         long size = file.size();
-        if (size > Format.LARGEST_FILE) {
+        if (size > Format.MAX_FILE_BYTES) {
             throw new IOException("a file of " + size + " bytes is none of the store's");
         }
         ByteBuffer bytes = ByteBuffer.allocate((int) size);
--- a/src/main/java/kelphollow/store/EntrySort.java
+++ b/src/main/java/kelphollow/store/EntrySort.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * Sorts the entries of a hint by key, of one key the latest first, without an object for each: numbers made of what
- * follows the keys' common beginning, and of the entry's place, are sorted as numbers; only where those are equal are
- * the keys themselves compared. One use, one thread; 12 bytes an entry while it runs.
+ * Sorts the entries of a hint by key, of one key the latest first, without an object for each: numbers made of the bytes
+ * behind the keys' common prefix, and of the entry's position, are sorted as numbers; only where those are equal are the
+ * keys themselves compared. One use, one thread; 12 bytes per entry while it runs.
  */
 final class EntrySort {
     private final byte[] bytes;
@@ -20,7 +20,7 @@
 
     /** Where the first {@code count} entries that {@code at} names begin, in the order of their keys. */
     static int[] sorted(byte[] bytes, int[] at, int count) {
-        return new EntrySort(bytes, at, count).run();
+        return new EntrySort(bytes, at, count).sort();
     }
 
     private int keyAt(int entry) {
@@ -28,58 +28,72 @@
     }
 
     private int keyEnd(int entry) {
-        return keyAt(entry) + Format.int32(bytes, entry + 4);
+        return keyAt(entry) + Format.int32(bytes, entry + SegmentHint.KEY_LENGTH_AT);
     }
 
-    private int[] run() {
-        int common = common(), placeBits = 32 - Integer.numberOfLeadingZeros(count);
-        long places = (1L << placeBits) - 1;
-        long[] keys = new long[count];
+    private int[] sort() {
+        int common = commonPrefix();
+        int positionBits = Integer.SIZE - Integer.numberOfLeadingZeros(count);
+        long positionMask = (1L << positionBits) - 1;
+        long[] numbers = new long[count];
         for (int i = 0; i < count; i++) {
             long prefix = Format.prefix(bytes, keyAt(at[i]) + common, keyEnd(at[i]));
-            keys[i] = (prefix & ~places | i) ^ Long.MIN_VALUE;      // sorted as signed numbers
+            // The sign bit is flipped because the sort is signed.
+            numbers[i] = (prefix & ~positionMask | i) ^ Long.MIN_VALUE;
         }
-        Arrays.sort(keys);
+        Arrays.sort(numbers);
         int[] sorted = new int[count];
         for (int i = 0; i < count; i++) {
-            sorted[i] = at[(int) (keys[i] & places)];
+            sorted[i] = at[(int) (numbers[i] & positionMask)];
         }
-        for (int from = 0, to; from < count; from = to) {
-            to = from + 1;
-            while (to < count && (keys[to] & ~places) == (keys[from] & ~places)) {
+        sortEqualPrefixes(numbers, positionMask, sorted);
+        return sorted;
+    }
+
+    private void sortEqualPrefixes(long[] numbers, long positionMask, int[] sorted) {
+        int from = 0;
+        while (from < count) {
+            int to = from + 1;
+            while (to < count && (numbers[to] & ~positionMask) == (numbers[from] & ~positionMask)) {
                 to++;
             }
             if (to - from > 1) {
-                byKey(sorted, from, to);
+                sortByKey(sorted, from, to);
             }
+            from = to;
         }
-        return sorted;
     }
 
-    /** How many bytes all keys begin with alike. */
-    private int common() {
+    /** Length of the prefix that all keys have in common. */
+    private int commonPrefix() {
         int common = count == 0 ? 0 : keyEnd(at[0]) - keyAt(at[0]);
         for (int i = 1; i < count && common > 0; i++) {
-            int first = keyAt(at[0]), key = keyAt(at[i]), most = Math.min(common, keyEnd(at[i]) - key);
-            int differ = Arrays.mismatch(bytes, first, first + most, bytes, key, key + most);
-            common = differ < 0 ? most : differ;
+            int first = keyAt(at[0]);
+            int key = keyAt(at[i]);
+            int longest = Math.min(common, keyEnd(at[i]) - key);
+            int mismatch = Arrays.mismatch(bytes, first, first + longest, bytes, key, key + longest);
+            common = mismatch < 0 ? longest : mismatch;
         }
         return common;
     }
 
-    private void byKey(int[] sorted, int from, int to) {
-        Integer[] some = new Integer[to - from];
+    private void sortByKey(int[] sorted, int from, int to) {
+        Integer[] range = new Integer[to - from];
         for (int i = from; i < to; i++) {
-            some[i - from] = sorted[i];
+            range[i - from] = sorted[i];
         }
-        Arrays.sort(some, this::compare);
+        Arrays.sort(range, this::compare);
         for (int i = from; i < to; i++) {
-            sorted[i] = some[i - from];
+            sorted[i] = range[i - from];
         }
     }
 
-    private int compare(int x, int y) {
-        int c = Arrays.compareUnsigned(bytes, keyAt(x), keyEnd(x), bytes, keyAt(y), keyEnd(y));
-        return c != 0 ? c : Long.compare(Format.int64(bytes, y + 16), Format.int64(bytes, x + 16));
+    private int compare(int left, int right) {
+        int order = Arrays.compareUnsigned(bytes, keyAt(left), keyEnd(left), bytes, keyAt(right), keyEnd(right));
+        return order != 0 ? order : Long.compare(sequence(right), sequence(left));
+    }
+
+    private long sequence(int entry) {
+        return Format.int64(bytes, entry + SegmentHint.SEQUENCE_AT);
     }
 }
--- a/src/main/java/kelphollow/store/FolderDisk.java
+++ b/src/main/java/kelphollow/store/FolderDisk.java
@@ -14,10 +14,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** A folder of the operating system's. A sync is {@code fdatasync} on files and {@code fsync} on the folder. */
+/**
+ * A folder of the operating system. A sync is {@code fdatasync} on files and {@code fsync} on the folder. Thread-safe as far
+ * as {@link Disk} asks.
+ */
 public final class FolderDisk implements Disk {
     private final Path folder;
 
+    /** The folder need not exist yet. */
     public FolderDisk(Path folder) {
         this.folder = folder;
     }
@@ -35,8 +39,8 @@
 
     @Override public Set<String> names() throws IOException {
         Set<String> names = new TreeSet<>();
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(folder)) {
-            all.forEach(p -> names.add(p.getFileName().toString()));
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
+            files.forEach(file -> names.add(file.getFileName().toString()));
         }
         return names;
     }
@@ -76,7 +80,7 @@
         try {
             lock = channel.tryLock();
         } catch (OverlappingFileLockException e) {
-            lock = null;          // another store of this very process
+            lock = null;          // another store of this process
         }
         if (lock == null) {
             channel.close();
@@ -86,7 +90,8 @@
     }
 
     private static final class Channel implements File {
-        private static final int LARGEST_READ = 256 * 1024;
+        /** Bounds direct memory: a read goes through a direct buffer of its length, and the JDK keeps one per thread. */
+        private static final int MAX_READ_BYTES = 256 * 1024;
         private final FileChannel channel;
         private long end;
 
@@ -99,14 +104,13 @@
             return channel.size();
         }
 
-        /** Guards direct memory: Java reads through a direct buffer as long as the read, and keeps one for each thread. */
         @Override public void read(ByteBuffer into, long offset) throws IOException {
             long at = offset;
-            int end = into.limit();
-            while (into.position() < end) {
-                into.limit(Math.min(end, into.position() + LARGEST_READ));
+            int limit = into.limit();
+            while (into.position() < limit) {
+                into.limit(Math.min(limit, into.position() + MAX_READ_BYTES));
                 int count = channel.read(into, at);
-                into.limit(end);
+                into.limit(limit);
                 if (count < 0) {
                     return;
                 }
--- a/src/main/java/kelphollow/store/FolderFiles.java
+++ b/src/main/java/kelphollow/store/FolderFiles.java
@@ -5,50 +5,57 @@
 import java.util.Set;
 
 /**
- * Which files in a folder are the store's. Guards the files of others against a store that is opened in the wrong
- * folder, and clears away what a crash has left.
+ * Which files in a folder are the store's. Guards other files against a store that is opened in the wrong folder, and
+ * deletes what a crash has left. Stateless.
  */
 final class FolderFiles {
-    /** The ending of a file that is about to replace one; part of the format on disk, so it stays as it was. */
+    /** Suffix of a file that is about to replace another one; part of the format on disk, so it keeps its older name. */
     static final String REPLACEMENT = ".heal";
+    /** A folder of the file system itself, at the root of a volume. */
+    private static final String LOST_AND_FOUND = "lost+found";
 
     private FolderFiles() {}
 
-    /** Guards files of others: a folder in which this store has nothing yet must be empty. */
-    static void refuseStrangers(Disk disk, boolean hasManifest) throws IOException, StoreFault {
+    /** Rejects a folder that has other files and in which this store has nothing yet. */
+    static void rejectForeignFiles(Disk disk, boolean hasManifest) throws IOException, StoreFault {
         for (String name : disk.names()) {
-            boolean ours = name.equals(Store.LOCK) || name.equals(Manifest.NAME) || name.equals(Manifest.NEW_NAME)
-                || name.equals("lost+found") || Format.idOf(name) >= 0 || name.endsWith(REPLACEMENT);
-            if (!ours && !hasManifest) {
-                throw new StoreFault(StoreFault.Kind.FOREIGN, disk.place() + "/" + name + " is not the store's, and "
-                    + disk.place() + " is no store yet: it must be empty");
+            if (!isOurs(name) && !hasManifest) {
+                throw new StoreFault(StoreFault.Kind.FOREIGN_FILES, disk.place() + "/" + name
+                    + " is not the store's, and " + disk.place() + " is no store yet: it must be empty");
             }
         }
     }
 
-    /** Left by a crash: files that were begun for a manifest that never came to hold, or replaced by one that does. */
-    static void deleteUnnamed(Disk[] disks, Manifest manifest) throws IOException {
-        Set<String> named = new HashSet<>();
-        for (Manifest.Entry e : manifest.segments()) {
-            named.add(Format.segmentName(e.id()));
-            if (e.hintLength() > 0) {
-                named.add(Format.hintName(e.id()));
+    private static boolean isOurs(String name) {
+        return name.equals(FolderLocks.FILE_NAME) || name.equals(Manifest.NAME) || name.equals(Manifest.NEW_NAME)
+            || name.equals(LOST_AND_FOUND) || Format.idOf(name) >= 0 || name.endsWith(REPLACEMENT);
+    }
+
+    /** Deletes files that were begun for a manifest that never came into force, or replaced by one that did. */
+    static void deleteUnlisted(Disk[] disks, Manifest manifest) throws IOException {
+        Set<String> listed = new HashSet<>();
+        for (Manifest.Entry entry : manifest.segments()) {
+            listed.add(Format.segmentName(entry.id()));
+            if (entry.hintLength() > 0) {
+                listed.add(Format.hintName(entry.id()));
             }
         }
         for (Disk disk : disks) {
-            boolean any = false;
+            boolean deleted = false;
             for (String name : disk.names()) {
-                boolean left = name.equals(Manifest.NEW_NAME)
-                    || name.endsWith(REPLACEMENT)
-                        && Format.idOf(name.substring(0, name.length() - REPLACEMENT.length())) >= 0;
-                if (left || Format.idOf(name) >= 0 && !named.contains(name)) {
+                if (isTemporary(name) || Format.idOf(name) >= 0 && !listed.contains(name)) {
                     disk.delete(name);
-                    any = true;
+                    deleted = true;
                 }
             }
-            if (any) {
+            if (deleted) {
                 disk.syncFolder();
             }
         }
     }
+
+    private static boolean isTemporary(String name) {
+        return name.equals(Manifest.NEW_NAME) || name.endsWith(REPLACEMENT)
+            && Format.idOf(name.substring(0, name.length() - REPLACEMENT.length())) >= 0;
+    }
 }
--- /dev/null
+++ b/src/main/java/kelphollow/store/FolderLocks.java
@@ -0,0 +1,57 @@
+package kelphollow.store;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * The locks on a store's folders, which keep other processes out until they are closed. Guards against two programs that
+ * write the same store, and against a store that is opened in a folder of something else. Confined to one thread.
+ */
+final class FolderLocks implements AutoCloseable {
+    /** Name of the lock file in each folder. */
+    static final String FILE_NAME = "LOCK";
+
+    private final List<Closeable> locks = new ArrayList<>();
+
+    private FolderLocks() {}
+
+    /**
+     * Locks all folders or none; makes those that are missing.
+     *
+     * @throws StoreFault LOCKED if another process has one, FOREIGN_FILES if one holds other files and no store
+     */
+    static FolderLocks acquire(Disk[] disks) throws IOException, StoreFault {
+        FolderLocks acquired = new FolderLocks();
+        try {
+            for (Disk disk : disks) {
+                acquired.add(disk);
+            }
+            return acquired;
+        } catch (IOException | StoreFault e) {
+            acquired.close();
+            throw e;
+        }
+    }
+
+    private void add(Disk disk) throws IOException, StoreFault {
+        disk.prepare();
+        FolderFiles.rejectForeignFiles(disk, disk.has(Manifest.NAME));
+        Closeable lock = disk.lock(FILE_NAME);
+        if (lock == null) {
+            throw new StoreFault(StoreFault.Kind.LOCKED, disk.place() + " is held by a running program");
+        }
+        locks.add(lock);
+    }
+
+    @Override public void close() {
+        for (Closeable lock : locks) {
+            try {
+                lock.close();
+            } catch (IOException e) {
+                // the end of the process releases it
+            }
+        }
+    }
+}
--- a/src/main/java/kelphollow/store/Format.java
+++ b/src/main/java/kelphollow/store/Format.java
@@ -2,32 +2,52 @@
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.Locale;
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of the files: segment header, frame head and operation, as {@code docs/design/STORE.md} lists them. All
- * numbers are big-endian. Checksums are CRC32C. That of a frame's head covers the segment's number and the frame's
- * offset too, so that a frame is valid at its own place only: neither an old block nor a value that looks like a
- * frame is ever taken for one.
+ * The bytes of the files, as {@code docs/design/STORE.md} lists them: names, headers and frames; operations are in
+ * {@link Operation}. All numbers are big-endian, checksums are CRC32C. That of a frame's head covers the segment's number
+ * and the frame's offset too, so that a frame is valid in its own place only: neither an old block nor a value that looks
+ * like a frame is ever read as one. Stateless.
  */
 final class Format {
     static final int VERSION = 1;
     /** No file of the store is longer: offsets fit an {@code int}. */
-    static final long LARGEST_FILE = Integer.MAX_VALUE - 64;
+    static final long MAX_FILE_BYTES = Integer.MAX_VALUE - 64;
     static final byte[] SEGMENT_MAGIC = magic("KHSEG");
     static final byte[] MANIFEST_MAGIC = magic("KHMAN");
     static final byte[] HINT_MAGIC = magic("KHHNT");
+    static final String SEGMENT_SUFFIX = ".seg";
+    static final String HINT_SUFFIX = ".hint";
     static final int SEGMENT_HEADER = 64;
     static final int FRAME_HEAD = 24;
-    static final int OP_HEAD = 32;
-    static final int LONGEST_KEY = 0xffff;
-    /** Frames: a caller's batch; records moved by compaction; a commit marker, which says what is safe in both copies. */
-    static final byte BATCH = 1, MOVED = 2, COMMIT_MARKER = 3;
+    /** Type of a frame: a caller's batch. */
+    static final byte BATCH = 1;
+    /** Type of a frame: operations moved by compaction. */
+    static final byte MOVED = 2;
+    /** Type of a frame: says up to which sequence all is synced in both copies. */
+    static final byte COMMIT_MARKER = 3;
     /** Flag of a commit marker: the store was closed, or recovered, here. */
     static final byte CLEAN = 1;
     static final int COMMIT_MARKER_PAYLOAD = 8;
-    static final byte PUT = 1, REMOVE = 2;
+
+    /** Where a segment's header has its number and first sequence. */
+    static final int SEGMENT_ID_AT = 32;
+    static final int FIRST_SEQUENCE_AT = 40;
+    private static final int VERSION_AT = 8;
+    private static final int STORE_HIGH_AT = 16;
+    private static final int STORE_LOW_AT = 24;
+    private static final int CHECKSUM_BYTES = 4;
+    private static final int ID_DIGITS = 12;
+
+    private static final int FRAME_TYPE_AT = 4;
+    private static final int FRAME_FLAGS_AT = 5;
+    private static final int FRAME_RESERVED_AT = 6;
+    private static final int FRAME_SEQUENCE_AT = 8;
+    private static final int FRAME_PAYLOAD_CRC_AT = 16;
+    private static final int FRAME_HEAD_CRC_AT = 20;
 
     private Format() {}
 
@@ -41,18 +61,20 @@
         return (int) crc.getValue();
     }
 
+    // ---------------------------------------------------------------- names
+
     static String segmentName(long id) {
-        return String.format(Locale.ROOT, "%012d.seg", id);
+        return String.format(Locale.ROOT, "%012d" + SEGMENT_SUFFIX, id);
     }
 
     static String hintName(long id) {
-        return String.format(Locale.ROOT, "%012d.hint", id);
+        return String.format(Locale.ROOT, "%012d" + HINT_SUFFIX, id);
     }
 
-    /** The number in a name that {@link #segmentName} or {@link #hintName} gives, or -1. */
+    /** The number in a name that {@link #segmentName} or {@link #hintName} returns, or -1. */
     static long idOf(String name) {
         int dot = name.indexOf('.');
-        if (dot != 12 || !(name.endsWith(".seg") || name.endsWith(".hint"))) {
+        if (dot != ID_DIGITS || !(name.endsWith(SEGMENT_SUFFIX) || name.endsWith(HINT_SUFFIX))) {
             return -1;
         }
         for (int i = 0; i < dot; i++) {
@@ -63,157 +85,131 @@
         return Long.parseLong(name.substring(0, dot));
     }
 
-    // ---------------------------------------------------------------- segment header
+    // ---------------------------------------------------------------- headers
 
     static byte[] segmentHeader(StoreId store, long id, long firstSequence) {
-        ByteBuffer b = ByteBuffer.allocate(SEGMENT_HEADER);
-        b.put(SEGMENT_MAGIC).putInt(VERSION).putInt(0).putLong(store.high()).putLong(store.low());
-        b.putLong(id).putLong(firstSequence).putLong(0).putInt(0);
-        b.putInt(crc(b.array(), 0, SEGMENT_HEADER - 4));
-        return b.array();
+        ByteBuffer header = ByteBuffer.allocate(SEGMENT_HEADER);
+        header.put(SEGMENT_MAGIC).putInt(VERSION).putInt(0).putLong(store.high()).putLong(store.low());
+        header.putLong(id).putLong(firstSequence).putLong(0).putInt(0);
+        header.putInt(crc(header.array(), 0, SEGMENT_HEADER - CHECKSUM_BYTES));
+        return header.array();
     }
 
     /** What the first bytes of a file are. */
-    enum Start { SOUND, DAMAGED, FOREIGN, OTHER_VERSION }
-
-    /** Checks the start that all files share: magic, version, store. A damaged one may be of any store. */
-    static Start start(byte[] bytes, byte[] magic, StoreId store, int checkedLength) {
+    enum HeaderState {
+        /** Intact, and of this store. */
+        VALID,
+        /** Not intact; of which store it is cannot be said. */
+        DAMAGED,
+        /** Intact, and of another store. */
+        FOREIGN,
+        /** Intact, and of a version that this program does not know. */
+        OTHER_VERSION
+    }
+
+    /**
+     * Checks the beginning that all files share: magic, version, store.
+     *
+     * @param store whose file it must be, null for any store's
+     * @param checkedLength of the bytes that the checksum covers, with the checksum itself at their end
+     */
+    static HeaderState headerState(byte[] bytes, byte[] magic, StoreId store, int checkedLength) {
         if (bytes.length < checkedLength) {
-            return Start.DAMAGED;
+            return HeaderState.DAMAGED;
         }
-        ByteBuffer b = ByteBuffer.wrap(bytes);
-        boolean sound = b.getInt(checkedLength - 4) == crc(bytes, 0, checkedLength - 4);
-        boolean ours = java.util.Arrays.equals(bytes, 0, magic.length, magic, 0, magic.length);
-        if (ours && sound && b.getInt(8) != VERSION) {
-            return Start.OTHER_VERSION;
+        int covered = checkedLength - CHECKSUM_BYTES;
+        boolean valid = int32(bytes, covered) == crc(bytes, 0, covered);
+        boolean hasMagic = Arrays.equals(bytes, 0, magic.length, magic, 0, magic.length);
+        if (hasMagic && valid && int32(bytes, VERSION_AT) != VERSION) {
+            return HeaderState.OTHER_VERSION;
         }
-        if (!ours || !sound) {
-            return Start.DAMAGED;
+        if (!hasMagic || !valid) {
+            return HeaderState.DAMAGED;
         }
-        return store != null && !store.equals(new StoreId(b.getLong(16), b.getLong(24))) ? Start.FOREIGN : Start.SOUND;
+        return store != null && !store.equals(storeOf(bytes)) ? HeaderState.FOREIGN : HeaderState.VALID;
     }
 
-    static boolean isHeaderOf(byte[] bytes, StoreId store, long id) {
-        return start(bytes, SEGMENT_MAGIC, store, SEGMENT_HEADER) == Start.SOUND && ByteBuffer.wrap(bytes).getLong(32) == id;
+    /** The store that an intact segment or hint file belongs to. */
+    static StoreId storeOf(byte[] bytes) {
+        return new StoreId(int64(bytes, STORE_HIGH_AT), int64(bytes, STORE_LOW_AT));
     }
 
     // ---------------------------------------------------------------- frames
 
-    /** Writes the head of a frame whose payload stands in the buffer from {@code at + FRAME_HEAD} to its position. */
-    static void sealFrame(ByteBuffer b, int at, byte type, byte flags, long sequence, long segment, long offset) {
-        int length = b.position() - at - FRAME_HEAD;
-        b.putInt(at, length).put(at + 4, type).put(at + 5, flags).putShort(at + 6, (short) 0).putLong(at + 8, sequence);
+    /** Writes the head of a frame whose payload is in the buffer from {@code at + FRAME_HEAD} to its position. */
+    static void sealFrame(ByteBuffer buffer, int at, byte type, byte flags, long sequence, long segment, long offset) {
+        int length = buffer.position() - at - FRAME_HEAD;
+        buffer.putInt(at, length).put(at + FRAME_TYPE_AT, type).put(at + FRAME_FLAGS_AT, flags)
+            .putShort(at + FRAME_RESERVED_AT, (short) 0).putLong(at + FRAME_SEQUENCE_AT, sequence);
         CRC32C crc = new CRC32C();
-        ByteBuffer payload = b.duplicate();
-        payload.limit(b.position()).position(at + FRAME_HEAD);
+        ByteBuffer payload = buffer.duplicate();
+        payload.limit(buffer.position()).position(at + FRAME_HEAD);
         crc.update(payload);
-        b.putInt(at + 16, (int) crc.getValue());
-        byte[] head = new byte[FRAME_HEAD - 4];
-        b.get(at, head);
-        b.putInt(at + 20, headCrc(head, 0, segment, offset));
+        buffer.putInt(at + FRAME_PAYLOAD_CRC_AT, (int) crc.getValue());
+        byte[] head = new byte[FRAME_HEAD_CRC_AT];
+        buffer.get(at, head);
+        buffer.putInt(at + FRAME_HEAD_CRC_AT, headCrc(head, 0, segment, offset));
     }
 
     private static int headCrc(byte[] bytes, int at, long segment, long offset) {
         CRC32C crc = new CRC32C();
-        crc.update(bytes, at, FRAME_HEAD - 4);
-        for (int shift = 56; shift >= 0; shift -= 8) {
+        crc.update(bytes, at, FRAME_HEAD_CRC_AT);
+        for (int shift = Long.SIZE - Byte.SIZE; shift >= 0; shift -= Byte.SIZE) {
             crc.update((int) (segment >>> shift) & 0xff);
         }
-        for (int shift = 24; shift >= 0; shift -= 8) {
+        for (int shift = Integer.SIZE - Byte.SIZE; shift >= 0; shift -= Byte.SIZE) {
             crc.update((int) (offset >>> shift) & 0xff);
         }
         return (int) crc.getValue();
     }
 
-    /** Whether a frame's head stands here, whole and in its place; its length may still point beyond the bytes. */
-    static boolean isHead(byte[] bytes, int at, int end, long segment) {
-        if (at < 0 || end - at < FRAME_HEAD || bytes[at + 4] < BATCH || bytes[at + 4] > COMMIT_MARKER
-            || bytes[at + 6] != 0 || bytes[at + 7] != 0) {
+    /** Whether an intact frame head is here, in its own place; its length may still point beyond the bytes. */
+    static boolean isFrameHead(byte[] bytes, int at, int end, long segment) {
+        if (at < 0 || end - at < FRAME_HEAD || bytes[at + FRAME_TYPE_AT] < BATCH
+            || bytes[at + FRAME_TYPE_AT] > COMMIT_MARKER || int16(bytes, at + FRAME_RESERVED_AT) != 0) {
             return false;
         }
-        return int32(bytes, at + 20) == headCrc(bytes, at, segment, at);
-    }
-
-    static boolean isPayload(byte[] bytes, int at, int end, int length, int crc) {
-        return length >= 0 && end - at >= length && crc(bytes, at, length) == crc;
+        return int32(bytes, at + FRAME_HEAD_CRC_AT) == headCrc(bytes, at, segment, at);
     }
 
-    static int int32(byte[] b, int at) {
-        return (b[at] & 0xff) << 24 | (b[at + 1] & 0xff) << 16 | (b[at + 2] & 0xff) << 8 | b[at + 3] & 0xff;
+    /** The frame whose intact head is here. */
+    static SegmentMerge.Frame frame(byte[] bytes, int at) {
+        return new SegmentMerge.Frame(at, bytes[at + FRAME_TYPE_AT], bytes[at + FRAME_FLAGS_AT],
+            int64(bytes, at + FRAME_SEQUENCE_AT), int32(bytes, at));
     }
 
-    static long int64(byte[] b, int at) {
-        return (long) int32(b, at) << 32 | int32(b, at + 4) & 0xffffffffL;
+    /** The checksum that the frame head here gives for its payload. */
+    static int payloadCrc(byte[] bytes, int frameAt) {
+        return int32(bytes, frameAt + FRAME_PAYLOAD_CRC_AT);
     }
 
-    /** The bytes from..to as a number of eight, zeros behind a shorter stretch. */
-    static long prefix(byte[] b, int from, int to) {
-        if (to - from >= 8) {
-            return int64(b, from);
-        }
-        long prefix = 0;
-        for (int i = from; i < from + 8; i++) {
-            prefix = prefix << 8 | (i < to ? b[i] & 0xff : 0);
-        }
-        return prefix;
-    }
-
-    static int int16(byte[] b, int at) {
-        return (b[at] & 0xff) << 8 | b[at + 1] & 0xff;
+    static boolean isPayload(byte[] bytes, int at, int end, int length, int crc) {
+        return length >= 0 && end - at >= length && crc(bytes, at, length) == crc;
     }
 
-    // ---------------------------------------------------------------- operations
+    // ---------------------------------------------------------------- numbers
 
-    static int opLength(int keyLength, int valueLength) {
-        return OP_HEAD + keyLength + valueLength;
+    static int int16(byte[] bytes, int at) {
+        return (bytes[at] & 0xff) << 8 | bytes[at + 1] & 0xff;
     }
 
-    /** Writes one operation; {@code key} begins with the two bytes of its table. */
-    static void writeOp(ByteBuffer b, byte kind, byte[] key, byte[] value, long sequence, long expires) {
-        int at = b.position();
-        b.putInt(0).put(kind).put((byte) 0).putShort((short) 0).putInt(key.length).putInt(value.length);
-        b.putLong(sequence).putLong(expires).put(key).put(value);
-        CRC32C crc = new CRC32C();
-        ByteBuffer rest = b.duplicate();
-        rest.limit(b.position()).position(at + 4);
-        crc.update(rest);
-        b.putInt(at, (int) crc.getValue());
+    static int int32(byte[] bytes, int at) {
+        return (bytes[at] & 0xff) << 24 | (bytes[at + 1] & 0xff) << 16 | (bytes[at + 2] & 0xff) << 8 | bytes[at + 3] & 0xff;
     }
 
-    /** One operation as it stands in bytes. */
-    record Op(byte kind, byte[] bytes, int at, int keyLength, int valueLength, long sequence, long expires) {
-        int keyAt() {
-            return at + OP_HEAD;
-        }
-
-        int length() {
-            return opLength(keyLength, valueLength);
-        }
-
-        byte[] key() {
-            return java.util.Arrays.copyOfRange(bytes, keyAt(), keyAt() + keyLength);
-        }
-
-        byte[] value() {
-            return java.util.Arrays.copyOfRange(bytes, keyAt() + keyLength, at + length());
-        }
+    static long int64(byte[] bytes, int at) {
+        return (long) int32(bytes, at) << 32 | int32(bytes, at + 4) & 0xffffffffL;
     }
 
-    /** Reads the operation here, or null if the bytes up to {@code end} can hold none. Its checksum is not looked at. */
-    static Op op(byte[] bytes, int at, int end) {
-        if (end - at < OP_HEAD) {
-            return null;
+    /** The first eight bytes of a range as a number, padded with zeros. */
+    static long prefix(byte[] bytes, int from, int to) {
+        if (to - from >= Long.BYTES) {
+            return int64(bytes, from);
         }
-        int key = int32(bytes, at + 8), value = int32(bytes, at + 12);
-        byte kind = bytes[at + 4];
-        if (key < 2 || key > LONGEST_KEY + 2 || value < 0 || (long) OP_HEAD + key + value > end - at
-            || kind != PUT && kind != REMOVE) {
-            return null;
+        long prefix = 0;
+        for (int i = from; i < from + Long.BYTES; i++) {
+            prefix = prefix << Byte.SIZE | (i < to ? bytes[i] & 0xff : 0);
         }
-        return new Op(kind, bytes, at, key, value, int64(bytes, at + 16), int64(bytes, at + 24));
-    }
-
-    static boolean isSound(Op op) {
-        return int32(op.bytes(), op.at()) == crc(op.bytes(), op.at() + 4, op.length() - 4);
+        return prefix;
     }
 }
--- a/src/main/java/kelphollow/store/Manifest.java
+++ b/src/main/java/kelphollow/store/Manifest.java
@@ -7,23 +7,31 @@
 import java.util.List;
 
 /**
- * Which segments make up the store. A file of its own in each folder, replaced whole: a new one takes effect by its
- * renaming, so that at each moment either the old list or the new one holds.
+ * Which segments make up the store. A file of its own in each folder, replaced completely: a new one takes effect by its
+ * renaming, so that at each moment either the old list or the new one is in force.
  *
- * @param generation grows by one with each replacement; of two manifests the higher holds
+ * @param generation grows by one with each replacement; of two manifests the higher is in force
  * @param nextSegment no segment had this number yet
  * @param nextSequence no batch that the segments do not show had this number or a higher one
- * @param time the latest time that the store has seen, in Unix milliseconds
+ * @param time the latest time that the store has recorded, in Unix milliseconds
  */
 record Manifest(StoreId store, long generation, long nextSegment, long nextSequence, long time, List<Entry> segments) {
-    static final String NAME = "MANIFEST", NEW_NAME = "MANIFEST.new";
-    private static final int HEAD = 72, ENTRY = 48;
+    static final String NAME = "MANIFEST";
+    /** Name of the file that is about to replace the manifest. */
+    static final String NEW_NAME = "MANIFEST.new";
+    private static final int HEAD = 72;
+    private static final int COUNT_AT = 12;
+    private static final int STORE_AT = 16;
+    private static final int ENTRY = 48;
+    private static final int ENTRY_RESERVED = 12;
+    private static final int CHECKSUM_BYTES = 4;
 
     /**
-     * One segment; {@code length} 0 while it is written to.
+     * One segment.
      *
+     * @param length in bytes, 0 while it is written to
      * @param firstSequence no operation in it has a lower one
-     * @param hintLength 0 when it has no hint file
+     * @param hintLength in bytes, 0 when it has no hint file
      */
     record Entry(long id, long length, long firstSequence, int operations, int hintLength, int hintCrc) {
         boolean isSealed() {
@@ -36,44 +44,51 @@
     }
 
     byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(HEAD + segments.size() * ENTRY + 4);
-        b.put(Format.MANIFEST_MAGIC).putInt(Format.VERSION).putInt(segments.size());
-        b.putLong(store.high()).putLong(store.low());
-        b.putLong(generation).putLong(nextSegment).putLong(nextSequence).putLong(time).putLong(0);
-        for (Entry e : segments) {
-            b.putLong(e.id).putLong(e.length).putLong(e.firstSequence).putInt(e.operations).putInt(e.hintLength)
-                .putInt(e.hintCrc).putInt(0).putLong(0);
+        ByteBuffer file = ByteBuffer.allocate(HEAD + segments.size() * ENTRY + CHECKSUM_BYTES);
+        file.put(Format.MANIFEST_MAGIC).putInt(Format.VERSION).putInt(segments.size());
+        file.putLong(store.high()).putLong(store.low());
+        file.putLong(generation).putLong(nextSegment).putLong(nextSequence).putLong(time).putLong(0);
+        for (Entry entry : segments) {
+            file.putLong(entry.id).putLong(entry.length).putLong(entry.firstSequence).putInt(entry.operations)
+                .putInt(entry.hintLength).putInt(entry.hintCrc).putInt(0).putLong(0);
         }
-        b.putInt(Format.crc(b.array(), 0, b.position()));
-        return b.array();
+        file.putInt(Format.crc(file.array(), 0, file.position()));
+        return file.array();
     }
 
-    /** What a folder's manifest file is. */
-    record Found(Manifest manifest, Format.Start start) {}
+    /** A folder's manifest file; {@code manifest} is null unless {@code state} is VALID. */
+    record Found(Manifest manifest, Format.HeaderState state) {}
 
     static Found read(byte[] bytes) {
-        Format.Start start = bytes.length < HEAD + 4 ? Format.Start.DAMAGED
-            : Format.start(bytes, Format.MANIFEST_MAGIC, null, bytes.length);
-        ByteBuffer b = ByteBuffer.wrap(bytes);
-        if (start != Format.Start.SOUND || bytes.length != HEAD + b.getInt(12) * (long) ENTRY + 4) {
-            return new Found(null, start == Format.Start.SOUND ? Format.Start.DAMAGED : start);
+        Format.HeaderState state = bytes.length < HEAD + CHECKSUM_BYTES ? Format.HeaderState.DAMAGED
+            : Format.headerState(bytes, Format.MANIFEST_MAGIC, null, bytes.length);
+        if (state != Format.HeaderState.VALID) {
+            return new Found(null, state);
         }
-        int count = b.getInt(12);
-        b.position(16);
-        StoreId store = new StoreId(b.getLong(), b.getLong());
-        long generation = b.getLong(), nextSegment = b.getLong(), nextSequence = b.getLong(), time = b.getLong();
-        b.getLong();
+        int count = Format.int32(bytes, COUNT_AT);
+        if (bytes.length != HEAD + count * (long) ENTRY + CHECKSUM_BYTES) {
+            return new Found(null, Format.HeaderState.DAMAGED);
+        }
+        ByteBuffer file = ByteBuffer.wrap(bytes).position(STORE_AT);
+        StoreId store = new StoreId(file.getLong(), file.getLong());
+        long generation = file.getLong();
+        long nextSegment = file.getLong();
+        long nextSequence = file.getLong();
+        long time = file.getLong();
+        file.position(HEAD);
         List<Entry> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            entries.add(new Entry(b.getLong(), b.getLong(), b.getLong(), b.getInt(), b.getInt(), b.getInt()));
-            b.position(b.position() + 12);
+            entries.add(new Entry(file.getLong(), file.getLong(), file.getLong(), file.getInt(), file.getInt(),
+                file.getInt()));
+            file.position(file.position() + ENTRY_RESERVED);
         }
         return new Found(new Manifest(store, generation, nextSegment, nextSequence, time, List.copyOf(entries)),
-            Format.Start.SOUND);
+            Format.HeaderState.VALID);
     }
 
+    /** The entry of a segment, or null. */
     Entry entry(long id) {
-        return segments.stream().filter(e -> e.id == id).findFirst().orElse(null);
+        return segments.stream().filter(entry -> entry.id == id).findFirst().orElse(null);
     }
 
     /** Replaces the manifest of each folder in turn; after a crash in between recovery takes the higher generation. */
@@ -83,11 +98,13 @@
         }
     }
 
+    /** Replaces the manifest of one folder. */
     void write(Disk disk) throws IOException {
         AtomicFile.replace(disk, NAME, NEW_NAME, bytes());
     }
 
-    boolean isSame(byte[] found) {
+    /** Whether these are the bytes of this manifest's file. */
+    boolean hasBytes(byte[] found) {
         return Arrays.equals(found, bytes());
     }
 }
--- a/src/main/java/kelphollow/store/ManifestRecovery.java
+++ b/src/main/java/kelphollow/store/ManifestRecovery.java
@@ -6,117 +6,142 @@
 import java.util.TreeMap;
 
 /**
- * The first step of an opening: finds the manifest of the higher generation and puts it in both folders, or makes one
- * for a new store. Guards against two folders of different stores, and against a new store in place of a damaged one.
+ * The first step of an opening: finds the manifest of the higher generation and puts it in both folders, or makes one for a
+ * new store. Guards against two folders of different stores, and against a new store in place of a damaged one. Confined to
+ * the thread that opens the store.
  */
 final class ManifestRecovery {
+    private static final long FIRST_GENERATION = 1;
+
     private final Disk[] disks;
     private final long now;
-    private final StoreOpener.Loss loss;
-    private final Report report;
+    private final RecoveryMode mode;
+    private final IntegrityReport report;
 
     /**
      * @param now Unix milliseconds, the time of a manifest that is made anew
-     * @param loss whether anything may be changed, and given up
-     * @param report is told what was found and done
+     * @param report receives what was found and done
      */
-    ManifestRecovery(Disk[] disks, long now, StoreOpener.Loss loss, Report report) {
+    ManifestRecovery(Disk[] disks, long now, RecoveryMode mode, IntegrityReport report) {
         this.disks = disks;
         this.now = now;
-        this.loss = loss;
+        this.mode = mode;
         this.report = report;
     }
 
-    /** The manifest in force, which both folders hold from here on if anything may be changed. */
+    /** The manifest in force, which both folders have from here on unless this is an inspection. */
     Manifest recover() throws IOException, StoreFault {
-        Manifest manifest = null;
-        byte[][] bytes = new byte[disks.length][];
+        byte[][] files = new byte[disks.length][];
         Manifest.Found[] found = new Manifest.Found[disks.length];
+        Manifest manifest = null;
         for (int i = 0; i < disks.length; i++) {
-            bytes[i] = AtomicFile.read(disks[i], Manifest.NAME);
-            found[i] = Manifest.read(bytes[i]);
-            if (found[i].start() == Format.Start.OTHER_VERSION) {
-                throw new StoreFault(StoreFault.Kind.VERSION, path(disks[i], Manifest.NAME)
-                    + " has a format version other than " + Format.VERSION);
-            }
-            Manifest m = found[i].manifest();
-            if (m != null && manifest != null && !m.store().equals(manifest.store())) {
-                throw new StoreFault(StoreFault.Kind.FOREIGN, disks[0].place() + " holds the store " + manifest.store()
-                    + ", " + disks[i].place() + " the store " + m.store());
-            }
-            if (m != null && (manifest == null || m.generation() > manifest.generation())) {
-                manifest = m;
-            }
+            files[i] = AtomicFile.read(disks[i], Manifest.NAME);
+            found[i] = Manifest.read(files[i]);
+            manifest = higherGeneration(manifest, found[i], disks[i]);
         }
         if (manifest == null) {
-            return begin(bytes);
+            return create(files);
         }
         for (int i = 0; i < disks.length; i++) {
-            FolderFiles.refuseStrangers(disks[i], found[i].manifest() != null);
-            if (manifest.isSame(bytes[i])) {
-                continue;
-            }
-            String was = found[i].manifest() != null
-                ? "was of generation " + found[i].manifest().generation() + " of " + manifest.generation()
-                : bytes[i].length == 0 ? "was missing" : "was damaged";
-            if (loss != StoreOpener.Loss.LOOK) {
-                manifest.write(disks[i]);
-                report.repaired(path(disks[i], Manifest.NAME), was);
-            } else {
-                report.add("differs", path(disks[i], Manifest.NAME), -1, -1, was);
+            FolderFiles.rejectForeignFiles(disks[i], found[i].manifest() != null);
+            if (!manifest.hasBytes(files[i])) {
+                repair(disks[i], manifest, difference(manifest, files[i], found[i].manifest()));
             }
         }
         return manifest;
     }
 
-    /** Neither folder has a manifest that can be read: a new store if they hold nothing, else somebody has to look. */
-    private Manifest begin(byte[][] bytes) throws IOException, StoreFault {
+    private Manifest higherGeneration(Manifest known, Manifest.Found found, Disk disk) throws StoreFault {
+        if (found.state() == Format.HeaderState.OTHER_VERSION) {
+            throw new StoreFault(StoreFault.Kind.UNSUPPORTED_VERSION, path(disk, Manifest.NAME)
+                + " has a format version other than " + Format.VERSION);
+        }
+        Manifest other = found.manifest();
+        if (known == null || other == null) {
+            return known == null ? other : known;
+        }
+        if (!other.store().equals(known.store())) {
+            throw new StoreFault(StoreFault.Kind.FOREIGN_FILES, disks[0].place() + " holds the store " + known.store()
+                + ", " + disk.place() + " the store " + other.store());
+        }
+        return other.generation() > known.generation() ? other : known;
+    }
+
+    private static String difference(Manifest manifest, byte[] file, Manifest found) {
+        if (found != null) {
+            return "was of generation " + found.generation() + " of " + manifest.generation();
+        }
+        return file.length == 0 ? "was missing" : "was damaged";
+    }
+
+    private void repair(Disk disk, Manifest manifest, String difference) throws IOException {
+        if (mode == RecoveryMode.INSPECT) {
+            report.add(IntegrityReport.Kind.DIFFERS, path(disk, Manifest.NAME), difference);
+        } else {
+            manifest.write(disk);
+            report.addRepaired(path(disk, Manifest.NAME), difference);
+        }
+    }
+
+    /** Neither folder has an intact manifest: a new store if they are empty, else the operator has to decide. */
+    private Manifest create(byte[][] files) throws IOException, StoreFault {
         for (int i = 0; i < disks.length; i++) {
-            boolean hasSegments = disks[i].names().stream().anyMatch(n -> Format.idOf(n) >= 0);
-            if (bytes[i].length > 0 || hasSegments) {
-                report.damaged(path(disks[i], Manifest.NAME), 0, -1, bytes[i].length == 0 ? "is missing" : "cannot be read");
-                if (loss != StoreOpener.Loss.ACCEPT) {
+            boolean hasSegments = disks[i].names().stream().anyMatch(name -> Format.idOf(name) >= 0);
+            if (files[i].length > 0 || hasSegments) {
+                report.add(IntegrityReport.Kind.DAMAGED, path(disks[i], Manifest.NAME), 0, IntegrityReport.NOT_APPLICABLE,
+                    files[i].length == 0 ? "is missing" : "cannot be read");
+                if (mode != RecoveryMode.ACCEPT_LOSS) {
                     throw new StoreFault(StoreFault.Kind.DAMAGED, report.firstDamage() + " in both folders");
                 }
             }
-            FolderFiles.refuseStrangers(disks[i], false);
+            FolderFiles.rejectForeignFiles(disks[i], false);
         }
-        Manifest manifest = loss == StoreOpener.Loss.ACCEPT && report.isDamaged() ? fromSegments()
-            : new Manifest(StoreId.draw(), 1, 1, 1, now, List.of());
-        if (loss != StoreOpener.Loss.LOOK) {
+        Manifest manifest = mode == RecoveryMode.ACCEPT_LOSS && report.isDamaged() ? rebuild()
+            : new Manifest(StoreId.random(), FIRST_GENERATION, 1, 1, now, List.of());
+        if (mode != RecoveryMode.INSPECT) {
             manifest.replace(disks);
         }
-        report.add("created", disks[0].place(), -1, -1, "store " + manifest.store());
+        report.add(IntegrityReport.Kind.CREATED, disks[0].place(), "store " + manifest.store());
         return manifest;
     }
 
-    /** The operator accepts the loss of both manifests: all segments whose header can be read make up the store. */
-    private Manifest fromSegments() throws IOException, StoreFault {
+    /** The operator accepts the loss of both manifests: all segments whose header is intact make up the store. */
+    private Manifest rebuild() throws IOException, StoreFault {
         StoreId store = null;
         Map<Long, Manifest.Entry> entries = new TreeMap<>();
         for (Disk disk : disks) {
             for (String name : disk.names()) {
-                byte[] bytes = name.endsWith(".seg") && Format.idOf(name) >= 0 ? AtomicFile.read(disk, name) : new byte[0];
-                if (Format.start(bytes, Format.SEGMENT_MAGIC, null, Format.SEGMENT_HEADER) != Format.Start.SOUND) {
+                byte[] file = readSegment(disk, name);
+                if (file == null) {
                     continue;
                 }
-                StoreId of = new StoreId(Format.int64(bytes, 16), Format.int64(bytes, 24));
-                if (store != null && !store.equals(of)) {
-                    throw new StoreFault(StoreFault.Kind.FOREIGN, path(disk, name) + " belongs to the store " + of
-                        + ", others to " + store);
+                StoreId owner = Format.storeOf(file);
+                if (store != null && !store.equals(owner)) {
+                    throw new StoreFault(StoreFault.Kind.FOREIGN_FILES, path(disk, name) + " belongs to the store "
+                        + owner + ", others to " + store);
                 }
-                store = of;
-                long id = Format.int64(bytes, 32);
-                long length = Math.max(bytes.length, entries.containsKey(id) ? entries.get(id).length() : 0);
-                entries.put(id, new Manifest.Entry(id, length, Format.int64(bytes, 40), 0, 0, 0));
+                store = owner;
+                long id = Format.int64(file, Format.SEGMENT_ID_AT);
+                long length = Math.max(file.length, entries.containsKey(id) ? entries.get(id).length() : 0);
+                entries.put(id, new Manifest.Entry(id, length, Format.int64(file, Format.FIRST_SEQUENCE_AT), 0, 0, 0));
             }
         }
         if (store == null) {
             throw new StoreFault(StoreFault.Kind.DAMAGED, "no segment in " + disks[0].place() + " or "
                 + disks[1].place() + " tells which store it belongs to");
         }
-        long last = entries.keySet().stream().mapToLong(x -> x).max().orElse(0);
-        return new Manifest(store, 1, last + 1, 1, now, List.copyOf(entries.values()));
+        long last = entries.keySet().stream().mapToLong(Long::longValue).max().orElse(0);
+        return new Manifest(store, FIRST_GENERATION, last + 1, 1, now, List.copyOf(entries.values()));
+    }
+
+    /** The bytes of a segment whose header is intact, or null. */
+    private static byte[] readSegment(Disk disk, String name) throws IOException {
+        if (!name.endsWith(Format.SEGMENT_SUFFIX) || Format.idOf(name) < 0) {
+            return null;
+        }
+        byte[] file = AtomicFile.read(disk, name);
+        return Format.headerState(file, Format.SEGMENT_MAGIC, null, Format.SEGMENT_HEADER) == Format.HeaderState.VALID
+            ? file : null;
     }
 
     private static String path(Disk disk, String name) {
--- a/src/main/java/kelphollow/store/PendingTask.java
+++ b/src/main/java/kelphollow/store/PendingTask.java
@@ -3,28 +3,31 @@
 import java.io.IOException;
 
 /**
- * A task that the writer's thread runs between two groups, and the thread that waits for its end. Guards against a
- * caller that waits for ever: the task ends by what it returned or threw, or is refused because the store failed.
+ * A task that the writer's thread runs between two groups, and the thread that waits for its end. Guards against a caller
+ * that waits for ever: the task ends with what it returned or threw, or is rejected because the store failed. Thread-safe.
+ *
+ * @param <T> what the task returns
  */
-final class PendingTask {
-    /** A change that compaction has prepared. */
-    interface Task {
-        void run() throws IOException;
+final class PendingTask<T> {
+    /** Reads or changes the log on the writer's thread. */
+    interface LogTask<T> {
+        T run(CommitLog log) throws IOException;
     }
 
-    private final Task task;
-    private boolean over;
+    private final LogTask<T> task;
+    private boolean ended;
+    private T result;
     private IOException thrown;
-    private StoreFault rejected;
+    private StoreFault rejection;
 
-    PendingTask(Task task) {
+    PendingTask(LogTask<T> task) {
         this.task = task;
     }
 
-    /** On the writer's thread; throws on what the task threw, which ends the writer too. */
-    void run() throws IOException {
+    /** On the writer's thread; rethrows what the task threw, which ends the writer too. */
+    void run(CommitLog log) throws IOException {
         try {
-            task.run();
+            result = task.run(log);
         } catch (IOException e) {
             thrown = e;
             throw e;
@@ -33,23 +36,23 @@
         }
     }
 
-    /** Ends the wait with this error, unless the task has run. */
-    synchronized void refuse(StoreFault why) {
-        if (!over) {
-            rejected = why;
+    /** Ends the wait with this fault, unless the task has run. */
+    synchronized void reject(StoreFault why) {
+        if (!ended) {
+            rejection = why;
             end();
         }
     }
 
     private synchronized void end() {
-        over = true;
+        ended = true;
         notifyAll();
     }
 
-    /** Waits for the end, through interrupts, and throws what the task threw or why it was refused. */
-    synchronized void await() throws IOException, StoreFault {
+    /** Waits for the end, through interrupts; returns the result, or throws what the task threw or why it was rejected. */
+    synchronized T await() throws IOException, StoreFault {
         boolean interrupted = false;
-        while (!over) {
+        while (!ended) {
             try {
                 wait();
             } catch (InterruptedException e) {
@@ -62,8 +65,9 @@
         if (thrown != null) {
             throw thrown;
         }
-        if (rejected != null) {
-            throw rejected;
+        if (rejection != null) {
+            throw rejection;
         }
+        return result;
     }
 }
--- a/src/main/java/kelphollow/store/Segment.java
+++ b/src/main/java/kelphollow/store/Segment.java
@@ -2,13 +2,15 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.util.Arrays;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Future;
 
 /**
- * One segment, open in both folders: two files with the same bytes. Reads come from any thread; appending and syncing
- * from the writer alone. It is deleted when compaction has replaced it and no snapshot reads it any more.
+ * One segment, open in both folders: two files with the same bytes. Any thread may read; only the writer's thread, or who
+ * creates the segment, may append and sync. Its files are deleted when compaction has replaced it and no snapshot reads it
+ * any more, which is counted by pins.
  */
 final class Segment {
     private final long id;
@@ -28,7 +30,7 @@
         this.length = length;
     }
 
-    /** A new one with its header, safe in both folders. */
+    /** Creates a segment with its header, synced in both folders. */
     static Segment create(Disk[] disks, StoreId store, long id, long firstSequence) throws IOException {
         String name = Format.segmentName(id);
         Disk.File[] files = new Disk.File[disks.length];
@@ -48,6 +50,7 @@
         return new Segment(id, disks, files, firstSequence, Format.SEGMENT_HEADER);
     }
 
+    /** Opens a segment that is in both folders; {@code length} and {@code operations} are as recovery found them. */
     static Segment open(Disk[] disks, Manifest.Entry entry, long length, int operations) throws IOException {
         Disk.File[] files = new Disk.File[disks.length];
         try {
@@ -79,14 +82,12 @@
         return id;
     }
 
+    /** Bytes of one copy. */
     long length() {
         return length;
     }
 
-    int operations() {
-        return operations;
-    }
-
+    /** No operation in it has a lower sequence. */
     long firstSequence() {
         return firstSequence;
     }
@@ -95,83 +96,93 @@
         return operations == 0;
     }
 
-    Manifest.Entry active() {
+    /** Its entry in the manifest while it is written to. */
+    Manifest.Entry activeEntry() {
         return new Manifest.Entry(id, 0, firstSequence, 0, 0, 0);
     }
 
-    Manifest.Entry sealed() {
+    /** Its entry in the manifest once it is sealed, without a hint. */
+    Manifest.Entry sealedEntry() {
         return new Manifest.Entry(id, length, firstSequence, operations, 0, 0);
     }
 
     /** Appends to both copies. After a failure nothing may be appended any more: the copies may differ. */
-    void append(ByteBuffer bytes, int ops) throws IOException {
+    void append(ByteBuffer bytes, int operationCount) throws IOException {
         int count = bytes.remaining();
         for (Disk.File file : files) {
             file.append(bytes.duplicate());
         }
         length += count;
-        operations += ops;
+        operations += operationCount;
     }
 
-    /** Makes both copies safe, one after the other. */
+    /** Syncs both copies, one after the other. */
     void sync() throws IOException {
         for (Disk.File file : files) {
             file.sync();
         }
     }
 
-    /** The same side by side: the second copy on the executor, the first here. Both have ended when this returns. */
-    void sync(ExecutorService second) throws IOException {
-        Future<Void> other = second.submit(() -> {
+    /** Syncs the second copy on the executor and the first here, in parallel; both have ended when this returns. */
+    void sync(ExecutorService secondCopy) throws IOException {
+        Future<Void> second = secondCopy.submit(() -> {
             files[1].sync();
             return null;
         });
-        IOException failed = null;
+        IOException failure = null;
         try {
             files[0].sync();
         } catch (IOException e) {
-            failed = e;
+            failure = e;
         }
         try {
-            other.get();
+            second.get();
         } catch (ExecutionException e) {
-            if (failed == null) {
-                failed = e.getCause() instanceof IOException io ? io : new IOException(e);
+            if (failure == null) {
+                failure = e.getCause() instanceof IOException io ? io : new IOException(e);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            failed = new IOException("interrupted while the second copy was synced");
+            failure = new IOException("interrupted while the second copy was synced");
         }
-        if (failed != null) {
-            throw failed;
+        if (failure != null) {
+            throw failure;
         }
     }
 
-    /** Reads an operation from the first copy in which it is whole; null if it is in neither. */
-    Format.Op read(byte[] key, Index.Place place) throws IOException {
-        IOException failed = null;
+    /** Reads an operation from the first copy in which it is intact; null if it is in neither. */
+    Operation read(byte[] key, Index.Location location) throws IOException {
+        IOException failure = null;
         for (Disk.File file : files) {
             try {
-                ByteBuffer bytes = ByteBuffer.allocate(place.length());
-                file.read(bytes, place.offset());
-                Format.Op op = bytes.hasRemaining() ? null : Format.op(bytes.array(), 0, place.length());
-                if (op != null && op.length() == place.length() && op.sequence() == place.sequence()
-                    && Format.isSound(op) && java.util.Arrays.equals(bytes.array(), op.keyAt(),
-                        op.keyAt() + op.keyLength(), key, 0, key.length)) {
-                    return op;
+                Operation operation = read(file, key, location);
+                if (operation != null) {
+                    return operation;
                 }
             } catch (IOException e) {
-                failed = e;          // the other copy may still be read
+                failure = e;          // the other copy may still be readable
             }
         }
-        if (failed != null) {
-            throw failed;
+        if (failure != null) {
+            throw failure;
         }
         return null;
     }
 
-    long size(int which) throws IOException {
-        return files[which].size();
+    private static Operation read(Disk.File file, byte[] key, Index.Location location) throws IOException {
+        ByteBuffer bytes = ByteBuffer.allocate(location.length());
+        file.read(bytes, location.offset());
+        Operation operation = bytes.hasRemaining() ? null : Operation.read(bytes.array(), 0, location.length());
+        boolean isIntact = operation != null && operation.length() == location.length()
+            && operation.sequence() == location.sequence() && operation.isChecksumValid()
+            && Arrays.equals(bytes.array(), operation.keyAt(), operation.keyAt() + operation.keyLength(), key, 0,
+                key.length);
+        return isIntact ? operation : null;
+    }
+
+    /** The size of one copy's file in bytes. */
+    long size(int copy) throws IOException {
+        return files[copy].size();
     }
 
     /** Whether the headers of both copies are this segment's. */
@@ -179,28 +190,28 @@
         for (Disk.File file : files) {
             ByteBuffer header = ByteBuffer.allocate(Format.SEGMENT_HEADER);
             file.read(header, 0);
-            if (!java.util.Arrays.equals(header.array(), Format.segmentHeader(store, id, firstSequence))) {
+            if (!Arrays.equals(header.array(), Format.segmentHeader(store, id, firstSequence))) {
                 return false;
             }
         }
         return true;
     }
 
-    /** The whole of one copy. */
-    byte[] copy(int which) throws IOException {
-        return Disk.all(files[which]);
+    /** All bytes of one copy. */
+    byte[] copy(int copy) throws IOException {
+        return Disk.readAll(files[copy]);
     }
 
-    /** Replaces one copy by what it should be. A read under way there goes to the other copy. */
-    void repair(int which, byte[] image) throws IOException {
+    /** Replaces one copy by what it should be. A read in progress there falls back to the other copy. */
+    void repair(int copy, byte[] image) throws IOException {
         String name = Format.segmentName(id);
-        AtomicFile.replace(disks[which], name, name + FolderFiles.REPLACEMENT, image);
-        Disk.File old = files[which];
-        files[which] = disks[which].open(name);
+        AtomicFile.replace(disks[copy], name, name + FolderFiles.REPLACEMENT, image);
+        Disk.File old = files[copy];
+        files[copy] = disks[copy].open(name);
         old.close();
     }
 
-    /** Keeps the files until {@link #release}; false if they are gone already. */
+    /** Keeps the files until {@link #release}; false if they are closed already. */
     synchronized boolean pin() {
         if (pins == 0) {
             return false;
@@ -209,9 +220,10 @@
         return true;
     }
 
-    /** Lets the files go; when nobody holds them they are closed and, if replaced, deleted. */
+    /** Drops a pin; without any the files are closed and, if replaced, deleted. */
     synchronized void release() {
-        if (--pins == 0) {
+        pins--;
+        if (pins == 0) {
             close(files);
             if (replaced) {
                 delete();
@@ -219,8 +231,8 @@
         }
     }
 
-    /** Compaction has put another in its place: the manifests no longer name it. */
-    synchronized void replaced() {
+    /** The manifests no longer name it: its files go with the last pin. */
+    synchronized void markReplaced() {
         replaced = true;
     }
 
--- a/src/main/java/kelphollow/store/SegmentHint.java
+++ b/src/main/java/kelphollow/store/SegmentHint.java
@@ -4,121 +4,149 @@
 import java.util.Arrays;
 
 /**
- * What a segment holds, without the values, in the order of its keys: an opening reads it instead of the segment and
- * merges all of them into the index. The manifest holds its length and checksum, so that a hint of another segment or
- * of an older state is seen, whatever it says of itself; one whose keys are out of order is refused like a damaged one.
+ * The operations of a segment without their values, in the order of their keys: an opening reads it instead of the segment
+ * and merges all of them into the index. The manifest has its length and checksum, so that a hint of another segment or of
+ * an older state is detected, whatever it says of itself; one whose keys are out of order is rejected like a damaged one.
  *
- * <p>Memory: the file's bytes, which are 32 a key and the key, and 4 bytes a key. Never changes.
+ * <p>An entry is: kind (1 byte), zeros (3), key length (4), offset (4) and length (4) of the operation in the segment,
+ * sequence (8), expiry (8), key.
+ *
+ * <p>Memory: the file's bytes, which are 32 per key and the key, and 4 bytes per key. Immutable.
  */
 final class SegmentHint {
-    private static final int HEAD = 48;
-    /** An entry's length without its key; the key's length stands at 4, the sequence at 16. */
+    /** Length of an entry without its key. */
     static final int ENTRY = 32;
+    /** Places within an entry. */
+    static final int KEY_LENGTH_AT = 4;
+    static final int SEQUENCE_AT = 16;
+    private static final int OFFSET_AT = 8;
+    private static final int LENGTH_AT = 12;
+    private static final int EXPIRY_AT = 24;
+
+    private static final int HEAD = 48;
+    private static final int COUNT_AT = 12;
+    private static final int SEGMENT_AT = 32;
+    private static final int CHECKSUM_BYTES = 4;
 
     private final long segment;
     private final byte[] bytes;
     /** Where each entry begins, in the order of the keys; of one key the latest operation first. */
     private final int[] at;
-    private long lastSequence, removals;
+    private final long lastSequence;
+    private final long tombstoneBytes;
 
     private SegmentHint(long segment, byte[] bytes, int[] at) {
         this.segment = segment;
         this.bytes = bytes;
         this.at = at;
+        long highest = 0;
+        long tombstones = 0;
         for (int i = 0; i < at.length; i++) {
-            lastSequence = Math.max(lastSequence, sequence(i));
-            removals += kind(i) == Format.REMOVE ? length(i) : 0;
+            highest = Math.max(highest, sequence(i));
+            tombstones += kind(i) == Operation.REMOVE ? length(i) : 0;
         }
+        this.lastSequence = highest;
+        this.tombstoneBytes = tombstones;
     }
 
-    /** The hint of a segment that has been read. */
+    /** The hint of a segment that was read. */
     static SegmentHint of(StoreId store, SegmentMerge merge, long segment) {
-        Log log = new Log();
-        for (SegmentMerge.Frame frame : merge.frames()) {
-            SegmentMerge.ops(merge.image(), frame, log::add);
+        UnsortedEntries unsorted = new UnsortedEntries();
+        merge.forEachOperation(unsorted::add);
+        byte[] entries = unsorted.bytes.array();
+        int[] sorted = EntrySort.sorted(entries, unsorted.at, unsorted.count);
+        ByteBuffer file = ByteBuffer.allocate(HEAD + unsorted.bytes.position() + CHECKSUM_BYTES);
+        file.put(Format.HINT_MAGIC).putInt(Format.VERSION).putInt(unsorted.count);
+        file.putLong(store.high()).putLong(store.low()).putLong(segment).putLong(0);
+        for (int i = 0; i < unsorted.count; i++) {
+            int entry = sorted[i];
+            sorted[i] = file.position();
+            file.put(entries, entry, ENTRY + Format.int32(entries, entry + KEY_LENGTH_AT));
         }
-        byte[] entries = log.bytes.array();
-        int[] sorted = EntrySort.sorted(entries, log.at, log.count);
-        ByteBuffer b = ByteBuffer.allocate(HEAD + log.bytes.position() + 4);
-        b.put(Format.HINT_MAGIC).putInt(Format.VERSION).putInt(log.count);
-        b.putLong(store.high()).putLong(store.low()).putLong(segment).putLong(0);
-        for (int i = 0; i < log.count; i++) {
-            int at = sorted[i];
-            sorted[i] = b.position();
-            b.put(entries, at, ENTRY + Format.int32(entries, at + 4));
-        }
-        b.putInt(Format.crc(b.array(), 0, b.position()));
-        return new SegmentHint(segment, b.array(), sorted);
+        file.putInt(Format.crc(file.array(), 0, file.position()));
+        return new SegmentHint(segment, file.array(), sorted);
     }
 
-    /** The entries in the order of the segment: read in one pass over it, which a sorted one would jump about in. */
-    private static final class Log {
-        private ByteBuffer bytes = ByteBuffer.allocate(64 * 1024);
-        private int[] at = new int[1024];
+    /** The entries in the order of the segment, so that it is read in one pass. */
+    private static final class UnsortedEntries {
+        private static final int INITIAL_BYTES = 64 * 1024;
+        private static final int INITIAL_ENTRIES = 1024;
+        private ByteBuffer bytes = ByteBuffer.allocate(INITIAL_BYTES);
+        private int[] at = new int[INITIAL_ENTRIES];
         private int count;
 
-        void add(Format.Op op) {
-            if (bytes.remaining() < ENTRY + op.keyLength()) {
-                bytes = ByteBuffer.allocate(2 * bytes.capacity() + ENTRY + op.keyLength()).put(bytes.flip());
+        void add(Operation operation) {
+            int length = ENTRY + operation.keyLength();
+            if (bytes.remaining() < length) {
+                bytes = ByteBuffer.allocate(2 * bytes.capacity() + length).put(bytes.flip());
             }
             if (count == at.length) {
                 at = Arrays.copyOf(at, 2 * count);
             }
-            at[count++] = bytes.position();
-            bytes.put(op.kind()).put((byte) 0).putShort((short) 0).putInt(op.keyLength());
-            bytes.putInt(op.at()).putInt(op.length()).putLong(op.sequence()).putLong(op.expires());
-            bytes.put(op.bytes(), op.keyAt(), op.keyLength());
+            at[count] = bytes.position();
+            count++;
+            bytes.put(operation.kind()).put((byte) 0).putShort((short) 0).putInt(operation.keyLength());
+            bytes.putInt(operation.at()).putInt(operation.length());
+            bytes.putLong(operation.sequence()).putLong(operation.expiresAt());
+            bytes.put(operation.bytes(), operation.keyAt(), operation.keyLength());
         }
     }
 
-    /** Reads a hint, or null if it is not the one that the manifest means. */
-    static SegmentHint read(byte[] bytes, StoreId store, Manifest.Entry of) {
-        if (of.hintLength() == 0 || bytes.length != of.hintLength() || bytes.length < HEAD + 4
-            || Format.start(bytes, Format.HINT_MAGIC, store, bytes.length) != Format.Start.SOUND
-            || Format.int32(bytes, bytes.length - 4) != of.hintCrc() || Format.int64(bytes, 32) != of.id()
-            || Format.int32(bytes, 12) != of.operations()) {
+    /** Reads a hint, or null if it is not the one that the manifest names. */
+    static SegmentHint read(byte[] bytes, StoreId store, Manifest.Entry expected) {
+        if (!isNamedBy(bytes, store, expected)) {
             return null;
         }
-        int count = of.operations(), end = bytes.length - 4, next = HEAD;
-        int[] at = new int[count];
-        for (int i = 0; i < count; i++) {
+        int end = bytes.length - CHECKSUM_BYTES;
+        int next = HEAD;
+        int[] at = new int[expected.operations()];
+        for (int i = 0; i < at.length; i++) {
             if (end - next < ENTRY) {
                 return null;
             }
             at[i] = next;
-            int keyLength = Format.int32(bytes, next + 4);
-            if (keyLength < 2 || keyLength > end - next - ENTRY) {
+            int keyLength = Format.int32(bytes, next + KEY_LENGTH_AT);
+            if (keyLength < Tables.NUMBER_BYTES || keyLength > end - next - ENTRY) {
                 return null;
             }
             next += ENTRY + keyLength;
         }
-        SegmentHint hint = new SegmentHint(of.id(), bytes, at);
+        SegmentHint hint = new SegmentHint(expected.id(), bytes, at);
         return next == end && hint.isSorted() ? hint : null;
     }
 
+    private static boolean isNamedBy(byte[] bytes, StoreId store, Manifest.Entry entry) {
+        return entry.hintLength() != 0 && bytes.length == entry.hintLength() && bytes.length >= HEAD + CHECKSUM_BYTES
+            && Format.headerState(bytes, Format.HINT_MAGIC, store, bytes.length) == Format.HeaderState.VALID
+            && Format.int32(bytes, bytes.length - CHECKSUM_BYTES) == entry.hintCrc()
+            && Format.int64(bytes, SEGMENT_AT) == entry.id() && Format.int32(bytes, COUNT_AT) == entry.operations();
+    }
+
     private boolean isSorted() {
         for (int i = 1; i < at.length; i++) {
-            int c = compare(i - 1, this, i);
-            if (c > 0 || c == 0 && sequence(i - 1) <= sequence(i)) {
+            int order = compare(i - 1, this, i);
+            if (order > 0 || order == 0 && sequence(i - 1) <= sequence(i)) {
                 return false;
             }
         }
         return true;
     }
 
+    /** The file's bytes; nobody may change them. */
     byte[] bytes() {
         return bytes;
     }
 
     int crc() {
-        return Format.int32(bytes, bytes.length - 4);
+        return Format.int32(bytes, bytes.length - CHECKSUM_BYTES);
     }
 
+    /** The number of its segment. */
     long segment() {
         return segment;
     }
 
-    /** How many operations. */
+    /** Number of operations. */
     int count() {
         return at.length;
     }
@@ -128,81 +156,86 @@
     }
 
     /** Bytes of the segment that are removals. */
-    long removals() {
-        return removals;
+    long tombstoneBytes() {
+        return tombstoneBytes;
     }
 
-    // ---------------------------------------------------------------- one operation, by its place in the order
+    // ---------------------------------------------------------------- one operation, by its position in the order
 
-    byte kind(int i) {
-        return bytes[at[i]];
+    byte kind(int position) {
+        return bytes[at[position]];
     }
 
     /** The offset of the operation in its segment. */
-    int offset(int i) {
-        return Format.int32(bytes, at[i] + 8);
+    int offset(int position) {
+        return Format.int32(bytes, at[position] + OFFSET_AT);
     }
 
     /** The length of the operation in its segment. */
-    int length(int i) {
-        return Format.int32(bytes, at[i] + 12);
+    int length(int position) {
+        return Format.int32(bytes, at[position] + LENGTH_AT);
     }
 
-    long sequence(int i) {
-        return Format.int64(bytes, at[i] + 16);
+    long sequence(int position) {
+        return Format.int64(bytes, at[position] + SEQUENCE_AT);
     }
 
-    long expires(int i) {
-        return Format.int64(bytes, at[i] + 24);
+    /** Unix milliseconds, 0 for never. */
+    long expiresAt(int position) {
+        return Format.int64(bytes, at[position] + EXPIRY_AT);
     }
 
-    private int keyAt(int i) {
-        return at[i] + ENTRY;
+    private int keyAt(int position) {
+        return at[position] + ENTRY;
     }
 
-    private int keyEnd(int i) {
-        return keyAt(i) + Format.int32(bytes, at[i] + 4);
+    private int keyEnd(int position) {
+        return keyAt(position) + Format.int32(bytes, at[position] + KEY_LENGTH_AT);
     }
 
-    byte[] key(int i) {
-        return Arrays.copyOfRange(bytes, keyAt(i), keyEnd(i));
+    byte[] key(int position) {
+        return Arrays.copyOfRange(bytes, keyAt(position), keyEnd(position));
     }
 
     /**
-     * Eight bytes of the key behind the first few, as a number, zeros behind a shorter one: unsigned, it orders keys that
-     * begin alike unless it is equal.
+     * Eight bytes of the key behind the first few, as an unsigned number, padded with zeros: it orders keys whose first
+     * bytes are equal unless the numbers are.
      */
-    long prefix(int i, int skip) {
-        return Format.prefix(bytes, keyAt(i) + skip, keyEnd(i));
+    long prefix(int position, int skip) {
+        return Format.prefix(bytes, keyAt(position) + skip, keyEnd(position));
     }
 
-    /** How many bytes two keys begin with alike. */
-    int common(int i, SegmentHint other, int j) {
-        int length = Math.min(keyEnd(i) - keyAt(i), other.keyEnd(j) - other.keyAt(j));
-        int differ = Arrays.mismatch(bytes, keyAt(i), keyAt(i) + length, other.bytes, other.keyAt(j),
-            other.keyAt(j) + length);
-        return differ < 0 ? length : differ;
+    /** Length of the common prefix of two keys. */
+    int commonPrefix(int position, SegmentHint other, int otherPosition) {
+        int length = Math.min(keyEnd(position) - keyAt(position), other.keyEnd(otherPosition) - other.keyAt(otherPosition));
+        int mismatch = Arrays.mismatch(bytes, keyAt(position), keyAt(position) + length, other.bytes,
+            other.keyAt(otherPosition), other.keyAt(otherPosition) + length);
+        return mismatch < 0 ? length : mismatch;
     }
 
-    int compare(int i, SegmentHint other, int j) {
-        return Arrays.compareUnsigned(bytes, keyAt(i), keyEnd(i), other.bytes, other.keyAt(j), other.keyEnd(j));
+    int compare(int position, SegmentHint other, int otherPosition) {
+        return Arrays.compareUnsigned(bytes, keyAt(position), keyEnd(position), other.bytes, other.keyAt(otherPosition),
+            other.keyEnd(otherPosition));
     }
 
-    /** The first place whose key is this one or a later one. */
+    /** The first position whose key is this one or a greater one. */
     int lowerBound(byte[] key) {
-        int low = 0, high = at.length;
+        int low = 0;
+        int high = at.length;
         while (low < high) {
-            int mid = low + high >>> 1;
-            if (Arrays.compareUnsigned(bytes, keyAt(mid), keyEnd(mid), key, 0, key.length) < 0) {
-                low = mid + 1;
+            int middle = low + high >>> 1;
+            if (Arrays.compareUnsigned(bytes, keyAt(middle), keyEnd(middle), key, 0, key.length) < 0) {
+                low = middle + 1;
             } else {
-                high = mid;
+                high = middle;
             }
         }
         return low;
     }
 
-    void addTo(Index.Run run, int i) {
-        run.add(bytes, keyAt(i), keyEnd(i), (int) segment, offset(i), length(i), sequence(i), expires(i));
+    /** Adds the key and its location to an index without an object for either. */
+    void addTo(IndexRun run, int position) {
+        run.add(bytes, keyAt(position), keyEnd(position), (int) segment, offset(position), length(position),
+            sequence(position), expiresAt(position));
     }
 }
--- a/src/main/java/kelphollow/store/SegmentInspection.java
+++ b/src/main/java/kelphollow/store/SegmentInspection.java
@@ -4,53 +4,63 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.stream.Stream;
 
 /**
- * What an opening reads of one segment before anything is decided or changed: its hint if one will do, else both copies
- * and what they make together. This is nearly all the work of an opening, so it is done for several segments side by
- * side, as many as fit into a quarter of the heap.
+ * What an opening reads of one segment before anything is decided or changed: its hint if that suffices, else both copies
+ * and their merge. This is nearly all the work of an opening, so it is done for several segments in parallel on the common
+ * pool, as many as fit into a quarter of the heap. Filled by one thread, then confined to the thread that opens the store.
  */
 final class SegmentInspection {
-    // Below so many bytes handing out costs more than it brings; and tests on small stores stay in one order.
-    private static final long WORTH_SHARING = 1 << 20;
+    /** Fewer bytes are read in the caller's thread, in order. */
+    private static final long MIN_PARALLEL_BYTES = 1 << 20;
+    /** Fraction of the heap that may be used: one in this many bytes. */
+    private static final int HEAP_DIVISOR = 4;
+    /** Bytes on the heap per byte of a hint file: both copies, if they differ. */
+    private static final long HINT_FACTOR = 2;
+    /** Bytes on the heap per byte of a segment: both copies, if they differ, and what is made of them. */
+    private static final long SEGMENT_FACTOR = 4;
 
     private final Manifest.Entry entry;
+    private final boolean[] hintFilesIntact = new boolean[2];
     private SegmentHint hint;
     private boolean byHint;
-    private final boolean[] hintIsWhole = new boolean[2];
-    private byte[] a, b;
+    private byte[] first;
+    private byte[] second;
     private SegmentMerge merge;
-    private IOException failed;
-    private StoreFault rejected;
+    private IOException failure;
+    private StoreFault fault;
 
     private SegmentInspection(Manifest.Entry entry) {
         this.entry = entry;
     }
 
-    /** The segments from this one on, as many as can be held at once; at least one. */
-    static List<SegmentInspection> several(Disk[] disks, StoreId store, List<Manifest.Entry> all, int from,
-        boolean mayHint) {
-        long room = Runtime.getRuntime().maxMemory() / 4, bytes = 0;
-        List<SegmentInspection> looks = new ArrayList<>();
-        for (int i = from; i < all.size() && (looks.isEmpty() || bytes < room); i++) {
-            Manifest.Entry e = all.get(i);
-            // Two copies if they differ, and what comes of them; of a segment that is written to the length is not known.
-            bytes += mayHint && e.hintLength() > 0 ? 2L * e.hintLength() : 4 * e.length();
-            looks.add(new SegmentInspection(e));
+    /** Reads the segments from this position of the list on, as many as can be held at once; at least one. */
+    static List<SegmentInspection> readFrom(int position, List<Manifest.Entry> all, Disk[] disks, StoreId store,
+        boolean hintsSuffice) {
+        long room = Runtime.getRuntime().maxMemory() / HEAP_DIVISOR;
+        long bytes = 0;
+        List<SegmentInspection> inspections = new ArrayList<>();
+        for (int i = position; i < all.size() && (inspections.isEmpty() || bytes < room); i++) {
+            Manifest.Entry entry = all.get(i);
+            bytes += hintsSuffice && entry.hintLength() > 0 ? HINT_FACTOR * entry.hintLength()
+                : SEGMENT_FACTOR * entry.length();
+            inspections.add(new SegmentInspection(entry));
         }
-        (bytes < WORTH_SHARING ? looks.stream() : looks.parallelStream()).forEach(l -> l.look(disks, store, mayHint));
-        return looks;
+        Stream<SegmentInspection> work = bytes < MIN_PARALLEL_BYTES ? inspections.stream() : inspections.parallelStream();
+        work.forEach(inspection -> inspection.read(disks, store, hintsSuffice));
+        return inspections;
     }
 
-    private void look(Disk[] disks, StoreId store, boolean mayHint) {
+    private void read(Disk[] disks, StoreId store, boolean hintSuffices) {
         try {
-            if (!mayHint || !entry.isSealed() || !readHint(disks, store)) {
-                merge(disks, store);
+            if (!hintSuffices || !entry.isSealed() || !readHint(disks, store)) {
+                readCopies(disks, store);
             }
         } catch (IOException e) {
-            failed = e;
+            failure = e;
         } catch (StoreFault e) {
-            rejected = e;
+            fault = e;
         }
     }
 
@@ -59,41 +69,46 @@
             return false;
         }
         for (int i = 0; i < disks.length; i++) {
-            byte[] like = hint == null ? new byte[0] : hint.bytes();
-            byte[] bytes = AtomicFile.read(disks[i], Format.hintName(entry.id()), like);
-            hint = hint != null ? hint : SegmentHint.read(bytes, store, entry);
-            hintIsWhole[i] = hint != null && Arrays.equals(bytes, hint.bytes());
+            byte[] expected = hint == null ? new byte[0] : hint.bytes();
+            byte[] bytes = AtomicFile.read(disks[i], Format.hintName(entry.id()), expected);
+            if (hint == null) {
+                hint = SegmentHint.read(bytes, store, entry);
+            }
+            hintFilesIntact[i] = hint != null && Arrays.equals(bytes, hint.bytes());
         }
         byHint = hint != null;
         return byHint;
     }
 
-    private void merge(Disk[] disks, StoreId store) throws IOException, StoreFault {
+    private void readCopies(Disk[] disks, StoreId store) throws IOException, StoreFault {
         String name = Format.segmentName(entry.id());
-        a = AtomicFile.read(disks[0], name);
-        b = AtomicFile.read(disks[1], name, a);
-        for (int i = 0; i < 2; i++) {
-            if (Format.start(i == 0 ? a : b, Format.SEGMENT_MAGIC, null, Format.SEGMENT_HEADER)
-                == Format.Start.OTHER_VERSION) {
-                throw new StoreFault(StoreFault.Kind.VERSION, disks[i].place() + "/" + name
-                    + " has a format version other than " + Format.VERSION);
-            }
-        }
-        merge = new SegmentMerge(a, b, store, entry);
+        first = AtomicFile.read(disks[0], name);
+        second = AtomicFile.read(disks[1], name, first);
+        checkVersion(first, disks[0], name);
+        checkVersion(second, disks[1], name);
+        merge = new SegmentMerge(first, second, store, entry);
         hint = SegmentHint.of(store, merge, entry.id());
     }
 
-    /** Makes sure that both copies have been read, and says what went wrong with that. */
+    private static void checkVersion(byte[] copy, Disk disk, String name) throws StoreFault {
+        if (Format.headerState(copy, Format.SEGMENT_MAGIC, null, Format.SEGMENT_HEADER)
+            == Format.HeaderState.OTHER_VERSION) {
+            throw new StoreFault(StoreFault.Kind.UNSUPPORTED_VERSION, disk.place() + "/" + name
+                + " has a format version other than " + Format.VERSION);
+        }
+    }
+
+    /** Reads both copies unless that was done, and throws what went wrong when it was. */
     void readBoth(Disk[] disks, StoreId store) throws IOException, StoreFault {
-        if (failed != null) {
-            throw failed;
+        if (failure != null) {
+            throw failure;
         }
-        if (rejected != null) {
-            throw rejected;
+        if (fault != null) {
+            throw fault;
         }
         if (merge == null) {
             byHint = false;
-            merge(disks, store);
+            readCopies(disks, store);
         }
     }
 
@@ -101,7 +116,7 @@
         return entry;
     }
 
-    /** Whether the hint will do; otherwise both copies have been read. */
+    /** Whether the hint suffices; otherwise both copies were read. */
     boolean isByHint() {
         return byHint;
     }
@@ -111,19 +126,22 @@
         return hint;
     }
 
-    /** Which of the two hint files is as it should be. */
-    boolean[] hintIsWhole() {
-        return hintIsWhole;
+    /** Which of the two hint files is as the manifest says. */
+    boolean[] hintFilesIntact() {
+        return hintFilesIntact;
     }
 
-    byte[] a() {
-        return a;
+    /** The bytes of the first copy. */
+    byte[] first() {
+        return first;
     }
 
-    byte[] b() {
-        return b;
+    /** The bytes of the second copy. */
+    byte[] second() {
+        return second;
     }
 
+    /** What both copies make together; null before they are read. */
     SegmentMerge merge() {
         return merge;
     }
--- a/src/main/java/kelphollow/store/SegmentMerge.java
+++ b/src/main/java/kelphollow/store/SegmentMerge.java
@@ -3,12 +3,14 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.function.Consumer;
 
 /**
- * Makes one whole segment of its two copies. Both hold the same bytes at the same places, so that each head and each
- * payload can be taken from the copy in which its checksum holds. A place where it holds in neither is damage, unless
- * it can only be the torn end of what was never acknowledged: no commit marker, in either copy, says that it was safe.
- * Does no I/O; cost is one checksum over the bytes where the copies are equal, two where they are not.
+ * Makes one complete segment of its two copies. Both have the same bytes at the same places, so that each frame head and
+ * each payload can be taken from the copy in which its checksum is valid. A place where it is valid in neither is damage,
+ * unless it can only be the truncated end of what was never acknowledged: no commit marker, in either copy, says that it
+ * was synced. Does no I/O and is not changed after construction; cost is one checksum over the bytes where the copies are
+ * equal, two where they are not.
  */
 final class SegmentMerge {
     /** One frame of the merged image. */
@@ -25,35 +27,39 @@
     /** Damage of both copies; {@code sequence} is that of the record, or the lowest that it can have had. */
     record Damage(int at, int end, long sequence) {}
 
-    private final byte[] a, b;
+    private final byte[] first;
+    private final byte[] second;
     private final long segment;
-    private final boolean same, isSealed;
+    private final boolean copiesAreEqual;
+    private final boolean isSealed;
     private final int length;
     private byte[] image;
     private final List<Frame> frames = new ArrayList<>();
     private final List<Damage> damages = new ArrayList<>();
-    private long lastSequence, safeTo, time;
-    private int end;
+    private long lastSequence;
+    private long syncedUpTo;
+    private long time;
     private boolean clean;
-    private int torn;
+    private int truncatedBytes;
 
     /**
-     * @param a the bytes of the first copy, empty if there are none; not changed
-     * @param sealedLength how long the segment was when it was sealed, 0 if it never was
+     * @param first the bytes of the first copy, empty if there are none; not changed
+     * @param second the bytes of the second copy, likewise
      */
-    SegmentMerge(byte[] a, byte[] b, StoreId store, Manifest.Entry entry) {
-        this.a = a;
-        this.b = b;
+    SegmentMerge(byte[] first, byte[] second, StoreId store, Manifest.Entry entry) {
+        this.first = first;
+        this.second = second;
         this.segment = entry.id();
-        this.same = Arrays.equals(a, b);
+        this.copiesAreEqual = Arrays.equals(first, second);
         this.isSealed = entry.isSealed();
-        this.length = isSealed ? (int) entry.length() : Math.max(a.length, b.length);
+        this.length = isSealed ? (int) entry.length() : Math.max(first.length, second.length);
         this.lastSequence = entry.firstSequence() - 1;
-        this.safeTo = lastSequence;
-        // The header has nothing in it that the manifest does not tell: it can always be made anew.
+        this.syncedUpTo = lastSequence;
+        // The header has nothing in it that the manifest does not have: it can always be made again.
         byte[] header = Format.segmentHeader(store, segment, entry.firstSequence());
-        image = same && startsWith(a, header) && a.length >= length ? a : mergeBase(header);
-        walk();
+        boolean firstIsImage = copiesAreEqual && startsWith(first, header) && first.length >= length;
+        image = firstIsImage ? first : mergeBase(header);
+        readFrames();
     }
 
     private static boolean startsWith(byte[] bytes, byte[] header) {
@@ -61,99 +67,111 @@
     }
 
     private byte[] mergeBase(byte[] header) {
-        byte[] base = Arrays.copyOf(a.length >= b.length ? a : b, Math.max(length, header.length));
+        byte[] longer = first.length >= second.length ? first : second;
+        byte[] base = Arrays.copyOf(longer, Math.max(length, header.length));
         System.arraycopy(header, 0, base, 0, header.length);
         return base;
     }
 
-    private void walk() {
+    private void readFrames() {
         int at = Format.SEGMENT_HEADER;
         while (at < length) {
-            Frame frame = frame(at, lastSequence);
-            if (frame == null && !isSealed && !isSafeBeyond(at)) {
-                torn = length - at;
+            Frame frame = frameAt(at);
+            if (frame == null && !isSealed && !isSyncedBeyond(at)) {
+                truncatedBytes = length - at;
                 break;
             }
             if (frame == null) {
-                Frame next = resume(at);
-                damages.add(new Damage(at, next == null ? length : next.at, lastSequence + 1));
-                if (next == null) {
-                    at = length;
-                    break;
-                }
-                frame = next;
+                frame = nextFrame(at);
+                damages.add(new Damage(at, frame == null ? length : frame.at, lastSequence + 1));
+            }
+            if (frame == null) {
+                at = length;
+            } else {
+                add(frame);
+                at = frame.end();
             }
-            take(frame);
-            at = frame.end();
         }
-        end = at;
-        if (image.length != end) {
-            image = Arrays.copyOf(image, end);
+        if (image.length != at) {
+            image = Arrays.copyOf(image, at);
         }
     }
 
-    private void take(Frame frame) {
+    private void add(Frame frame) {
         frames.add(frame);
         if (frame.type == Format.BATCH) {
             lastSequence = frame.sequence;
         }
         if (frame.type == Format.COMMIT_MARKER) {
-            safeTo = Math.max(safeTo, frame.sequence);
+            syncedUpTo = Math.max(syncedUpTo, frame.sequence);
             time = Math.max(time, Format.int64(image, frame.payloadAt()));
         }
         clean = frame.type == Format.COMMIT_MARKER && frame.flags == Format.CLEAN;
     }
 
-    /** The frame here, pieced together in the image; null if its head or its payload is whole in neither copy. */
-    private Frame frame(int at, long after) {
-        byte[] head = Format.isHead(a, at, Math.min(length, a.length), segment) ? a
-            : !same && Format.isHead(b, at, Math.min(length, b.length), segment) ? b : null;
+    /** The frame here, put together in the image; null if its head or its payload is intact in neither copy. */
+    private Frame frameAt(int at) {
+        byte[] head = copyWithHead(at);
         if (head == null) {
             return null;
         }
-        Frame f = new Frame(at, head[at + 4], head[at + 5], Format.int64(head, at + 8), Format.int32(head, at));
-        int crc = Format.int32(head, at + 16);
-        if (f.length < 0 || f.length > length - f.payloadAt() || f.type == Format.BATCH && f.sequence <= after
-            || f.type == Format.COMMIT_MARKER && f.length != Format.COMMIT_MARKER_PAYLOAD) {
+        Frame frame = Format.frame(head, at);
+        if (frame.length < 0 || frame.length > length - frame.payloadAt()
+            || frame.type == Format.BATCH && frame.sequence <= lastSequence
+            || frame.type == Format.COMMIT_MARKER && frame.length != Format.COMMIT_MARKER_PAYLOAD) {
             return null;
         }
-        byte[] payload = Format.isPayload(a, f.payloadAt(), a.length, f.length, crc) ? a
-            : !same && Format.isPayload(b, f.payloadAt(), b.length, f.length, crc) ? b : null;
+        byte[] payload = copyWithPayload(frame, Format.payloadCrc(head, at));
         if (payload == null) {
             return null;
         }
-        if (image != a) {
+        if (image != first) {
             System.arraycopy(head, at, image, at, Format.FRAME_HEAD);
-            System.arraycopy(payload, f.payloadAt(), image, f.payloadAt(), f.length);
+            System.arraycopy(payload, frame.payloadAt(), image, frame.payloadAt(), frame.length);
+        }
+        return frame;
+    }
+
+    private byte[] copyWithHead(int at) {
+        if (Format.isFrameHead(first, at, Math.min(length, first.length), segment)) {
+            return first;
+        }
+        return !copiesAreEqual && Format.isFrameHead(second, at, Math.min(length, second.length), segment) ? second : null;
+    }
+
+    private byte[] copyWithPayload(Frame frame, int crc) {
+        if (Format.isPayload(first, frame.payloadAt(), first.length, frame.length, crc)) {
+            return first;
         }
-        return f;
+        return !copiesAreEqual && Format.isPayload(second, frame.payloadAt(), second.length, frame.length, crc) ? second
+            : null;
     }
 
-    /** Whether some commit marker beyond this place says that a record which is missing here was safe. */
-    private boolean isSafeBeyond(int at) {
-        if (safeTo > lastSequence) {
+    /** Whether a commit marker beyond this place says that a record which is missing here was synced. */
+    private boolean isSyncedBeyond(int at) {
+        if (syncedUpTo > lastSequence) {
             return true;
         }
-        for (Frame f = resume(at); f != null; f = resume(f.at + 1)) {
-            if (f.type == Format.COMMIT_MARKER && f.sequence > lastSequence) {
+        for (Frame frame = nextFrame(at); frame != null; frame = nextFrame(frame.at + 1)) {
+            if (frame.type == Format.COMMIT_MARKER && frame.sequence > lastSequence) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The next whole frame beyond a place that is damaged. A head is valid in its own place only, so none is made up. */
-    private Frame resume(int at) {
+    /** The next intact frame beyond a place that is damaged. A head is valid in its own place only, so none is made up. */
+    private Frame nextFrame(int at) {
         for (int i = at + 1; i + Format.FRAME_HEAD <= length; i++) {
-            Frame f = frame(i, lastSequence);
-            if (f != null) {
-                return f;
+            Frame frame = frameAt(i);
+            if (frame != null) {
+                return frame;
             }
         }
         return null;
     }
 
-    /** The segment as it should stand in both folders. */
+    /** The segment as it should be in both folders. */
     byte[] image() {
         return image;
     }
@@ -162,14 +180,14 @@
         return frames;
     }
 
-    /** What is lost: whole in neither copy though it was safe. */
+    /** What is lost: intact in neither copy though it was synced. */
     List<Damage> damages() {
         return damages;
     }
 
-    /** How many bytes at the end were never acknowledged as safe and are not whole; they are no part of the image. */
-    int torn() {
-        return torn;
+    /** How many bytes at the end are incomplete and were never acknowledged as synced; they are no part of the image. */
+    int truncatedBytes() {
+        return truncatedBytes;
     }
 
     /** Whether the store was closed, or recovered, behind the last frame. */
@@ -181,38 +199,48 @@
         return lastSequence;
     }
 
-    /** The latest time that a commit marker tells, 0 if there is none. */
+    /** The latest time in a commit marker, 0 if there is none. */
     long time() {
         return time;
     }
 
-    boolean isWholeInA() {
-        return Arrays.equals(a, image);
+    boolean isFirstIntact() {
+        return Arrays.equals(first, image);
+    }
+
+    boolean isSecondIntact() {
+        return copiesAreEqual ? isFirstIntact() : Arrays.equals(second, image);
+    }
+
+    /** All operations, in order; those of a frame that do not add up are left out from there on. */
+    void forEachOperation(Consumer<Operation> consumer) {
+        frames.forEach(frame -> forEachOperation(frame, consumer));
     }
 
-    boolean isWholeInB() {
-        return same ? isWholeInA() : Arrays.equals(b, image);
+    List<Operation> operations() {
+        List<Operation> operations = new ArrayList<>();
+        forEachOperation(operations::add);
+        return operations;
     }
 
-    /** Hears of each operation, in order. */
-    interface Ops {
-        void op(Format.Op op);
+    List<Operation> operations(Frame frame) {
+        List<Operation> operations = new ArrayList<>();
+        forEachOperation(frame, operations::add);
+        return operations;
     }
 
-    /** Gives out the operations of one frame of an image; false if they do not add up, which only a fault of ours can do. */
-    static boolean ops(byte[] image, Frame frame, Ops ops) {
+    private void forEachOperation(Frame frame, Consumer<Operation> consumer) {
         if (frame.type == Format.COMMIT_MARKER) {
-            return frame.length == Format.COMMIT_MARKER_PAYLOAD;
+            return;
         }
         int at = frame.payloadAt();
         while (at < frame.end()) {
-            Format.Op op = Format.op(image, at, frame.end());
-            if (op == null) {
-                return false;
+            Operation operation = Operation.read(image, at, frame.end());
+            if (operation == null) {
+                return;
             }
-            ops.op(op);
-            at += op.length();
+            consumer.accept(operation);
+            at += operation.length();
         }
-        return true;
     }
 }
--- a/src/main/java/kelphollow/store/Snapshot.java
+++ b/src/main/java/kelphollow/store/Snapshot.java
@@ -1,79 +1,67 @@
 package kelphollow.store;
 
 import java.io.IOException;
-import java.util.List;
 
-/** The store as it was at one moment; keeps the files it needs until it is closed. Any thread, one at a time. */
+/** A consistent view of the store; pins the files that it needs until it is closed. Any thread, one at a time. */
 public final class Snapshot implements AutoCloseable {
-    /** Called with each key and value; false ends the scan. */
+    /** Receives the keys and values of a scan. */
     public interface Visitor {
+        /** Called with each key and value; false ends the scan. */
         boolean visit(byte[] key, byte[] value) throws IOException;
     }
 
-    private final Store store;
-    private final Index index;
-    private final List<Segment> pinned;
+    private final SegmentSet segments;
+    private final SegmentSet.Pinned view;
+    private final Tables tables;
     private final long time;
     private boolean closed;
 
-    Snapshot(Store store, Index index, List<Segment> pinned, long time) {
-        this.store = store;
-        this.index = index;
-        this.pinned = pinned;
+    Snapshot(SegmentSet segments, SegmentSet.Pinned view, Tables tables, long time) {
+        this.segments = segments;
+        this.view = view;
+        this.tables = tables;
         this.time = time;
     }
 
-    /** The value, or null. Throws a fault of kind DAMAGED if it is whole in neither copy. */
+    /** The value of a key, or null. Throws a fault of kind DAMAGED if it is intact in neither copy. */
     public byte[] get(String table, byte[] key) throws IOException, StoreFault {
-        byte[] name = store.tables().key(table, key);
-        Index.Place place = name == null ? null : index.get(name);
-        return place == null || isExpired(place) ? null : value(name, place);
+        byte[] indexKey = tables.key(table, key);
+        Index.Location location = indexKey == null ? null : view.index().get(indexKey);
+        return location == null || location.isExpired(time) ? null : value(indexKey, location);
     }
 
-    private boolean isExpired(Index.Place place) {
-        return place.expires() > 0 && place.expires() <= time;
+    private byte[] value(byte[] indexKey, Index.Location location) throws IOException, StoreFault {
+        Segment segment = view.segments().stream().filter(s -> s.id() == location.segment()).findFirst().orElseThrow();
+        return segments.read(segment, indexKey, location);
     }
 
-    private byte[] value(byte[] key, Index.Place place) throws IOException, StoreFault {
-        Segment segment = pinned.stream().filter(s -> s.id() == place.segment()).findFirst().orElseThrow();
-        return store.value(segment, key, place);
-    }
-
-    /** All that stands in a table from a key on, in the order of the keys' unsigned bytes. */
+    /** All keys of a table from this one on, in the order of their unsigned bytes. */
     public void scan(String table, byte[] from, Visitor visitor) throws IOException, StoreFault {
-        byte[] start = store.tables().key(table, from);
+        byte[] start = tables.key(table, from);
         if (start == null) {
             return;
         }
-        Exception[] thrown = new Exception[1];
-        index.walk(start, (key, place) -> {
-            if (key[0] != start[0] || key[1] != start[1]) {
-                return false;
+        for (Index.Entry entry : view.index().entriesFrom(start)) {
+            byte[] key = entry.key();
+            if (!Tables.isSameTable(key, start)) {
+                return;
             }
-            try {
-                return isExpired(place) || visitor.visit(Tables.keyOf(key), value(key, place));
-            } catch (IOException | StoreFault e) {
-                thrown[0] = e;
-                return false;
+            Index.Location location = entry.location();
+            if (!location.isExpired(time) && !visitor.visit(Tables.keyOf(key), value(key, location))) {
+                return;
             }
-        });
-        if (thrown[0] instanceof IOException e) {
-            throw e;
-        }
-        if (thrown[0] instanceof StoreFault e) {
-            throw e;
         }
     }
 
-    /** How many keys there are in all tables, expired ones that are not yet removed among them. */
+    /** Number of keys in all tables, expired ones that are not yet removed among them. */
     public int size() {
-        return index.size();
+        return view.index().size();
     }
 
     @Override public void close() {
         if (!closed) {
             closed = true;
-            pinned.forEach(Segment::release);
+            view.release();
         }
     }
 }
--- a/src/main/java/kelphollow/store/Store.java
+++ b/src/main/java/kelphollow/store/Store.java
@@ -1,175 +1,128 @@
 package kelphollow.store;
 
-import java.io.Closeable;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Executor;
-import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
 
 /**
- * A small embedded store for what must outlive a restart: tables of keys and values on a log that is kept twice, in two
- * folders, so that damage to either copy loses nothing. Writing never waits: it is acknowledged on the caller's
- * executor once the grade asked for is reached. Reading looks into memory and then reads one place of one file, which
- * may wait for the disk: an event loop keeps in memory what it needs.
+ * An embedded store for state that must survive a restart: tables of keys and values on an append-only log, kept in two
+ * copies in two folders, so that damage to either copy loses nothing. After Bitcask (Sheehy and Smith, 2010): all keys are
+ * in memory, values on disk. Writing never blocks: it is acknowledged on the caller's executor once the requested
+ * {@link Durability} is reached. Reading looks the key up in memory and then reads one place of one file, which may block
+ * on the disk.
  *
- * <p>Cost: at most 64 bytes of memory a key beside the key; three threads: one writes, one syncs the second copy, one is
- * for the background. All methods may be called from any thread. The files' form and the order of syncs are in {@code docs/design/STORE.md}.
+ * <p>Cost: at most 64 bytes of memory per key beside the key; three threads: the writer, the sync of the second copy, and
+ * the background work. Thread-safe. File formats and the order of syncs are in {@code docs/design/STORE.md}.
  */
 public final class Store implements AutoCloseable {
     /**
-     * Figures in bytes and counts since the opening; {@code written} counts both copies, {@code payload} is keys and
-     * values as callers gave them, {@code safeTo} the number of the last batch known to be synced.
+     * Counters since the opening, in bytes unless said otherwise.
+     *
+     * @param keys number of keys, and {@code segments} of segments
+     * @param length of all segments, one copy
+     * @param live of it, operations that are the latest of their key
+     * @param written to both copies together
+     * @param payload keys and values as callers passed them
+     * @param syncs number of syncs of the log
+     * @param syncedUpTo sequence of the last batch known to be synced
      */
     public record Stats(int keys, int segments, long length, long live, long written, long payload, long syncs,
-                        long safeTo) {}
+                        long syncedUpTo) {}
 
-    static final String LOCK = "LOCK";
     private static final Logger LOG = Logger.getLogger(Store.class.getName());
 
-    private final Disk[] disks;
-    private final StoreId id;
-    private final List<Closeable> locks;
-    private final Report report;
+    private final FolderLocks locks;
+    private final IntegrityReport report;
     private final Tables tables = new Tables();
-    private final Map<Long, Segment> segments = new ConcurrentHashMap<>();
+    private final SegmentSet segments;
+    private final StoreClock clock;
     private final Writer writer;
     private final Compactor compactor;
     private final List<Thread> threads = new ArrayList<>();
-    private final LongSupplier clock;
-    private volatile Index index;
-    private final AtomicLong latest;
     private boolean closed;
 
-    private Store(Disk[] disks, List<Closeable> locks, StoreOpener.State state, StoreOptions options, LongSupplier clock)
-        throws IOException, StoreFault {
-        this.disks = disks;
+    private Store(Disk[] disks, FolderLocks locks, StoreOpener.Recovered recovered, StoreOptions options,
+        LongSupplier clock) throws IOException, StoreFault {
         this.locks = locks;
-        this.id = state.id();
-        this.report = state.report();
-        this.clock = clock;
-        this.index = state.index();
-        this.latest = new AtomicLong(state.time());
-        segments.putAll(state.segments());
+        this.report = recovered.report();
+        this.clock = new StoreClock(clock, recovered.time());
+        this.segments = new SegmentSet(disks, recovered.storeId(), recovered.segments(), recovered.index());
         loadTables();
-        this.writer = new Writer(this, state, tables, state.space(), options, this::time);
-        this.compactor = new Compactor(this, writer, options);
+        CommitLog log = new CommitLog(segments, recovered, tables, options, this.clock, this::wakeCompactor);
+        this.writer = new Writer(log, options, fault -> LOG.severe(() -> "store: " + fault.getMessage()));
+        this.compactor = new Compactor(segments, writer, options, this.clock, what -> LOG.warning(() -> "store: " + what));
     }
 
     /**
-     * Opens the store in two folders, after a crash too, or makes one if both are empty.
+     * Opens the store in two folders, after a crash too, or creates one if both are empty.
      *
-     * @param clock Unix milliseconds, for what expires; a step back is taken for standing still
-     * @throws StoreFault LOCKED, FOREIGN, VERSION, or DAMAGED if something safe is whole in neither copy
+     * @param clock Unix milliseconds, for expiry; a step back counts as standing still
+     * @throws StoreFault LOCKED, FOREIGN_FILES, UNSUPPORTED_VERSION, or DAMAGED if something that was acknowledged is intact
+     *     in neither copy
      * @throws IOException if a folder cannot be used
      */
     public static Store open(Disk first, Disk second, StoreOptions options, LongSupplier clock)
         throws IOException, StoreFault {
-        return open(first, second, options, clock, StoreOpener.Loss.REFUSE, Progress.NONE);
+        return open(first, second, options, clock, RecoveryMode.REJECT_LOSS, ProgressListener.NONE);
     }
 
-    /** The same, for tools that tell how far it has come. */
-    public static Store open(Disk first, Disk second, StoreOptions options, LongSupplier clock, Progress progress)
+    /** Like {@link #open(Disk, Disk, StoreOptions, LongSupplier)}, for tools that show the progress. */
+    public static Store open(Disk first, Disk second, StoreOptions options, LongSupplier clock, ProgressListener progress)
         throws IOException, StoreFault {
-        return open(first, second, options, clock, StoreOpener.Loss.REFUSE, progress);
+        return open(first, second, options, clock, RecoveryMode.REJECT_LOSS, progress);
     }
 
-    /** The operator's word: opens the store without what is whole in neither copy. The report names what was lost. */
+    /** For the operator: opens the store without what is intact in neither copy. The report names what was lost. */
     public static Store openAcceptingLoss(Disk first, Disk second, StoreOptions options, LongSupplier clock,
-        Progress progress) throws IOException, StoreFault {
-        return open(first, second, options, clock, StoreOpener.Loss.ACCEPT, progress);
+        ProgressListener progress) throws IOException, StoreFault {
+        return open(first, second, options, clock, RecoveryMode.ACCEPT_LOSS, progress);
     }
 
-    private static Store open(Disk first, Disk second, StoreOptions options, LongSupplier clock, StoreOpener.Loss loss,
-        Progress progress) throws IOException, StoreFault {
+    private static Store open(Disk first, Disk second, StoreOptions options, LongSupplier clock, RecoveryMode mode,
+        ProgressListener progress) throws IOException, StoreFault {
         Disk[] disks = {first, second};
-        List<Closeable> locks = lock(disks);
-        StoreOpener.State state = null;
+        FolderLocks locks = FolderLocks.acquire(disks);
+        StoreOpener.Recovered recovered = null;
         try {
-            state = StoreOpener.open(disks, options, clock.getAsLong(), loss, progress);
-            Store store = new Store(disks, locks, state, options, clock);
+            recovered = StoreOpener.open(disks, options, clock.getAsLong(), mode, progress);
+            Store store = new Store(disks, locks, recovered, options, clock);
             if (!options.inline()) {
                 store.start(store.writer, "store-writer");
                 store.start(store.compactor, "store-compactor");
             }
             return store;
         } catch (IOException | StoreFault | RuntimeException e) {
-            if (state != null) {
-                state.segments().values().forEach(Segment::release);
+            if (recovered != null) {
+                recovered.segments().values().forEach(Segment::release);
             }
-            unlock(locks);
+            locks.close();
             throw e;
         }
     }
 
-    /** Looks at all bytes of both copies and changes nothing. */
-    public static Inspection inspect(Disk first, Disk second, StoreOptions options, Progress progress)
+    /** Reads all bytes of both copies and changes nothing. */
+    public static Inspection inspect(Disk first, Disk second, StoreOptions options, ProgressListener progress)
         throws IOException, StoreFault {
         Disk[] disks = {first, second};
         if (!first.has(Manifest.NAME) && !second.has(Manifest.NAME)) {
-            throw new StoreFault(StoreFault.Kind.FOREIGN, first.place() + " and " + second.place()
+            throw new StoreFault(StoreFault.Kind.FOREIGN_FILES, first.place() + " and " + second.place()
                 + " hold no " + Manifest.NAME + ": there is no store");
         }
-        List<Closeable> locks = lock(disks);
-        try {
-            return StoreOpener.look(disks, options, progress);
-        } finally {
-            unlock(locks);
-        }
-    }
-
-    private static List<Closeable> lock(Disk[] disks) throws IOException, StoreFault {
-        List<Closeable> locks = new ArrayList<>();
-        try {
-            for (Disk disk : disks) {
-                disk.prepare();
-                FolderFiles.refuseStrangers(disk, disk.has(Manifest.NAME));
-                Closeable lock = disk.lock(LOCK);
-                if (lock == null) {
-                    throw new StoreFault(StoreFault.Kind.LOCKED, disk.place() + " is held by a running program");
-                }
-                locks.add(lock);
-            }
-            return locks;
-        } catch (IOException | StoreFault e) {
-            unlock(locks);
-            throw e;
-        }
-    }
-
-    private static void unlock(List<Closeable> locks) {
-        for (Closeable lock : locks) {
-            try {
-                lock.close();
-            } catch (IOException e) {
-                // the process's end lets it go
-            }
+        try (FolderLocks held = FolderLocks.acquire(disks)) {
+            return StoreOpener.inspect(disks, options, progress);
         }
     }
 
     private void loadTables() throws IOException, StoreFault {
-        Exception[] thrown = new Exception[1];
-        index.walk(new byte[2], (key, place) -> {
-            if (!Tables.isName(key)) {
-                return false;
-            }
-            try {
-                tables.load(key, value(segments.get((long) place.segment()), key, place));
-                return true;
-            } catch (IOException | StoreFault e) {
-                thrown[0] = e;
-                return false;
+        for (Index.Entry entry : segments.index().entriesFrom(Tables.nameKey(""))) {
+            if (!Tables.isName(entry.key())) {
+                return;
             }
-        });
-        if (thrown[0] instanceof IOException e) {
-            throw e;
-        }
-        if (thrown[0] instanceof StoreFault e) {
-            throw e;
+            Segment segment = segments.segment(entry.location().segment());
+            tables.load(entry.key(), segments.read(segment, entry.key(), entry.location()));
         }
     }
 
@@ -180,92 +133,48 @@
         thread.start();
     }
 
-    // ---------------------------------------------------------------- writing
+    private void wakeCompactor() {
+        compactor.wake();
+    }
+
+    // ---------------------------------------------------------------- writing and reading
 
     /**
      * Writes a batch, all of it or nothing. Returns at once.
      *
-     * @param on where {@code ack} is called, an event loop for instance
+     * @param executor where {@code callback} is called, an event loop for instance
      */
-    public void write(Batch batch, Durability grade, Executor on, Ack ack) {
-        writer.submit(batch, grade, on, ack);
+    public void write(Batch batch, Durability durability, Executor executor, WriteCallback callback) {
+        writer.submit(new PendingWrite(batch, durability, executor, callback));
     }
 
-    // ---------------------------------------------------------------- reading
-
-    /** The value of a key, or null. May wait for the disk. */
+    /** The value of a key, or null. May block on the disk. */
     public byte[] get(String table, byte[] key) throws IOException, StoreFault {
-        byte[] name = tables.key(table, key);
-        if (name == null) {
-            return null;
-        }
-        while (true) {
-            Index now = index;
-            Index.Place place = now.get(name);
-            if (place == null || place.expires() > 0 && place.expires() <= time()) {
-                return null;
-            }
-            Segment segment = segments.get((long) place.segment());
-            if (segment != null && segment.pin()) {
-                try {
-                    return value(segment, name, place);
-                } finally {
-                    segment.release();
-                }
-            }
-            if (now == index) {
-                throw new StoreFault(StoreFault.Kind.CLOSED, "the store is closed");
-            }
-        }
-    }
-
-    byte[] value(Segment segment, byte[] key, Index.Place place) throws IOException, StoreFault {
-        Format.Op op = segment.read(key, place);
-        if (op == null) {
-            throw new StoreFault(StoreFault.Kind.DAMAGED, disks[0].place() + "/" + Format.segmentName(segment.id())
-                + " offset=" + place.offset() + " sequence=" + place.sequence() + " is whole in neither copy");
-        }
-        return op.value();
+        byte[] indexKey = tables.key(table, key);
+        return indexKey == null ? null : segments.get(indexKey, clock);
     }
 
-    /** The store as it is now, for reading while writing goes on. Close it soon: it keeps files from being deleted. */
+    /** A consistent view for reading while writes go on. Close it soon: it keeps files from being deleted. */
     public Snapshot snapshot() throws StoreFault {
-        while (true) {
-            Index now = index;
-            List<Segment> pinned = new ArrayList<>();
-            boolean all = true;
-            for (Segment segment : segments.values()) {
-                if (segment.pin()) {
-                    pinned.add(segment);
-                } else {
-                    all = false;
-                }
-            }
-            // What compaction replaced went out of the map after a new index was published.
-            if (all && now == index) {
-                return new Snapshot(this, now, pinned, time());
-            }
-            pinned.forEach(Segment::release);
-            if (!all && now == index && isClosed()) {
+        SegmentSet.Pinned pinned = segments.pin();
+        while (pinned == null) {
+            if (isClosed()) {
                 throw new StoreFault(StoreFault.Kind.CLOSED, "the store is closed");
             }
+            pinned = segments.pin();
         }
-    }
-
-    /** A clock that goes back is taken for standing still. */
-    long time() {
-        return latest.accumulateAndGet(clock.getAsLong(), Math::max);
+        return new Snapshot(segments, pinned, tables, clock.getAsLong());
     }
 
     /** The names of all tables, sorted. */
     public List<String> tableNames() {
-        return tables.all();
+        return tables.names();
     }
 
-    // ---------------------------------------------------------------- care
+    // ---------------------------------------------------------------- maintenance
 
     /** What the opening found and repaired. */
-    public Report report() {
+    public IntegrityReport report() {
         return report;
     }
 
@@ -274,30 +183,29 @@
         return writer.fault();
     }
 
+    /** The counters as they are now; waits for the writer's thread. */
     public Stats stats() throws IOException, StoreFault {
-        Stats[] stats = new Stats[1];
-        writer.run(() -> stats[0] = writer.log().stats());
-        return stats[0];
+        return writer.call(CommitLog::stats);
     }
 
-    /** Does now what the background would do in time; for tools and tests, with {@link StoreOptions#inline}. */
-    public void tidy() throws IOException, StoreFault {
-        while (compactor.turn()) {
-            // until nothing is left to do
+    /** Does all background work that is due, in this thread; for tools and tests, with {@link StoreOptions#inline}. */
+    public void runMaintenance() throws IOException, StoreFault {
+        while (compactor.runOnce()) {
+            // until nothing is due
         }
     }
 
-    /** Compacts all sealed segments into as few as can be. */
+    /** Compacts all sealed segments into as few as possible. */
     public void compactAll() throws IOException, StoreFault {
         compactor.compactAll();
     }
 
-    /** Reads both copies of all sealed segments and repairs what is damaged in one; gives the number of repaired files. */
-    public int scrub(Report into) throws IOException, StoreFault {
+    /** Reads both copies of all sealed segments and repairs a damaged one; returns the number of repaired files. */
+    public int scrub(IntegrityReport into) throws IOException, StoreFault {
         return compactor.scrub(into);
     }
 
-    /** Writes what waits, says on disk that nothing is missing, and lets the folders go. */
+    /** Writes what is queued, records on disk that nothing is missing, and unlocks the folders. Idempotent. */
     @Override public void close() {
         synchronized (this) {
             if (closed) {
@@ -314,71 +222,16 @@
                 Thread.currentThread().interrupt();
             }
         }
-        segments.values().forEach(Segment::release);
-        unlock(locks);
+        segments.releaseAll();
+        locks.close();
     }
 
     private synchronized boolean isClosed() {
         return closed;
     }
 
-    // ---------------------------------------------------------------- for writer and compactor
-
-    Disk[] disks() {
-        return disks;
-    }
-
-    StoreId id() {
-        return id;
-    }
-
-    Tables tables() {
-        return tables;
-    }
-
+    /** The index in force, for benchmarks. */
     Index index() {
-        return index;
-    }
-
-    Segment segment(long number) {
-        return segments.get(number);
-    }
-
-    void publish(Index next) {
-        index = next;
-    }
-
-    void begun(Segment segment) {
-        segments.put(segment.id(), segment);
-    }
-
-    void replaced(long segment) {
-        Segment gone = segments.remove(segment);
-        if (gone != null) {
-            gone.replaced();
-            gone.release();
-        }
-    }
-
-    void wakeCompactor() {
-        compactor.wake();
-    }
-
-    void warn(String what) {
-        LOG.warning(() -> "store: " + what);
-    }
-
-    void failed(StoreFault fault) {
-        LOG.severe(() -> "store: " + fault.getMessage());
-    }
-
-    /** Damage of both copies is found while the store runs: from here on it takes nothing new. */
-    StoreFault damaged(Segment segment, SegmentMerge merge) {
-        SegmentMerge.Damage d = merge.damages().get(0);
-        StoreFault fault = new StoreFault(StoreFault.Kind.DAMAGED, disks[0].place() + "/"
-            + Format.segmentName(segment.id()) + " offset=" + d.at() + " sequence=" + d.sequence()
-            + " is whole in neither copy");
-        writer.stop(fault);
-        return fault;
+        return segments.index();
     }
 }
--- a/src/main/java/kelphollow/store/StoreId.java
+++ b/src/main/java/kelphollow/store/StoreId.java
@@ -2,9 +2,9 @@
 
 import java.util.UUID;
 
-/** The 128 bits that tell one store's files from another's; drawn when the store is made. */
+/** The 128 random bits that tell one store's files from another's, drawn when the store is created. */
 record StoreId(long high, long low) {
-    static StoreId draw() {
+    static StoreId random() {
         UUID id = UUID.randomUUID();
         return new StoreId(id.getMostSignificantBits(), id.getLeastSignificantBits());
     }
