--- a/src/main/java/kelphollow/store/StoreOptions.java
+++ b/src/main/java/kelphollow/store/StoreOptions.java
@@ -4,59 +4,73 @@
  * What an operator may set. Sizes in bytes, times in milliseconds.
  *
  * @param segmentBytes from this size on a segment is sealed and the next begun
- * @param largestBatch a batch may be so long, keys and values with their heads; longer than a segment is allowed
- * @param queueBytes what may wait to be written; beyond it callers get {@link StoreFault.Kind#BUSY}
- * @param groupBytes so much at most is written under one sync
- * @param compactBytesPerSecond what compaction may read and write
- * @param scrubEvery so often both copies of all sealed segments are read and repaired; 0 is never
- * @param checkAll an opening reads every segment whole, instead of the hints of sealed ones
- * @param inline no threads: a batch is written in the call that brings it, compaction runs when asked (tests, tools)
+ * @param largestBatch the longest batch, keys and values with their heads; it may be longer than a segment
+ * @param queueBytes how much may wait to be written; beyond it writes get {@link StoreFault.Kind#QUEUE_FULL}
+ * @param groupBytes how much is written under one sync at most
+ * @param compactBytesPerSecond what background work may read and write
+ * @param scrubEvery how often both copies of all sealed segments are read and repaired; 0 is never
+ * @param checkAll an opening reads every segment completely, instead of the hints of sealed ones
+ * @param inline no threads: a batch is written in the call that submits it, background work is done when asked for (tests,
+ *     tools)
  */
 public record StoreOptions(long segmentBytes, int largestBatch, long queueBytes, int groupBytes,
                            long compactBytesPerSecond, long scrubEvery, boolean checkAll, boolean inline) {
-    /** 16 MiB segments: rewritten in 0.1 to 0.3 s after a crash, and 640 files for 5 GiB in two copies. */
-    public static final StoreOptions USUAL =
-        new StoreOptions(16 << 20, 4 << 20, 32 << 20, 1 << 20, 32 << 20, 24 * 3_600_000L, false, false);
+    private static final int MIB = 1 << 20;
+    private static final int GIB = 1 << 30;
+    private static final long DAY_MILLIS = 24 * 3_600_000L;
+    private static final int MIN_BYTES = 256;
+    private static final int MAX_BATCH = 256 * MIB;
 
+    /** What holds where the operator sets nothing. */
+    public static final StoreOptions DEFAULTS =
+        new StoreOptions(16 * MIB, 4 * MIB, 32 * MIB, MIB, 32 * MIB, DAY_MILLIS, false, false);
+
+    /** Throws {@link IllegalArgumentException} for a value that is out of bounds. */
     public StoreOptions {
-        require(segmentBytes >= 256 && segmentBytes <= 1 << 30, "segmentBytes must be 256 to 1 GiB");
-        require(largestBatch >= 256 && largestBatch <= 256 << 20, "largestBatch must be 256 to 256 MiB");
+        require(segmentBytes >= MIN_BYTES && segmentBytes <= GIB, "segmentBytes must be 256 to 1 GiB");
+        require(largestBatch >= MIN_BYTES && largestBatch <= MAX_BATCH, "largestBatch must be 256 to 256 MiB");
         require(queueBytes >= largestBatch, "queueBytes must be at least largestBatch");
         require(groupBytes >= 1, "groupBytes must be at least 1");
         require(scrubEvery >= 0, "scrubEvery must be at least 0");
         require(compactBytesPerSecond >= 1, "compactBytesPerSecond must be at least 1");
     }
 
-    private static void require(boolean holds, String fault) {
+    private static void require(boolean holds, String message) {
         if (!holds) {
-            throw new IllegalArgumentException(fault);
+            throw new IllegalArgumentException(message);
         }
     }
 
+    /** A copy with another {@link #segmentBytes}. */
     public StoreOptions withSegmentBytes(long bytes) {
         return new StoreOptions(bytes, largestBatch, queueBytes, groupBytes, compactBytesPerSecond, scrubEvery, checkAll,
             inline);
     }
 
+    /** A copy with another {@link #checkAll}. */
     public StoreOptions withCheckAll(boolean all) {
         return new StoreOptions(segmentBytes, largestBatch, queueBytes, groupBytes, compactBytesPerSecond, scrubEvery,
             all, inline);
     }
 
-    public StoreOptions withInline(boolean in) {
+    /** A copy with another {@link #inline}. */
+    public StoreOptions withInline(boolean isInline) {
         return new StoreOptions(segmentBytes, largestBatch, queueBytes, groupBytes, compactBytesPerSecond, scrubEvery,
-            checkAll, in);
+            checkAll, isInline);
     }
 
+    /** A copy with another {@link #queueBytes}, and a {@link #largestBatch} that fits into it. */
     public StoreOptions withQueueBytes(long bytes) {
         return new StoreOptions(segmentBytes, (int) Math.min(largestBatch, bytes), bytes, groupBytes,
             compactBytesPerSecond, scrubEvery, checkAll, inline);
     }
 
+    /** A copy with another {@link #compactBytesPerSecond}. */
     public StoreOptions withCompactBytesPerSecond(long bytes) {
         return new StoreOptions(segmentBytes, largestBatch, queueBytes, groupBytes, bytes, scrubEvery, checkAll, inline);
     }
 
+    /** A copy with another {@link #scrubEvery}. */
     public StoreOptions withScrubEvery(long millis) {
         return new StoreOptions(segmentBytes, largestBatch, queueBytes, groupBytes, compactBytesPerSecond, millis,
             checkAll, inline);
--- a/src/main/java/kelphollow/store/Tables.java
+++ b/src/main/java/kelphollow/store/Tables.java
@@ -9,74 +9,100 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The tables' names and the two bytes that stand for each in front of its keys. They are kept in the store itself, as
- * keys of table 0, and written in the batch that first names the table. Read from any thread, changed by the writer.
+ * The tables' names and the number of two bytes that stands for each in front of its keys in the index. They are kept in
+ * the store itself, as keys of table 0, and written in the batch that first names the table. Any thread may read; only the
+ * writer's thread, or who opens the store, may add.
  */
 final class Tables {
-    static final int MOST = 0xffff;
+    /** Bytes of a table's number. */
+    static final int NUMBER_BYTES = 2;
+    private static final int MAX_TABLES = 0xffff;
+    private static final short NAMES_TABLE = 0;
+
     private final Map<String, Integer> numbers = new ConcurrentHashMap<>();
     private final Map<Integer, String> names = new ConcurrentHashMap<>();
 
+    // ---------------------------------------------------------------- keys of the index
+
+    /** The key under which a table's number is stored. */
     static byte[] nameKey(String name) {
-        byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(2 + bytes.length).putShort((short) 0).put(bytes).array();
+        return indexKey(NAMES_TABLE, name.getBytes(StandardCharsets.UTF_8));
+    }
+
+    private static byte[] indexKey(short table, byte[] key) {
+        return ByteBuffer.allocate(NUMBER_BYTES + key.length).putShort(table).put(key).array();
     }
 
-    static boolean isName(byte[] key) {
-        return key[0] == 0 && key[1] == 0;
+    /** Whether a key of the index is that of a table's number. */
+    static boolean isName(byte[] indexKey) {
+        return numberOf(indexKey) == NAMES_TABLE;
     }
 
-    /** The text behind a key's two bytes. */
-    static String textOf(byte[] key) {
-        return new String(key, 2, key.length - 2, StandardCharsets.UTF_8);
+    static boolean isSameTable(byte[] indexKey, byte[] other) {
+        return numberOf(indexKey) == numberOf(other);
     }
 
-    void load(byte[] key, byte[] value) {
-        enter(textOf(key), Format.int16(value, 0));
+    /** The table's number at the beginning of a key of the index, or in the value stored for its name. */
+    static int numberOf(byte[] bytes) {
+        return Format.int16(bytes, 0);
     }
 
-    private void enter(String name, int number) {
+    /** The caller's key in a key of the index. */
+    static byte[] keyOf(byte[] indexKey) {
+        return Arrays.copyOfRange(indexKey, NUMBER_BYTES, indexKey.length);
+    }
+
+    /** The caller's key as text. */
+    static String textOf(byte[] indexKey) {
+        return new String(indexKey, NUMBER_BYTES, indexKey.length - NUMBER_BYTES, StandardCharsets.UTF_8);
+    }
+
+    /** The key of the index for a caller's key, or null if there is no such table. */
+    byte[] key(String table, byte[] key) {
+        Integer number = numbers.get(table);
+        return number == null ? null : indexKey(number.shortValue(), key);
+    }
+
+    /** The name of the table that a key of the index belongs to. */
+    String name(byte[] indexKey) {
+        return names.get(numberOf(indexKey));
+    }
+
+    // ---------------------------------------------------------------- tables
+
+    /** Adds a table as it is stored. */
+    void load(byte[] nameKey, byte[] value) {
+        register(textOf(nameKey), numberOf(value));
+    }
+
+    private void register(String name, int number) {
         names.put(number, name);
         numbers.put(name, number);
     }
 
-    /** The names in these changes that have no number yet. */
+    /** The tables in these changes that have no number yet, in their order. */
     List<String> missing(List<Batch.Change> changes) {
         List<String> missing = new ArrayList<>(0);
-        for (Batch.Change c : changes) {
-            if (!numbers.containsKey(c.table()) && !missing.contains(c.table())) {
-                missing.add(c.table());
+        for (Batch.Change change : changes) {
+            if (!numbers.containsKey(change.table()) && !missing.contains(change.table())) {
+                missing.add(change.table());
             }
         }
         return missing;
     }
 
-    /** Gives a new table its number, and the value that says so. */
+    /** Gives a new table its number and returns the value to store for it. */
     byte[] add(String name) {
         int number = numbers.size() + 1;
-        if (number > MOST) {
-            throw new IllegalStateException("more than " + MOST + " tables");
+        if (number > MAX_TABLES) {
+            throw new IllegalStateException("more than " + MAX_TABLES + " tables");
         }
-        enter(name, number);
-        return new byte[] {(byte) (number >> 8), (byte) number};
-    }
-
-    /** The key as it stands in the index, or null if there is no such table. */
-    byte[] key(String table, byte[] key) {
-        Integer number = numbers.get(table);
-        return number == null ? null
-            : ByteBuffer.allocate(2 + key.length).putShort((short) (int) number).put(key).array();
-    }
-
-    static byte[] keyOf(byte[] indexKey) {
-        return Arrays.copyOfRange(indexKey, 2, indexKey.length);
-    }
-
-    String name(byte[] indexKey) {
-        return names.get(Format.int16(indexKey, 0));
+        register(name, number);
+        return indexKey((short) number, new byte[0]);
     }
 
-    List<String> all() {
+    /** All names, sorted. */
+    List<String> names() {
         return numbers.keySet().stream().sorted().toList();
     }
 }
--- a/src/test/java/kelphollow/program/StoreCommandTest.java
+++ b/src/test/java/kelphollow/program/StoreCommandTest.java
@@ -41,7 +41,8 @@
     }
 
     private Store open() throws Exception {
-        return Store.open(new FolderDisk(a), new FolderDisk(b), StoreOptions.USUAL.withSegmentBytes(4_096).withInline(true),
+        StoreOptions options = StoreOptions.DEFAULTS.withSegmentBytes(4_096).withInline(true);
+        return Store.open(new FolderDisk(a), new FolderDisk(b), options,
             () -> 1_000);
     }
 
--- a/src/test/java/kelphollow/store/CrashTest.java
+++ b/src/test/java/kelphollow/store/CrashTest.java
@@ -7,7 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
 
+import java.io.IOException;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -19,81 +21,89 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The power goes, or the disk fails, at each operation of the file system in turn: in appending, rotating, compacting,
- * in swapping manifest and hint, in closing and in recovery itself.
+ * The power is cut, or the disk fails, at each operation of the file system in turn: while appending, rotating, compacting,
+ * replacing manifest and hint, closing, and during recovery itself.
  */
 class CrashTest {
+    /** Power cuts tried at each operation. */
     private static final int SEEDS = Integer.getInteger("kelphollow.crash.seeds", 6);
+    private static final int STEPS = 36;
 
-    /** A fixed piece of work on a store, and what it was told of it. */
-    private static final class Work {
-        final StoreHarness rig = new StoreHarness();
-        /** What the store should hold after each batch that was brought. */
+    /** A fixed workload on a store, and what was acknowledged of it. */
+    private static final class Workload {
+        final StoreHarness harness = new StoreHarness();
+        /** What the store should hold after each batch that was submitted. */
         final List<Map<String, String>> history = new ArrayList<>(List.of(Map.of()));
-        /** At least so many batches must be found after a power cut, after a kill. */
-        int synced, buffered;
-
-        Work(Faults faults) {
-            rig.on(new MemoryDisk("a", faults), new MemoryDisk("b", faults));
-            rig.options = StoreHarness.SMALL;
+        /** At least this many batches must be found after a power cut. */
+        int synced;
+        /** At least this many batches must be found after a kill. */
+        int buffered;
+
+        Workload(Faults faults) {
+            harness.on(new MemoryDisk("a", faults), new MemoryDisk("b", faults));
+            harness.options = StoreHarness.SMALL;
         }
 
         void run() {
             try {
-                rig.open();
-                for (int i = 0; i < 36; i++) {
+                harness.open();
+                for (int i = 0; i < STEPS; i++) {
                     step(i);
                 }
-                rig.store.close();
-            } catch (java.io.IOException | StoreFault e) {
+                harness.store.close();
+            } catch (IOException | StoreFault e) {
                 // cut off: what was acknowledged until now counts
             }
         }
 
-        private void step(int i) throws java.io.IOException, StoreFault {
-            Batch batch = new Batch().put("outcomes", StoreHarness.bytes("request" + i % 8), StoreHarness.bytes("ran " + i));
-            if (i % 3 == 0) {
-                batch.remove("outcomes", StoreHarness.bytes("request" + (i + 5) % 8));
-            }
-            if (i % 9 == 5) {
-                batch.put("parts", StoreHarness.bytes("long"), StoreHarness.bytes("x".repeat(600) + i));
-            }
+        private void step(int step) throws IOException, StoreFault {
+            Batch batch = batch(step);
             Map<String, String> after = new TreeMap<>(history.get(history.size() - 1));
             StoreHarness.apply(batch, after);
             history.add(after);
-            Durability grade = i % 4 == 2 ? Durability.BUFFERED : Durability.SYNCED;
-            if (rig.write(batch, grade) == null) {
+            Durability durability = step % 4 == 2 ? Durability.BUFFERED : Durability.SYNCED;
+            if (harness.write(batch, durability) == null) {
                 buffered = history.size() - 1;
-                synced = grade == Durability.SYNCED ? buffered : synced;
+                synced = durability == Durability.SYNCED ? buffered : synced;
             }
-            if (i % 12 == 11) {
-                rig.store.tidy();
+            if (step % 12 == 11) {
+                harness.store.runMaintenance();
             }
-            if (i == 20) {
-                rig.store.compactAll();
+            if (step == 20) {
+                harness.store.compactAll();
             }
-            if (i == 27) {
-                rig.store.close();
-                rig.open();
+            if (step == 27) {
+                harness.reopen();
             }
         }
 
-        /** The state found must be that after some batch, no earlier than the last one that was promised. */
-        void check(Map<String, String> found, int atLeast, String what) {
-            for (int i = atLeast; i < history.size(); i++) {
+        private static Batch batch(int step) {
+            Batch batch = StoreHarness.put(new Batch(), "outcomes", "request" + step % 8, "ran " + step);
+            if (step % 3 == 0) {
+                batch.remove("outcomes", StoreHarness.bytes("request" + (step + 5) % 8));
+            }
+            if (step % 9 == 5) {
+                StoreHarness.put(batch, "parts", "long", "x".repeat(600) + step);
+            }
+            return batch;
+        }
+
+        /** The contents found must be those after some batch, no earlier than the last one that was acknowledged. */
+        void assertKept(Map<String, String> found, int acknowledged, String context) {
+            for (int i = acknowledged; i < history.size(); i++) {
                 if (history.get(i).equals(found)) {
                     return;
                 }
             }
-            fail(what + ": found " + found + ", promised at least " + history.get(atLeast));
+            fail(context + ": found " + found + ", acknowledged at least " + history.get(acknowledged));
         }
     }
 
-    private static int operationsOf() {
-        Work work = new Work(new Faults());
-        work.run();
-        assertEquals(36, work.synced);
-        return work.rig.a.faults.operations;
+    private static int operationsOfWorkload() {
+        Workload workload = new Workload(new Faults());
+        workload.run();
+        assertEquals(STEPS, workload.synced);
+        return workload.harness.first.faults.operations;
     }
 
     private static Faults at(int operation, Faults.Kind kind) {
@@ -103,129 +113,139 @@
         return faults;
     }
 
-    @Test void nothingAcknowledgedIsLostOrInventedWhereverThePowerIsCut() {
-        int operations = operationsOf();
+    @Test void aPowerCutAtAnyOperationLosesAndInventsNothing() {
+        int operations = operationsOfWorkload();
         assertTrue(operations > 300, "operations " + operations);
-        IntStream.rangeClosed(1, operations).parallel().forEach(n -> {
-            Work work = new Work(at(n, Faults.Kind.POWER_CUT));
-            work.run();
+        IntStream.rangeClosed(1, operations).parallel().forEach(operation -> {
+            Workload workload = new Workload(at(operation, Faults.Kind.POWER_CUT));
+            workload.run();
             for (int seed = 0; seed < SEEDS; seed++) {
-                recover(work, new Random(n * 1_000L + seed), "cut at operation " + n + ", seed " + seed);
+                assertRecovers(workload, new Random(operation * 1_000L + seed),
+                    "cut at operation " + operation + ", seed " + seed);
             }
         });
     }
 
-    private static void recover(Work work, Random random, String what) {
+    private static void assertRecovers(Workload workload, Random random, String context) {
         try {
-            StoreHarness rig = new StoreHarness().on(work.rig.a.afterCut(random), work.rig.b.afterCut(random));
-            rig.options = work.rig.options.withCheckAll(random.nextBoolean());
-            rig.open();
-            Map<String, String> found = StoreHarness.contents(rig.store);
-            work.check(found, work.synced, what);
-            rig.store.close();
-            MemoryDisk a = rig.a.copy(new Faults()), b = rig.b.copy(new Faults());
-            rig.open();
-            assertEquals(found, StoreHarness.contents(rig.store), what + ", second recovery");
-            rig.store.close();
-            assertTrue(a.isSame(rig.a) && b.isSame(rig.b), what + ": a second recovery changes nothing");
-        } catch (java.io.IOException | StoreFault e) {
-            throw new AssertionError(what, e);
+            StoreHarness harness = new StoreHarness().on(workload.harness.first.afterPowerCut(random),
+                workload.harness.second.afterPowerCut(random));
+            harness.options = workload.harness.options.withCheckAll(random.nextBoolean());
+            harness.open();
+            Map<String, String> found = StoreHarness.contents(harness.store);
+            workload.assertKept(found, workload.synced, context);
+            harness.store.close();
+            MemoryDisk firstBefore = harness.first.copy(new Faults());
+            MemoryDisk secondBefore = harness.second.copy(new Faults());
+            harness.open();
+            assertEquals(found, StoreHarness.contents(harness.store), context + ", second recovery");
+            harness.store.close();
+            assertTrue(firstBefore.hasSameFiles(harness.first) && secondBefore.hasSameFiles(harness.second),
+                context + ": a second recovery changes nothing");
+        } catch (IOException | StoreFault e) {
+            throw new AssertionError(context, e);
         }
     }
 
-    @Test void aRecoveryThatIsCutOffAnywhereCanBeRunAgain() {
-        int operations = operationsOf();
-        IntStream.rangeClosed(1, operations / 7).map(n -> n * 7).parallel().forEach(n -> {
-            Work work = new Work(at(n, Faults.Kind.POWER_CUT));
-            work.run();
-            Random random = new Random(n);
-            MemoryDisk a = work.rig.a.afterCut(random), b = work.rig.b.afterCut(random);
-            for (int m = 1; m < 1_000; m++) {
-                Faults faults = at(m, Faults.Kind.POWER_CUT);
-                StoreHarness rig = new StoreHarness().on(a.copy(faults), b.copy(faults));
-                rig.options = work.rig.options;
+    @Test void aRecoveryThatIsCutOffAtAnyOperationCanBeRepeated() {
+        int operations = operationsOfWorkload();
+        IntStream.rangeClosed(1, operations / 7).map(n -> n * 7).parallel().forEach(operation -> {
+            Workload workload = new Workload(at(operation, Faults.Kind.POWER_CUT));
+            workload.run();
+            Random random = new Random(operation);
+            MemoryDisk first = workload.harness.first.afterPowerCut(random);
+            MemoryDisk second = workload.harness.second.afterPowerCut(random);
+            for (int recoveryOperation = 1; recoveryOperation < 1_000; recoveryOperation++) {
+                Faults faults = at(recoveryOperation, Faults.Kind.POWER_CUT);
+                StoreHarness harness = new StoreHarness().on(first.copy(faults), second.copy(faults));
+                harness.options = workload.harness.options;
                 try {
-                    rig.open();
-                    break;              // it got through: all of its operations were cut at
-                } catch (java.io.IOException | StoreFault e) {
-                    Work left = new Work(faults);
-                    left.rig.on(rig.a, rig.b);
-                    left.history.addAll(work.history.subList(1, work.history.size()));
-                    left.synced = work.synced;
-                    recover(left, random, "cut at " + n + ", recovery cut at " + m);
+                    harness.open();
+                    break;              // it completed: each of its operations was cut off
+                } catch (IOException | StoreFault e) {
+                    Workload cutOff = new Workload(faults);
+                    cutOff.harness.on(harness.first, harness.second);
+                    cutOff.history.addAll(workload.history.subList(1, workload.history.size()));
+                    cutOff.synced = workload.synced;
+                    assertRecovers(cutOff, random, "cut at " + operation + ", recovery cut at " + recoveryOperation);
                 }
             }
         });
     }
 
     /** After its first failure the disk goes on failing, as a full one does. */
-    @ParameterizedTest
-    @EnumSource(names = "POWER_CUT", mode = EnumSource.Mode.EXCLUDE) void whatADiskThatFailsWasNotAcknowledgedForIsTold(
+    @ParameterizedTest @EnumSource(names = "POWER_CUT", mode = EnumSource.Mode.EXCLUDE) void aFailingDiskLosesNothing(
         Faults.Kind kind) {
-        IntStream.rangeClosed(1, operationsOf()).parallel().forEach(n -> {
-            Work work = new Work(at(n, kind));
-            work.run();
-            String what = kind + " at operation " + n;
+        IntStream.rangeClosed(1, operationsOfWorkload()).parallel().forEach(operation -> {
+            Workload workload = new Workload(at(operation, kind));
+            workload.run();
+            String context = kind + " at operation " + operation;
             try {
-                StoreHarness killed = new StoreHarness().on(work.rig.a.copy(new Faults()), work.rig.b.copy(new Faults()));
+                StoreHarness killed = new StoreHarness().on(workload.harness.first.copy(new Faults()),
+                    workload.harness.second.copy(new Faults()));
                 killed.open();
-                work.check(StoreHarness.contents(killed.store), work.buffered, what + ", then killed");
-            } catch (java.io.IOException | StoreFault e) {
-                throw new AssertionError(what, e);
+                workload.assertKept(StoreHarness.contents(killed.store), workload.buffered, context + ", then killed");
+            } catch (IOException | StoreFault e) {
+                throw new AssertionError(context, e);
             }
-            recover(work, new Random(n), what + ", then the power cut");
+            assertRecovers(workload, new Random(operation), context + ", then the power cut");
         });
     }
 
-    @Test void afterAFailedSyncTheSegmentIsNeverWrittenToAgain() throws Exception {
-        StoreHarness rig = new StoreHarness().open();
-        rig.put("t", "a", "1");
-        rig.a.faults.kind = Faults.Kind.SYNC_FAILS;
-        rig.a.faults.at = rig.a.faults.operations;
-        assertEquals(StoreFault.Kind.DISK, rig.put("t", "b", "2").kind());
-        java.util.Set<String> before = rig.a.names();
-        rig.a.faults.at = Integer.MAX_VALUE;
-        assertEquals(StoreFault.Kind.DISK, rig.put("t", "c", "3").kind(), "also when the disk works again");
-        rig.kill();
-        assertEquals("1", rig.get("t", "a"));
-        assertNull(rig.get("t", "c"));
-        assertTrue(java.util.Collections.disjoint(segments(before), segments(rig.a.names())),
-            "before " + before + ", after " + rig.a.names());
-    }
-
-    private static List<String> segments(java.util.Set<String> names) {
-        return names.stream().filter(n -> n.endsWith(".seg")).toList();
+    @Test void aSegmentIsNeverWrittenToAgainAfterAFailedSync() throws Exception {
+        StoreHarness harness = new StoreHarness().open();
+        harness.put("t", "a", "1");
+        Faults faults = harness.first.faults;
+
+        faults.kind = Faults.Kind.SYNC_FAILS;
+        faults.at = faults.operations;
+        assertEquals(StoreFault.Kind.IO_FAILURE, harness.put("t", "b", "2").kind());
+        List<String> before = harness.first.names(".seg");
+        faults.at = Integer.MAX_VALUE;
+        assertEquals(StoreFault.Kind.IO_FAILURE, harness.put("t", "c", "3").kind(), "also when the disk works again");
+        harness.killAndReopen();
+
+        assertEquals("1", harness.get("t", "a"));
+        assertNull(harness.get("t", "c"));
+        List<String> after = harness.first.names(".seg");
+        assertTrue(Collections.disjoint(before, after), "before " + before + ", after " + after);
     }
 
     @Test void aFullDiskDuringCompactionHarmsNoWrite() throws Exception {
-        StoreHarness rig = new StoreHarness().open();
+        StoreHarness harness = new StoreHarness().open();
         for (int i = 0; i < 40; i++) {
-            rig.put("t", "key" + i % 5, "value" + i);
+            harness.put("t", "key" + i % 5, "value" + i);
         }
-        rig.a.faults.kind = Faults.Kind.NO_SPACE;
-        rig.a.faults.at = rig.a.faults.operations;
-        assertThrows(java.io.IOException.class, () -> rig.store.compactAll());
-        rig.a.faults.at = Integer.MAX_VALUE;
-        assertNull(rig.put("t", "after", "1"));
-        rig.store.tidy();
-        rig.assertHoldsModel();
-        rig.kill();
-        rig.assertHoldsModel();
+        Faults faults = harness.first.faults;
+
+        faults.kind = Faults.Kind.NO_SPACE;
+        faults.at = faults.operations;
+        assertThrows(IOException.class, () -> harness.store.compactAll());
+        faults.at = Integer.MAX_VALUE;
+
+        assertNull(harness.put("t", "after", "1"));
+        harness.store.runMaintenance();
+        harness.assertHoldsModel();
+        harness.killAndReopen();
+        harness.assertHoldsModel();
     }
 
-    /** Guards against dropping a value for one that overwrote it and that a power cut still forgets. */
-    @Test void compactionLeavesNothingToABufferedOverwriting() throws Exception {
-        StoreHarness rig = new StoreHarness().open();
-        rig.put("t", "key", "old");
+    /** Guards against dropping a value for one that overwrote it and that a power cut still loses. */
+    @Test void compactionKeepsAValueUntilWhatOverwroteItIsSynced() throws Exception {
+        StoreHarness harness = new StoreHarness().open();
+        harness.put("t", "key", "old");
         for (int i = 0; i < 10; i++) {
-            rig.put("t", "other" + i, "x".repeat(100));
+            harness.put("t", "other" + i, "x".repeat(100));
         }
-        rig.write(new Batch().put("t", StoreHarness.bytes("key"), StoreHarness.bytes("new")), Durability.BUFFERED);
-        rig.store.compactAll();
+
+        harness.write(StoreHarness.put(new Batch(), "t", "key", "new"), Durability.BUFFERED);
+        harness.store.compactAll();
+
         for (int seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
-            StoreHarness cut = new StoreHarness().on(rig.a.afterCut(random), rig.b.afterCut(random)).open();
-            assertNotNull(cut.get("t", "key"), "seed " + seed);
+            StoreHarness afterCut = new StoreHarness()
+                .on(harness.first.afterPowerCut(random), harness.second.afterPowerCut(random)).open();
+            assertNotNull(afterCut.get("t", "key"), "seed " + seed);
         }
     }
 }
--- a/src/test/java/kelphollow/store/KillChild.java
+++ b/src/test/java/kelphollow/store/KillChild.java
@@ -1,33 +1,39 @@
 package kelphollow.store;
 
+import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A process that is there to be killed: some writers overwrite and remove keys of their own, each waiting for its
- * acknowledgement. Before a write it prints what it will try, after it what was acknowledged.
+ * The process that {@link KillTest} kills: several threads overwrite and remove keys of their own, each waiting for its
+ * acknowledgement. It prints each write before it tries it, and again when it is acknowledged.
  */
 final class KillChild {
-    static final int WRITERS = 4, KEYS = 12;
+    /** First word of a line before a write: {@code try KEY NUMBER 1}, or 0 for a removal. */
+    static final String TRY = "try";
+    /** First word of a line after a write: {@code ack KEY NUMBER}. */
+    static final String ACKNOWLEDGED = "ack";
     /** Small segments, so that rotations and compactions are killed too. */
-    static final StoreOptions OPTIONS = StoreOptions.USUAL.withSegmentBytes(16 * 1024);
+    static final StoreOptions OPTIONS = StoreOptions.DEFAULTS.withSegmentBytes(16 * 1024);
+    private static final int WRITERS = 4;
+    private static final int KEYS = 12;
 
     private KillChild() {}
 
-    public static void main(String[] args) throws Exception {
-        long life = Long.parseLong(args[2]);
+    public static void main(String[] args) throws IOException, StoreFault {
+        long incarnation = Long.parseLong(args[2]);
         Store store = Store.open(new FolderDisk(Path.of(args[0])), new FolderDisk(Path.of(args[1])), OPTIONS,
             System::currentTimeMillis);
-        say("open");
-        for (int w = 0; w < WRITERS; w++) {
-            int writer = w;
-            new Thread(() -> write(store, life, writer)).start();
+        print("open");
+        for (int i = 0; i < WRITERS; i++) {
+            int writer = i;
+            new Thread(() -> write(store, incarnation, writer)).start();
         }
     }
 
-    /** One line is one call of the system, so that a kill leaves whole lines only. */
-    private static void say(String line) {
+    /** One line is one system call, so that a kill leaves complete lines only. */
+    private static void print(String line) {
         byte[] bytes = (line + "\n").getBytes();
         synchronized (KillChild.class) {
             System.out.write(bytes, 0, bytes.length);
@@ -35,11 +41,11 @@
         }
     }
 
-    private static void write(Store store, long life, int writer) {
-        Random random = new Random(life * 100 + writer);
+    private static void write(Store store, long incarnation, int writer) {
+        Random random = new Random(incarnation * 100 + writer);
         for (long n = 1; n < 100_000; n++) {
             String key = writer + "/" + random.nextInt(KEYS);
-            long number = life * 1_000_000 + n;
+            long number = incarnation * 1_000_000 + n;
             boolean removes = random.nextInt(6) == 0;
             Batch batch = new Batch();
             if (removes) {
@@ -48,13 +54,13 @@
                 batch.put("outcomes", key.getBytes(), (number + " " + "x".repeat(random.nextInt(400))).getBytes());
             }
             batch.put("last", key.getBytes(), Long.toString(number).getBytes());
-            say("try " + key + " " + number + " " + (removes ? 0 : 1));
-            CompletableFuture<StoreFault> done = new CompletableFuture<>();
-            store.write(batch, Durability.SYNCED, Runnable::run, done::complete);
-            if (done.join() != null) {
+            print(TRY + " " + key + " " + number + " " + (removes ? 0 : 1));
+            CompletableFuture<StoreFault> result = new CompletableFuture<>();
+            store.write(batch, Durability.SYNCED, Runnable::run, result::complete);
+            if (result.join() != null) {
                 return;
             }
-            say("ack " + key + " " + number);
+            print(ACKNOWLEDGED + " " + key + " " + number);
         }
     }
 }
--- a/src/test/java/kelphollow/store/MemoryDisk.java
+++ b/src/test/java/kelphollow/store/MemoryDisk.java
@@ -13,68 +13,85 @@
 import java.util.TreeSet;
 
 /**
- * A folder in memory that knows what a power cut would leave of it: of each file what was synced, and of the rest any
- * part in any order; of the names what the folder's last sync saw, and of the changes since any in their order.
+ * A folder in memory that models what a power cut leaves of it: of each file what was synced, and of the rest any part in
+ * any order; of the names what the folder's last sync saw, and of the changes since any subset in their order. Faults can
+ * be injected at any operation. Thread-safe by one monitor for all disks that share their {@link Faults}.
  */
 final class MemoryDisk implements Disk {
-    /** Writer and compactor are two threads; both folders share the count of operations. */
-    private final Object monitor;
-    /** Where the next operation is cut off, or fails. One for both folders, so that it counts over them. */
+    /** Which operation is cut off, or fails. Both folders share one, so that it counts the operations of both. */
     static final class Faults {
-        enum Kind { POWER_CUT, NO_SPACE, SHORT_WRITE, IO_ERROR, SYNC_FAILS }
+        /** What happens; a disk that is full, or has failed once, goes on failing. */
+        enum Kind {
+            POWER_CUT, NO_SPACE, SHORT_WRITE, IO_ERROR, SYNC_FAILS
+        }
 
-        int operations, at = Integer.MAX_VALUE;
+        /** Operations so far. */
+        int operations;
+        /** The number of the first operation that fails. */
+        int at = Integer.MAX_VALUE;
         Kind kind = Kind.POWER_CUT;
-        boolean cut;
+        private boolean hasPower = true;
+
+        private enum Operation { APPEND, SYNC, OTHER }
 
-        /** Gives the fault of this operation, or null. */
-        private Kind next(boolean isAppend, boolean isSync) throws PowerCut {
-            if (cut) {
+        /** Counts an operation; returns its fault, or null. An append is still carried out in part when the power goes. */
+        private Kind next(Operation operation) throws PowerCut {
+            if (!hasPower) {
                 throw new PowerCut();
             }
-            if (++operations < at) {
+            operations++;
+            if (operations < at) {
                 return null;
             }
             if (kind == Kind.POWER_CUT) {
-                cut = true;
-                return isAppend ? kind : cutNow();
+                hasPower = false;
+                if (operation == Operation.APPEND) {
+                    return kind;
+                }
+                throw new PowerCut();
             }
-            // A disk that is full, or has failed once, goes on so; other operations are let through.
-            return kind == Kind.IO_ERROR || isAppend && kind != Kind.SYNC_FAILS || isSync && kind == Kind.SYNC_FAILS
-                ? kind : null;
-        }
-
-        private Kind cutNow() throws PowerCut {
-            throw new PowerCut();
+            boolean fails = switch (kind) {
+                case IO_ERROR -> true;
+                case SYNC_FAILS -> operation == Operation.SYNC;
+                default -> operation == Operation.APPEND;
+            };
+            return fails ? kind : null;
         }
     }
 
-    /** The machine has no power any more. */
+    /** The power is off. */
     static final class PowerCut extends IOException {
         private static final long serialVersionUID = 1;
     }
 
+    /** A file: its bytes, the first of which are synced. */
     private static final class Node {
-        byte[] bytes = new byte[0];
-        int safe;
-
-        Node copy() {
-            Node c = new Node();
-            c.bytes = bytes.clone();
-            c.safe = safe;
-            return c;
+        private byte[] bytes = new byte[0];
+        private int synced;
+
+        /** A file with these bytes, all of them synced. */
+        static Node synced(byte[] bytes) {
+            Node node = new Node();
+            node.bytes = bytes;
+            node.synced = bytes.length;
+            return node;
         }
     }
 
+    private static final int MAX_PIECE_BYTES = 48;
+
     private interface NameChange {
         void apply(Map<String, Node> names);
     }
 
-    private final String place;
+    /** The faults of this disk. */
     final Faults faults;
+    private final String place;
+    /** The writer, the compactor and the sync of the second copy are threads of their own. */
+    private final Object monitor;
     private final Map<String, Node> names = new TreeMap<>();
-    private final Map<String, Node> safeNames = new TreeMap<>();
-    private final List<NameChange> changes = new ArrayList<>();
+    private final Map<String, Node> syncedNames = new TreeMap<>();
+    private final List<NameChange> unsyncedChanges = new ArrayList<>();
     private boolean locked;
 
     MemoryDisk(String place, Faults faults) {
@@ -83,44 +100,34 @@
         this.monitor = faults;
     }
 
-    /** The same bytes, as if all were safe. */
-    MemoryDisk copy(Faults with) {
-        MemoryDisk c = new MemoryDisk(place, with);
-        names.forEach((n, f) -> {
-            Node node = f.copy();
-            node.safe = node.bytes.length;
-            c.names.put(n, node);
-            c.safeNames.put(n, node);
-        });
-        return c;
+    /** A disk with the same bytes, all of them synced, and no lock. */
+    MemoryDisk copy(Faults newFaults) {
+        MemoryDisk copy = new MemoryDisk(place, newFaults);
+        names.forEach((name, node) -> copy.set(name, node.bytes.clone()));
+        return copy;
     }
 
-    /** What a power cut leaves. */
-    MemoryDisk afterCut(Random random) {
-        Map<String, Node> left = new TreeMap<>(safeNames);
-        for (NameChange change : changes) {
+    /** What a power cut leaves, by the draws of this source; without faults. */
+    MemoryDisk afterPowerCut(Random random) {
+        Map<String, Node> left = new TreeMap<>(syncedNames);
+        for (NameChange change : unsyncedChanges) {
             if (random.nextBoolean()) {
                 change.apply(left);
             }
         }
-        MemoryDisk c = new MemoryDisk(place, new Faults());
-        left.forEach((n, f) -> {
-            Node node = f.copy();
-            node.bytes = torn(node, random);
-            node.safe = node.bytes.length;
-            c.names.put(n, node);
-            c.safeNames.put(n, node);
-        });
-        return c;
+        MemoryDisk after = new MemoryDisk(place, new Faults());
+        left.forEach((name, node) -> after.set(name, remains(node, random)));
+        return after;
     }
 
-    /** What was not synced is there up to some length, and each stretch of it as written, as zeros, or as noise. */
-    private static byte[] torn(Node node, Random random) {
-        int length = node.safe + random.nextInt(node.bytes.length - node.safe + 1);
+    /** What was not synced is there up to some length, and each piece of it as written, as zeros, or as noise. */
+    private static byte[] remains(Node node, Random random) {
+        int length = node.synced + random.nextInt(node.bytes.length - node.synced + 1);
         byte[] left = Arrays.copyOf(node.bytes, length);
         boolean inOrder = random.nextBoolean();
-        for (int at = node.safe; at < length && !inOrder;) {
-            int end = Math.min(length, at + 1 + random.nextInt(48));
+        int at = node.synced;
+        while (at < length && !inOrder) {
+            int end = Math.min(length, at + 1 + random.nextInt(MAX_PIECE_BYTES));
             switch (random.nextInt(4)) {
                 case 0 -> Arrays.fill(left, at, end, (byte) 0);
                 case 1 -> {
@@ -135,27 +142,33 @@
         return left;
     }
 
+    /** The bytes of a file themselves: a change of the array is damage of the file. */
     byte[] bytes(String name) {
         return names.get(name).bytes;
     }
 
+    /** Sets the contents of a file, synced; no operation of the disk. */
     void set(String name, byte[] bytes) {
-        Node node = new Node();
-        node.bytes = bytes;
-        node.safe = bytes.length;
+        Node node = Node.synced(bytes);
         names.put(name, node);
-        safeNames.put(name, node);
+        syncedNames.put(name, node);
     }
 
+    /** Removes a file; no operation of the disk. */
     void remove(String name) {
         names.remove(name);
-        safeNames.remove(name);
+        syncedNames.remove(name);
     }
 
-    /** Whether both hold the same files with the same bytes. */
-    boolean isSame(MemoryDisk other) {
+    /** Whether both have the same files with the same bytes. */
+    boolean hasSameFiles(MemoryDisk other) {
         return names.keySet().equals(other.names.keySet())
-            && names.keySet().stream().allMatch(n -> Arrays.equals(bytes(n), other.bytes(n)));
+            && names.keySet().stream().allMatch(name -> Arrays.equals(bytes(name), other.bytes(name)));
+    }
+
+    /** The names of all files that end like this. */
+    List<String> names(String suffix) {
+        return names().stream().filter(name -> name.endsWith(suffix)).toList();
     }
 
     @Override public String place() {
@@ -173,31 +186,31 @@
     @Override public File create(String name) throws IOException {
         synchronized (monitor) {
             if (names.containsKey(name)) {
-                throw new IOException(name + " is there already");
+                throw new IOException(name + " exists already");
             }
-            check();
+            failIfDue();
             Node node = new Node();
-            change(n -> n.put(name, node));
+            change(current -> current.put(name, node));
             return new Handle(node);
         }
     }
 
-    private void check() throws IOException {
-        if (faults.next(false, false) != null) {
+    private void failIfDue() throws IOException {
+        if (faults.next(Faults.Operation.OTHER) != null) {
             throw new IOException("input/output error");
         }
     }
 
     private void change(NameChange change) {
         change.apply(names);
-        changes.add(change);
+        unsyncedChanges.add(change);
     }
 
     @Override public File open(String name) throws IOException {
         synchronized (monitor) {
             Node node = names.get(name);
             if (node == null) {
-                throw new IOException(name + " is not there");
+                throw new IOException(name + " does not exist");
             }
             return new Handle(node);
         }
@@ -205,11 +218,11 @@
 
     @Override public void rename(String from, String to) throws IOException {
         synchronized (monitor) {
-            check();
-            change(n -> {
-                Node node = n.remove(from);
+            failIfDue();
+            change(current -> {
+                Node node = current.remove(from);
                 if (node != null) {
-                    n.put(to, node);
+                    current.put(to, node);
                 }
             });
         }
@@ -218,20 +231,20 @@
     @Override public void delete(String name) throws IOException {
         synchronized (monitor) {
             if (names.containsKey(name)) {
-                check();
-                change(n -> n.remove(name));
+                failIfDue();
+                change(current -> current.remove(name));
             }
         }
     }
 
     @Override public void syncFolder() throws IOException {
         synchronized (monitor) {
-            if (faults.next(false, true) != null) {
+            if (faults.next(Faults.Operation.SYNC) != null) {
                 throw new IOException("sync failed");
             }
-            changes.clear();
-            safeNames.clear();
-            safeNames.putAll(names);
+            unsyncedChanges.clear();
+            syncedNames.clear();
+            syncedNames.putAll(names);
         }
     }
 
@@ -265,9 +278,8 @@
 
         @Override public void append(ByteBuffer bytes) throws IOException {
             synchronized (monitor) {
-                Faults.Kind fault = faults.next(true, false);
-                int count = fault == null ? bytes.remaining()
-                    : fault == Faults.Kind.NO_SPACE || fault == Faults.Kind.IO_ERROR ? 0 : bytes.remaining() / 2;
+                Faults.Kind fault = faults.next(Faults.Operation.APPEND);
+                int count = written(fault, bytes.remaining());
                 int at = node.bytes.length;
                 node.bytes = Arrays.copyOf(node.bytes, at + count);
                 bytes.get(node.bytes, at, count);
@@ -280,12 +292,19 @@
             }
         }
 
+        private static int written(Faults.Kind fault, int count) {
+            if (fault == null) {
+                return count;
+            }
+            return fault == Faults.Kind.NO_SPACE || fault == Faults.Kind.IO_ERROR ? 0 : count / 2;
+        }
+
         @Override public void sync() throws IOException {
             synchronized (monitor) {
-                if (faults.next(false, true) != null) {
+                if (faults.next(Faults.Operation.SYNC) != null) {
                     throw new IOException("sync failed");
                 }
-                node.safe = node.bytes.length;
+                node.synced = node.bytes.length;
             }
         }
 
--- a/src/test/java/kelphollow/store/StoreHarness.java
+++ b/src/test/java/kelphollow/store/StoreHarness.java
@@ -6,44 +6,71 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.logging.Level;
+import java.util.logging.Logger;
 
-/** A store on two folders in memory, without threads, beside what a plain map says that it should hold. */
+/**
+ * A store in two folders in memory, without threads of its own, beside a plain map of what it should hold. Confined to the
+ * thread of its test.
+ */
 final class StoreHarness {
-    /** Faults are caused by the thousand here, and each would be a line in the log. */
-    private static final java.util.logging.Logger QUIET = java.util.logging.Logger.getLogger(Store.class.getName());
+    /** Kept, since loggers are garbage-collected: thousands of faults are injected, and each would be a line in the log. */
+    private static final Logger SILENCED = Logger.getLogger(Store.class.getName());
 
     static {
-        QUIET.setLevel(java.util.logging.Level.OFF);
+        SILENCED.setLevel(Level.OFF);
     }
 
+    /** Options with which a few records fill a segment. */
     static final StoreOptions SMALL = new StoreOptions(512, 4096, 8192, 4096, 1 << 30, 0, true, true);
-    MemoryDisk a, b;
+    /** What was acknowledged, by {@code table/key}. */
+    final Map<String, String> model = new TreeMap<>();
+    MemoryDisk first;
+    MemoryDisk second;
     Store store;
     StoreOptions options = SMALL;
+    /** The store's clock, in milliseconds. */
     long now = 1_000_000;
-    /** What was acknowledged, by {@code table/key}. */
-    final Map<String, String> model = new TreeMap<>();
 
     StoreHarness() {
         MemoryDisk.Faults faults = new MemoryDisk.Faults();
-        a = new MemoryDisk("a", faults);
-        b = new MemoryDisk("b", faults);
+        first = new MemoryDisk("a", faults);
+        second = new MemoryDisk("b", faults);
     }
 
-    StoreHarness on(MemoryDisk first, MemoryDisk second) {
-        a = first;
-        b = second;
+    /** Uses these folders from the next opening on. */
+    StoreHarness on(MemoryDisk newFirst, MemoryDisk newSecond) {
+        first = newFirst;
+        second = newSecond;
         return this;
     }
 
     StoreHarness open() throws IOException, StoreFault {
-        store = Store.open(a, b, options, () -> now);
+        store = Store.open(first, second, options, () -> now);
         return this;
     }
 
+    /** Opens the store as the operator does who accepts the loss of what is damaged in both copies. */
+    void openAcceptingLoss() throws IOException, StoreFault {
+        store = Store.openAcceptingLoss(first, second, options, () -> now, ProgressListener.NONE);
+    }
+
+    void reopen() throws IOException, StoreFault {
+        store.close();
+        open();
+    }
+
+    /** Opens the store again as if its process had been killed: nothing is closed, what the system was given stays. */
+    void killAndReopen() throws IOException, StoreFault {
+        first = first.copy(new MemoryDisk.Faults());
+        second = second.copy(first.faults);
+        open();
+    }
+
     static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
@@ -52,30 +79,34 @@
         return bytes == null ? null : new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** Writes and gives the fault, or null. */
-    StoreFault write(Batch batch, Durability grade) {
-        List<StoreFault> ended = new ArrayList<>();
-        store.write(batch, grade, Runnable::run, ended::add);
-        assertEquals(1, ended.size(), "acknowledged once");
-        if (ended.get(0) == null) {
+    /** Writes and returns the fault, or null. */
+    StoreFault write(Batch batch, Durability durability) {
+        List<StoreFault> results = new ArrayList<>();
+        store.write(batch, durability, Runnable::run, results::add);
+        assertEquals(1, results.size(), "acknowledged once");
+        if (results.get(0) == null) {
             apply(batch, model);
         }
-        return ended.get(0);
+        return results.get(0);
     }
 
-    static void apply(Batch batch, Map<String, String> to) {
-        for (Batch.Change c : batch.changes()) {
-            String name = c.table() + "/" + text(c.key());
-            if (c.isPut()) {
-                to.put(name, text(c.value()));
+    static void apply(Batch batch, Map<String, String> model) {
+        for (Batch.Change change : batch.changes()) {
+            String name = change.table() + "/" + text(change.key());
+            if (change.isPut()) {
+                model.put(name, text(change.value()));
             } else {
-                to.remove(name);
+                model.remove(name);
             }
         }
     }
 
+    static Batch put(Batch batch, String table, String key, String value) {
+        return batch.put(table, bytes(key), bytes(value));
+    }
+
     StoreFault put(String table, String key, String value) {
-        return write(new Batch().put(table, bytes(key), bytes(value)), Durability.SYNCED);
+        return write(put(new Batch(), table, key, value), Durability.SYNCED);
     }
 
     StoreFault remove(String table, String key) {
@@ -86,25 +117,25 @@
         return text(store.get(table, bytes(key)));
     }
 
-    /** All that the store holds. */
+    /** All that the store holds, by {@code table/key}; asserts that scans are in order and agree with lookups. */
     static Map<String, String> contents(Store store) throws IOException, StoreFault {
-        Map<String, String> all = new TreeMap<>();
+        Map<String, String> contents = new TreeMap<>();
         try (Snapshot snapshot = store.snapshot()) {
             for (String table : store.tableNames()) {
-                byte[][] before = new byte[1][];
-                snapshot.scan(table, new byte[0], (k, v) -> {
-                    assertEquals(true, before[0] == null || java.util.Arrays.compareUnsigned(before[0], k) < 0, "in order");
-                    before[0] = k;
-                    all.put(table + "/" + text(k), text(v));
-                    assertArrayEquals(v, snapshotGet(snapshot, table, k));
+                byte[][] previous = new byte[1][];
+                snapshot.scan(table, new byte[0], (key, value) -> {
+                    assertEquals(true, previous[0] == null || Arrays.compareUnsigned(previous[0], key) < 0, "in order");
+                    previous[0] = key;
+                    contents.put(table + "/" + text(key), text(value));
+                    assertArrayEquals(value, lookUp(snapshot, table, key));
                     return true;
                 });
             }
         }
-        return all;
+        return contents;
     }
 
-    private static byte[] snapshotGet(Snapshot snapshot, String table, byte[] key) throws IOException {
+    private static byte[] lookUp(Snapshot snapshot, String table, byte[] key) throws IOException {
         try {
             return snapshot.get(table, key);
         } catch (StoreFault e) {
@@ -115,16 +146,4 @@
     void assertHoldsModel() throws IOException, StoreFault {
         assertEquals(model, contents(store));
     }
-
-    void reopen() throws IOException, StoreFault {
-        store.close();
-        open();
-    }
-
-    /** As if the process had been killed: nothing is closed, what the system has been given stays. */
-    void kill() throws IOException, StoreFault {
-        a = a.copy(new MemoryDisk.Faults());
-        b = b.copy(a.faults);
-        open();
-    }
 }
--- a/src/test/java/kelphollow/store/StoreProperties.java
+++ b/src/test/java/kelphollow/store/StoreProperties.java
@@ -3,7 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import java.io.IOException;
 import java.util.ArrayList;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -14,120 +16,147 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
+import net.jqwik.api.Tuple;
 
 /** Any sequence of calls, kills and power cuts, against a plain map. jqwik shrinks a failing one and prints its seed. */
 class StoreProperties {
-    enum What { PUT, PUT_BUFFERED, PUT_UNTIL, REMOVE, PAIR, LATER, TIDY, COMPACT, REOPEN, KILL, POWER_CUT }
+    enum Kind { PUT, PUT_BUFFERED, PUT_UNTIL, REMOVE, PAIR, LATER, MAINTENANCE, COMPACT, REOPEN, KILL, POWER_CUT }
 
-    record Step(What what, int key, int size) {}
+    record Step(Kind kind, int key, int size) {}
 
     @Provide Arbitrary<List<Step>> steps() {
-        Arbitrary<What> what = Arbitraries.frequencyOf(
-            net.jqwik.api.Tuple.of(12, Arbitraries.of(What.PUT, What.PUT_BUFFERED, What.REMOVE, What.PAIR)),
-            net.jqwik.api.Tuple.of(4, Arbitraries.of(What.PUT_UNTIL, What.LATER, What.TIDY, What.COMPACT)),
-            net.jqwik.api.Tuple.of(1, Arbitraries.of(What.REOPEN, What.KILL, What.POWER_CUT)));
-        return Combinators.combine(what, Arbitraries.integers().between(0, 11), Arbitraries.integers().between(0, 300))
+        Arbitrary<Kind> kinds = Arbitraries.frequencyOf(
+            Tuple.of(12, Arbitraries.of(Kind.PUT, Kind.PUT_BUFFERED, Kind.REMOVE, Kind.PAIR)),
+            Tuple.of(4, Arbitraries.of(Kind.PUT_UNTIL, Kind.LATER, Kind.MAINTENANCE, Kind.COMPACT)),
+            Tuple.of(1, Arbitraries.of(Kind.REOPEN, Kind.KILL, Kind.POWER_CUT)));
+        return Combinators.combine(kinds, Arbitraries.integers().between(0, 11), Arbitraries.integers().between(0, 300))
             .as(Step::new).list().ofMinSize(1).ofMaxSize(120);
     }
 
-    /** What is live now: expiry is part of the model. */
-    private static Map<String, String> live(Map<String, String> model, Map<String, Long> until, long now) {
-        Map<String, String> live = new TreeMap<>(model);
-        live.keySet().removeIf(k -> until.getOrDefault(k, Long.MAX_VALUE) <= now);
-        return live;
-    }
+    /** A store and the plain maps that it is compared with. */
+    private static final class Comparison {
+        private final Random random;
+        private final StoreHarness harness = new StoreHarness();
+        /** When each key expires; part of the model, since an expired key is gone. */
+        private final Map<String, Long> expiries = new TreeMap<>();
+        /** The states since the last synced batch, oldest first: what a power cut may fall back to. */
+        private final List<Map<String, String>> unsynced = new ArrayList<>();
+        private Map<String, String> model = new TreeMap<>();
+        private int steps;
 
-    @Property(tries = 300, seed = "7") void theStoreHoldsWhatAMapWould(
-        @ForAll("steps") List<Step> steps, @ForAll long seed) throws Exception {
-        Random random = new Random(seed);
-        StoreHarness rig = new StoreHarness();
-        rig.options = StoreHarness.SMALL.withCheckAll(random.nextBoolean());
-        rig.open();
-        Map<String, String> model = new TreeMap<>();
-        Map<String, Long> until = new TreeMap<>();
-        // What a power cut may fall back to: the states since the last synced batch, oldest first.
-        List<Map<String, String>> unsynced = new ArrayList<>();
-        int n = 0;
-        for (Step s : steps) {
-            String key = "key" + s.key, name = "t/" + key, value = n++ + "x".repeat(s.size);
+        Comparison(long seed) throws IOException, StoreFault {
+            random = new Random(seed);
+            harness.options = StoreHarness.SMALL.withCheckAll(random.nextBoolean());
+            harness.open();
+        }
+
+        void run(Step step) throws IOException, StoreFault {
+            String key = "key" + step.key;
+            String value = steps + "x".repeat(step.size);
+            steps++;
             Batch batch = new Batch();
-            Durability grade = Durability.SYNCED;
-            switch (s.what) {
-                case PUT, PUT_BUFFERED -> batch.put("t", StoreHarness.bytes(key), StoreHarness.bytes(value));
-                case PUT_UNTIL -> batch.put("t", StoreHarness.bytes(key), StoreHarness.bytes(value), rig.now + 10);
+            switch (step.kind) {
+                case PUT, PUT_BUFFERED -> StoreHarness.put(batch, "t", key, value);
+                case PUT_UNTIL -> batch.put("t", StoreHarness.bytes(key), StoreHarness.bytes(value), harness.now + 10);
                 case REMOVE -> batch.remove("t", StoreHarness.bytes(key));
-                case PAIR -> batch.put("t", StoreHarness.bytes(key), StoreHarness.bytes(value)).remove("t", StoreHarness
-                    .bytes("key0"));
-                case LATER -> rig.now += s.size / 10;
-                case TIDY -> rig.store.tidy();
-                case COMPACT -> rig.store.compactAll();
-                case REOPEN -> rig.reopen();
-                case KILL -> rig.kill();
-                case POWER_CUT -> {
-                    rig.on(rig.a.afterCut(random), rig.b.afterCut(random)).open();
-                    Map<String, String> found = StoreHarness.contents(rig.store);
-                    List<Map<String, String>> allowed = new ArrayList<>(unsynced);
-                    allowed.add(model);
-                    long now = rig.now;
-                    model = allowed.stream().filter(m -> live(m, until, now).equals(found)).reduce((x, y) -> y)
-                        .orElseThrow(() -> new AssertionError("found " + found + ", allowed " + allowed));
-                    unsynced.clear();
-                }
-                default -> throw new IllegalStateException();
+                case PAIR -> StoreHarness.put(batch, "t", key, value).remove("t", StoreHarness.bytes("key0"));
+                case LATER -> harness.now += step.size / 10;
+                case MAINTENANCE -> harness.store.runMaintenance();
+                case COMPACT -> harness.store.compactAll();
+                case REOPEN -> harness.reopen();
+                case KILL -> harness.killAndReopen();
+                case POWER_CUT -> cutPower();
+                default -> throw new IllegalStateException(step.kind.toString());
             }
             if (!batch.isEmpty()) {
-                grade = s.what == What.PUT_BUFFERED ? Durability.BUFFERED : grade;
-                if (grade == Durability.BUFFERED) {
-                    unsynced.add(new TreeMap<>(model));
-                }
-                assertNull(rig.write(batch, grade));
-                StoreHarness.apply(batch, model);
-                batch.changes().forEach(c -> until.put("t/" + StoreHarness.text(c.key()),
-                    c.expires() == 0 ? Long.MAX_VALUE : c.expires()));
-                if (grade == Durability.SYNCED) {
-                    unsynced.clear();
-                }
+                write(batch, step.kind == Kind.PUT_BUFFERED ? Durability.BUFFERED : Durability.SYNCED);
+            }
+            assertEquals(live(model).get("t/" + key), harness.get("t", key));
+        }
+
+        private void write(Batch batch, Durability durability) {
+            if (durability == Durability.BUFFERED) {
+                unsynced.add(new TreeMap<>(model));
+            }
+            assertNull(harness.write(batch, durability));
+            StoreHarness.apply(batch, model);
+            batch.changes().forEach(change -> expiries.put("t/" + StoreHarness.text(change.key()),
+                change.expiresAt() == 0 ? Long.MAX_VALUE : change.expiresAt()));
+            if (durability == Durability.SYNCED) {
+                unsynced.clear();
             }
-            Map<String, String> want = live(model, until, rig.now);
-            assertEquals(want.get(name), rig.get("t", key));
         }
-        assertEquals(live(model, until, rig.now), StoreHarness.contents(rig.store));
-        rig.kill();
-        assertEquals(live(model, until, rig.now), StoreHarness.contents(rig.store));
+
+        private void cutPower() throws IOException, StoreFault {
+            harness.on(harness.first.afterPowerCut(random), harness.second.afterPowerCut(random)).open();
+            Map<String, String> found = StoreHarness.contents(harness.store);
+            List<Map<String, String>> allowed = new ArrayList<>(unsynced);
+            allowed.add(model);
+            model = allowed.stream().filter(state -> live(state).equals(found)).reduce((earlier, later) -> later)
+                .orElseThrow(() -> new AssertionError("found " + found + ", allowed " + allowed));
+            unsynced.clear();
+        }
+
+        private Map<String, String> live(Map<String, String> state) {
+            Map<String, String> live = new TreeMap<>(state);
+            live.keySet().removeIf(key -> expiries.getOrDefault(key, Long.MAX_VALUE) <= harness.now);
+            return live;
+        }
+
+        void assertSameContents() throws IOException, StoreFault {
+            assertEquals(live(model), StoreHarness.contents(harness.store));
+        }
+    }
+
+    @Property(tries = 300, seed = "7") void theStoreHoldsWhatAMapWould(@ForAll("steps") List<Step> steps, @ForAll long seed)
+        throws Exception {
+        Comparison comparison = new Comparison(seed);
+        for (Step step : steps) {
+            comparison.run(step);
+        }
+        comparison.assertSameContents();
+        comparison.harness.killAndReopen();
+        comparison.assertSameContents();
     }
 
     /** The index alone, in sizes at which leaves split and merge. */
     @Property(tries = 40, seed = "11") void theIndexHoldsWhatATreeMapWould(@ForAll long seed) {
         Random random = new Random(seed);
-        Index.Editor editor = new Index.Editor(Index.EMPTY);
+        IndexEditor editor = new IndexEditor(Index.EMPTY);
         TreeMap<String, Integer> model = new TreeMap<>();
-        Index old = editor.publish();
-        Map<String, Integer> oldModel = new TreeMap<>();
+        Index published = editor.publish();
+        Map<String, Integer> publishedModel = new TreeMap<>();
         int range = 1 + random.nextInt(3_000);
         boolean growing = true;
         for (int i = 0; i < 8_000; i++) {
             growing = i % 2_000 == 0 ? random.nextBoolean() : growing;
             String key = Integer.toString(random.nextInt(range), 36);
             if (random.nextInt(4) == 0 == growing) {
-                Index.Place gone = editor.remove(key.getBytes());
-                assertEquals(model.remove(key), gone == null ? null : (Integer) gone.offset());
+                assertEquals(model.remove(key), offset(editor.remove(key.getBytes())));
             } else {
-                Index.Place before = editor.put(key.getBytes(), new Index.Place(1, i, 2, 3, 4));
-                assertEquals(model.put(key, i), before == null ? null : (Integer) before.offset());
+                Index.Location location = new Index.Location(1, i, 2, 3, 4);
+                assertEquals(model.put(key, i), offset(editor.put(key.getBytes(), location)));
             }
             if (random.nextInt(500) == 0) {
-                assertEquals(oldModel, all(old), "what was published never changes");
-                old = editor.publish();
-                oldModel = new TreeMap<>(model);
+                assertEquals(publishedModel, contents(published), "a published index never changes");
+                published = editor.publish();
+                publishedModel = new TreeMap<>(model);
             }
         }
-        assertEquals(model, all(editor.publish()));
+        assertEquals(model, contents(editor.publish()));
         assertEquals(model.size(), editor.size());
     }
 
-    private static Map<String, Integer> all(Index index) {
-        Map<String, Integer> all = new java.util.LinkedHashMap<>();
-        index.walk(new byte[0], (k, p) -> all.put(new String(k), p.offset()) == null);
-        return all;
+    private static Integer offset(Index.Location location) {
+        return location == null ? null : location.offset();
+    }
+
+    private static Map<String, Integer> contents(Index index) {
+        Map<String, Integer> contents = new LinkedHashMap<>();
+        for (Index.Entry entry : index.entriesFrom(new byte[0])) {
+            Integer previous = contents.put(new String(entry.key()), entry.location().offset());
+            assertNull(previous, "each key once");
+        }
+        return contents;
     }
 }
