--- a/src/main/java/kelphollow/ledger/CompletionRecords.java
+++ b/src/main/java/kelphollow/ledger/CompletionRecords.java
@@ -6,17 +6,17 @@
 import kelphollow.store.Batch;
 import kelphollow.store.StoreFault;
 
-/** Completions of multipart uploads: the intent before one is sent, its answer after it. Event loop only. */
+/** Completions of multipart uploads: the intent before one is sent, its response after it. Event loop only. */
 public final class CompletionRecords {
-    /** Answers are kept for so long, in milliseconds. */
-    static final long WINDOW = 24L * 3600 * 1000;
-    private static final String COMPLETIONS = "completions";
+    /** How long a record is kept, in milliseconds. */
+    static final long TIME_TO_LIVE = 24L * 3600 * 1000;
 
-    /** A recorded answer; {@code print} is the digest of the list of parts it was given for. */
+    /** A recorded response; {@code print} is the digest of the list of parts that it was given for. */
     public record Answer(String print, int status, String type, String body) {}
 
-    /** Hears what is recorded; {@code answer} is null for an intent. */
+    /** Receives what is recorded. */
     public interface Reader {
+        /** One record; {@code answer} is null for an intent. */
         void completion(String upload, RecoveredOutcomes.Found found, long epoch, Answer answer);
     }
 
@@ -26,28 +26,44 @@
         this.ledger = ledger;
     }
 
-    /** Reads all of it; before the loop serves. */
+    /** Reads all records; blocks on the disk, so only before the event loop serves. */
     public void read(Reader reader) throws IOException, StoreFault {
-        ledger.read(COMPLETIONS, (key, fields) -> {
-            String body = Records.word(fields, "body");
-            reader.completion(key, body == null ? RecoveredOutcomes.Found.INTENT : RecoveredOutcomes.Found.OUTCOME,
-                (long) Records.number(fields, "epoch"), body == null ? null : new Answer(Records.word(fields, "print"),
-                    (int) Records.number(fields, "status"), Records.word(fields, "type"), body));
+        ledger.read(StoredNames.COMPLETIONS, (upload, stored) -> {
+            Answer answer = answer(stored);
+            reader.completion(upload,
+                answer == null ? RecoveredOutcomes.Found.INTENT : RecoveredOutcomes.Found.OUTCOME,
+                stored.integer(StoredNames.EPOCH), answer);
         });
     }
 
+    private static Answer answer(StoredRecord stored) {
+        String body = stored.text(StoredNames.BODY);
+        return body == null ? null : new Answer(stored.text(StoredNames.PART_LIST_DIGEST),
+            (int) stored.number(StoredNames.STATUS), stored.text(StoredNames.CONTENT_TYPE), body);
+    }
+
+    /** Records that a completion may go out; {@code then} receives null on the loop once that is synced. */
     public void intent(String upload, double now, Consumer<StoreFault> then) {
-        ledger.before(new Batch().put(COMPLETIONS, Records.key(upload), Records.value("epoch", ledger.epoch()),
-            (long) now + WINDOW), then);
+        byte[] intent = RecordCodec.encode(json -> json.writeNumberField(StoredNames.EPOCH, ledger.epoch()));
+        ledger.writeSynced(
+            new Batch().put(StoredNames.COMPLETIONS, RecordCodec.key(upload), intent, (long) now + TIME_TO_LIVE), then);
     }
 
-    /** Hears when the answer is safe: the client may come again with the same for as long as the window lasts. */
-    public void ran(String upload, Answer a, double now) {
-        ledger.after(new Batch().put(COMPLETIONS, Records.key(upload), Records.value("epoch", ledger.epoch(), "print",
-            a.print, "status", a.status, "type", a.type, "body", a.body), (long) now + WINDOW));
+    /** Records the response, so that a client that retries the same completion gets it again. */
+    public void ran(String upload, Answer answer, double now) {
+        byte[] outcome = RecordCodec.encode(json -> {
+            json.writeNumberField(StoredNames.EPOCH, ledger.epoch());
+            RecordCodec.writeOptional(json, StoredNames.PART_LIST_DIGEST, answer.print);
+            json.writeNumberField(StoredNames.STATUS, answer.status);
+            RecordCodec.writeOptional(json, StoredNames.CONTENT_TYPE, answer.type);
+            RecordCodec.writeOptional(json, StoredNames.BODY, answer.body);
+        });
+        ledger.writeBuffered(
+            new Batch().put(StoredNames.COMPLETIONS, RecordCodec.key(upload), outcome, (long) now + TIME_TO_LIVE));
     }
 
+    /** Removes the record of a completion that is proved never to have run. */
     public void neverRan(String upload) {
-        ledger.after(new Batch().remove(COMPLETIONS, Records.key(upload)));
+        ledger.writeBuffered(new Batch().remove(StoredNames.COMPLETIONS, RecordCodec.key(upload)));
     }
 }
--- a/src/main/java/kelphollow/ledger/LimitRecords.java
+++ b/src/main/java/kelphollow/ledger/LimitRecords.java
@@ -7,11 +7,10 @@
 import kelphollow.store.Batch;
 import kelphollow.store.StoreFault;
 
-/** The levels of volumes' limits, as they were at the end of the last life. Event loop only. */
+/** The tokens of volumes' limits, as they were at the end of the last incarnation. Event loop only. */
 public final class LimitRecords {
-    private static final String LIMITS = "limits";
-    /** A level that old has filled whatever the limit; in milliseconds. */
-    private static final long WINDOW = 24L * 3600 * 1000;
+    /** Every limit has refilled after this long, in milliseconds. */
+    private static final long TIME_TO_LIVE = 24L * 3600 * 1000;
 
     private final Ledger ledger;
 
@@ -20,30 +19,39 @@
     }
 
     /**
-     * What the last life left, by volume. From here on those levels do not hold any more and are marked as not clean,
-     * so that a crash of this life is not taken for the end of that one.
+     * What the last incarnation left, by volume. The records are removed, so that a crash of this incarnation is not taken
+     * for the end of that one. Blocks on the disk, so only before the event loop serves.
      */
     public Map<String, LimitRecovery.Saved> take() throws IOException, StoreFault {
         Map<String, LimitRecovery.Saved> saved = new HashMap<>();
-        Batch used = new Batch();
-        ledger.read(LIMITS, (volume, fields) -> {
-            boolean clean = Records.number(fields, "endOf") == ledger.epoch() - 1;
-            saved.put(volume, new LimitRecovery.Saved(Records.number(fields, "level"), Records.number(fields, "at"), clean));
-            used.remove(LIMITS, Records.key(volume));
+        Batch removals = new Batch();
+        ledger.read(StoredNames.LIMITS, (volume, stored) -> {
+            boolean clean = stored.number(StoredNames.END_OF_EPOCH) == ledger.epoch() - 1;
+            saved.put(volume, new LimitRecovery.Saved(stored.number(StoredNames.TOKENS), stored.number(StoredNames.AT),
+                clean));
+            removals.remove(StoredNames.LIMITS, RecordCodec.key(volume));
         });
-        if (!used.isEmpty()) {
-            ledger.after(used);
+        if (!removals.isEmpty()) {
+            ledger.writeBuffered(removals);
         }
         return saved;
     }
 
-    /** Writes the levels at the end of this life, after which nothing is sent any more. */
-    public void end(Map<String, Double> levels, double now) {
+    /** Records the tokens by volume at the end of this incarnation, after which nothing is sent any more. */
+    public void end(Map<String, Double> tokensByVolume, double now) {
         Batch batch = new Batch();
-        levels.forEach((volume, level) -> batch.put(LIMITS, Records.key(volume),
-            Records.value("endOf", ledger.epoch(), "level", level, "at", now), (long) now + WINDOW));
+        tokensByVolume.forEach((volume, tokens) -> batch.put(StoredNames.LIMITS, RecordCodec.key(volume),
+            encode(tokens, now), (long) now + TIME_TO_LIVE));
         if (!batch.isEmpty()) {
-            ledger.after(batch);
+            ledger.writeBuffered(batch);
         }
     }
+
+    private byte[] encode(double tokens, double now) {
+        return RecordCodec.encode(json -> {
+            json.writeNumberField(StoredNames.END_OF_EPOCH, ledger.epoch());
+            json.writeNumberField(StoredNames.TOKENS, tokens);
+            json.writeNumberField(StoredNames.AT, now);
+        });
+    }
 }
--- a/src/main/java/kelphollow/ledger/OutcomeRecords.java
+++ b/src/main/java/kelphollow/ledger/OutcomeRecords.java
@@ -1,7 +1,6 @@
 package kelphollow.ledger;
 
 import java.io.IOException;
-import java.util.Map;
 import java.util.function.Consumer;
 import kelphollow.recovery.RecoveredOutcome;
 import kelphollow.recovery.RecoveredOutcomes;
@@ -9,12 +8,11 @@
 import kelphollow.store.StoreFault;
 
 /**
- * What became of unsafe requests, by an identity that the asking side gives them and never uses twice: for the gateway
- * between sites. Kept for the class's window after the outcome. Writing is for the event loop, {@link #find} may wait
- * for the disk.
+ * Outcomes of unsafe requests, by an identity that the requesting side assigns and never uses twice: for the gateway between
+ * sites. Kept for the class's idempotency window after the outcome. Writing is for the event loop, {@link #find} may block
+ * on the disk.
  */
 public final class OutcomeRecords {
-    private static final String INGESTS = "ingests";
     private final Ledger ledger;
 
     /** What is known of one request; {@code outcome} is null unless it ran. */
@@ -24,30 +22,46 @@
         this.ledger = ledger;
     }
 
-    /** Hears null once it cannot be forgotten that this request may go out. */
+    /**
+     * Records that a request may go out; {@code then} receives null on the loop once that is synced.
+     *
+     * @param window how long the record is kept, in milliseconds
+     */
     public void intent(String identity, double now, double window, Consumer<StoreFault> then) {
-        ledger.before(new Batch().put(INGESTS, Records.key(identity), Records.value("epoch", ledger.epoch()),
-            (long) (now + window)), then);
+        byte[] intent = RecordCodec.encode(json -> json.writeNumberField(StoredNames.EPOCH, ledger.epoch()));
+        ledger.writeSynced(
+            new Batch().put(StoredNames.OUTCOMES, RecordCodec.key(identity), intent, (long) (now + window)), then);
     }
 
-    /** Hears null once the outcome is safe. */
+    /** Records the outcome; {@code then} receives null on the loop once it is synced. */
     public void ran(String identity, String outcome, double now, double window, Consumer<StoreFault> then) {
-        ledger.before(new Batch().put(INGESTS, Records.key(identity),
-            Records.value("epoch", ledger.epoch(), "outcome", outcome), (long) (now + window)), then);
+        byte[] stored = RecordCodec.encode(json -> {
+            json.writeNumberField(StoredNames.EPOCH, ledger.epoch());
+            RecordCodec.writeOptional(json, StoredNames.OUTCOME, outcome);
+        });
+        ledger.writeSynced(
+            new Batch().put(StoredNames.OUTCOMES, RecordCodec.key(identity), stored, (long) (now + window)), then);
     }
 
-    /** It is proved that the attempt never ran. */
+    /** Removes the record of a request that is proved never to have run. */
     public void neverRan(String identity) {
-        ledger.after(new Batch().remove(INGESTS, Records.key(identity)));
+        ledger.writeBuffered(new Batch().remove(StoredNames.OUTCOMES, RecordCodec.key(identity)));
     }
 
-    /** What is known of a request; {@code complete}: it is younger than the window and can only have come here. */
+    /**
+     * What is known of a request.
+     *
+     * @param complete whether it is younger than the window and can only have come here
+     */
     public Known find(String identity, RecoveredOutcomes recovered, boolean complete) throws IOException, StoreFault {
-        byte[] value = ledger.store().get(INGESTS, Records.key(identity));
-        Map<?, ?> fields = value == null ? Map.of() : Records.fields(value);
-        String outcome = Records.word(fields, "outcome");
-        RecoveredOutcomes.Found found = value == null ? RecoveredOutcomes.Found.NOTHING
-            : outcome == null ? RecoveredOutcomes.Found.INTENT : RecoveredOutcomes.Found.OUTCOME;
-        return new Known(recovered.of(found, (long) Records.number(fields, "epoch"), complete), outcome);
+        byte[] value = ledger.store().get(StoredNames.OUTCOMES, RecordCodec.key(identity));
+        if (value == null) {
+            return new Known(recovered.of(RecoveredOutcomes.Found.NOTHING, 0, complete), null);
+        }
+        StoredRecord stored = RecordCodec.decode(value);
+        String outcome = stored.text(StoredNames.OUTCOME);
+        RecoveredOutcomes.Found found =
+            outcome == null ? RecoveredOutcomes.Found.INTENT : RecoveredOutcomes.Found.OUTCOME;
+        return new Known(recovered.of(found, stored.integer(StoredNames.EPOCH), complete), outcome);
     }
 }
--- a/src/main/java/kelphollow/ledger/PartRecords.java
+++ b/src/main/java/kelphollow/ledger/PartRecords.java
@@ -8,19 +8,20 @@
 
 /**
  * Parts of multipart uploads: the intent before a part's first byte goes out, the outcome after it. An upload that was
- * begun here is recorded too, so that of its parts silence proves that they never went out. Event loop only.
+ * begun here is recorded too, so that for its parts the absence of a record proves that they never went out. Event loop
+ * only.
  */
 public final class PartRecords {
-    /** Uploads and parts are kept for so long after their last change, in milliseconds. */
-    static final long WINDOW = 7L * 24 * 3600 * 1000;
-    private static final String UPLOADS = "uploads", PARTS = "parts";
+    /** How long uploads and parts are kept after their last change, in milliseconds. */
+    static final long TIME_TO_LIVE = 7L * 24 * 3600 * 1000;
+    private static final char NUMBER_SEPARATOR = '#';
 
-    /** Hears what is recorded. */
+    /** Receives what is recorded. */
     public interface Reader {
-        /** All parts of this upload that went out are recorded since a life. */
+        /** All parts of this upload that went out are recorded since an epoch. */
         void upload(String upload, long sinceEpoch);
 
-        /** {@code size}, {@code md5} and {@code etag} are those of a stored part. */
+        /** One part; {@code size}, {@code md5} and {@code etag} are those of a stored one. */
         void part(String upload, int number, RecoveredOutcomes.Found found, long epoch, long size, String md5, String etag);
     }
 
@@ -30,62 +31,73 @@
         this.ledger = ledger;
     }
 
-    /** Reads all of it; before the loop serves. */
+    /** Reads all records; blocks on the disk, so only before the event loop serves. */
     public void read(Reader reader) throws IOException, StoreFault {
-        ledger.read(UPLOADS, (key, fields) -> reader.upload(key, (long) Records.number(fields, "epoch")));
-        ledger.read(PARTS, (key, fields) -> {
-            int hash = key.lastIndexOf('#');
-            String etag = Records.word(fields, "etag");
-            reader.part(key.substring(0, hash), Integer.parseInt(key.substring(hash + 1)),
+        ledger.read(StoredNames.UPLOADS, (upload, stored) -> reader.upload(upload, stored.integer(StoredNames.EPOCH)));
+        ledger.read(StoredNames.PARTS, (key, stored) -> {
+            int separator = key.lastIndexOf(NUMBER_SEPARATOR);
+            String etag = stored.text(StoredNames.ETAG);
+            reader.part(key.substring(0, separator), Integer.parseInt(key.substring(separator + 1)),
                 etag == null ? RecoveredOutcomes.Found.INTENT : RecoveredOutcomes.Found.OUTCOME,
-                (long) Records.number(fields, "epoch"),
-                (long) Records.number(fields, "size"), Records.word(fields, "md5"), etag);
+                stored.integer(StoredNames.EPOCH), stored.integer(StoredNames.SIZE), stored.text(StoredNames.MD5), etag);
         });
     }
 
     private static byte[] key(String upload, int number) {
-        return Records.key(upload + '#' + number);
+        return RecordCodec.key(upload + NUMBER_SEPARATOR + number);
     }
 
+    private byte[] epochRecord() {
+        return RecordCodec.encode(json -> json.writeNumberField(StoredNames.EPOCH, ledger.epoch()));
+    }
+
+    /** Records that an upload was begun here. */
     public void begun(String upload, double now) {
-        ledger.after(new Batch().put(UPLOADS, Records.key(upload), Records.value("epoch", ledger.epoch()),
-            (long) now + WINDOW));
+        ledger.writeBuffered(new Batch().put(StoredNames.UPLOADS, RecordCodec.key(upload), epochRecord(),
+            (long) now + TIME_TO_LIVE));
     }
 
-    /** Hears null once nothing can make the gateway forget that this part may have gone out. */
+    /** Records that a part may go out; {@code then} receives null on the loop once that is synced. */
     public void intent(String upload, int number, double now, Consumer<StoreFault> then) {
-        ledger.before(new Batch().put(PARTS, key(upload, number), Records.value("epoch", ledger.epoch()),
-            (long) now + WINDOW), then);
+        ledger.writeSynced(new Batch().put(StoredNames.PARTS, key(upload, number), epochRecord(),
+            (long) now + TIME_TO_LIVE), then);
     }
 
+    /** Records that a part was stored. */
     public void stored(String upload, int number, long size, String md5, String etag, double now) {
-        ledger.after(new Batch().put(PARTS, key(upload, number),
-            Records.value("epoch", ledger.epoch(), "size", size, "md5", md5, "etag", etag), (long) now + WINDOW));
+        byte[] outcome = RecordCodec.encode(json -> {
+            json.writeNumberField(StoredNames.EPOCH, ledger.epoch());
+            json.writeNumberField(StoredNames.SIZE, size);
+            RecordCodec.writeOptional(json, StoredNames.MD5, md5);
+            RecordCodec.writeOptional(json, StoredNames.ETAG, etag);
+        });
+        ledger.writeBuffered(
+            new Batch().put(StoredNames.PARTS, key(upload, number), outcome, (long) now + TIME_TO_LIVE));
     }
 
-    /** It is proved that the part was not stored. */
+    /** Removes the record of a part that is proved not to have been stored. */
     public void neverRan(String upload, int number) {
-        ledger.after(new Batch().remove(PARTS, key(upload, number)));
+        ledger.writeBuffered(new Batch().remove(StoredNames.PARTS, key(upload, number)));
     }
 
-    /** The upload is over; {@code parts} are the numbers that were recorded of it. */
+    /** Removes all records of an upload that has ended; {@code parts} are the numbers that were recorded of it. */
     public void over(String upload, Iterable<Integer> parts) {
-        ledger.after(forgotten(upload, parts));
+        ledger.writeBuffered(removals(upload, parts));
     }
 
-    /** The same before an upload is aborted; hears when it is safe, so that no record outlives what it tells of. */
+    /** Like {@link #over} before an upload is aborted; {@code then} receives null on the loop once that is synced. */
     public void aborting(String upload, Iterable<Integer> parts, Consumer<StoreFault> then) {
-        ledger.before(forgotten(upload, parts), then);
+        ledger.writeSynced(removals(upload, parts), then);
     }
 
-    private static Batch forgotten(String upload, Iterable<Integer> parts) {
-        Batch batch = new Batch().remove(UPLOADS, Records.key(upload));
-        parts.forEach(n -> batch.remove(PARTS, key(upload, n)));
+    private static Batch removals(String upload, Iterable<Integer> parts) {
+        Batch batch = new Batch().remove(StoredNames.UPLOADS, RecordCodec.key(upload));
+        parts.forEach(number -> batch.remove(StoredNames.PARTS, key(upload, number)));
         return batch;
     }
 
-    /** Not all of this upload's parts are in memory any more: of what is not there nothing is known. */
+    /** Records that not all parts of an upload are in memory any more: a missing record proves nothing from now on. */
     public void incomplete(String upload) {
-        ledger.after(new Batch().remove(UPLOADS, Records.key(upload)));
+        ledger.writeBuffered(new Batch().remove(StoredNames.UPLOADS, RecordCodec.key(upload)));
     }
 }
--- a/src/main/java/kelphollow/program/Scheduler.java
+++ b/src/main/java/kelphollow/program/Scheduler.java
@@ -19,7 +19,7 @@
 import kelphollow.fleet.Events;
 import kelphollow.fleet.Fleet;
 import kelphollow.ledger.Ledger;
-import kelphollow.ledger.NodeRecords;
+import kelphollow.ledger.EndpointRecords;
 import kelphollow.protocol.discovery.DiscoveryWatch;
 import kelphollow.protocol.object.ObjectBackend;
 import kelphollow.protocol.object.ObjectFront;
@@ -65,7 +65,7 @@
     private InetSocketAddress listAt;
     private boolean pushed;
     private Ledger ledger;
-    private NodeRecords nodes;
+    private EndpointRecords nodes;
     private double serveOn = LISTEN_ON, answerBy = Double.POSITIVE_INFINITY;
     private volatile boolean inherited;
     /** The classes and attempts that bind once what was read last has settled. */
@@ -125,7 +125,7 @@
         Scheduler scheduler = new Scheduler(loop, ticker, config.sockets(), config.seed());
         Ledger ledger = scheduler.ledger = config.store() == null ? null : config.store().open(loop, ticker);
         try {
-            NodeRecords nodes = scheduler.nodes = ledger == null ? null : ledger.nodes();
+            EndpointRecords nodes = scheduler.nodes = ledger == null ? null : ledger.endpoints();
             List<ResolvedEndpoint> known = nodes == null ? List.of() : kept(nodes, config, ticker.now());
             Map<String, Double> limits = ledger == null ? Map.of() : limits(ledger, config, ticker.now());
             loop.submit(() -> {
@@ -189,13 +189,13 @@
     }
 
     /** The node list that the life before kept, as far as its age allows. */
-    private static List<ResolvedEndpoint> kept(NodeRecords nodes, ObjectConfig config, double now) throws IOException,
+    private static List<ResolvedEndpoint> kept(EndpointRecords nodes, ObjectConfig config, double now) throws IOException,
         StoreFault {
-        NodeRecords.Saved saved = nodes.read();
+        EndpointRecords.Saved saved = nodes.read();
         if (saved == null || config.xds().server() == null) {
             return List.of();
         }
-        List<ResolvedEndpoint> usable = NodeRecords.usable(saved, now, config.store().listExpires());
+        List<ResolvedEndpoint> usable = EndpointRecords.usable(saved, now, config.store().listExpires());
         LOG.info(() -> "starts from a node list " + (long) ((now - saved.at()) / 1000) + " s old: " + usable.size()
             + " of its " + saved.members().size() + " nodes are used");
         return usable;
@@ -251,7 +251,7 @@
 
     private void keep(List<ResolvedEndpoint> members) {
         if (nodes != null) {
-            nodes.told(members, ticker.now());
+            nodes.received(members, ticker.now());
         }
     }
 
