--- a/src/main/java/kelphollow/site/LinkHealth.java
+++ b/src/main/java/kelphollow/site/LinkHealth.java
@@ -1,17 +1,17 @@
 package kelphollow.site;
 
 /**
- * Whether a link to another site lives. It is asked something every so often (a ping), and what it answers gives its
- * round trip and how that varies (RFC 6298, Jacobson 1988). A ping that is not answered within a few round trips means
- * that the link stands still, whatever else still comes from it: a stall of one direction is a stall. Silence for long
- * means that it is down. One event loop.
+ * Failure detector of a link to another site. A ping is sent at intervals, and its answers give the round trip and its
+ * variation (RFC 6298, Jacobson 1988). A ping that is not answered within a few round trips means that the link stalls,
+ * whatever else still arrives on it: a stall of one direction is a stall. Silence for long means that it is down. Times are
+ * milliseconds on the caller's clock. Confined to one event loop.
  */
 public final class LinkHealth {
     /** What may be done with the link. */
     public enum State {
-        /** It takes new work. */
+        /** It takes new requests. */
         UP,
-        /** It takes nothing new; what is out may still be answered. */
+        /** It takes nothing new; what is in flight may still be answered. */
         STALLED,
         /** It is to be closed: nothing is waited for any more. */
         DOWN
@@ -20,65 +20,78 @@
     /**
      * Times in milliseconds.
      *
-     * @param pingEvery between two pings; one at a time is out
-     * @param leastPatience a ping is never missed sooner, so that the other side's own pauses are no stall
-     * @param mostPatience a ping is missed at the latest after this, however slow the link was
-     * @param downAfter a ping that has been out for so long means that the link is down
-     * @param recovery so many pings must be answered in time before a link that stood still takes new work again
+     * @param pingInterval between two pings; one at a time is in flight
+     * @param minPingTimeout a ping is never missed sooner, so that pauses of the remote process are no stall
+     * @param maxPingTimeout a ping is missed at the latest after this, however slow the link was
+     * @param downAfter a ping that has been in flight for so long means that the link is down
+     * @param answersToRecover pings in a row that must be answered in time before a stalled link takes new requests again
      */
-    public record Options(double pingEvery, double leastPatience, double mostPatience, double downAfter, int recovery) {
-        public static final Options USUAL = new Options(50, 60, 1_000, 10_000, 2);
+    public record Options(double pingInterval, double minPingTimeout, double maxPingTimeout, double downAfter,
+                          int answersToRecover) {
+        /** What holds where the operator sets nothing. */
+        public static final Options DEFAULTS = new Options(50, 60, 1_000, 10_000, 2);
     }
 
-    // RFC 6298, section 2: gains of the smoothed round trip and of its variation, and how many of the latter count.
-    private static final double GAIN = 1 / 8.0, VARIATION_GAIN = 1 / 4.0, VARIATIONS = 4;
+    /** RFC 6298, section 2: gain of the smoothed round trip. */
+    private static final double GAIN = 1 / 8.0;
+    /** RFC 6298, section 2: gain of the variation. */
+    private static final double VARIATION_GAIN = 1 / 4.0;
+    /** RFC 6298, section 2: how many variations count. */
+    private static final double VARIATIONS = 4;
 
     private final Options options;
-    private double roundTrip = Double.NaN, variation, least = Double.POSITIVE_INFINITY;
+    private double roundTrip = Double.NaN;
+    private double variation;
+    private double minRoundTrip = Double.POSITIVE_INFINITY;
     private long pings;
-    private double pingedAt = Double.NaN, lastPing;
-    private boolean missed, down;
-    private int owed;
+    /** When the ping in flight was sent, NaN if none is. */
+    private double pingInFlightSince = Double.NaN;
+    private double lastPingAt;
+    private boolean missed;
+    private boolean down;
+    private int answersMissingToRecover;
 
-    /** A link that has just come up: it takes work at once, since it has just answered a hello. */
+    /** A link that has just come up: it takes requests at once, since it has just answered a hello. */
     public LinkHealth(Options options, double now) {
         this.options = options;
-        this.lastPing = now;
+        this.lastPingAt = now;
     }
 
     /** Whether a ping is due; if so it counts as sent, under {@link #pingNumber}. */
-    public boolean wantsPing(double now) {
-        if (!Double.isNaN(pingedAt) || now - lastPing < options.pingEvery) {
+    public boolean isPingDue(double now) {
+        if (!Double.isNaN(pingInFlightSince) || now - lastPingAt < options.pingInterval) {
             return false;
         }
         pings++;
-        pingedAt = lastPing = now;
+        pingInFlightSince = now;
+        lastPingAt = now;
         return true;
     }
 
+    /** The number of the last ping. */
     public long pingNumber() {
         return pings;
     }
 
-    /** A ping was answered. An answer to another than the last one says nothing: it is late, or a lie. */
-    public void answered(long number, double now) {
-        if (number != pings || Double.isNaN(pingedAt)) {
+    /** A ping was answered. An answer to another than the last one is ignored: it is late or forged. */
+    public void pingAnswered(long number, double now) {
+        if (number != pings || Double.isNaN(pingInFlightSince)) {
             return;
         }
-        state(now);                          // a ping that was missed counts as that, though nobody looked meanwhile
-        double took = Math.max(0, now - pingedAt);
-        pingedAt = Double.NaN;
+        state(now);                          // a ping that was missed counts as missed, even if nobody asked meanwhile
+        double took = Math.max(0, now - pingInFlightSince);
+        pingInFlightSince = Double.NaN;
         if (missed) {
-            missed = false;                  // what stood still says nothing of how far the other site is
-            owed = options.recovery;
+            missed = false;                  // the duration of a stall is no round trip
+            answersMissingToRecover = options.answersToRecover;
         } else {
-            learn(took);
-            owed = Math.max(0, owed - 1);
+            update(took);
+            answersMissingToRecover = Math.max(0, answersMissingToRecover - 1);
         }
     }
 
-    private void learn(double took) {
-        least = Math.min(least, took);
+    private void update(double took) {
+        minRoundTrip = Math.min(minRoundTrip, took);
         if (Double.isNaN(roundTrip)) {
             roundTrip = took;
             variation = took / 2;
@@ -88,17 +101,21 @@
         }
     }
 
-    /** How long a ping may be out before it is missed. */
-    public double patience() {
-        double wanted = Double.isNaN(roundTrip) ? options.mostPatience : roundTrip + VARIATIONS * variation;
-        return Math.max(options.leastPatience, Math.min(options.mostPatience, wanted));
+    /** How long a ping may be in flight before it is missed. */
+    public double pingTimeout() {
+        double wanted = Double.isNaN(roundTrip) ? options.maxPingTimeout : roundTrip + VARIATIONS * variation;
+        return Math.max(options.minPingTimeout, Math.min(options.maxPingTimeout, wanted));
     }
 
+    /** What may be done with the link now. */
     public State state(double now) {
-        double out = Double.isNaN(pingedAt) ? 0 : now - pingedAt;
-        missed |= out > patience();
-        down |= out > options.downAfter;
-        return down ? State.DOWN : missed || owed > 0 ? State.STALLED : State.UP;
+        double inFlightFor = Double.isNaN(pingInFlightSince) ? 0 : now - pingInFlightSince;
+        missed |= inFlightFor > pingTimeout();
+        down |= inFlightFor > options.downAfter;
+        if (down) {
+            return State.DOWN;
+        }
+        return missed || answersMissingToRecover > 0 ? State.STALLED : State.UP;
     }
 
     /** The smoothed round trip; 0 before the first answer. */
@@ -106,16 +123,16 @@
         return Double.isNaN(roundTrip) ? 0 : roundTrip;
     }
 
-    /** The shortest round trip seen: the way itself, without waiting. */
-    public double leastRoundTrip() {
-        return Double.isInfinite(least) ? 0 : least;
+    /** The shortest round trip so far: the propagation delay, without queueing. */
+    public double minRoundTrip() {
+        return Double.isInfinite(minRoundTrip) ? 0 : minRoundTrip;
     }
 
     /**
-     * How long an answer may take on its way here, with its variation; half a round trip would be the mean, and one
-     * direction may be slower than the other: all of the round trip is the bound that holds for each.
+     * An upper bound on the delay of one direction, with its variation. Half a round trip would be the mean, and one
+     * direction may be slower than the other: the complete round trip is the bound that holds for each.
      */
-    public double travel() {
+    public double oneWayDelayBound() {
         return Double.isNaN(roundTrip) ? 0 : roundTrip + VARIATIONS * variation;
     }
 }
--- a/src/main/java/kelphollow/site/RemoteDrain.java
+++ b/src/main/java/kelphollow/site/RemoteDrain.java
@@ -1,41 +1,43 @@
 package kelphollow.site;
 
 /**
- * What a far site that says it drains still takes. From the moment it is told, the near side sends nothing new as soon
- * as it can and at the latest after the grace; what is out goes on until the time that the far side named, after which
- * it is as if the link had broken. One event loop.
+ * What a draining remote site still takes. From its notice on, the local side sends nothing new as soon as it can and at
+ * the latest after the grace period; what is in flight goes on until the time that the remote site named, after which it is
+ * as if the link had broken. Times are milliseconds. Confined to one event loop.
  */
 public final class RemoteDrain {
-    private final double grace;
-    private double toldAt = Double.NaN, closesAt = Double.POSITIVE_INFINITY;
+    private final double gracePeriod;
+    private double noticeAt = Double.NaN;
+    private double closesAt = Double.POSITIVE_INFINITY;
 
-    /** {@code grace} is the rule's, in milliseconds: nothing new later than that after it was told. */
-    public RemoteDrain(double grace) {
-        this.grace = grace;
+    /** A site that does not drain; after its notice nothing new is sent later than {@code gracePeriod}. */
+    public RemoteDrain(double gracePeriod) {
+        this.gracePeriod = gracePeriod;
     }
 
-    /** The far side drains and will close in so many milliseconds. Said again, the sooner end holds. */
-    public void told(double closesIn, double now) {
-        toldAt = Double.isNaN(toldAt) ? now : toldAt;
+    /** The remote site drains and will close in so many milliseconds. Of several notices the earliest end holds. */
+    public void noticeReceived(double closesIn, double now) {
+        noticeAt = Double.isNaN(noticeAt) ? now : noticeAt;
         closesAt = Math.min(closesAt, now + Math.max(0, closesIn));
     }
 
-    public boolean isTold() {
-        return !Double.isNaN(toldAt);
+    /** Whether the remote site drains. */
+    public boolean isDraining() {
+        return !Double.isNaN(noticeAt);
     }
 
-    /** Whether a first byte may go out now, also for what was chosen before the notice came. */
-    public boolean mayBegin() {
-        return !isTold();
+    /** Whether the first byte of a request may be sent now, also of one that was routed before the notice. */
+    public boolean mayStartRequest() {
+        return !isDraining();
     }
 
-    /** The last moment at which anything new may be on its way by the rule; for the check that nothing was. */
-    public double nothingNewAfter() {
-        return toldAt + grace;
+    /** The last moment at which anything new may be sent; for the check that nothing was. */
+    public double lastStartAt() {
+        return noticeAt + gracePeriod;
     }
 
-    /** Whether what is out is given up now. */
-    public boolean isOver(double now) {
+    /** Whether what is in flight is given up now. */
+    public boolean isClosed(double now) {
         return now >= closesAt;
     }
 }
