--- a/src/main/java/kelphollow/program/ScaleCommand.java
+++ b/src/main/java/kelphollow/program/ScaleCommand.java
@@ -41,7 +41,7 @@
             }
             sizes.add(Integer.parseInt(size));
         }
-        return Scale.run(new Scale.Order(Path.of(scenario), sizes, seconds, seed, report == null ? null : Path.of(report),
+        return Scale.run(new Scale.Options(Path.of(scenario), sizes, seconds, seed, report == null ? null : Path.of(report),
             json == null ? null : Path.of(json), simulated), out, err);
     }
 }
--- a/src/main/java/kelphollow/scale/DeathProbes.java
+++ b/src/main/java/kelphollow/scale/DeathProbes.java
@@ -7,49 +7,47 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures how long a death takes to be found by each instance, and counts accusations of those that run and can be reached.
- * Safe for any thread: instances report from their loops.
+ * Measures how long each instance takes to detect a death, and counts false findings about instances that run and can be
+ * reached. Thread-safe: instances report from their loops.
  */
 final class DeathProbes {
-    /** After a wake or a healing, findings of before may still arrive for so long, in milliseconds. */
+    /** How long after a resumption or a healed partition earlier findings may still arrive, in milliseconds. */
     static final double AFTERMATH = 15_000;
     private static final int DIGITS = 3;
 
-    private static final class Death {
-        final double at;
-        final BitSet waiting;
-
-        Death(double at, BitSet waiting) {
-            this.at = at;
-            this.waiting = waiting;
-        }
-    }
+    /** A death; {@code waiting} are the instances that have not found it yet. */
+    private record Death(double at, BitSet waiting) {}
 
     private final NetworkModel network;
     private final ScaleScenario scenario;
     private final Map<String, Death> down = new HashMap<>();
-    /** When the instance woke last, or a cut was healed last. */
-    private final Map<String, Double> wokenAt = new HashMap<>();
+    /** When the instance was resumed last. */
+    private final Map<String, Double> resumedAt = new HashMap<>();
     private double healedAt = Double.NEGATIVE_INFINITY;
     private final Map<String, Long> epochs = new HashMap<>();
     private final Histogram detection = new Histogram(DIGITS);
-    private long falseFailures, falseSuspicions, undetected, falseFailuresJoining, falseSuspicionsJoining;
-    private String firstFalse = "";
+    private long falseFailures;
+    private long falseSuspicions;
+    private long falseFailuresJoining;
+    private long falseSuspicionsJoining;
+    private long undetected;
+    private String firstFalseFailure = "";
 
     DeathProbes(ScaleScenario scenario, NetworkModel network) {
         this.scenario = scenario;
         this.network = network;
     }
 
-    /** Joining is over: accusations of before are kept apart. */
+    /** Joining is over: false findings until now are counted apart. */
     synchronized void begin() {
         falseFailuresJoining = falseFailures;
         falseSuspicionsJoining = falseSuspicions;
-        falseFailures = falseSuspicions = 0;
-        firstFalse = "";
+        falseFailures = 0;
+        falseSuspicions = 0;
+        firstFalseFailure = "";
     }
 
-    /** A life begins. */
+    /** An incarnation begins. */
     synchronized void started(int instance, long epoch) {
         String name = ScaleScenario.nameOf(instance);
         epochs.put(name, epoch);
@@ -62,10 +60,10 @@
         down.put(ScaleScenario.nameOf(instance), new Death(now, waiting));
     }
 
-    synchronized void woken(int instance, double now) {
+    synchronized void resumed(int instance, double now) {
         String name = ScaleScenario.nameOf(instance);
         down.remove(name);
-        wokenAt.put(name, now);
+        resumedAt.put(name, now);
     }
 
     synchronized void healed(double now) {
@@ -73,7 +71,7 @@
     }
 
     private void excuse(int instance) {
-        down.values().forEach(d -> d.waiting.clear(instance));
+        down.values().forEach(death -> death.waiting.clear(instance));
     }
 
     synchronized void event(int by, double now, String kind, String of, long epoch) {
@@ -85,16 +83,18 @@
             }
             return;
         }
-        boolean earlierLife = epochs.containsKey(of) && epoch < epochs.get(of);
-        boolean explained = network.hasCuts() || now - healedAt < AFTERMATH
-            || now - wokenAt.getOrDefault(of, Double.NEGATIVE_INFINITY) < AFTERMATH
-            || now - wokenAt.getOrDefault(ScaleScenario.nameOf(by), Double.NEGATIVE_INFINITY) < AFTERMATH;
-        if (earlierLife || explained) {
+        boolean earlierIncarnation = epochs.containsKey(of) && epoch < epochs.get(of);
+        boolean explained = network.hasPartitions() || now - healedAt < AFTERMATH
+            || now - resumedAt.getOrDefault(of, Double.NEGATIVE_INFINITY) < AFTERMATH
+            || now - resumedAt.getOrDefault(ScaleScenario.nameOf(by), Double.NEGATIVE_INFINITY) < AFTERMATH;
+        if (earlierIncarnation || explained) {
             return;
         }
         if (kind.equals("failed")) {
             falseFailures++;
-            firstFalse = firstFalse.isEmpty() ? ScaleScenario.nameOf(by) + " found " + of + " dead" : firstFalse;
+            if (firstFalseFailure.isEmpty()) {
+                firstFalseFailure = ScaleScenario.nameOf(by) + " found " + of + " dead";
+            }
         } else {
             falseSuspicions++;
         }
@@ -103,7 +103,7 @@
     /** Counts who has not found a death that is older than the longest suspicion. */
     synchronized void end(double now) {
         double longest = longestDetection();
-        down.values().forEach(d -> undetected += now - d.at > longest ? d.waiting.cardinality() : 0);
+        down.values().forEach(death -> undetected += now - death.at > longest ? death.waiting.cardinality() : 0);
     }
 
     /** A round of probes over all, and the longest suspicion, with half of it on top for news to spread; in milliseconds. */
@@ -134,8 +134,8 @@
         return undetected;
     }
 
-    synchronized String firstFalse() {
-        return firstFalse;
+    synchronized String firstFalseFailure() {
+        return firstFalseFailure;
     }
 
     synchronized Map<String, Object> detection() {
--- a/src/main/java/kelphollow/scale/DiscoveryStandIn.java
+++ b/src/main/java/kelphollow/scale/DiscoveryStandIn.java
@@ -14,11 +14,12 @@
 import kelphollow.protocol.json.Json;
 
 /**
- * A control plane that speaks xDS by REST and tells all processes the same nodes, as many as the scenario has; its
- * answers are counted. The nodes are addresses that nobody calls: the run has no requests.
+ * A discovery service that serves xDS by REST: the same endpoints to all processes, as many as the scenario has. Its
+ * responses are counted. The endpoints are addresses that nobody calls: the run has no requests. Thread-safe.
  */
 final class DiscoveryStandIn implements AutoCloseable {
     private static final int THREADS = 4;
+    private static final int BACKLOG = 256;
 
     private final HttpServer server;
     private final ExecutorService threads = Executors.newFixedThreadPool(THREADS, task -> {
@@ -26,16 +27,17 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final byte[] clusters, endpoints;
-    private final AtomicLong answers = new AtomicLong();
+    private final byte[] clusters;
+    private final byte[] endpoints;
+    private final AtomicLong responses = new AtomicLong();
 
     DiscoveryStandIn(ScaleScenario scenario) throws IOException {
-        clusters = answer("c1", Map.of("name", "scale", "eds_cluster_config", Map.of("service_name", "scale")));
-        endpoints = answer("e1", Map.of("cluster_name", "scale", "endpoints",
+        clusters = response("c1", Map.of("name", "scale", "eds_cluster_config", Map.of("service_name", "scale")));
+        endpoints = response("e1", Map.of("cluster_name", "scale", "endpoints",
             List.of(Map.of("locality", Map.of("zone", "z0"), "lb_endpoints", nodes(scenario)))));
-        server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 256);
+        server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), BACKLOG);
         server.setExecutor(threads);
-        server.createContext("/v3/", this::answer);
+        server.createContext("/v3/", this::respond);
         server.start();
     }
 
@@ -46,23 +48,23 @@
             int colon = name.lastIndexOf(':');
             nodes.add(Map.of("endpoint", Map.of("address", Map.of("socket_address",
                 Map.of("address", name.substring(0, colon), "port_value", Integer.parseInt(name.substring(colon + 1))))),
-                "health_status", i < scenario.part().drains() ? "DRAINING" : "HEALTHY",
+                "health_status", i < scenario.state().drains() ? "DRAINING" : "HEALTHY",
                 "metadata", Map.of("filter_metadata", Map.of("kelphollow", Map.of("shard", i)))));
         }
         return nodes;
     }
 
-    private static byte[] answer(String version, Object resource) {
+    private static byte[] response(String version, Object resource) {
         return Json.text(Map.of("version_info", version, "resources", List.of(resource))).getBytes(StandardCharsets.UTF_8);
     }
 
-    private void answer(HttpExchange exchange) throws IOException {
+    private void respond(HttpExchange exchange) throws IOException {
         try (exchange) {
             exchange.getRequestBody().readAllBytes();
-            byte[] answer = exchange.getRequestURI().getPath().endsWith(":clusters") ? clusters : endpoints;
-            answers.incrementAndGet();
-            exchange.sendResponseHeaders(200, answer.length);
-            exchange.getResponseBody().write(answer);
+            byte[] response = exchange.getRequestURI().getPath().endsWith(":clusters") ? clusters : endpoints;
+            responses.incrementAndGet();
+            exchange.sendResponseHeaders(200, response.length);
+            exchange.getResponseBody().write(response);
         }
     }
 
@@ -70,8 +72,8 @@
         return server.getAddress().getPort();
     }
 
-    long answers() {
-        return answers.get();
+    long responses() {
+        return responses.get();
     }
 
     @Override public void close() {
--- a/src/main/java/kelphollow/scale/DrainProbes.java
+++ b/src/main/java/kelphollow/scale/DrainProbes.java
@@ -9,45 +9,48 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures how long a drain that one instance alone is told takes until each other one keeps it. Those that never do are
- * counted, and stand in the figures with the time that was waited for them: a lost drain must not make them better. Safe for
- * any thread: instances report from their loops.
+ * Measures how long a drain that one instance alone is notified of takes until each other one applies it. Those that never
+ * do are counted, and are in the figures with the time that was waited for them: a lost drain must not make them better.
+ * Thread-safe: instances report from their loops. Times are milliseconds.
  */
 final class DrainProbes {
-    /** How long a drain stands before the teller takes it back, in milliseconds. */
-    static final double STANDS = 10_000;
-    // Times are recorded in tenths of a millisecond.
+    /** How long a drain lasts before the notifier revokes it. */
+    static final double DRAIN_DURATION = 10_000;
+    /** Times are recorded in tenths of a millisecond. */
     private static final double UNIT = 0.1;
     private static final int DIGITS = 3;
 
-    private static final class Probe {
-        final int node, teller;
-        final double toldAt;
-        final BitSet waiting;
-
-        Probe(int node, int teller, double toldAt, BitSet waiting) {
-            this.node = node;
-            this.teller = teller;
-            this.toldAt = toldAt;
-            this.waiting = waiting;
-        }
+    /** Whose times: of all instances, or of those in the notifier's region or out of it. */
+    enum Reach {
+        ALL, REGION, ACROSS
     }
 
+    /** A drain that has lasted its time: which node, and which instance was notified of it. */
+    record Ended(int node, int notifier) {}
+
+    /** A drain; {@code waiting} are the instances that have not applied it yet. */
+    private record Probe(int node, int notifier, double notifiedAt, BitSet waiting) {}
+
     private final ScaleScenario scenario;
+    /** By the node's name. */
     private final Map<String, Probe> open = new HashMap<>();
-    private final Histogram all = new Histogram(DIGITS), within = new Histogram(DIGITS), across = new Histogram(DIGITS);
-    private long told, missed;
+    private final Histogram all = new Histogram(DIGITS);
+    private final Histogram sameRegion = new Histogram(DIGITS);
+    private final Histogram otherRegions = new Histogram(DIGITS);
+    private long notified;
+    private long missed;
 
     DrainProbes(ScaleScenario scenario) {
         this.scenario = scenario;
     }
 
-    /** @param waiting instances that are to keep the drain */
-    synchronized void told(int node, int teller, double now, BitSet waiting) {
-        told++;
-        open.put(SimulatedNodes.nodeName(node), new Probe(node, teller, now, waiting));
+    /** @param waiting instances that are to apply the drain; changed from here on */
+    synchronized void notified(int node, int notifier, double now, BitSet waiting) {
+        notified++;
+        open.put(SimulatedNodes.nodeName(node), new Probe(node, notifier, now, waiting));
     }
 
+    /** An instance ejects these nodes from now on. */
     synchronized void ejected(int instance, double now, Set<String> nodes) {
         open.forEach((node, probe) -> {
             if (probe.waiting.get(instance) && nodes.contains(node)) {
@@ -58,50 +61,51 @@
     }
 
     private void record(Probe probe, int instance, double now) {
-        long tenths = Math.round((now - probe.toldAt) / UNIT);
+        long tenths = Math.round((now - probe.notifiedAt) / UNIT);
         all.recordValue(tenths);
-        (scenario.regionOf(instance) == scenario.regionOf(probe.teller) ? within : across).recordValue(tenths);
+        boolean isSameRegion = scenario.regionOf(instance) == scenario.regionOf(probe.notifier);
+        (isSameRegion ? sameRegion : otherRegions).recordValue(tenths);
     }
 
-    /** Instances that ended or stopped owe nothing more, and what they were told may have ended with them. */
+    /** An instance that ended or was suspended applies nothing more, and what it was notified of may have ended with it. */
     synchronized void excuse(int instance) {
-        open.values().removeIf(p -> p.teller == instance);
-        open.values().forEach(p -> p.waiting.clear(instance));
+        open.values().removeIf(probe -> probe.notifier == instance);
+        open.values().forEach(probe -> probe.waiting.clear(instance));
     }
 
-    /** A drain that has stood its time: which node, and who told it. */
-    record Ended(int node, int teller) {}
-
-    /** Ends what has stood its time; at the end of the run all that has stood half of it, and the rest is forgotten. */
+    /** Ends drains that have lasted their time; at the end of the run those that have lasted half of it count too. */
     synchronized List<Ended> end(double now, boolean last) {
         List<Ended> ended = new ArrayList<>();
-        for (Probe p : List.copyOf(open.values())) {
-            double stood = now - p.toldAt;
-            if (stood >= STANDS || last) {
-                open.remove(SimulatedNodes.nodeName(p.node));
-                ended.add(new Ended(p.node, p.teller));
-                if (stood >= STANDS / 2) {
-                    missed += p.waiting.cardinality();
-                    p.waiting.stream().forEach(i -> record(p, i, now));
+        for (Probe probe : List.copyOf(open.values())) {
+            double lasted = now - probe.notifiedAt;
+            if (lasted >= DRAIN_DURATION || last) {
+                open.remove(SimulatedNodes.nodeName(probe.node));
+                ended.add(new Ended(probe.node, probe.notifier));
+                if (lasted >= DRAIN_DURATION / 2) {
+                    missed += probe.waiting.cardinality();
+                    probe.waiting.stream().forEach(instance -> record(probe, instance, now));
                 }
             }
         }
         return ended;
     }
 
-    synchronized long told() {
-        return told;
+    /** Number of drains. */
+    synchronized long notified() {
+        return notified;
     }
 
-    /** Instances that did not keep a drain, over all drains. */
+    /** Instances that did not apply a drain, over all drains. */
     synchronized long missed() {
         return missed;
     }
 
     synchronized Map<String, Object> figures(Reach reach) {
-        return Percentiles.of(reach == Reach.ALL ? all : reach == Reach.REGION ? within : across, UNIT);
+        Histogram times = switch (reach) {
+            case ALL -> all;
+            case REGION -> sameRegion;
+            case ACROSS -> otherRegions;
+        };
+        return Percentiles.of(times, UNIT);
     }
-
-    /** Whose times: of all instances, or of those in the teller's region or out of it. */
-    enum Reach { ALL, REGION, ACROSS }
 }
--- a/src/main/java/kelphollow/scale/FidelityCheck.java
+++ b/src/main/java/kelphollow/scale/FidelityCheck.java
@@ -6,39 +6,40 @@
 import java.util.Map;
 
 /**
- * Whether hollow instances send what real ones send in the same run: a hollow one that says less would make size look cheap.
- * How often exchanges fall due is drawn at random and rare, so their size is compared and not their number.
+ * Whether simulated instances send what real ones send in the same run: one that sends less would make size look cheap. How
+ * often exchanges fall due is drawn at random and rare, so their size is compared and not their number. Stateless.
  */
 final class FidelityCheck {
-    /** A hollow instance's figures are within this share of a real one's. */
+    /** A simulated instance's figures are within this share of a real one's. */
     static final double TOLERANCE = 0.1;
-    /** Fewer datagrams of real instances than this tell nothing to within the tolerance: gossip comes in bursts. */
-    static final long LEAST_DATAGRAMS = 1_000;
-
-    /** From so many exchanges of real instances on, hollow ones that made none are not like them. */
-    static final long LEAST_EXCHANGES = 10;
+    /** With fewer datagrams of real instances the comparison is not made: gossip comes in bursts. */
+    static final long MIN_DATAGRAMS = 1_000;
+    /** From this many exchanges of real instances on, simulated ones that made none fail the check. */
+    static final long MIN_EXCHANGES = 10;
 
     private FidelityCheck() {}
 
-    /** Hollow divided by real, by figure; the size of exchanges where both made any, or the real ones made many. */
-    static Map<String, Object> ratios(TrafficCount hollow, double hollowSeconds, TrafficCount real, double realSeconds) {
+    /** Simulated divided by real, by figure; the size of exchanges only where both made any, or the real ones many. */
+    static Map<String, Object> ratios(TrafficCount simulated, double simulatedSeconds, TrafficCount real,
+        double realSeconds) {
         Map<String, Object> ratios = new LinkedHashMap<>();
-        ratios.put("datagrams_per_second", ratio(hollow.datagramsOut() / hollowSeconds, real.datagramsOut() / realSeconds));
+        ratios.put("datagrams_per_second",
+            ratio(simulated.datagramsOut() / simulatedSeconds, real.datagramsOut() / realSeconds));
         ratios.put("datagram_bytes_per_second",
-            ratio(hollow.datagramBytesOut() / hollowSeconds, real.datagramBytesOut() / realSeconds));
-        if (real.exchangesOut() > 0 && (hollow.exchangesOut() > 0 || real.exchangesOut() >= LEAST_EXCHANGES)) {
-            ratios.put("bytes_an_exchange", ratio(hollow.bytesAnExchange(), real.bytesAnExchange()));
+            ratio(simulated.datagramBytesOut() / simulatedSeconds, real.datagramBytesOut() / realSeconds));
+        if (real.exchangesOut() > 0 && (simulated.exchangesOut() > 0 || real.exchangesOut() >= MIN_EXCHANGES)) {
+            ratios.put("bytes_an_exchange", ratio(simulated.bytesPerExchange(), real.bytesPerExchange()));
         }
         return ratios;
     }
 
-    private static double ratio(double hollow, double real) {
-        return real <= 0 ? 0 : Percentiles.rounded(hollow / real);
+    private static double ratio(double simulated, double real) {
+        return real <= 0 ? 0 : Percentiles.rounded(simulated / real);
     }
 
-    /** Adds what is not alike, if the real instances sent enough to tell. */
+    /** Adds the figures that differ, if the real instances sent enough to compare. */
     static void verify(Map<String, Object> ratios, long realDatagrams, List<String> failures) {
-        if (realDatagrams < LEAST_DATAGRAMS) {
+        if (realDatagrams < MIN_DATAGRAMS) {
             return;
         }
         ratios.forEach((figure, ratio) -> {
--- a/src/main/java/kelphollow/scale/FleetHost.java
+++ b/src/main/java/kelphollow/scale/FleetHost.java
@@ -6,15 +6,15 @@
 import kelphollow.routing.Ticker;
 
 /**
- * Where hollow instances live: a clock, loops and a network. {@link SimulatedHost} has one clock that jumps from event to
- * event; {@link SocketHost} has real sockets and threads. Called by the thread of the run alone.
+ * Runs simulated instances: a clock, event loops and a network. {@link SimulatedHost} has one clock that jumps from event to
+ * event; {@link SocketHost} has real sockets and threads. Confined to the thread of the run.
  */
 interface FleetHost extends AutoCloseable {
-    /** The clock and timers of an instance, all through its gate. */
-    Ticker ticker(int instance, Gate gate);
+    /** The clock and timers of an instance, all through its executor. */
+    Ticker ticker(int instance, SuspendableExecutor process);
 
-    /** What carries an instance's packets, all that comes in through its gate. */
-    Fleet.Transports transports(int instance, Gate gate, byte[] key, int mostMembers);
+    /** What carries an instance's packets, all that arrives through its executor. */
+    Fleet.Transports transports(int instance, SuspendableExecutor process, byte[] key, int mostMembers);
 
     /** Opens the transport; not on a loop. */
     void open(int instance, Fleet fleet) throws IOException;
@@ -25,7 +25,7 @@
     /** Milliseconds on the host's clock. */
     double now();
 
-    /** Lets the time pass. */
+    /** Lets this many milliseconds pass. */
     void advance(double millis) throws InterruptedException;
 
     /** How late loops were at the 99th percentile since the last call, in milliseconds; 0 on a simulated clock. */
--- a/src/main/java/kelphollow/scale/LoadProfilePlots.java
+++ b/src/main/java/kelphollow/scale/LoadProfilePlots.java
@@ -9,9 +9,10 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Pictures of runs: figures over size where several sizes were played, and over time for each. */
+/** Plots of runs: figures over size where several sizes were played, and over time for each. Stateless. */
 final class LoadProfilePlots {
-    private static final int WIDTH = 900, HEIGHT = 420;
+    private static final int WIDTH = 900;
+    private static final int HEIGHT = 420;
 
     private LoadProfilePlots() {}
 
--- a/src/main/java/kelphollow/scale/NetworkModel.java
+++ b/src/main/java/kelphollow/scale/NetworkModel.java
@@ -8,22 +8,22 @@
 import java.util.Set;
 
 /**
- * Delays, loss and cuts between instances by region and zone, and the addresses that tell which instance is which. Safe for
- * any thread: several event loops ask it.
+ * Delays, loss and partitions between instances by region and zone, and the addresses that identify instances. Thread-safe:
+ * several event loops use it.
  */
 final class NetworkModel {
     /** Returned for what does not arrive. */
     static final double LOST = Double.NaN;
-    // Loopback addresses 127.77.x.y, so that hundreds of instances have one port each.
+    /** Loopback addresses 127.77.x.y, so that hundreds of instances have one port each. */
     private static final int SECOND_BYTE = 77;
-    private static final int HOSTS = 250;
+    private static final int HOSTS_PER_SUBNET = 250;
 
     private record Path(int from, int to) {}
 
     private final ScaleScenario scenario;
     private final Random random;
     private final int port;
-    private final Set<Path> cuts = new HashSet<>();
+    private final Set<Path> partitions = new HashSet<>();
     private double loss;
 
     NetworkModel(ScaleScenario scenario, long seed, int port) {
@@ -35,10 +35,11 @@
 
     InetSocketAddress addressOf(int instance) {
         try {
-            byte[] bytes = {127, SECOND_BYTE, (byte) (instance / HOSTS), (byte) (1 + instance % HOSTS)};
+            byte thirdByte = (byte) (instance / HOSTS_PER_SUBNET);
+            byte[] bytes = {127, SECOND_BYTE, thirdByte, (byte) (1 + instance % HOSTS_PER_SUBNET)};
             return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
         } catch (UnknownHostException e) {
-            throw new IllegalStateException(e);   // four bytes are an address
+            throw new IllegalStateException(e);   // four bytes are an IPv4 address
         }
     }
 
@@ -48,51 +49,55 @@
         if (address.getPort() != port || bytes.length != 4 || bytes[1] != SECOND_BYTE) {
             return -1;
         }
-        int instance = (bytes[2] & 0xff) * HOSTS + (bytes[3] & 0xff) - 1;
+        int instance = (bytes[2] & 0xff) * HOSTS_PER_SUBNET + (bytes[3] & 0xff) - 1;
         return instance >= 0 && instance < scenario.instances() ? instance : -1;
     }
 
-    /** Milliseconds that a datagram takes, drawn anew each time, or {@link #LOST}. */
+    /** Delay of a datagram in milliseconds, drawn anew each time, or {@link #LOST}. */
     synchronized double datagram(int from, int to) {
         return random.nextDouble() < loss ? LOST : reliable(from, to);
     }
 
-    /** Milliseconds that a segment of a connection takes: loss is made good by TCP, a cut is not. */
+    /** Delay of a segment of a connection in milliseconds: TCP recovers from loss, but not from a partition. */
     synchronized double reliable(int from, int to) {
-        return isCut(from, to) ? LOST : base(from, to) * (1 + scenario.network().jitter() * random.nextDouble());
+        return isPartitioned(from, to) ? LOST : base(from, to) * (1 + scenario.network().jitter() * random.nextDouble());
     }
 
     private double base(int from, int to) {
         ScaleScenario.Network network = scenario.network();
-        return scenario.zoneOf(from) == scenario.zoneOf(to) ? network.zone()
-            : scenario.regionOf(from) == scenario.regionOf(to) ? network.region() : network.far();
+        if (scenario.zoneOf(from) == scenario.zoneOf(to)) {
+            return network.zone();
+        }
+        return scenario.regionOf(from) == scenario.regionOf(to) ? network.region() : network.far();
     }
 
-    synchronized boolean isCut(int from, int to) {
-        return cuts.contains(new Path(scenario.regionOf(from), scenario.regionOf(to)));
+    synchronized boolean isPartitioned(int from, int to) {
+        return partitions.contains(new Path(scenario.regionOf(from), scenario.regionOf(to)));
     }
 
-    synchronized boolean hasCuts() {
-        return !cuts.isEmpty();
+    synchronized boolean hasPartitions() {
+        return !partitions.isEmpty();
     }
 
-    /** Cuts a region off from another one, or from all others for -1. */
-    synchronized void cut(int from, int to, boolean oneWay) {
+    /** Partitions a region from another one, or from all others for -1. */
+    synchronized void partition(int from, int to, boolean oneWay) {
         for (int other = 0; other < scenario.regions(); other++) {
             if (other != from && (to < 0 || other == to)) {
-                cuts.add(new Path(from, other));
+                partitions.add(new Path(from, other));
                 if (!oneWay) {
-                    cuts.add(new Path(other, from));
+                    partitions.add(new Path(other, from));
                 }
             }
         }
     }
 
+    /** Ends all partitions. */
     synchronized void heal() {
-        cuts.clear();
+        partitions.clear();
     }
 
-    synchronized void loss(double part) {
-        loss = part;
+    /** Sets the loss of datagrams, as a share of 1. */
+    synchronized void loss(double share) {
+        loss = share;
     }
 }
--- a/src/main/java/kelphollow/scale/Percentiles.java
+++ b/src/main/java/kelphollow/scale/Percentiles.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** The figures of a histogram as they stand in a report. */
+/** The figures of a histogram as they are in a report. Stateless. */
 final class Percentiles {
     private Percentiles() {}
 
@@ -22,7 +22,7 @@
         return figures;
     }
 
-    /** To four places behind the point: more would be noise. */
+    /** Rounded to four decimal places. */
     static double rounded(double value) {
         return Math.round(value * 10_000) / 10_000.0;
     }
--- a/src/main/java/kelphollow/scale/Processor.java
+++ b/src/main/java/kelphollow/scale/Processor.java
@@ -3,12 +3,15 @@
 import com.sun.management.OperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
 
-/** Processor time and live memory of this process; what the tool itself needs is in both. */
+/** Processor time and live memory of this process; what the tool itself needs is in both. Confined to the run's thread. */
 final class Processor {
     private static final OperatingSystemMXBean SYSTEM = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-    private static final double NANOS_A_SECOND = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    private long heapBefore, heapAfter, cpuFrom, cpuNanos;
+    private long heapBefore;
+    private long heapAfter;
+    private long cpuBefore;
+    private long cpuNanos;
 
     /** Memory is counted from here. */
     void beforeStart() {
@@ -17,12 +20,12 @@
 
     /** Processor time is counted from here. */
     void begin() {
-        cpuFrom = SYSTEM.getProcessCpuTime();
+        cpuBefore = SYSTEM.getProcessCpuTime();
     }
 
-    /** And until here; memory is read after a collection. */
+    /** Processor time is counted until here; memory is read after a collection. */
     void end() {
-        cpuNanos = SYSTEM.getProcessCpuTime() - cpuFrom;
+        cpuNanos = SYSTEM.getProcessCpuTime() - cpuBefore;
         heapAfter = live();
     }
 
@@ -33,7 +36,7 @@
 
     /** Processor seconds of this process. */
     double seconds() {
-        return cpuNanos / NANOS_A_SECOND;
+        return cpuNanos / NANOS_PER_SECOND;
     }
 
     /** Bytes that stayed live and were not there before the start. */
--- a/src/main/java/kelphollow/scale/RealInstances.java
+++ b/src/main/java/kelphollow/scale/RealInstances.java
@@ -21,23 +21,28 @@
 import kelphollow.protocol.peer.Traffic;
 
 /**
- * The instances of a fleet that are processes of the program, as an operator would start them, without clients. They are
- * asked over their management lines what they sent; they cannot tell that the others are hollow.
+ * The instances of a fleet that are processes of the program, as an operator would start them, without clients. Their
+ * traffic is read over their management lines; they cannot tell that the others are simulated. Confined to the run's thread,
+ * but for {@link #close}, which an interrupted run calls from its shutdown hook.
  */
-final class RealInstances implements ScaleRun.Others, AutoCloseable {
-    private static final String HERE = "127.0.0.1";
-    private static final int PATIENCE = 5_000;
-    // How often a process asks discovery; the answer holds all nodes.
-    private static final int REFRESH = 5_000;
+final class RealInstances implements ScaleRun.ExternalInstances, AutoCloseable {
+    private static final String LOOPBACK = "127.0.0.1";
+    private static final int TIMEOUT_MILLIS = 5_000;
+    /** How often a process polls discovery, in milliseconds; the response has all endpoints. */
+    private static final int REFRESH_MILLIS = 5_000;
+    /** Last lines of the log of a process that ended by itself, for the message. */
     private static final int LOG_LINES = 3;
-    private static final double MEGABYTE_IN_KILOBYTES = 1_024;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final String REPLY_PREFIX = "ACK ";
+    private static final double KILOBYTES_PER_MEGABYTE = 1_024;
 
     private static final class Instance {
         final int index;
         final Path folder;
-        int mgmt;
+        int managementPort;
         Process process;
-        Status before, after;
+        Status before;
+        Status after;
 
         Instance(int index, Path folder) {
             this.index = index;
@@ -45,13 +50,13 @@
         }
     }
 
-    /** What a process says of itself at one moment. */
+    /** The status of a process at one moment. */
     private record Status(long nanos, TrafficCount traffic, Duration cpu, double residentMegabytes, Map<?, ?> fleet) {}
 
     private final ScaleScenario scenario;
     private final NetworkModel network;
     private final DiscoveryStandIn discovery;
-    private final List<Instance> all = new ArrayList<>();
+    private final List<Instance> instances = new ArrayList<>();
     private Set<String> runningAtEnd = Set.of();
 
     RealInstances(ScaleScenario scenario, NetworkModel network, DiscoveryStandIn discovery, Path folder) throws IOException {
@@ -60,16 +65,16 @@
         this.discovery = discovery;
         Path key = folder.resolve("key");
         Files.write(key, SimulatedInstance.KEY);
-        for (int i = scenario.hollow(); i < scenario.instances(); i++) {
+        for (int i = scenario.simulated(); i < scenario.instances(); i++) {
             Instance instance = new Instance(i, Files.createDirectories(folder.resolve(ScaleScenario.nameOf(i))));
-            instance.mgmt = freePort();
+            instance.managementPort = freePort();
             Files.writeString(instance.folder.resolve("config.json"), Json.text(config(instance, key)));
-            all.add(instance);
+            instances.add(instance);
         }
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket socket = new ServerSocket(0, 1, new InetSocketAddress(HERE, 0).getAddress())) {
+        try (ServerSocket socket = new ServerSocket(0, 1, new InetSocketAddress(LOOPBACK, 0).getAddress())) {
             return socket.getLocalPort();
         }
     }
@@ -81,16 +86,17 @@
         }
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", ScaleScenario.nameOf(of.index));
-        config.put("listen", HERE + ":" + freePort());
-        config.put("mgmt", HERE + ":" + of.mgmt);
+        config.put("listen", LOOPBACK + ":" + freePort());
+        config.put("mgmt", LOOPBACK + ":" + of.managementPort);
         config.put("buckets", Map.of("v", Map.of("plan", SimulatedNodes.PLAN, "gateways", scenario.instances())));
         config.put("objects", Map.of("shards", scenario.nodes(),
             "classes", Map.of("read", "read", "write", SimulatedNodes.CLASS)));
         config.put("store", Map.of("folders",
             List.of(of.folder.resolve("a").toString(), of.folder.resolve("b").toString())));
-        config.put("xds", Map.of("cluster", "scale", "server", HERE + ":" + discovery.port(), "refresh_ms", REFRESH));
+        config.put("xds",
+            Map.of("cluster", "scale", "server", LOOPBACK + ":" + discovery.port(), "refresh_ms", REFRESH_MILLIS));
         config.put("fleet", Map.of("listen", text(network.addressOf(of.index)), "peers", peers, "key_file", key.toString(),
-            "period_ms", scenario.period(), "fades_ms", scenario.fades(),
+            "period_ms", scenario.period(), "fades_ms", scenario.timeToLive(),
             "events", of.folder.resolve("events.jsonl").toString()));
         config.put("settings", settings(of.index));
         return config;
@@ -121,82 +127,82 @@
     // ---------------------------------------------------------------- processes
 
     void start() throws IOException {
-        for (Instance i : all) {
+        for (Instance instance : instances) {
             ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-Xms24m", "-Xmx96m", "-cp", System.getProperty("java.class.path"),
-                "kelphollow.program.Main", "serve", "--config", i.folder.resolve("config.json").toString())
-                .redirectErrorStream(true).redirectOutput(i.folder.resolve("log").toFile());
-            builder.environment().put("TMPDIR", i.folder.toString());
-            i.process = builder.start();
+                "kelphollow.program.Main", "serve", "--config", instance.folder.resolve("config.json").toString())
+                .redirectErrorStream(true).redirectOutput(instance.folder.resolve("log").toFile());
+            builder.environment().put("TMPDIR", instance.folder.toString());
+            instance.process = builder.start();
         }
     }
 
     boolean isProcess(int index) {
-        return index >= scenario.hollow();
+        return index >= scenario.simulated();
     }
 
     /** Processes that ended by themselves. */
     List<String> crashed() {
-        return all.stream().filter(i -> i.process != null && !i.process.isAlive())
-            .map(i -> ScaleScenario.nameOf(i.index)).toList();
+        return instances.stream().filter(instance -> instance.process != null && !instance.process.isAlive())
+            .map(instance -> ScaleScenario.nameOf(instance.index)).toList();
     }
 
     @Override public Set<String> names() {
-        return all.stream().map(i -> ScaleScenario.nameOf(i.index)).collect(Collectors.toSet());
+        return instances.stream().map(instance -> ScaleScenario.nameOf(instance.index)).collect(Collectors.toSet());
     }
 
     @Override public void begin() throws IOException {
-        for (Instance i : all) {
-            i.before = status(i);
+        for (Instance instance : instances) {
+            instance.before = status(instance);
         }
     }
 
     @Override public void end(Set<String> running) throws IOException {
         runningAtEnd = running;
-        for (Instance i : all) {
-            i.after = status(i);
+        for (Instance instance : instances) {
+            instance.after = status(instance);
         }
     }
 
-    private static Status status(Instance i) throws IOException {
-        if (!i.process.isAlive()) {
-            List<String> log = Files.readAllLines(i.folder.resolve("log"));
-            throw new IOException("the process of " + ScaleScenario.nameOf(i.index) + " ended by itself: "
+    private static Status status(Instance instance) throws IOException {
+        if (!instance.process.isAlive()) {
+            List<String> log = Files.readAllLines(instance.folder.resolve("log"));
+            throw new IOException("the process of " + ScaleScenario.nameOf(instance.index) + " ended by itself: "
                 + String.join(" / ", log.subList(Math.max(0, log.size() - LOG_LINES), log.size())));
         }
-        Map<?, ?> fleet = ask(i.mgmt);
+        Map<?, ?> fleet = fleetStatus(instance.managementPort);
         TrafficCount count = new TrafficCount();
         Map<?, ?> traffic = (Map<?, ?>) fleet.get("traffic");
         for (Traffic.Kind kind : Traffic.Kind.values()) {
             List<?> figures = (List<?>) traffic.get(kind.name().toLowerCase(Locale.ROOT));
-            count.set(kind, figures.stream().mapToLong(f -> ((Double) f).longValue()).toArray());
+            count.set(kind, figures.stream().mapToLong(figure -> ((Double) figure).longValue()).toArray());
         }
-        return new Status(System.nanoTime(), count, i.process.info().totalCpuDuration().orElse(Duration.ZERO),
-            resident(i.process.pid()), fleet);
+        return new Status(System.nanoTime(), count, instance.process.info().totalCpuDuration().orElse(Duration.ZERO),
+            residentMegabytes(instance.process.pid()), fleet);
     }
 
-    private static Map<?, ?> ask(int port) throws IOException {
-        try (Socket socket = new Socket(HERE, port)) {
-            socket.setSoTimeout(PATIENCE);
+    private static Map<?, ?> fleetStatus(int port) throws IOException {
+        try (Socket socket = new Socket(LOOPBACK, port)) {
+            socket.setSoTimeout(TIMEOUT_MILLIS);
             socket.getOutputStream().write("fleet status\n".getBytes(StandardCharsets.US_ASCII));
-            String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            if (!answer.startsWith("ACK {")) {
-                throw new IOException("an instance answered: " + answer);
+            String reply = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            if (!reply.startsWith(REPLY_PREFIX + "{")) {
+                throw new IOException("an instance answered: " + reply);
             }
-            return (Map<?, ?>) Json.parse(answer.substring("ACK ".length()).strip());
+            return (Map<?, ?>) Json.parse(reply.substring(REPLY_PREFIX.length()).strip());
         }
     }
 
-    /** Memory that the process has in the machine, in megabytes; 0 where the system does not tell. */
-    private static double resident(long pid) {
+    /** Resident memory of a process in megabytes; 0 where the system does not report it. */
+    private static double residentMegabytes(long pid) {
         try {
             for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
                 if (line.startsWith("VmRSS:")) {
-                    return Double.parseDouble(line.replaceAll("[^0-9]", "")) / MEGABYTE_IN_KILOBYTES;
+                    return Double.parseDouble(line.replaceAll("[^0-9]", "")) / KILOBYTES_PER_MEGABYTE;
                 }
             }
         } catch (IOException e) {
-            // told below
+            // reported as 0
         }
         return 0;
     }
@@ -206,26 +212,30 @@
     /** What all real instances sent and received while they were measured. */
     private TrafficCount total() {
         TrafficCount total = new TrafficCount();
-        all.forEach(i -> total.add(i.after.traffic.since(i.before.traffic)));
+        instances.forEach(instance -> total.add(instance.after.traffic.since(instance.before.traffic)));
         return total;
     }
 
     /** Over how many seconds, summed over instances. */
     private double instanceSeconds() {
-        return all.stream().mapToDouble(i -> (i.after.nanos - i.before.nanos) / 1e9).sum();
+        return instances.stream()
+            .mapToDouble(instance -> (instance.after.nanos - instance.before.nanos) / NANOS_PER_SECOND).sum();
     }
 
-    /** Means over the real instances, and how like them the hollow ones are; empty without any. */
-    Map<String, Object> figures(Samples hollow, List<String> failures) {
-        if (all.isEmpty()) {
+    /** Means over the real instances, and the simulated ones compared with them; empty without any. */
+    Map<String, Object> figures(Samples simulated, List<String> failures) {
+        if (instances.isEmpty()) {
             return Map.of();
         }
         TrafficCount total = total();
-        double seconds = instanceSeconds(), cpu = 0, memory = 0, fresh = 0;
-        for (Instance i : all) {
-            cpu += i.after.cpu.minus(i.before.cpu).toNanos() / 1e9;
-            memory += i.after.residentMegabytes / all.size();
-            fresh += freshShare(i.after.fleet) / all.size();
+        double seconds = instanceSeconds();
+        double cpu = 0;
+        double memory = 0;
+        double fresh = 0;
+        for (Instance instance : instances) {
+            cpu += instance.after.cpu.minus(instance.before.cpu).toNanos() / NANOS_PER_SECOND;
+            memory += instance.after.residentMegabytes / instances.size();
+            fresh += freshShare(instance.after.fleet) / instances.size();
         }
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("datagrams_per_second", Percentiles.rounded(total.datagramsOut() / seconds));
@@ -235,17 +245,17 @@
         figures.put("resident_mb", Percentiles.rounded(memory));
         figures.put("parts_fresh_share", Percentiles.rounded(fresh));
         figures.put("by_kind", Samples.byKind(total, seconds));
-        figures.put("discovery_answers", discovery.answers());
-        Map<String, Object> ratios = FidelityCheck.ratios(hollow.total(), hollow.instanceSeconds(), total, seconds);
+        figures.put("discovery_answers", discovery.responses());
+        Map<String, Object> ratios = FidelityCheck.ratios(simulated.total(), simulated.instanceSeconds(), total, seconds);
         figures.put("hollow_by_real", ratios);
-        figures.put("likeness_judged", total.datagramsOut() >= FidelityCheck.LEAST_DATAGRAMS);
+        figures.put("likeness_judged", total.datagramsOut() >= FidelityCheck.MIN_DATAGRAMS);
         FidelityCheck.verify(ratios, total.datagramsOut(), failures);
         return figures;
     }
 
     private double freshShare(Map<?, ?> fleet) {
         long fresh = ((List<?>) fleet.get("members")).stream()
-            .filter(m -> ((Map<?, ?>) m).get("said_ms_ago") instanceof Double age && age < scenario.fades()).count();
+            .filter(m -> ((Map<?, ?>) m).get("said_ms_ago") instanceof Double age && age < scenario.timeToLive()).count();
         return fresh / (double) scenario.instances();
     }
 
@@ -255,30 +265,30 @@
         if (!crashed.isEmpty()) {
             failures.add("crash: processes ended by themselves: " + crashed);
         }
-        long disagreeing = network.hasCuts() ? 0 : disagreeing(runningAtEnd);
+        long disagreeing = network.hasPartitions() ? 0 : disagreeing(runningAtEnd);
         if (disagreeing > 0) {
             failures.add("agree: " + disagreeing + " processes see others than just the running instances at the end");
         }
     }
 
-    /** How many of the real instances see others than just these as there, by their own word. */
+    /** How many of the real instances report others than just these as present. */
     private long disagreeing(Set<String> running) {
-        return all.stream().filter(i -> {
-            Set<String> seen = new TreeSet<>();
-            for (Object m : (List<?>) i.after.fleet.get("members")) {
+        return instances.stream().filter(instance -> {
+            Set<String> present = new TreeSet<>();
+            for (Object m : (List<?>) instance.after.fleet.get("members")) {
                 if (Set.of("alive", "suspect").contains(((Map<?, ?>) m).get("state"))) {
-                    seen.add((String) ((Map<?, ?>) m).get("name"));
+                    present.add((String) ((Map<?, ?>) m).get("name"));
                 }
             }
-            return !seen.equals(running);
+            return !present.equals(running);
         }).count();
     }
 
     /** Ends every process and waits until it has ended. */
     @Override public void close() {
-        for (Instance i : all) {
-            if (i.process != null) {
-                i.process.destroyForcibly().onExit().join();
+        for (Instance instance : instances) {
+            if (instance.process != null) {
+                instance.process.destroyForcibly().onExit().join();
             }
         }
     }
--- a/src/main/java/kelphollow/scale/Samples.java
+++ b/src/main/java/kelphollow/scale/Samples.java
@@ -10,23 +10,26 @@
 import kelphollow.protocol.peer.Traffic;
 import org.HdrHistogram.Histogram;
 
-/** What is read of the hollow instances once a second: parts, their ages, and traffic. For the thread of the run. */
+/** Samples of the simulated instances, once a second: states, their ages, traffic. Confined to the run's thread. */
 final class Samples {
-    // Shares are recorded in ten-thousandths.
+    /** Shares are recorded in ten-thousandths. */
     private static final double SHARE_UNIT = 1e-4;
     private static final int DIGITS = 3;
-    // Exact for shares, of which there are ten thousand.
+    /** Exact for shares, of which there are ten thousand. */
     private static final int SHARE_DIGITS = 4;
 
-    private record Seen(long epoch, TrafficCount traffic) {}
+    /** The counts of an incarnation at the last sample. */
+    private record Baseline(long epoch, TrafficCount traffic) {}
 
-    /** Means over instances at one moment, for the curves. */
+    /** Means over instances at one moment, for the plots. */
     record Moment(double seconds, double freshShare, double bytesOut) {}
 
     private final ScaleScenario scenario;
-    private final Histogram fresh = new Histogram(SHARE_DIGITS), ages = new Histogram(DIGITS);
-    private final Histogram bytesOut = new Histogram(DIGITS), bytesIn = new Histogram(DIGITS);
-    private final Map<Integer, Seen> seen = new HashMap<>();
+    private final Histogram fresh = new Histogram(SHARE_DIGITS);
+    private final Histogram ages = new Histogram(DIGITS);
+    private final Histogram bytesOut = new Histogram(DIGITS);
+    private final Histogram bytesIn = new Histogram(DIGITS);
+    private final Map<Integer, Baseline> baselines = new HashMap<>();
     private final List<Moment> moments = new ArrayList<>();
     private final TrafficCount total = new TrafficCount();
     private double instanceSeconds;
@@ -37,23 +40,24 @@
 
     /** Takes the counts from which the next sample goes on. */
     void begin(List<SimulatedInstance> running) {
-        running.forEach(i -> seen.put(i.index(), new Seen(i.epoch(), i.traffic())));
+        running.forEach(i -> baselines.put(i.index(), new Baseline(i.epoch(), i.traffic())));
     }
 
     /**
      * One sample.
      *
-     * @param running the hollow instances that run
+     * @param running the simulated instances that run
      * @param names of all instances that run, real ones too
      * @param at since the measurement began, in milliseconds
      * @param span since the sample before, in milliseconds
      */
     void take(List<SimulatedInstance> running, Set<String> names, double at, double span) {
-        double shares = 0, bytes = 0;
+        double shares = 0;
+        double bytes = 0;
         for (SimulatedInstance instance : running) {
             long[] held = {0};
             instance.eachPart((name, age) -> {
-                if (names.contains(name) && age < scenario.fades()) {
+                if (names.contains(name) && age < scenario.timeToLive()) {
                     held[0]++;
                     ages.recordValue(Math.round(age));
                 }
@@ -69,16 +73,16 @@
 
     private double traffic(SimulatedInstance instance, double span) {
         TrafficCount now = instance.traffic();
-        Seen before = seen.put(instance.index(), new Seen(instance.epoch(), now));
+        Baseline before = baselines.put(instance.index(), new Baseline(instance.epoch(), now));
         if (before == null || before.epoch != instance.epoch()) {
-            return 0;                      // a life that began meanwhile is counted from its first whole span on
+            return 0;                      // an incarnation that began meanwhile is counted from its first complete span on
         }
-        TrafficCount news = now.since(before.traffic);
-        total.add(news);
+        TrafficCount added = now.since(before.traffic);
+        total.add(added);
         instanceSeconds += span / 1_000;
-        double rate = news.wireOut() / span * 1_000;
+        double rate = added.wireOut() / span * 1_000;
         bytesOut.recordValue(Math.round(rate));
-        bytesIn.recordValue(Math.round(news.wireIn() / span * 1_000));
+        bytesIn.recordValue(Math.round(added.wireIn() / span * 1_000));
         return rate;
     }
 
@@ -120,7 +124,7 @@
         return kinds;
     }
 
-    /** All that hollow instances sent and received while they were measured. */
+    /** All that simulated instances sent and received while they were measured. */
     TrafficCount total() {
         return total;
     }
--- a/src/main/java/kelphollow/scale/ScaleReport.java
+++ b/src/main/java/kelphollow/scale/ScaleReport.java
@@ -7,13 +7,14 @@
 import java.util.Map;
 
 /**
- * The figures of one run. Shares of a core and memory are the process's by hollow instance, so the tool's own part is in
- * them; bytes are with headers. A run on a host that could not keep up says so and is no result.
+ * The figures of one run. Shares of a core and memory are the process's per simulated instance, so the tool's own share is
+ * in them; bytes include headers. A run on a host that could not keep up says so and is no result. Confined to one thread.
  */
 final class ScaleReport {
-    /** Loops that were late by more than this at the 99th percentile make a run void, in milliseconds. */
-    static final double LATEST = 20;
+    /** A run whose event loops were later than this at the 99th percentile is void; in milliseconds. */
+    static final double MAX_LATENESS = 20;
     private static final double MEGABYTE = 1 << 20;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
     private final Map<String, Object> figures = new LinkedHashMap<>();
     private final List<String> failures;
@@ -24,30 +25,54 @@
     ScaleReport(ScaleScenario scenario, ScaleRun run, Map<String, Object> real, double lateness, boolean simulated,
         long seed) {
         this.failures = run.failures();
-        this.isVoid = lateness > LATEST;
-        double seconds = run.measuredSpan() / 1_000;
+        this.isVoid = lateness > MAX_LATENESS;
+        addScenario(scenario, run, simulated, seed);
+        addSpread(run);
+        addCosts(scenario, run);
+        addDeaths(run);
+        figures.put("late_p99_ms", Percentiles.rounded(lateness));
+        figures.put("load", Percentiles.rounded(Processor.load()));
+        if (!real.isEmpty()) {
+            figures.put("real_instances", real);
+        }
+        scenario.objectives().forEach(this::compare);
+        figures.put("failures", failures);
+        figures.put("aims_missed", missed);
+    }
+
+    private void addScenario(ScaleScenario scenario, ScaleRun run, boolean simulated, long seed) {
         figures.put("scenario", scenario.name());
         figures.put("instances", scenario.instances());
         figures.put("real", scenario.real());
-        figures.put("hollow", scenario.hollow());
+        figures.put("hollow", scenario.simulated());
         figures.put("void", isVoid);
         figures.put("simulated", simulated);
         figures.put("seed", seed);
-        figures.put("seconds", Percentiles.rounded(seconds));
+        figures.put("seconds", Percentiles.rounded(run.measuredSpan() / MILLIS_PER_SECOND));
+    }
+
+    private void addSpread(ScaleRun run) {
         figures.put("parts_fresh_share", run.samples().freshShare());
         figures.put("part_age_ms", run.samples().ages());
         figures.put("drain_ms", run.drains().figures(DrainProbes.Reach.ALL));
         figures.put("drain_region_ms", run.drains().figures(DrainProbes.Reach.REGION));
         figures.put("drain_across_ms", run.drains().figures(DrainProbes.Reach.ACROSS));
-        figures.put("drains_told", run.drains().told());
+        figures.put("drains_told", run.drains().notified());
         figures.put("drains_missed", run.drains().missed());
+    }
+
+    private void addCosts(ScaleScenario scenario, ScaleRun run) {
+        double seconds = run.measuredSpan() / MILLIS_PER_SECOND;
         figures.put("bytes_per_second", run.samples().bytesOut());
         figures.put("bytes_in_per_second", run.samples().bytesIn());
         figures.put("datagrams_per_second", Percentiles.rounded(run.samples().total().datagramsOut()
             / run.samples().instanceSeconds()));
         figures.put("by_kind", run.samples().byKind());
-        figures.put("core_share", Percentiles.rounded(run.processor().seconds() / seconds / scenario.hollow()));
-        figures.put("memory_mb", Percentiles.rounded(run.processor().liveBytes() / MEGABYTE / scenario.hollow()));
+        figures.put("core_share", Percentiles.rounded(run.processor().seconds() / seconds / scenario.simulated()));
+        figures.put("memory_mb", Percentiles.rounded(run.processor().liveBytes() / MEGABYTE / scenario.simulated()));
+    }
+
+    private void addDeaths(ScaleRun run) {
         figures.put("joined_ms", Double.isNaN(run.joinedAfter()) ? null : run.joinedAfter());
         figures.put("detection_ms", run.deaths().detection());
         figures.put("undetected", run.deaths().undetected());
@@ -55,28 +80,20 @@
         figures.put("false_suspicions", run.deaths().falseSuspicions());
         figures.put("joining_false_failures", run.deaths().falseFailuresJoining());
         figures.put("joining_false_suspicions", run.deaths().falseSuspicionsJoining());
-        figures.put("exchanges_turned_away", run.crowded());
-        figures.put("late_p99_ms", Percentiles.rounded(lateness));
-        figures.put("load", Percentiles.rounded(Processor.load()));
-        if (!real.isEmpty()) {
-            figures.put("real_instances", real);
-        }
-        scenario.aims().forEach(this::compare);
-        figures.put("failures", failures);
-        figures.put("aims_missed", missed);
+        figures.put("exchanges_turned_away", run.rejectedExchanges());
     }
 
-    private void compare(String aim, double bound) {
-        double measured = switch (aim) {
+    private void compare(String objective, double bound) {
+        double measured = switch (objective) {
             case "parts_fresh_share" -> figure("parts_fresh_share", "mean");
             case "drain_p99_ms" -> figure("drain_ms", "p99");
             case "bytes_per_second" -> figure("bytes_per_second", "mean");
-            default -> ((Number) figures.get(aim)).doubleValue();
+            default -> ((Number) figures.get(objective)).doubleValue();
         };
-        boolean share = aim.equals("parts_fresh_share");
-        if (share ? measured < bound : measured > bound) {
-            missed.add(String.format(Locale.ROOT, "%s: %.4g, aim %s %.4g", aim, measured,
-                share ? "at least" : "at most", bound));
+        boolean isLowerBound = objective.equals("parts_fresh_share");
+        if (isLowerBound ? measured < bound : measured > bound) {
+            missed.add(String.format(Locale.ROOT, "%s: %.4g, aim %s %.4g", objective, measured,
+                isLowerBound ? "at least" : "at most", bound));
         }
     }
 
@@ -97,7 +114,7 @@
         return isVoid;
     }
 
-    boolean isGood() {
+    boolean hasPassed() {
         return !isVoid && failures.isEmpty() && missed.isEmpty();
     }
 
@@ -109,12 +126,12 @@
         return missed;
     }
 
-    /** Names the columns of {@link #line}. */
+    /** The names of the columns of {@link #line}. */
     static final String HEADER = String.format("%9s %4s %5s %9s %9s %9s %9s %8s %9s %9s %9s %8s %8s %8s %7s %6s",
         "instances", "real", "", "fresh", "fresh min", "drain p50", "drain p99", "missed", "B/s out", "p99", "B/s in",
         "dgram/s", "core %", "MB", "late", "false");
 
-    /** A line for the eye. */
+    /** The run as one row of a table. */
     String line() {
         return String.format(Locale.ROOT,
             "%9.0f %4.0f %5s %9.4f %9.4f %9.0f %9.0f %8.0f %9.0f %9.0f %9.0f %8.1f %8.2f %8.2f %7.1f %6.0f",
--- a/src/main/java/kelphollow/scale/ScaleRun.java
+++ b/src/main/java/kelphollow/scale/ScaleRun.java
@@ -10,18 +10,20 @@
 
 /**
  * Plays one scenario: starts all instances, waits until they see each other, then measures for the scenario's time while it
- * injects faults and tells drains. All decisions are the instances' own. For the thread of the run.
+ * injects faults and drains. All decisions are the instances' own. Confined to the thread of the run.
  */
 final class ScaleRun implements SimulatedInstance.Observer {
-    /** How long instances may take to see each other beyond the warm-up, in milliseconds. */
-    static final double JOIN_PATIENCE = 60_000;
-    private static final double SAMPLE_EVERY = 1_000;
-    private static final double JOIN_LOOK = 500;
-
-    /** The rest of a fleet: instances that are processes. */
-    interface Others {
+    /** How long instances may take to see each other beyond the warm-up; all times in milliseconds. */
+    static final double JOIN_TIMEOUT = 60_000;
+    private static final double SAMPLE_INTERVAL = 1_000;
+    private static final double JOIN_POLL_INTERVAL = 500;
+    /** A prime, so that all instances are notified of drains in turn, those of one zone not one after the other. */
+    private static final long NOTIFIER_STRIDE = 7_919;
+
+    /** The instances of a fleet that are processes. */
+    interface ExternalInstances {
         /** No processes. */
-        Others NONE = new Others() {
+        ExternalInstances NONE = new ExternalInstances() {
             @Override public Set<String> names() {
                 return Set.of();
             }
@@ -44,25 +46,26 @@
     private final ScaleScenario scenario;
     private final FleetHost host;
     private final NetworkModel network;
-    private final Others others;
+    private final ExternalInstances external;
     private final List<SimulatedInstance> instances = new ArrayList<>();
     private final DrainProbes drains;
     private final DeathProbes deaths;
     private final Samples samples;
     private final List<String> failures = new ArrayList<>();
     private final Processor processor = new Processor();
-    private double joinedAfter = Double.NaN, measuredSpan;
+    private double joinedAfter = Double.NaN;
+    private double measuredSpan;
     private int drainNumber;
 
-    ScaleRun(ScaleScenario scenario, FleetHost host, NetworkModel network, Others others, long seed) {
+    ScaleRun(ScaleScenario scenario, FleetHost host, NetworkModel network, ExternalInstances external, long seed) {
         this.scenario = scenario;
         this.host = host;
         this.network = network;
-        this.others = others;
+        this.external = external;
         this.drains = new DrainProbes(scenario);
         this.deaths = new DeathProbes(scenario, network);
         this.samples = new Samples(scenario);
-        for (int i = 0; i < scenario.hollow(); i++) {
+        for (int i = 0; i < scenario.simulated(); i++) {
             instances.add(new SimulatedInstance(scenario, i, host, network, this, seed));
         }
     }
@@ -75,7 +78,7 @@
         }
         if (!join()) {
             failures.add("agree: the instances did not all see each other within "
-                + Math.round((scenario.warmup() + JOIN_PATIENCE) / 1_000) + " s");
+                + Math.round((scenario.warmup() + JOIN_TIMEOUT) / 1_000) + " s");
         }
         measure();
         verify();
@@ -87,9 +90,10 @@
     }
 
     private boolean join() throws InterruptedException {
-        double from = host.now(), until = from + scenario.warmup();
-        while (host.now() < until + JOIN_PATIENCE && (host.now() < until || Double.isNaN(joinedAfter))) {
-            host.advance(JOIN_LOOK);
+        double from = host.now();
+        double until = from + scenario.warmup();
+        while (host.now() < until + JOIN_TIMEOUT && (host.now() < until || Double.isNaN(joinedAfter))) {
+            host.advance(JOIN_POLL_INTERVAL);
             if (Double.isNaN(joinedAfter) && disagreeing() == 0) {
                 joinedAfter = host.now() - from;
             }
@@ -102,7 +106,7 @@
     }
 
     private Set<String> names() {
-        Set<String> names = new HashSet<>(others.names());
+        Set<String> names = new HashSet<>(external.names());
         running().forEach(i -> names.add(ScaleScenario.nameOf(i.index())));
         return names;
     }
@@ -112,9 +116,9 @@
         Set<String> names = names();
         int count = 0;
         for (SimulatedInstance instance : running()) {
-            Set<String> seen = new HashSet<>(instance.present());
-            seen.add(ScaleScenario.nameOf(instance.index()));
-            count += seen.equals(names) ? 0 : 1;
+            Set<String> present = new HashSet<>(instance.present());
+            present.add(ScaleScenario.nameOf(instance.index()));
+            count += present.equals(names) ? 0 : 1;
         }
         return count;
     }
@@ -122,63 +126,68 @@
     // ---------------------------------------------------------------- measuring
 
     private void measure() throws IOException, InterruptedException {
-        double from = host.now(), span = scenario.seconds() * 1_000;
-        double sampleAt = SAMPLE_EVERY, drainAt = scenario.drainEvery() / 2, sampled = 0;
+        double from = host.now();
+        double span = scenario.seconds() * 1_000;
+        double sampleAt = SAMPLE_INTERVAL;
+        double drainAt = scenario.drainInterval() / 2;
+        double sampledAt = 0;
         int step = 0;
         host.lateness();
         samples.begin(running());
         deaths.begin();
-        others.begin();
+        external.begin();
         processor.begin();
         for (double at = 0; at < span; at = host.now() - from) {
             double next = Math.min(span, sampleAt);
-            next = scenario.drainEvery() > 0 ? Math.min(next, drainAt) : next;
+            next = scenario.drainInterval() > 0 ? Math.min(next, drainAt) : next;
             next = step < scenario.steps().size() ? Math.min(next, scenario.steps().get(step).at()) : next;
             host.advance(Math.max(0, next - at));
             at = host.now() - from;
-            if (scenario.drainEvery() > 0 && at >= drainAt) {
+            if (scenario.drainInterval() > 0 && at >= drainAt) {
                 drain();
-                drainAt += scenario.drainEvery();
+                drainAt += scenario.drainInterval();
             }
             for (; step < scenario.steps().size() && at >= scenario.steps().get(step).at(); step++) {
                 act(scenario.steps().get(step));
             }
             if (at >= sampleAt || at >= span) {
-                samples.take(running(), names(), at, at - sampled);
-                sampled = at;
-                sampleAt += SAMPLE_EVERY;
+                samples.take(running(), names(), at, at - sampledAt);
+                sampledAt = at;
+                sampleAt += SAMPLE_INTERVAL;
             }
         }
         measuredSpan = host.now() - from;
         processor.end();
-        others.end(names());
-        takeBack(true);
+        external.end(names());
+        revokeDrains(true);
         deaths.end(host.now());
     }
 
-    /** Tells one running instance alone that a node drains, another one and another node each time. */
+    /** Notifies one running instance alone that a node drains, another one and another node each time. */
     private void drain() {
-        takeBack(false);
+        revokeDrains(false);
         List<SimulatedInstance> running = running();
-        ScaleScenario.PartSize part = scenario.part();
-        int first = part.drains() + part.silent(), free = scenario.nodes() - first - part.rejected();
-        if (running.size() < 2 || free < 1 || network.hasCuts()) {
+        ScaleScenario.StateSize state = scenario.state();
+        int first = state.drains() + state.unresponsive();
+        int free = scenario.nodes() - first - state.rejected();
+        if (running.size() < 2 || free < 1 || network.hasPartitions()) {
             return;
         }
-        SimulatedInstance teller = running.get((int) (drainNumber * 7919L % running.size()));
-        int node = first + drainNumber++ % free;
+        SimulatedInstance notifier = running.get((int) (drainNumber * NOTIFIER_STRIDE % running.size()));
+        int node = first + drainNumber % free;
+        drainNumber++;
         BitSet waiting = new BitSet();
         running.forEach(i -> waiting.set(i.index()));
-        waiting.clear(teller.index());
-        drains.told(node, teller.index(), host.now(), waiting);
-        teller.drain(node, true);
+        waiting.clear(notifier.index());
+        drains.notified(node, notifier.index(), host.now(), waiting);
+        notifier.drain(node, true);
     }
 
-    private void takeBack(boolean last) {
+    private void revokeDrains(boolean last) {
         for (DrainProbes.Ended ended : drains.end(host.now(), last)) {
-            SimulatedInstance teller = instances.get(ended.teller());
-            if (teller.isRunning()) {
-                teller.drain(ended.node(), false);
+            SimulatedInstance notifier = instances.get(ended.notifier());
+            if (notifier.isRunning()) {
+                notifier.drain(ended.node(), false);
             }
         }
     }
@@ -195,13 +204,13 @@
 
     private void act(ScaleScenario.Step step) throws IOException {
         switch (step.fault()) {
-            case KILL -> some(step).forEach(this::kill);
-            case STOP -> some(step).forEach(this::stop);
-            case WAKE -> some(step).forEach(this::wake);
-            case RESTART -> restart(some(step));
-            case KILL_ZONE -> zone(step).forEach(this::kill);
-            case RESTART_ZONE -> restart(zone(step));
-            case CUT -> network.cut(step.from(), step.to(), step.oneWay());
+            case KILL -> instancesOf(step).forEach(this::kill);
+            case SUSPEND -> instancesOf(step).forEach(this::suspend);
+            case RESUME -> instancesOf(step).forEach(this::resume);
+            case RESTART -> restart(instancesOf(step));
+            case KILL_ZONE -> instancesOfZone(step).forEach(this::kill);
+            case RESTART_ZONE -> restart(instancesOfZone(step));
+            case PARTITION -> network.partition(step.from(), step.to(), step.oneWay());
             case HEAL -> {
                 network.heal();
                 deaths.healed(host.now());
@@ -210,11 +219,11 @@
         }
     }
 
-    private List<SimulatedInstance> some(ScaleScenario.Step step) {
+    private List<SimulatedInstance> instancesOf(ScaleScenario.Step step) {
         return instances.subList(step.first(), Math.min(instances.size(), step.first() + step.count()));
     }
 
-    private List<SimulatedInstance> zone(ScaleScenario.Step step) {
+    private List<SimulatedInstance> instancesOfZone(ScaleScenario.Step step) {
         return instances.stream().filter(i -> scenario.zoneOf(i.index()) == step.zone()).toList();
     }
 
@@ -225,9 +234,9 @@
         }
     }
 
-    private void stop(SimulatedInstance instance) {
+    private void suspend(SimulatedInstance instance) {
         if (instance.isRunning()) {
-            instance.stop();
+            instance.suspend();
             down(instance);
         }
     }
@@ -239,10 +248,10 @@
         deaths.died(instance.index(), host.now(), waiting);
     }
 
-    private void wake(SimulatedInstance instance) {
+    private void resume(SimulatedInstance instance) {
         if (instance.isAlive() && !instance.isRunning()) {
-            deaths.woken(instance.index(), host.now());
-            instance.wake();
+            deaths.resumed(instance.index(), host.now());
+            instance.resume();
         }
     }
 
@@ -255,15 +264,15 @@
 
     // ---------------------------------------------------------------- verdict
 
-    /** Counts and invariants only: how fast things are is a matter of the aims. */
+    /** Counts and invariants only: speed is a matter of the objectives. */
     private void verify() {
-        int disagreeing = network.hasCuts() ? 0 : disagreeing();
+        int disagreeing = network.hasPartitions() ? 0 : disagreeing();
         if (disagreeing > 0) {
             failures.add("agree: " + disagreeing + " instances see others than just the running ones at the end");
         }
         if (deaths.falseFailures() > 0) {
             failures.add("false-failure: " + deaths.falseFailures() + " findings that a running instance is dead, at first "
-                + deaths.firstFalse());
+                + deaths.firstFalseFailure());
         }
         if (deaths.undetected() > 0) {
             failures.add("detection: " + deaths.undetected() + " times an instance did not find a death within "
@@ -271,8 +280,8 @@
         }
         if (drains.missed() > 0) {
             failures.add("drain: " + drains.missed() + " times an instance did not keep a drain another one was told,"
-                + " within " + Math.round(DrainProbes.STANDS / 2_000) + " to "
-                + Math.round(DrainProbes.STANDS / 1_000) + " s");
+                + " within " + Math.round(DrainProbes.DRAIN_DURATION / 2_000) + " to "
+                + Math.round(DrainProbes.DRAIN_DURATION / 1_000) + " s");
         }
     }
 
@@ -280,8 +289,8 @@
         return failures;
     }
 
-    /** Callers that were turned away by an instance that already had as many as it takes. */
-    long crowded() {
+    /** Exchanges that were rejected by an instance that already had as many as it accepts. */
+    long rejectedExchanges() {
         return running().stream().mapToLong(i -> i.dropped(PeerLine.Drop.CROWDED)).sum();
     }
 
@@ -311,7 +320,7 @@
         return processor;
     }
 
-    /** Ends all hollow instances. */
+    /** Ends all simulated instances. */
     void end() {
         instances.stream().filter(SimulatedInstance::isAlive).forEach(SimulatedInstance::kill);
     }
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -18,37 +18,38 @@
 import kelphollow.routing.Ticker;
 
 /**
- * Instances on one simulated clock without sockets. Packets are encoded, sealed and counted as on the line, and handed over
- * as objects, which are immutable: what is not simulated is decoding and the check of the seal.
+ * Runs instances on one simulated clock without sockets. Packets are encoded, sealed and counted as on the peer line, and
+ * delivered as objects, which are immutable: decoding and the check of the seal are left out. Confined to the run's thread.
  */
 final class SimulatedHost implements FleetHost {
     private static final byte[] CHALLENGE = new byte[16];
-    // Segments of a connection from its first to when the called side has the caller's word: SYN, SYN and ACK, ACK with the
-    // challenge back, and the word itself.
-    private static final int SEGMENTS_TO_ASK = 5;
-    // So many full exchanges the called side has at a time, as the line.
-    private static final int MOST_CALLERS = 32;
+    /** One-way trips until the called side has the caller's message: SYN, SYN and ACK, ACK, challenge, and the message. */
+    private static final int TRIPS_TO_MESSAGE = 5;
+    /** Full exchanges that the called side accepts at a time, as the peer line does. */
+    private static final int MAX_CALLERS = 32;
 
+    /** A task due at a time; {@code order} is that of scheduling among tasks of the same time. */
     private record Due(double at, long order, Runnable task) {}
 
     private final NetworkModel network;
-    private final PriorityQueue<Due> dues = new PriorityQueue<>(
+    private final PriorityQueue<Due> schedule = new PriorityQueue<>(
         Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
     private final Map<Integer, Line> lines = new HashMap<>();
     private double now;
     private long order;
 
-    /** {@code start}: what the clock shows at first, in milliseconds. */
+    /** Starts the clock at {@code start}, in milliseconds. */
     SimulatedHost(NetworkModel network, double start) {
         this.network = network;
         this.now = start;
     }
 
-    private void at(double time, Runnable task) {
-        dues.add(new Due(time, order++, task));
+    private void schedule(double time, Runnable task) {
+        schedule.add(new Due(time, order, task));
+        order++;
     }
 
-    @Override public Ticker ticker(int instance, Gate gate) {
+    @Override public Ticker ticker(int instance, SuspendableExecutor process) {
         return new Ticker() {
             @Override public double now() {
                 return now;
@@ -56,7 +57,7 @@
 
             @Override public Timeout after(double millis, Runnable task) {
                 boolean[] cancelled = {false};
-                at(now + Math.max(0, millis), () -> gate.run(() -> {
+                schedule(now + Math.max(0, millis), () -> process.execute(() -> {
                     if (!cancelled[0]) {
                         task.run();
                     }
@@ -66,8 +67,8 @@
         };
     }
 
-    @Override public Fleet.Transports transports(int instance, Gate gate, byte[] key, int mostMembers) {
-        return (name, epoch, peers) -> new Line(instance, gate, new PacketSealer(name, epoch, key), name, peers);
+    @Override public Fleet.Transports transports(int instance, SuspendableExecutor process, byte[] key, int mostMembers) {
+        return (name, epoch, peers) -> new Line(instance, process, new PacketSealer(name, epoch, key), name, peers);
     }
 
     @Override public void open(int instance, Fleet fleet) throws IOException {
@@ -88,8 +89,8 @@
 
     @Override public void advance(double millis) {
         double until = now + millis;
-        while (!dues.isEmpty() && dues.peek().at <= until) {
-            Due due = dues.poll();
+        while (!schedule.isEmpty() && schedule.peek().at <= until) {
+            Due due = schedule.poll();
             now = Math.max(now, due.at);
             due.task.run();
         }
@@ -101,14 +102,14 @@
     }
 
     @Override public void close() {
-        dues.clear();
+        schedule.clear();
         lines.clear();
     }
 
-    /** One instance's packets. */
+    /** The packets of one instance. */
     private final class Line implements PeerTransport {
         private final int self;
-        private final Gate gate;
+        private final SuspendableExecutor process;
         private final PacketSealer sealer;
         private final String name;
         private final PeerLine.Peers peers;
@@ -116,9 +117,9 @@
         private final Map<PeerLine.Drop, Long> drops = new EnumMap<>(PeerLine.Drop.class);
         private int callers;
 
-        Line(int self, Gate gate, PacketSealer sealer, String name, PeerLine.Peers peers) {
+        Line(int self, SuspendableExecutor process, PacketSealer sealer, String name, PeerLine.Peers peers) {
             this.self = self;
-            this.gate = gate;
+            this.process = process;
             this.sealer = sealer;
             this.name = name;
             this.peers = peers;
@@ -138,10 +139,10 @@
             }
             traffic.sent(Traffic.kind(packet), bytes);
             int target = network.instanceAt(to);
-            double takes = target < 0 ? NetworkModel.LOST : network.datagram(self, target);
+            double delay = target < 0 ? NetworkModel.LOST : network.datagram(self, target);
             Packet arrives = packet instanceof Packet.Small small
                 ? new Packet.Small(small.message(), small.parts().subList(0, datagram.parts())) : packet;
-            deliver(target, takes, line -> {
+            deliver(target, delay, line -> {
                 line.traffic.received(Traffic.kind(arrives), bytes);
                 if (arrives instanceof Packet.Small small) {
                     line.peers.small(name, small);
@@ -152,44 +153,44 @@
             return bytes + PeerLine.HEADERS;
         }
 
-        private void deliver(int target, double takes, Consumer<Line> arrive) {
-            if (Double.isNaN(takes)) {
+        private void deliver(int target, double delay, Consumer<Line> arrive) {
+            if (Double.isNaN(delay)) {
                 return;
             }
-            at(now + takes, () -> {
+            schedule(now + delay, () -> {
                 Line line = lines.get(target);
                 if (line != null) {
-                    line.gate.run(() -> arrive.accept(line));
+                    line.process.execute(() -> arrive.accept(line));
                 }
             });
         }
 
         @Override public void exchange(String with, InetSocketAddress at, Packet.Full ours) {
             int target = network.instanceAt(at);
-            double takes = target < 0 ? NetworkModel.LOST : network.reliable(self, target) + network.reliable(target, self);
-            if (Double.isNaN(takes)) {
+            double delay = target < 0 ? NetworkModel.LOST : network.reliable(self, target) + network.reliable(target, self);
+            if (Double.isNaN(delay)) {
                 return;
             }
             int bytes = sealer.sealed(ours, CHALLENGE).length;
-            deliver(target, takes / 2 * SEGMENTS_TO_ASK, line -> line.asked(this, bytes, ours, takes / 2));
+            deliver(target, delay / 2 * TRIPS_TO_MESSAGE, line -> line.answer(this, bytes, ours, delay / 2));
             traffic.sent(Traffic.Kind.EXCHANGE, bytes);
         }
 
-        private void asked(Line caller, int bytes, Packet.Full theirs, double back) {
-            if (callers >= MOST_CALLERS) {
+        private void answer(Line caller, int bytes, Packet.Full theirs, double delayBack) {
+            if (callers >= MAX_CALLERS) {
                 drops.merge(PeerLine.Drop.CROWDED, 1L, Long::sum);
                 return;
             }
             callers++;
             traffic.received(Traffic.Kind.EXCHANGE, bytes);
             Packet.Full ours = peers.asked(caller.name, theirs);
-            int answer = sealer.sealed(ours, CHALLENGE).length;
-            traffic.sent(Traffic.Kind.EXCHANGE, answer);
-            SimulatedHost.this.at(now + back, () -> {
+            int answerBytes = sealer.sealed(ours, CHALLENGE).length;
+            traffic.sent(Traffic.Kind.EXCHANGE, answerBytes);
+            schedule(now + delayBack, () -> {
                 callers--;
                 if (lines.get(caller.self) == caller) {
-                    caller.gate.run(() -> {
-                        caller.traffic.received(Traffic.Kind.EXCHANGE, answer);
+                    caller.process.execute(() -> {
+                        caller.traffic.received(Traffic.Kind.EXCHANGE, answerBytes);
                         caller.peers.answered(name, ours);
                     });
                 }
--- a/src/main/java/kelphollow/scale/SimulatedInstance.java
+++ b/src/main/java/kelphollow/scale/SimulatedInstance.java
@@ -24,21 +24,21 @@
 import kelphollow.routing.Ticker;
 
 /**
- * One instance of the control side without clients and data path: the production fleet over {@link SimulatedNodes}. A kill
- * ends a life without a word; the next life has a higher epoch at the same address. Called by the thread of the run alone.
+ * One instance of the control plane without clients and data path: the production fleet over {@link SimulatedNodes}. A kill
+ * ends an incarnation without notice; the next one has a higher epoch at the same address. Confined to the run's thread.
  */
 final class SimulatedInstance {
     /** The fleet's key in a run. */
     static final byte[] KEY = "the key of one scale run".getBytes(StandardCharsets.US_ASCII);
-    // The share of repeats as an operator's file has it by default.
-    private static final double REPEATS = 0.1;
+    /** The share of retries that an operator's file has by default. */
+    private static final double RETRY_SHARE = 0.1;
 
-    /** Hears what instances find; calls come on their loops. */
+    /** Receives what instances find; called on their loops. */
     interface Observer {
-        /** {@code instance} leaves these nodes alone from now on. */
+        /** {@code instance} ejects these nodes from now on. */
         void ejected(int instance, double now, Set<String> nodes);
 
-        /** {@code instance} tells an event of a life of the instance {@code of}, in the words of the fleet's log. */
+        /** {@code instance} logs an event of an incarnation of the instance {@code of}, in the words of the fleet's log. */
         void event(int instance, double now, String kind, String of, long epoch);
     }
 
@@ -49,7 +49,7 @@
     private final Observer observer;
     private final Random random;
     private long epoch;
-    private Gate gate;
+    private SuspendableExecutor process;
     private SimulatedNodes nodes;
     private Fleet fleet;
 
@@ -60,37 +60,38 @@
         this.host = host;
         this.network = network;
         this.observer = observer;
-        this.random = new Random(seed * ScaleScenario.MOST_INSTANCES + index);
+        this.random = new Random(seed * ScaleScenario.MAX_INSTANCES + index);
     }
 
     int index() {
         return index;
     }
 
-    /** The number of this life. */
+    /** The number of this incarnation. */
     long epoch() {
         return epoch;
     }
 
     boolean isRunning() {
-        return gate != null && gate.isOpen();
+        return process != null && process.isRunning();
     }
 
     boolean isAlive() {
-        return gate != null && !gate.isKilled();
+        return process != null && !process.isKilled();
     }
 
-    /** Begins a life; not on a loop. */
+    /** Begins an incarnation; not on a loop. */
     void start() throws IOException {
         epoch++;
-        Gate life = new Gate();
-        gate = life;
+        SuspendableExecutor newProcess = new SuspendableExecutor();
+        process = newProcess;
         Random drawn = new Random(random.nextLong());
         host.call(index, () -> {
-            Ticker ticker = host.ticker(index, life);
+            Ticker ticker = host.ticker(index, newProcess);
             nodes = new SimulatedNodes(scenario, index, ticker, ejected -> observer.ejected(index, ticker.now(), ejected));
-            fleet = new Fleet(options(), settings(), epoch, host.transports(index, life, KEY, Settings.USUAL.mostMembers()),
-                ticker, nodes, drawn, new Events(new Tap(ticker)), raised -> epoch = raised);
+            Fleet.Transports transports = host.transports(index, newProcess, KEY, Settings.USUAL.mostMembers());
+            fleet = new Fleet(options(), settings(), epoch, transports,
+                ticker, nodes, drawn, new Events(new EventReader(ticker)), raised -> epoch = raised);
             return null;
         });
         host.open(index, fleet);
@@ -107,13 +108,13 @@
             seeds.put(ScaleScenario.nameOf(seed), network.addressOf(seed));
         }
         return new Fleet.Options(ScaleScenario.nameOf(index), network.addressOf(index), seeds, KEY,
-            Settings.USUAL.withPeriod(scenario.period()), scenario.fades(), true, true, REPEATS,
+            Settings.USUAL.withPeriod(scenario.period()), scenario.timeToLive(), true, true, RETRY_SHARE,
             Dissemination.Settings.USUAL);
     }
 
-    /** The first instance of each zone: what others are told to look for at their start. */
+    /** The first instance of each zone: what others contact at their start. */
     static List<Integer> seeds(ScaleScenario scenario) {
-        return IntStream.range(0, scenario.hollow())
+        return IntStream.range(0, scenario.simulated())
             .filter(i -> i == 0 || scenario.zoneOf(i) != scenario.zoneOf(i - 1)).boxed().toList();
     }
 
@@ -126,25 +127,27 @@
             new ControlSettings.Rules(250, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0));
     }
 
-    /** SIGKILL: no word to the others. */
+    /** SIGKILL: the others are not notified. */
     void kill() {
         host.call(index, () -> {
-            gate.kill();
+            process.kill();
             fleet.line().close();
             return null;
         });
     }
 
-    void stop() {
+    /** SIGSTOP. */
+    void suspend() {
         host.call(index, () -> {
-            gate.stop();
+            process.suspend();
             return null;
         });
     }
 
-    void wake() {
+    /** SIGCONT. */
+    void resume() {
         host.call(index, () -> {
-            gate.wake();
+            process.resume();
             return null;
         });
     }
@@ -167,7 +170,7 @@
         });
     }
 
-    /** What this life sent and received so far, by kind: packets out, bytes out, packets in, bytes in. */
+    /** What this incarnation sent and received so far, by kind: packets out, bytes out, packets in, bytes in. */
     TrafficCount traffic() {
         return host.call(index, () -> {
             Traffic traffic = fleet.line().traffic();
@@ -184,11 +187,11 @@
         return host.call(index, () -> fleet.line().drops().getOrDefault(why, 0L));
     }
 
-    /** Takes the fleet's events out of its log. */
-    private final class Tap extends Handler {
+    /** Reads the fleet's events from its log. */
+    private final class EventReader extends Handler {
         private final Ticker ticker;
 
-        Tap(Ticker ticker) {
+        EventReader(Ticker ticker) {
             this.ticker = ticker;
             setLevel(Level.INFO);
         }
--- a/src/main/java/kelphollow/scale/SocketHost.java
+++ b/src/main/java/kelphollow/scale/SocketHost.java
@@ -1,22 +1,11 @@
 package kelphollow.scale;
 
-import io.netty.channel.ChannelDuplexHandler;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelOption;
-import io.netty.channel.ChannelPipeline;
-import io.netty.channel.ChannelPromise;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import io.netty.channel.socket.ChannelInputShutdownEvent;
-import io.netty.channel.socket.DatagramPacket;
-import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.io.IOException;
-import java.net.ConnectException;
 import java.net.InetSocketAddress;
-import java.net.SocketAddress;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -31,23 +20,26 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Instances on a few event loops with sockets of their own at loopback addresses. Delay, loss and cuts are stages of each
- * line's channels: on what hollow instances send, and on what comes to them from processes, whose lines are as in service.
+ * Runs instances on a few event loops with sockets of their own at loopback addresses. Delay, loss and partitions are stages
+ * of each line's channels ({@link NetworkDelays}): on what simulated instances send, and on what they receive from
+ * processes, whose lines are as in service. Confined to the run's thread.
  */
 final class SocketHost implements FleetHost {
-    // The wheel's tick, as a scheduler of the lab has it.
-    private static final long TICK = 2;
-    private static final long BEAT = 10;
+    /** The wheel's tick in milliseconds, as a scheduler of the lab has it. */
+    private static final long TICK_MILLIS = 2;
+    /** Interval of the heartbeats that measure how late loops are. */
+    private static final long HEARTBEAT_MILLIS = 10;
     private static final int DIGITS = 3;
-    private static final int BIND_TRIES = 40;
-    private static final long BIND_PAUSE = 50;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final int BIND_ATTEMPTS = 40;
+    private static final long BIND_PAUSE_MILLIS = 50;
 
     private final NetworkModel network;
     private final IntPredicate isProcess;
     private final MultiThreadIoEventLoopGroup group;
     private final List<EventLoop> loops = new ArrayList<>();
     private final List<WheelTicker> tickers = new ArrayList<>();
-    private final List<ScheduledFuture<?>> beats = new ArrayList<>();
+    private final List<ScheduledFuture<?>> heartbeats = new ArrayList<>();
     private final Histogram late = new Histogram(DIGITS);
 
     /** @param isProcess which instances are processes of their own */
@@ -59,28 +51,29 @@
         for (int i = 0; i < loopCount; i++) {
             EventLoop loop = group.next();
             loops.add(loop);
-            tickers.add(new WheelTicker(loop, TICK));
-            beats.add(beat(loop));
+            tickers.add(new WheelTicker(loop, TICK_MILLIS));
+            heartbeats.add(heartbeat(loop));
         }
     }
 
-    private ScheduledFuture<?> beat(EventLoop loop) {
+    private ScheduledFuture<?> heartbeat(EventLoop loop) {
         long from = System.nanoTime();
         long[] count = {0};
         return loop.scheduleAtFixedRate(() -> {
-            long due = from + TimeUnit.MILLISECONDS.toNanos(BEAT * ++count[0]);
+            count[0]++;
+            long due = from + TimeUnit.MILLISECONDS.toNanos(HEARTBEAT_MILLIS * count[0]);
             long millis = Math.max(0, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - due));
             synchronized (late) {
                 late.recordValue(millis);
             }
-        }, BEAT, BEAT, TimeUnit.MILLISECONDS);
+        }, HEARTBEAT_MILLIS, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private EventLoop loop(int instance) {
         return loops.get(instance % loops.size());
     }
 
-    @Override public Ticker ticker(int instance, Gate gate) {
+    @Override public Ticker ticker(int instance, SuspendableExecutor process) {
         WheelTicker wheel = tickers.get(instance % tickers.size());
         return new Ticker() {
             @Override public double now() {
@@ -88,27 +81,27 @@
             }
 
             @Override public Timeout after(double millis, Runnable task) {
-                return wheel.after(millis, () -> gate.run(task));
+                return wheel.after(millis, () -> process.execute(task));
             }
         };
     }
 
-    @Override public Fleet.Transports transports(int instance, Gate gate, byte[] key, int mostMembers) {
+    @Override public Fleet.Transports transports(int instance, SuspendableExecutor process, byte[] key, int mostMembers) {
         return (name, epoch, peers) -> new PeerLine(loop(instance), name, epoch, key, mostMembers,
-            new GatedPeers(instance, gate, peers), new Delays(instance));
+            new SuspendablePeers(instance, process, peers), new NetworkDelays(network, instance, isProcess));
     }
 
     @Override public void open(int instance, Fleet fleet) throws IOException {
         InetSocketAddress at = network.addressOf(instance);
-        for (int tries = 1;; tries++) {
+        for (int attempt = 1;; attempt++) {
             try {
                 fleet.line().listen(at);
                 return;
             } catch (IOException e) {
-                if (tries == BIND_TRIES) {   // the life before has the port until its channels are closed
+                if (attempt == BIND_ATTEMPTS) {   // the last incarnation has the port until its channels are closed
                     throw e;
                 }
-                sleep(BIND_PAUSE);
+                sleep(BIND_PAUSE_MILLIS);
             }
         }
     }
@@ -131,7 +124,7 @@
     }
 
     @Override public void advance(double millis) throws InterruptedException {
-        TimeUnit.NANOSECONDS.sleep((long) (millis * 1e6));
+        TimeUnit.NANOSECONDS.sleep((long) (millis * NANOS_PER_MILLI));
     }
 
     @Override public double lateness() {
@@ -143,166 +136,40 @@
     }
 
     @Override public void close() {
-        beats.forEach(b -> b.cancel(false));
+        heartbeats.forEach(heartbeat -> heartbeat.cancel(false));
         tickers.forEach(WheelTicker::close);
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** A stopped instance hears nothing until it wakes, and answers no exchange. */
-    private final class GatedPeers implements PeerLine.Peers {
+    /** A suspended instance receives nothing until it is resumed, and answers no exchange. */
+    private final class SuspendablePeers implements PeerLine.Peers {
         private final int self;
-        private final Gate gate;
+        private final SuspendableExecutor process;
         private final PeerLine.Peers peers;
 
-        GatedPeers(int self, Gate gate, PeerLine.Peers peers) {
+        SuspendablePeers(int self, SuspendableExecutor process, PeerLine.Peers peers) {
             this.self = self;
-            this.gate = gate;
+            this.process = process;
             this.peers = peers;
         }
 
         @Override public void small(String from, Packet.Small packet) {
-            gate.run(() -> peers.small(from, packet));
+            process.execute(() -> peers.small(from, packet));
         }
 
         @Override public void compared(String from, Packet.Compare packet) {
-            gate.run(() -> peers.compared(from, packet));
+            process.execute(() -> peers.compared(from, packet));
         }
 
         @Override public Packet.Full asked(String from, Packet.Full theirs) {
-            if (!gate.isOpen() || network.isCut(ScaleScenario.indexOf(from), self)) {
+            if (!process.isRunning() || network.isPartitioned(ScaleScenario.indexOf(from), self)) {
                 throw new IllegalStateException("stopped or cut off");   // the line ends the connection
             }
             return peers.asked(from, theirs);
         }
 
         @Override public void answered(String from, Packet.Full theirs) {
-            gate.run(() -> peers.answered(from, theirs));
-        }
-    }
-
-    /** Stages of one instance's line. */
-    private final class Delays implements PeerLine.Stages {
-        private final int self;
-
-        Delays(int self) {
-            this.self = self;
-        }
-
-        @Override public void datagrams(ChannelPipeline pipeline) {
-            pipeline.addLast(new DatagramDelay(self));
-        }
-
-        @Override public void exchange(ChannelPipeline pipeline) {
-            pipeline.addLast(new ExchangeDelay(self));
-        }
-    }
-
-    /** Holds a datagram back for as long as the network takes, or drops it. */
-    private final class DatagramDelay extends ChannelDuplexHandler {
-        private final int self;
-
-        DatagramDelay(int self) {
-            this.self = self;
-        }
-
-        @Override public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-            DatagramPacket packet = (DatagramPacket) message;
-            int to = network.instanceAt(packet.recipient());
-            double takes = to < 0 ? NetworkModel.LOST : network.datagram(self, to);
-            pass(takes, ctx, packet, () -> ctx.writeAndFlush(packet, promise));
-        }
-
-        @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
-            DatagramPacket packet = (DatagramPacket) message;
-            int from = network.instanceAt(packet.sender());
-            if (from >= 0 && isProcess.test(from)) {
-                pass(network.datagram(from, self), ctx, packet, () -> ctx.fireChannelRead(packet));
-            } else {
-                ctx.fireChannelRead(packet);
-            }
-        }
-
-        private void pass(double takes, ChannelHandlerContext ctx, DatagramPacket packet, Runnable on) {
-            if (Double.isNaN(takes)) {
-                packet.release();
-            } else {
-                ctx.channel().eventLoop().schedule(() -> {
-                    if (ctx.channel().isActive()) {
-                        on.run();
-                    } else {
-                        packet.release();
-                    }
-                }, (long) (takes * 1e3), TimeUnit.MICROSECONDS);
-            }
-        }
-    }
-
-    /** Refuses a connection over a cut path, and holds its opening and each word back for as long as the network takes. */
-    private final class ExchangeDelay extends ChannelDuplexHandler {
-        private final int self;
-        private int to = -1;
-        private final InOrder writes = new InOrder(), reads = new InOrder();
-
-        ExchangeDelay(int self) {
-            this.self = self;
-        }
-
-        @Override public void connect(ChannelHandlerContext ctx, SocketAddress remote, SocketAddress local,
-            ChannelPromise promise) {
-            to = network.instanceAt((InetSocketAddress) remote);
-            double there = to < 0 ? NetworkModel.LOST : network.reliable(self, to);
-            double back = to < 0 ? NetworkModel.LOST : network.reliable(to, self);
-            if (Double.isNaN(there + back)) {
-                promise.tryFailure(new ConnectException("cut off"));
-                ctx.close();
-                return;
-            }
-            writes.after(ctx, there + back, () -> ctx.connect(remote, local, promise));
-        }
-
-        @Override public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-            double takes = network.reliable(self, to);
-            if (Double.isNaN(takes)) {
-                ReferenceCountUtil.release(message);
-                return;
-            }
-            writes.after(ctx, takes, () -> ctx.writeAndFlush(message, promise));
-        }
-
-        @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
-            double takes = network.reliable(to, self);
-            if (Double.isNaN(takes)) {
-                ReferenceCountUtil.release(message);
-                return;
-            }
-            reads.after(ctx, takes, () -> ctx.fireChannelRead(message));
-        }
-
-        /** The other side's end must not overtake what it said before. */
-        @Override public void handlerAdded(ChannelHandlerContext ctx) {
-            ctx.channel().config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
-        }
-
-        @Override public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            if (event instanceof ChannelInputShutdownEvent) {
-                reads.after(ctx, 0, ctx::close);
-            } else {
-                ctx.fireUserEventTriggered(event);
-            }
-        }
-    }
-
-    /** What goes one way over a connection: late, but never out of order. For one loop. */
-    private static final class InOrder {
-        private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
-        private long lastAt = System.nanoTime();
-
-        void after(ChannelHandlerContext ctx, double millis, Runnable task) {
-            long now = System.nanoTime();
-            lastAt = Math.max(lastAt, now + (long) (millis * 1e6));
-            waiting.add(task);
-            // Whichever timer comes first runs what was first.
-            ctx.channel().eventLoop().schedule(() -> waiting.poll().run(), lastAt - now, TimeUnit.NANOSECONDS);
+            process.execute(() -> peers.answered(from, theirs));
         }
     }
 }
--- a/src/main/java/kelphollow/scale/TrafficCount.java
+++ b/src/main/java/kelphollow/scale/TrafficCount.java
@@ -2,15 +2,19 @@
 
 import kelphollow.protocol.peer.Traffic;
 
-/** Packets and bytes of one instance by kind, out and in, at one moment or over a span. */
+/** Packets and bytes of one instance by kind, out and in, at one moment or over a span. Confined to one thread. */
 final class TrafficCount {
     /** Headers of IPv4 and UDP that a datagram costs on the wire. */
     static final int DATAGRAM_HEADERS = 28;
-    // A connection of one exchange: its opening, the challenge, both words, their acknowledgements and its end; with headers
-    // of IPv4 and TCP of 40 bytes each, half of them from either side.
+    /** Segments of each side of an exchange's connection: opening, challenge, both messages, acknowledgements, and end. */
     private static final int EXCHANGE_SEGMENTS = 5;
+    /** Headers of IPv4 and TCP. */
     private static final int SEGMENT_HEADERS = 40;
     private static final int SEGMENT_BYTES = 1_448;
+    private static final int PACKETS_OUT = 0;
+    private static final int BYTES_OUT = 1;
+    private static final int PACKETS_IN = 2;
+    private static final int BYTES_IN = 3;
     private static final int FIGURES = 4;
 
     private final long[][] figures = new long[Traffic.Kind.values().length][FIGURES];
@@ -19,7 +23,7 @@
         figures[kind.ordinal()] = packetsOutBytesOutPacketsInBytesIn;
     }
 
-    /** What came on top since an earlier count of the same life. */
+    /** What was added since an earlier count of the same incarnation. */
     TrafficCount since(TrafficCount earlier) {
         TrafficCount difference = new TrafficCount();
         for (int k = 0; k < figures.length; k++) {
@@ -39,21 +43,21 @@
     }
 
     long packetsOut(Traffic.Kind kind) {
-        return figures[kind.ordinal()][0];
+        return figures[kind.ordinal()][PACKETS_OUT];
     }
 
     long packetsIn(Traffic.Kind kind) {
-        return figures[kind.ordinal()][2];
+        return figures[kind.ordinal()][PACKETS_IN];
     }
 
     /** Bytes sent, with headers. */
     long wireOut(Traffic.Kind kind) {
-        return wire(kind, figures[kind.ordinal()][0], figures[kind.ordinal()][1]);
+        return wire(kind, figures[kind.ordinal()][PACKETS_OUT], figures[kind.ordinal()][BYTES_OUT]);
     }
 
     /** Bytes received, with headers. */
     long wireIn(Traffic.Kind kind) {
-        return wire(kind, figures[kind.ordinal()][2], figures[kind.ordinal()][3]);
+        return wire(kind, figures[kind.ordinal()][PACKETS_IN], figures[kind.ordinal()][BYTES_IN]);
     }
 
     private static long wire(Traffic.Kind kind, long packets, long bytes) {
@@ -68,7 +72,7 @@
     }
 
     /** Mean bytes of this side of an exchange, with headers; 0 without any. */
-    double bytesAnExchange() {
+    double bytesPerExchange() {
         return wireOut(Traffic.Kind.EXCHANGE) / (double) Math.max(1, exchangesOut());
     }
 
--- a/src/test/java/kelphollow/scale/ScaleScenarioTest.java
+++ b/src/test/java/kelphollow/scale/ScaleScenarioTest.java
@@ -10,13 +10,14 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.IntStream;
 import kelphollow.protocol.json.Json;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What cannot be played, or would pass the bounds of the machine, is refused by its key before anything starts. */
+/** Scenarios that cannot be played, or exceed the machine, are rejected with the key before anything starts. */
 class ScaleScenarioTest {
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
@@ -32,36 +33,37 @@
         "{'name':'t','instances':9,'aims':{'speed':2}}|aims.speed",
         "{'name':'t','instances':9,'steps':[{'at_ms':1,'do':'melt'}]}|steps[0].do",
         "{'name':'t','instances':9,'steps':[{'at_ms':5,'do':'heal'},{'at_ms':1,'do':'heal'}]}|steps[1].at_ms",
-        "{'name':'t','instances':9,'real':2,'steps':[{'at_ms':5,'do':'kill','first':7}]}|steps[0].first"}) void aFaultyScenarioIsRefusedByItsKey(
-            String json, String key) throws Exception {
+        "{'name':'t','instances':9,'real':2,'steps':[{'at_ms':5,'do':'kill','first':7}]}|steps[0].first"
+    }) void anInvalidScenarioIsRejected(
+        String json, String key) throws Exception {
         Map<?, ?> parsed = (Map<?, ?>) Json.parse(json.replace('\'', '"'));
-        String message = assertThrows(ScaleScenario.Refused.class, () -> ScaleScenario.read(parsed)).getMessage();
+        String message = assertThrows(ScaleScenario.InvalidScenario.class, () -> ScaleScenario.read(parsed)).getMessage();
         assertTrue(message.startsWith(key), message);
     }
 
-    @Test void moreThanHalfOfTheMachinesMemoryIsRefused() throws Exception {
-        ScaleScenario hollow = ScaleScenario.read(Map.of("name", "t", "instances", 900.0));
-        assertTrue(assertThrows(ScaleScenario.Refused.class, () -> Scale.bound(hollow, 1L << 30)).getMessage()
+    @Test void aScenarioThatNeedsMoreThanHalfOfTheMachinesMemoryIsRejected() throws Exception {
+        ScaleScenario simulated = ScaleScenario.read(Map.of("name", "t", "instances", 900.0));
+        assertTrue(assertThrows(ScaleScenario.InvalidScenario.class, () -> Scale.bound(simulated, 1L << 30)).getMessage()
             .startsWith("instances"));
         ScaleScenario real = ScaleScenario.read(Map.of("name", "t", "instances", 200.0, "real", 100.0));
-        assertTrue(assertThrows(ScaleScenario.Refused.class, () -> Scale.bound(real, 8L << 30)).getMessage()
+        assertTrue(assertThrows(ScaleScenario.InvalidScenario.class, () -> Scale.bound(real, 8L << 30)).getMessage()
             .startsWith("real"));
     }
 
-    @Test void theCommandEndsWithTwoAndNamesFileAndKey(@TempDir Path folder) throws Exception {
+    @Test void theCommandFailsWithTheNamesOfFileAndKey(@TempDir Path folder) throws Exception {
         Path file = Files.writeString(folder.resolve("s.json"), "{\"name\":\"t\",\"instances\":20}");
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        Scale.Order order = new Scale.Order(file, List.of(5_000), Double.NaN, 1, null, null, true);
-        assertEquals(Scale.REFUSED, Scale.run(order, System.out, new PrintStream(err)));
+        Scale.Options options = new Scale.Options(file, List.of(5_000), Double.NaN, 1, null, null, true);
+        assertEquals(Scale.INVALID, Scale.run(options, System.out, new PrintStream(err)));
         assertTrue(err.toString().contains("s.json: instances"), err.toString());
     }
 
-    @Test void zonesAreEvenBlocks() throws Exception {
-        ScaleScenario s = ScaleScenario.read(Map.of("name", "t", "instances", 510.0, "regions", 3.0, "zones", 6.0));
+    @Test void zonesAreBlocksOfEqualSize() throws Exception {
+        ScaleScenario scenario = ScaleScenario.read(Map.of("name", "t", "instances", 510.0, "regions", 3.0, "zones", 6.0));
         for (int zone = 0; zone < 6; zone++) {
-            int z = zone;
-            assertEquals(85, java.util.stream.IntStream.range(0, 510).filter(i -> s.zoneOf(i) == z).count());
+            int current = zone;
+            assertEquals(85, IntStream.range(0, 510).filter(i -> scenario.zoneOf(i) == current).count());
         }
-        assertEquals(2, s.regionOf(509));
+        assertEquals(2, scenario.regionOf(509));
     }
 }
--- a/src/test/java/kelphollow/scale/ScaleSimulationTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSimulationTest.java
@@ -3,7 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
@@ -19,89 +21,95 @@
 import kelphollow.routing.Ticker;
 import org.junit.jupiter.api.Test;
 
-/** The fleet on one clock, by seed: what must hold at size and under faults, and planted faults that the checks find. */
+/** The fleet on one clock, by seed: what must hold at size and under faults, and injected faults that the checks detect. */
 class ScaleSimulationTest {
     private static final long SEED = 7;
-    // Rounds of a tenth of a second, so that the longest suspicion ends within the run.
+    /** Protocol periods of a tenth of a second, so that the longest suspicion ends within the run. */
     private static final String SMALL = "'name':'t','instances':24,'nodes':100,'regions':3,'zones':6,'period_ms':100,"
         + "'part':{'drains':2,'silent':1,'refused':1},'warmup_ms':4000,";
 
-    // The drains go round: the second one is told to the last instance.
-    private static final int TOLD_SECOND = 23;
+    /** Drains go around the instances: the last one is notified of the second drain. */
+    private static final int NOTIFIED_SECOND = 23;
 
     private static ScaleScenario scenario(String json) throws Exception {
         return ScaleScenario.read((Map<?, ?>) Json.parse("{" + json.replace('\'', '"') + "}"));
     }
 
-    private static ScaleRun play(ScaleScenario scenario, long seed, UnaryOperator<FleetHost> planted) throws Exception {
+    private static ScaleRun play(ScaleScenario scenario, long seed, UnaryOperator<FleetHost> faultInjection)
+        throws Exception {
         NetworkModel network = new NetworkModel(scenario, seed, 7_946);
-        try (FleetHost host = planted.apply(new SimulatedHost(network, 1e12))) {
-            ScaleRun run = new ScaleRun(scenario, host, network, ScaleRun.Others.NONE, seed);
+        try (FleetHost host = faultInjection.apply(new SimulatedHost(network, 1e12))) {
+            ScaleRun run = new ScaleRun(scenario, host, network, ScaleRun.ExternalInstances.NONE, seed);
             run.play();
             return run;
         }
     }
 
-    private static void holds(String json) throws Exception {
-        ScaleRun run = play(scenario(json), SEED, h -> h);
+    private static boolean hasFailure(ScaleRun run, String kind) {
+        return run.failures().stream().anyMatch(failure -> failure.startsWith(kind));
+    }
+
+    private static void assertHolds(String json) throws Exception {
+        ScaleRun run = play(scenario(json), SEED, host -> host);
         assertEquals(List.of(), run.failures(), "seed " + SEED);
-        assertTrue(run.drains().told() > 0, "drains were told");
+        assertTrue(run.drains().notified() > 0, "drains were told");
     }
 
-    /** Datagrams that were sent came in, but for those on their way at both ends of the span. */
-    @Test void at120AllSeeEachOtherAndNothingIsLost() throws Exception {
-        ScaleScenario s = scenario("'name':'t','instances':120,'nodes':1000,'regions':3,'zones':6,'warmup_ms':2000,"
+    /** All datagrams that were sent are received, but for those in flight at both ends of the span. */
+    @Test void aFleetOf120ConvergesAndLosesNothing() throws Exception {
+        ScaleScenario scenario = scenario("'name':'t','instances':120,'nodes':1000,'regions':3,'zones':6,'warmup_ms':2000,"
             + "'seconds':6,'part':{'drains':2,'silent':2,'refused':1}");
-        ScaleRun run = play(s, SEED, h -> h);
+        ScaleRun run = play(scenario, SEED, host -> host);
         assertEquals(List.of(), run.failures(), "seed " + SEED);
-        assertEquals(6, run.drains().told());
+        assertEquals(6, run.drains().notified());
         TrafficCount total = run.samples().total();
         for (Traffic.Kind kind : Traffic.Kind.values()) {
-            long out = total.packetsOut(kind), in = total.packetsIn(kind);
+            long out = total.packetsOut(kind);
+            long in = total.packetsIn(kind);
             assertTrue(Math.abs(out - in) <= 20 + out / 50, kind + ": " + out + " out, " + in + " in, seed " + SEED);
         }
         assertTrue(total.packetsOut(Traffic.Kind.GOSSIP) > 0);
     }
 
     @Test void theSameSeedGivesTheSameRun() throws Exception {
-        ScaleScenario s = scenario(SMALL + "'seconds':3");
-        Map<String, Object> first = play(s, SEED, h -> h).samples().byKind();
-        assertEquals(first, play(s, SEED, h -> h).samples().byKind());
+        ScaleScenario scenario = scenario(SMALL + "'seconds':3");
+        Map<String, Object> first = play(scenario, SEED, host -> host).samples().byKind();
+        assertEquals(first, play(scenario, SEED, host -> host).samples().byKind());
     }
 
-    @Test void deathsAreFoundAndTheDeadComeBack() throws Exception {
-        holds(SMALL + "'seconds':18,'steps':[{'at_ms':500,'do':'kill','first':5,'count':3},"
+    @Test void deathsAreDetectedAndRestartedInstancesRejoin() throws Exception {
+        assertHolds(SMALL + "'seconds':18,'steps':[{'at_ms':500,'do':'kill','first':5,'count':3},"
             + "{'at_ms':12000,'do':'restart','first':5,'count':3},{'at_ms':12500,'do':'restart','first':12,'count':2}]");
     }
 
-    @Test void aZoneIsLostAndComesBack() throws Exception {
-        holds(SMALL + "'seconds':18,'steps':[{'at_ms':500,'do':'kill-zone','zone':2},"
+    @Test void aLostZoneIsDetectedAndRejoins() throws Exception {
+        assertHolds(SMALL + "'seconds':18,'steps':[{'at_ms':500,'do':'kill-zone','zone':2},"
             + "{'at_ms':12000,'do':'restart-zone','zone':2}]");
     }
 
-    @Test void regionsLoseEachOtherAndHeal() throws Exception {
-        holds(SMALL + "'seconds':22,'steps':[{'at_ms':1000,'do':'cut','from':2},{'at_ms':10000,'do':'heal'}]");
+    @Test void aPartitionOfRegionsHeals() throws Exception {
+        assertHolds(SMALL + "'seconds':22,'steps':[{'at_ms':1000,'do':'cut','from':2},{'at_ms':10000,'do':'heal'}]");
     }
 
-    @Test void aCutOneWayHeals() throws Exception {
-        holds(SMALL + "'seconds':22,'steps':[{'at_ms':1000,'do':'cut','from':0,'to':1,'one_way':true},"
+    @Test void aOneWayPartitionHeals() throws Exception {
+        assertHolds(SMALL + "'seconds':22,'steps':[{'at_ms':1000,'do':'cut','from':0,'to':1,'one_way':true},"
             + "{'at_ms':8000,'do':'heal'}]");
     }
 
-    @Test void theStoppedWake() throws Exception {
-        holds(SMALL + "'seconds':20,'steps':[{'at_ms':1000,'do':'stop','first':3,'count':2},"
+    @Test void suspendedInstancesRejoinWhenTheyAreResumed() throws Exception {
+        assertHolds(SMALL + "'seconds':20,'steps':[{'at_ms':1000,'do':'stop','first':3,'count':2},"
             + "{'at_ms':10000,'do':'wake','first':3,'count':2}]");
     }
 
-    @Test void lossOfOneInTwentyAccusesNobodyForGood() throws Exception {
-        holds(SMALL + "'seconds':10,'steps':[{'at_ms':0,'do':'loss','loss':0.05}]");
+    @Test void lossOfOneInTwentyCausesNoFalseFailure() throws Exception {
+        assertHolds(SMALL + "'seconds':10,'steps':[{'at_ms':0,'do':'loss','loss':0.05}]");
     }
 
-    // ---------------------------------------------------------------- planted faults
+    // ---------------------------------------------------------------- injected faults
 
-    /** An instance whose packets carry no parts: its drains reach nobody, and the check must say so. */
-    @Test void anInstanceThatTellsNoPartsIsFound() throws Exception {
-        ScaleRun run = play(scenario(SMALL + "'seconds':9"), SEED, host -> new Planted(host, TOLD_SECOND) {
+    /** An instance whose packets carry no state: its drains reach nobody, and the check must report it. */
+    @Test void anInstanceThatSendsNoStateIsDetected() throws Exception {
+        ScaleRun run = play(scenario(SMALL + "'seconds':9"), SEED, host -> new FaultyHost(host, NOTIFIED_SECOND) {
             @Override long send(PeerTransport line, InetSocketAddress to, Packet packet) {
                 if (packet instanceof Packet.Compare compare) {
                     return compare.message() instanceof AntiEntropy.Delta ? 0 : line.send(to, packet);
@@ -113,25 +121,24 @@
                 return new Packet.Full(packet.news(), List.of());
             }
         });
-        assertTrue(run.failures().stream().anyMatch(f -> f.startsWith("drain:")), run.failures() + ", seed " + SEED);
+        assertTrue(hasFailure(run, "drain:"), run.failures() + ", seed " + SEED);
     }
 
-    /** An instance that says nothing counts as dead to the others though it runs: a false finding, by the tool's count. */
-    @Test void anAccusationOfOneThatRunsIsFound() throws Exception {
-        ScaleRun run = play(scenario(SMALL + "'seconds':12"), SEED, host -> new Planted(host, 3) {
+    /** An instance that sends nothing counts as dead to the others though it runs: a false finding. */
+    @Test void aFalseFailureIsCounted() throws Exception {
+        ScaleRun run = play(scenario(SMALL + "'seconds':12"), SEED, host -> new FaultyHost(host, 3) {
             @Override long send(PeerTransport line, InetSocketAddress to, Packet packet) {
-                return 0;                  // it neither answers nor says that it lives
+                return 0;                  // it neither answers nor refutes a suspicion
             }
         });
-        assertTrue(run.failures().stream().anyMatch(f -> f.startsWith("false-failure:") || f.startsWith("agree:")),
-            run.failures() + ", seed " + SEED);
+        assertTrue(hasFailure(run, "false-failure:") || hasFailure(run, "agree:"), run.failures() + ", seed " + SEED);
     }
 
-    /** An instance that hears nothing cannot find a death. */
-    @Test void aDeathThatIsNotFoundIsCounted() throws Exception {
+    /** An instance that receives nothing cannot detect a death. */
+    @Test void anUndetectedDeathIsCounted() throws Exception {
         ScaleRun run = play(scenario(SMALL + "'seconds':14,'steps':[{'at_ms':0,'do':'kill','first':9}]"), SEED,
-            host -> new Planted(host, 3) {
-                @Override void hear(PeerLine.Peers peers, String from, Packet.Small packet) {
+            host -> new FaultyHost(host, 3) {
+                @Override void small(PeerLine.Peers peers, String from, Packet.Small packet) {
                     if (packet.message() instanceof Message.Ack) {
                         peers.small(from, new Packet.Small(packet.message(), List.of()));
                     } else {
@@ -140,45 +147,47 @@
                 }
 
                 @Override void compared(PeerLine.Peers peers, String from, Packet.Compare packet) {
-                    // Nor by comparing views.
+                    // nor does it learn of it by comparing views
                 }
             });
         assertTrue(!run.failures().isEmpty(), "seed " + SEED);
     }
 
-    @Test void aHollowInstanceThatSaysLessThanARealOneIsFound() {
-        TrafficCount real = new TrafficCount(), hollow = new TrafficCount();
+    @Test void aSimulatedInstanceThatSendsLessThanARealOneIsDetected() {
+        TrafficCount real = new TrafficCount();
+        TrafficCount simulated = new TrafficCount();
         real.set(Traffic.Kind.GOSSIP, 100, 100_000, 0, 0);
         real.set(Traffic.Kind.EXCHANGE, 10, 100_000, 0, 0);
-        hollow.set(Traffic.Kind.GOSSIP, 100, 80_000, 0, 0);
-        hollow.set(Traffic.Kind.EXCHANGE, 9, 90_000, 0, 0);
-        List<String> failures = new java.util.ArrayList<>();
-        FidelityCheck.verify(FidelityCheck.ratios(hollow, 10, real, 10), FidelityCheck.LEAST_DATAGRAMS - 1, failures);
-        assertEquals(List.of(), failures, "too few to tell");
-        FidelityCheck.verify(FidelityCheck.ratios(hollow, 10, real, 10), FidelityCheck.LEAST_DATAGRAMS, failures);
+        simulated.set(Traffic.Kind.GOSSIP, 100, 80_000, 0, 0);
+        simulated.set(Traffic.Kind.EXCHANGE, 9, 90_000, 0, 0);
+        List<String> failures = new ArrayList<>();
+        FidelityCheck.verify(FidelityCheck.ratios(simulated, 10, real, 10), FidelityCheck.MIN_DATAGRAMS - 1, failures);
+        assertEquals(List.of(), failures, "too few to compare");
+        FidelityCheck.verify(FidelityCheck.ratios(simulated, 10, real, 10), FidelityCheck.MIN_DATAGRAMS, failures);
         assertEquals(1, failures.size());
         assertTrue(failures.get(0).startsWith("likeness: datagram_bytes_per_second"), failures.get(0));
     }
 
-    @Test void aHollowInstanceThatNeverExchangesIsFoundOnceRealOnesDoSoOften() {
-        for (long exchanges : new long[] {FidelityCheck.LEAST_EXCHANGES - 1, FidelityCheck.LEAST_EXCHANGES}) {
-            TrafficCount real = new TrafficCount(), hollow = new TrafficCount();
+    @Test void aSimulatedInstanceThatNeverExchangesIsDetectedOnceRealOnesDoSoOften() {
+        for (long exchanges : new long[] {FidelityCheck.MIN_EXCHANGES - 1, FidelityCheck.MIN_EXCHANGES}) {
+            TrafficCount real = new TrafficCount();
+            TrafficCount simulated = new TrafficCount();
             real.set(Traffic.Kind.GOSSIP, 100, 100_000, 0, 0);
             real.set(Traffic.Kind.EXCHANGE, exchanges, 100_000, 0, 0);
-            hollow.set(Traffic.Kind.GOSSIP, 100, 100_000, 0, 0);
-            List<String> failures = new java.util.ArrayList<>();
-            FidelityCheck.verify(FidelityCheck.ratios(hollow, 10, real, 10), FidelityCheck.LEAST_DATAGRAMS, failures);
-            int expected = exchanges < FidelityCheck.LEAST_EXCHANGES ? 0 : 1;
+            simulated.set(Traffic.Kind.GOSSIP, 100, 100_000, 0, 0);
+            List<String> failures = new ArrayList<>();
+            FidelityCheck.verify(FidelityCheck.ratios(simulated, 10, real, 10), FidelityCheck.MIN_DATAGRAMS, failures);
+            int expected = exchanges < FidelityCheck.MIN_EXCHANGES ? 0 : 1;
             assertEquals(expected, failures.size(), exchanges + " exchanges: " + failures);
         }
     }
 
     /** A host on which one instance's line is faulty. */
-    private abstract static class Planted implements FleetHost {
+    private abstract static class FaultyHost implements FleetHost {
         private final FleetHost host;
         private final int faulty;
 
-        Planted(FleetHost host, int faulty) {
+        FaultyHost(FleetHost host, int faulty) {
             this.host = host;
             this.faulty = faulty;
         }
@@ -191,7 +200,7 @@
             peers.compared(from, packet);
         }
 
-        void hear(PeerLine.Peers peers, String from, Packet.Small packet) {
+        void small(PeerLine.Peers peers, String from, Packet.Small packet) {
             peers.small(from, packet);
         }
 
@@ -199,18 +208,19 @@
             return packet;
         }
 
-        @Override public Fleet.Transports transports(int instance, Gate gate, byte[] key, int mostMembers) {
-            Fleet.Transports sound = host.transports(instance, gate, key, mostMembers);
-            return instance != faulty ? sound
-                : (name, epoch, peers) -> new FaultyLine(this, sound.open(name, epoch, new FaultyPeers(this, peers)));
+        @Override public Fleet.Transports transports(int instance, SuspendableExecutor process, byte[] key,
+            int mostMembers) {
+            Fleet.Transports intact = host.transports(instance, process, key, mostMembers);
+            return instance != faulty ? intact
+                : (name, epoch, peers) -> new FaultyLine(this, intact.open(name, epoch, new FaultyPeers(this, peers)));
         }
 
-        @Override public void open(int instance, Fleet fleet) throws java.io.IOException {
+        @Override public void open(int instance, Fleet fleet) throws IOException {
             host.open(instance, fleet);
         }
 
-        @Override public Ticker ticker(int instance, Gate gate) {
-            return host.ticker(instance, gate);
+        @Override public Ticker ticker(int instance, SuspendableExecutor process) {
+            return host.ticker(instance, process);
         }
 
         @Override public <T> T call(int instance, Callable<T> task) {
@@ -234,9 +244,9 @@
         }
     }
 
-    private record FaultyPeers(Planted fault, PeerLine.Peers peers) implements PeerLine.Peers {
+    private record FaultyPeers(FaultyHost fault, PeerLine.Peers peers) implements PeerLine.Peers {
         @Override public void small(String from, Packet.Small packet) {
-            fault.hear(peers, from, packet);
+            fault.small(peers, from, packet);
         }
 
         @Override public void compared(String from, Packet.Compare packet) {
@@ -252,8 +262,8 @@
         }
     }
 
-    private record FaultyLine(Planted fault, PeerTransport line) implements PeerTransport {
-        @Override public InetSocketAddress listen(InetSocketAddress at) throws java.io.IOException {
+    private record FaultyLine(FaultyHost fault, PeerTransport line) implements PeerTransport {
+        @Override public InetSocketAddress listen(InetSocketAddress at) throws IOException {
             return line.listen(at);
         }
 
