--- a/src/test/java/kelphollow/ledger/StoredRecordsTest.java
+++ b/src/test/java/kelphollow/ledger/StoredRecordsTest.java
@@ -1,140 +1,230 @@
 package kelphollow.ledger;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.recovery.RecoveredOutcomes;
 import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.store.FolderDisk;
-import kelphollow.store.Snapshot;
+import kelphollow.store.RecordedFolders;
 import kelphollow.store.Store;
 import kelphollow.store.StoreFault;
 import kelphollow.store.StoreOptions;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The bytes of records on disk, which must not change, and that they are read back. */
+/**
+ * A ledger that an earlier program wrote in three lives is read as that program read it, and the same calls give the same
+ * bytes. Guards the records' tables, keys, fields and their order against changes that writer and reader share.
+ */
 class StoredRecordsTest {
-    private static final double NOW = 1_000_000;
-    private static final String ADDRESS = "\"host\":\"10.0.0.1\",\"port\":80";
+    /** The recorded store. */
+    static final String LEDGER = "ledger";
+    /** Tables, keys and values of the store, as {@link RecordedFolders#contents}. */
+    static final String CONTENTS = "contents.txt";
+    /** What the ledger reads in them, a record a line. */
+    static final String RECORDS = "records.txt";
+
+    /** The clock of the whole test, in Unix milliseconds. */
+    private static final long NOW = 1_700_000_000_000L;
+    /** Small segments, so that the records fill several; no threads, so that the bytes depend on the calls alone. */
+    private static final StoreOptions OPTIONS = StoreOptions.DEFAULTS.withSegmentBytes(1_024).withInline(true);
+    private static final double OUTCOME_WINDOW = 3_600_000;
+    private static final double SETTLE = 60_000;
+    private static final Consumer<StoreFault> NOT_AWAITED = fault -> assertEquals(null, fault);
+
     @TempDir
     Path folder;
-    private Store store;
-    private Ledger ledger;
 
-    @BeforeEach void open() throws IOException, StoreFault {
-        store = Store.open(new FolderDisk(folder.resolve("a")), new FolderDisk(folder.resolve("b")),
-            StoreOptions.DEFAULTS.withInline(true), () -> (long) NOW);
-        ledger = Ledger.open(store, Runnable::run);
-    }
+    @Test void readsTheRecordsAsTheyWereRead() throws Exception {
+        RecordedFolders.copy(LEDGER, folder);
 
-    @AfterEach void close() {
-        ledger.close();
-    }
+        List<String> found = records(folder);
 
-    /** All records of a table, as text. */
-    private Map<String, String> table(String name) throws IOException, StoreFault {
-        Map<String, String> records = new TreeMap<>();
-        try (Snapshot snapshot = store.snapshot()) {
-            snapshot.scan(name, new byte[0], (key, value) -> {
-                records.put(text(key), text(value));
-                return true;
-            });
-        }
-        return records;
+        assertEquals(RecordedFolders.text(LEDGER, RECORDS), found);
     }
 
-    private static String text(byte[] bytes) {
-        return new String(bytes, StandardCharsets.UTF_8);
-    }
+    @Test void readsTheBytesAsTheyWereRead() throws Exception {
+        RecordedFolders.copy(LEDGER, folder);
 
-    @Test void anIncarnationIsStoredAsItsEpoch() throws Exception {
-        assertEquals(Map.of("epoch", "{\"n\":1}"), table("life"));
-    }
+        List<String> found = contents(folder);
 
-    @Test void aLossIsStoredWithItsTimeAndTheEpochsThatItMayConcern() throws Exception {
-        Ledger.noteLoss(store, 5);
-
-        assertEquals(Map.of("epoch", "{\"n\":1000001}", "lost", "{\"at\":5,\"epoch\":1000001}"), table("life"));
-        Ledger next = Ledger.open(store, Runnable::run);
-        assertEquals(1_000_001, next.lostUpTo());
-        assertEquals(1_000_002, next.epoch());
+        assertEquals(RecordedFolders.text(LEDGER, CONTENTS), found);
     }
 
-    @Test void anUploadAndItsPartsAreStoredWithTheirEpoch() throws Exception {
-        ledger.parts().begun("u1", NOW);
-        ledger.parts().intent("u1", 1, NOW, fault -> assertNull(fault));
-        ledger.parts().stored("u1", 2, 12_345_678_901L, "md5", "\"etag\"", NOW);
+    /** The store's identity is that of the recorded one, so that no byte need be left out. */
+    @Test void theSameCallsGiveTheSameFiles() throws Exception {
+        RecordedFolders.copy(RecordedFolders.NEW, folder);
+
+        write(folder);
 
-        assertEquals(Map.of("u1", "{\"epoch\":1}"), table("uploads"));
-        assertEquals(Map.of("u1#1", "{\"epoch\":1}",
-            "u1#2", "{\"epoch\":1,\"size\":12345678901,\"md5\":\"md5\",\"etag\":\"\\\"etag\\\"\"}"), table("parts"));
+        RecordedFolders.assertSameFiles(RecordedFolders.of(LEDGER), folder);
     }
 
-    @Test void aCompletionIsStoredWithItsResponse() throws Exception {
-        ledger.completions().intent("u1", NOW, fault -> assertNull(fault));
-        ledger.completions().ran("u2", new CompletionRecords.Answer("print", 200, "application/xml", "<a/>"), NOW);
-        ledger.completions().ran("u3", new CompletionRecords.Answer("print", 200, null, "<a/>"), NOW);
+    private static Store open(Path store) throws IOException, StoreFault {
+        return Store.open(new FolderDisk(store.resolve("a")), new FolderDisk(store.resolve("b")), OPTIONS, () -> NOW);
+    }
 
-        assertEquals(Map.of("u1", "{\"epoch\":1}",
-            "u2", "{\"epoch\":1,\"print\":\"print\",\"status\":200,\"type\":\"application/xml\",\"body\":\"<a/>\"}",
-            "u3", "{\"epoch\":1,\"print\":\"print\",\"status\":200,\"body\":\"<a/>\"}"), table("completions"));
+    static List<String> contents(Path store) throws IOException, StoreFault {
+        try (Store open = open(store)) {
+            return RecordedFolders.contents(open);
+        }
     }
 
-    @Test void limitsAreStoredWithTheEpochAtWhoseEndTheyHeld() throws Exception {
-        ledger.limits().end(Map.of("v1", 12.5), NOW);
+    // ---------------------------------------------------------------- writing
 
-        assertEquals(Map.of("v1", "{\"endOf\":1,\"level\":12.5,\"at\":1000000.0}"), table("limits"));
+    /** Three lives of a gateway, in a folder that holds a copy of {@link RecordedFolders#NEW}. */
+    static void write(Path store) throws IOException, StoreFault {
+        try (Ledger first = Ledger.open(open(store), Runnable::run)) {
+            writeParts(first.parts());
+            writeCompletions(first.completions());
+            writeOutcomes(first.outcomes());
+            writeNodes(first.endpoints());
+            first.limits().end(new TreeMap<>(Map.of("volume-1", 12.5, "volume-2", -3.0, "volume-3", 0.0)), NOW);
+        }
+        try (Ledger second = Ledger.open(open(store), Runnable::run)) {
+            second.limits().take();
+            second.parts().begun("upload-of-life-2", NOW);
+            second.parts().intent("upload-of-life-2", 1, NOW, NOT_AWAITED);
+            second.keepAbove(41);
+        }
+        try (Store withLoss = open(store)) {
+            Ledger.noteLoss(withLoss, NOW);
+        }
+        try (Ledger third = Ledger.open(open(store), Runnable::run)) {
+            third.completions().intent("upload-of-life-3", NOW, NOT_AWAITED);
+            third.outcomes().intent("request-of-life-3", NOW, OUTCOME_WINDOW, NOT_AWAITED);
+            third.limits().end(new TreeMap<>(Map.of("volume-1", 7.25, "volume-4", 1.0e6)), NOW + 0.5);
+        }
     }
 
-    @Test void anUnsafeRequestIsStoredWithItsOutcome() throws Exception {
-        ledger.outcomes().intent("a/1/1", NOW, 1_000, fault -> assertNull(fault));
-        ledger.outcomes().ran("a/1/2", "stored", NOW, 1_000, fault -> assertNull(fault));
+    private static void writeParts(PartRecords parts) {
+        parts.begun("upload-a", NOW);
+        parts.intent("upload-a", 1, NOW, NOT_AWAITED);
+        parts.stored("upload-a", 1, 5_242_880, "0cc175b9c0f1b6a831c399e269772661", "\"tag-1\"", NOW);
+        parts.intent("upload-a", 10_000, NOW, NOT_AWAITED);
+        parts.intent("upload-a", 3, NOW, NOT_AWAITED);
+        parts.neverRan("upload-a", 3);
+        parts.begun("upload-b", NOW);
+        parts.stored("upload-b", 1, 1, "92eb5ffee6ae2fec3ad71c777531578f", "\"tag-2\"", NOW);
+        parts.over("upload-b", List.of(1));
+        parts.begun("upload-c", NOW);
+        parts.intent("upload-c", 1, NOW, NOT_AWAITED);
+        parts.aborting("upload-c", List.of(1), NOT_AWAITED);
+        parts.begun("upload-d", NOW);
+        parts.stored("upload-d", 7, 9_007_199_254_740_991L, null, "\"größe\"", NOW);
+        parts.incomplete("upload-d");
+        parts.begun("upload#e", NOW);
+        parts.intent("upload#e", 2, NOW, NOT_AWAITED);
+    }
 
-        assertEquals(Map.of("a/1/1", "{\"epoch\":1}", "a/1/2", "{\"epoch\":1,\"outcome\":\"stored\"}"),
-            table("ingests"));
+    private static void writeCompletions(CompletionRecords completions) {
+        completions.intent("upload-f", NOW, NOT_AWAITED);
+        completions.ran("upload-f", new CompletionRecords.Answer("digest-of-parts", 200, "application/xml",
+            "<Result>\n  <ETag>&quot;größe&quot;</ETag>\n</Result>"), NOW);
+        completions.ran("upload-g", new CompletionRecords.Answer("digest-of-parts", 409, null, ""), NOW);
+        completions.intent("upload-h", NOW, NOT_AWAITED);
+        completions.intent("upload-i", NOW, NOT_AWAITED);
+        completions.neverRan("upload-i");
     }
 
-    @Test void theEndpointListIsStoredWithItsOlderWordsAndReadBack() throws Exception {
-        List<ResolvedEndpoint> endpoints = List.of(endpoint("n1", "z1", EndpointState.HEALTHY, 7.5),
-            endpoint("n2", null, EndpointState.DRAINING, 0), endpoint("n3", "z2", EndpointState.REMOVED, 0));
+    private static void writeOutcomes(OutcomeRecords outcomes) {
+        outcomes.intent("request-1", NOW, OUTCOME_WINDOW, NOT_AWAITED);
+        outcomes.intent("request-2", NOW, OUTCOME_WINDOW, NOT_AWAITED);
+        outcomes.ran("request-2", "201 \"tag-3\"", NOW + 0.75, OUTCOME_WINDOW, NOT_AWAITED);
+        outcomes.intent("request-3", NOW, OUTCOME_WINDOW, NOT_AWAITED);
+        outcomes.neverRan("request-3");
+    }
 
-        ledger.endpoints().received(endpoints, NOW);
+    private static void writeNodes(EndpointRecords nodes) {
+        ResolvedEndpoint healthy = new ResolvedEndpoint(new Endpoint("node-1", "zone-a", 0, EndpointState.HEALTHY, 0),
+            new InetSocketAddress("127.0.0.1", 9_000));
+        ResolvedEndpoint draining = new ResolvedEndpoint(new Endpoint("node-2", "zone-b", 1, EndpointState.DRAINING, NOW
+            - 1_000),
+            new InetSocketAddress("192.0.2.7", 65_535));
+        ResolvedEndpoint gone = new ResolvedEndpoint(new Endpoint("node-3", "zone-b", 255, EndpointState.REMOVED, NOW - 0.5),
+            new InetSocketAddress("192.0.2.8", 1));
+        nodes.received(List.of(healthy), NOW);
+        nodes.received(List.of(healthy), NOW + 1);
+        nodes.received(List.of(healthy, draining, gone), NOW + 2.5);
+    }
 
-        assertEquals(Map.of("list", "{\"at\":1000000.0,\"members\":["
-            + "{\"node\":\"n1\",\"zone\":\"z1\",\"cell\":3,\"phase\":\"HEALTHY\",\"born\":7.5," + ADDRESS + "},"
-            + "{\"node\":\"n2\",\"zone\":null,\"cell\":3,\"phase\":\"DRAINING\",\"born\":0.0," + ADDRESS + "},"
-            + "{\"node\":\"n3\",\"zone\":\"z2\",\"cell\":3,\"phase\":\"GONE\",\"born\":0.0," + ADDRESS + "}"
-            + "]}"), table("nodes"));
-        EndpointRecords.Saved saved = ledger.endpoints().read();
-        assertEquals(NOW, saved.at());
-        assertEquals(endpoints, saved.members());
+    // ---------------------------------------------------------------- reading
+
+    /** What the ledger tells the life after, a record a line. */
+    static List<String> records(Path store) throws IOException, StoreFault {
+        List<String> lines = new ArrayList<>();
+        try (Ledger ledger = Ledger.open(open(store), Runnable::run)) {
+            lines.add("life epoch=" + ledger.epoch() + " lost_up_to=" + ledger.lostUpTo());
+            readParts(ledger.parts(), lines);
+            ledger.completions().read((upload, found, epoch, answer) -> lines.add("completion " + upload + " "
+                + word(found) + " epoch=" + epoch + (answer == null ? "" : " print=" + answer.print() + " status="
+                    + answer.status() + " type=" + answer.type() + " body=" + answer.body().replace("\n", "\\n"))));
+            readOutcomes(ledger, lines);
+            readNodes(ledger.endpoints(), lines);
+            new TreeMap<>(ledger.limits().take()).forEach((volume, saved) -> lines.add("limit " + volume + " level="
+                + saved.level() + " at=" + saved.at() + " clean=" + saved.clean()));
+        }
+        return lines;
     }
 
-    private static ResolvedEndpoint endpoint(String node, String zone, EndpointState state, double startedAt) {
-        return new ResolvedEndpoint(new Endpoint(node, zone, 3, state, startedAt), new InetSocketAddress("10.0.0.1", 80));
+    private static void readParts(PartRecords parts, List<String> lines) throws IOException, StoreFault {
+        parts.read(new PartRecords.Reader() {
+            @Override public void upload(String upload, long sinceEpoch) {
+                lines.add("upload " + upload + " epoch=" + sinceEpoch);
+            }
+
+            @Override public void part(String upload, int number, RecoveredOutcomes.Found found, long epoch, long size,
+                String md5, String etag) {
+                lines.add("part " + upload + " " + number + " " + word(found) + " epoch=" + epoch + " size=" + size
+                    + " md5=" + md5 + " etag=" + etag);
+            }
+        });
     }
 
-    @Test void anUnchangedListIsWrittenAgainOnlyAfterTheRefreshInterval() throws Exception {
-        EndpointRecords records = ledger.endpoints();
-        List<ResolvedEndpoint> endpoints = new ArrayList<>(List.of(endpoint("n1", "z1", EndpointState.HEALTHY, 0)));
-        records.received(endpoints, NOW);
+    private static void readOutcomes(Ledger ledger, List<String> lines) throws IOException, StoreFault {
+        RecoveredOutcomes recovered = new RecoveredOutcomes(ledger.epoch(), NOW, SETTLE, ledger.lostUpTo());
+        for (String identity : List.of("request-1", "request-2", "request-3", "request-of-life-3")) {
+            OutcomeRecords.Known known = ledger.outcomes().find(identity, recovered, true);
+            String word = switch (known.recovered().kind()) {
+                case RAN -> "ran";
+                case NEVER_RAN -> "never ran";
+                case UNKNOWN -> "unknown";
+                case RUNNING -> "running";
+            };
+            lines.add("outcome " + identity + " " + word + " " + known.outcome());
+        }
+    }
 
-        records.received(endpoints, NOW + 4_999);
-        assertEquals(NOW, records.read().at());
+    private static void readNodes(EndpointRecords nodes, List<String> lines) throws IOException, StoreFault {
+        EndpointRecords.Saved saved = nodes.read();
+        lines.add("nodes at=" + saved.at());
+        for (ResolvedEndpoint member : saved.members()) {
+            Endpoint entry = member.endpoint();
+            String phase = switch (entry.state()) {
+                case HEALTHY -> "healthy";
+                case DRAINING -> "draining";
+                case REMOVED -> "gone";
+            };
+            lines.add("node " + entry.node() + " zone=" + entry.zone() + " cell=" + entry.cell() + " " + phase + " born="
+                + entry.startedAt() + " at " + member.address().getHostString() + ":" + member.address().getPort());
+        }
+    }
 
-        records.received(endpoints, NOW + 5_000);
-        assertEquals(NOW + 5_000, records.read().at());
+    private static String word(RecoveredOutcomes.Found found) {
+        return switch (found) {
+            case NOTHING -> "nothing";
+            case INTENT -> "intent";
+            case OUTCOME -> "outcome";
+        };
     }
 }
--- a/src/test/java/kelphollow/scale/ScaleSocketTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSocketTest.java
@@ -13,6 +13,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
+import kelphollow.names.RecordedNames;
 import kelphollow.protocol.json.Json;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -37,6 +38,7 @@
         Set<Long> after = children();
         after.removeAll(before);
         assertEquals(Set.of(), after, "no process is left");
+        RecordedNames.assertAmongRecorded("scale-report-processes.txt", RecordedNames.keys(figures));
         assertEquals(16.0, figures.get("instances"));
         assertEquals(13.0, figures.get("hollow"));
         assertEquals(3.0, figures.get("real"));
