--- a/src/test/java/kelphollow/ledger/StoredRecordsTest.java
+++ b/src/test/java/kelphollow/ledger/StoredRecordsTest.java
@@ -37,7 +37,7 @@
     /** The clock of the whole test, in Unix milliseconds. */
     private static final long NOW = 1_700_000_000_000L;
     /** Small segments, so that the records fill several; no threads, so that the bytes depend on the calls alone. */
-    private static final StoreOptions OPTIONS = StoreOptions.USUAL.withSegmentBytes(1_024).withInline(true);
+    private static final StoreOptions OPTIONS = StoreOptions.DEFAULTS.withSegmentBytes(1_024).withInline(true);
     private static final double OUTCOME_WINDOW = 3_600_000;
     private static final double SETTLE = 60_000;
     private static final Consumer<StoreFault> NOT_AWAITED = fault -> assertEquals(null, fault);
@@ -88,7 +88,7 @@
             writeParts(first.parts());
             writeCompletions(first.completions());
             writeOutcomes(first.outcomes());
-            writeNodes(first.nodes());
+            writeNodes(first.endpoints());
             first.limits().end(new TreeMap<>(Map.of("volume-1", 12.5, "volume-2", -3.0, "volume-3", 0.0)), NOW);
         }
         try (Ledger second = Ledger.open(open(store), Runnable::run)) {
@@ -145,7 +145,7 @@
         outcomes.neverRan("request-3");
     }
 
-    private static void writeNodes(NodeRecords nodes) {
+    private static void writeNodes(EndpointRecords nodes) {
         ResolvedEndpoint healthy = new ResolvedEndpoint(new Endpoint("node-1", "zone-a", 0, EndpointState.HEALTHY, 0),
             new InetSocketAddress("127.0.0.1", 9_000));
         ResolvedEndpoint draining = new ResolvedEndpoint(new Endpoint("node-2", "zone-b", 1, EndpointState.DRAINING, NOW
@@ -153,9 +153,9 @@
             new InetSocketAddress("192.0.2.7", 65_535));
         ResolvedEndpoint gone = new ResolvedEndpoint(new Endpoint("node-3", "zone-b", 255, EndpointState.REMOVED, NOW - 0.5),
             new InetSocketAddress("192.0.2.8", 1));
-        nodes.told(List.of(healthy), NOW);
-        nodes.told(List.of(healthy), NOW + 1);
-        nodes.told(List.of(healthy, draining, gone), NOW + 2.5);
+        nodes.received(List.of(healthy), NOW);
+        nodes.received(List.of(healthy), NOW + 1);
+        nodes.received(List.of(healthy, draining, gone), NOW + 2.5);
     }
 
     // ---------------------------------------------------------------- reading
@@ -170,7 +170,7 @@
                 + word(found) + " epoch=" + epoch + (answer == null ? "" : " print=" + answer.print() + " status="
                     + answer.status() + " type=" + answer.type() + " body=" + answer.body().replace("\n", "\\n"))));
             readOutcomes(ledger, lines);
-            readNodes(ledger.nodes(), lines);
+            readNodes(ledger.endpoints(), lines);
             new TreeMap<>(ledger.limits().take()).forEach((volume, saved) -> lines.add("limit " + volume + " level="
                 + saved.tokens() + " at=" + saved.at() + " clean=" + saved.clean()));
         }
@@ -205,8 +205,8 @@
         }
     }
 
-    private static void readNodes(NodeRecords nodes, List<String> lines) throws IOException, StoreFault {
-        NodeRecords.Saved saved = nodes.read();
+    private static void readNodes(EndpointRecords nodes, List<String> lines) throws IOException, StoreFault {
+        EndpointRecords.Saved saved = nodes.read();
         lines.add("nodes at=" + saved.at());
         for (ResolvedEndpoint member : saved.members()) {
             Endpoint entry = member.endpoint();
--- a/src/test/java/kelphollow/program/StoredNamesTest.java
+++ b/src/test/java/kelphollow/program/StoredNamesTest.java
@@ -34,7 +34,7 @@
 
     private Ledger open() throws Exception {
         Store store = Store.open(new FolderDisk(folder.resolve("first")), new FolderDisk(folder.resolve("second")),
-            StoreOptions.USUAL.withInline(true), System::currentTimeMillis);
+            StoreOptions.DEFAULTS.withInline(true), System::currentTimeMillis);
         return Ledger.open(store, Runnable::run);
     }
 
@@ -44,7 +44,7 @@
 
     @Test void recordsAreWrittenAsRecorded() throws Exception {
         try (Ledger ledger = open()) {
-            ledger.nodes().told(members(), NOW);
+            ledger.endpoints().received(members(), NOW);
             ledger.limits().end(Map.of("volume", 7.5), NOW);
             ledger.parts().begun("upload", NOW);
             ledger.parts().intent("upload", 1, NOW, fault -> assertNull(fault));
@@ -65,10 +65,10 @@
 
     @Test void aKeptListIsReadBack() throws Exception {
         try (Ledger ledger = open()) {
-            ledger.nodes().told(members(), NOW);
+            ledger.endpoints().received(members(), NOW);
         }
         try (Ledger ledger = open()) {
-            assertEquals(members(), ledger.nodes().read().members());
+            assertEquals(members(), ledger.endpoints().read().members());
         }
     }
 }
--- a/src/test/java/kelphollow/scale/ScaleNamesTest.java
+++ b/src/test/java/kelphollow/scale/ScaleNamesTest.java
@@ -33,7 +33,7 @@
     private static Object read(Map<?, ?> json) throws KeyProbe.Refused {
         try {
             return ScaleScenario.read(json);
-        } catch (ScaleScenario.Refused e) {
+        } catch (ScaleScenario.InvalidScenario e) {
             throw new KeyProbe.Refused(e.getMessage());
         }
     }
@@ -71,17 +71,17 @@
         Path scenario = Files.writeString(folder.resolve("scenario.json"), SMALL);
         Path figures = folder.resolve("figures.json");
 
-        assertEquals(Scale.GOOD, play(scenario, List.of(), figures));
+        assertEquals(Scale.PASSED, play(scenario, List.of(), figures));
         RecordedNames.assertRecorded("scale-report.txt", RecordedNames.keys(Json.parse(Files.readString(figures))));
 
-        assertEquals(Scale.GOOD, play(scenario, List.of(3, 4), figures));
+        assertEquals(Scale.PASSED, play(scenario, List.of(3, 4), figures));
         Map<?, ?> both = (Map<?, ?>) Json.parse(Files.readString(figures));
         assertEquals(Set.of("runs"), both.keySet());
         RecordedNames.assertRecorded("scale-report.txt", RecordedNames.keys(((List<?>) both.get("runs")).get(1)));
     }
 
     private static int play(Path scenario, List<Integer> sizes, Path figures) throws Exception {
-        Scale.Order order = new Scale.Order(scenario, sizes, Double.NaN, 1, null, figures, true);
-        return Scale.run(order, new PrintStream(new ByteArrayOutputStream()), System.err);
+        Scale.Options options = new Scale.Options(scenario, sizes, Double.NaN, 1, null, figures, true);
+        return Scale.run(options, new PrintStream(new ByteArrayOutputStream()), System.err);
     }
 }
--- a/src/test/java/kelphollow/store/RecordedStore.java
+++ b/src/test/java/kelphollow/store/RecordedStore.java
@@ -27,7 +27,7 @@
     /** The clock at which all that ever expires has expired. */
     static final long ALL_EXPIRED = START + 1_000_000_000;
     /** Small segments, so that few writes fill several; no threads, so that the bytes depend on the writes alone. */
-    static final StoreOptions OPTIONS = StoreOptions.USUAL.withSegmentBytes(1_024).withInline(true);
+    static final StoreOptions OPTIONS = StoreOptions.DEFAULTS.withSegmentBytes(1_024).withInline(true);
 
     private static final long STEP = 250;
     private static final int FIRST_WRITES = 24;
@@ -92,7 +92,7 @@
             writeNumbered(store, "upload-", i, now);
         }
         writeUnusualBytes(store, now);
-        store.tidy();       // from here on sealed segments have hints, and what expired meanwhile is removed
+        store.runMaintenance();       // from here on sealed segments have hints, and what expired meanwhile is removed
         for (int i = 0; i < LATER_WRITES; i++) {
             writeNumbered(store, "later-", i, now);
         }
