--- a/src/main/java/kelphollow/decision/EndpointListLease.java
+++ b/src/main/java/kelphollow/decision/EndpointListLease.java
@@ -4,14 +4,14 @@
 
 /**
  * A lease on the endpoint list: until when an instance may act on the list that it holds. Guards against
- * sending by a list that nobody has confirmed for longer than the time after which a change is in force,
- * whatever the reason: a process that has just started and has only the list of its configuration, a service
- * that rejects its calls, a watch that is silent.
+ * sending by a list that nobody has confirmed for longer than the time after which a change counts as
+ * notified, whatever the reason: a process that has just started and has only the list of its configuration,
+ * a service that rejects its calls, a watch that is silent.
  *
  * <p>The lease runs for a fixed term from the latest moment of which this is sure: nothing unreceived can
- * have begun to be in force by then. Such a moment is one up to which the received list is complete, or one
- * at which the service could not be reached, since a change is in force only once it can be received.
- * Failures that show a service which is there do not renew the lease.
+ * have begun to count as notified by then. Such a moment is one up to which the received list is complete, or
+ * one at which the service could not be reached, since a change counts as notified only once it can be
+ * received. Failures that show a service which is there do not renew the lease.
  *
  * <p>Times are milliseconds. Constant memory; for one thread; no clock of its own.
  */
@@ -38,13 +38,13 @@
     static final double SPREADS_PER_CROWD = 2;
     /** The longest time for which a crowd is reckoned with. */
     static final double LONGEST_CROWD_MS = 30_000;
-    /** After a move to another service a change there is in force after this time. */
-    static final double IN_FORCE_AFTER_MOVE_MS = 4_000;
+    /** After a move to another service a change there counts as notified after this time. */
+    static final double NOTIFIED_AFTER_MOVE_MS = 4_000;
 
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     private final double term;
-    private final double inForceAfter;
+    private final double notifiedAfter;
     private final boolean pushed;
     private final double crowdLasts;
     private double confirmedUpTo = NEVER;
@@ -57,9 +57,9 @@
     private int failures;
     private double firstFailureAt;
 
-    private EndpointListLease(double inForceAfter, double ownLateness, boolean pushed, double crowdLasts) {
-        this.inForceAfter = inForceAfter;
-        this.term = inForceAfter - ownLateness;
+    private EndpointListLease(double notifiedAfter, double ownLateness, boolean pushed, double crowdLasts) {
+        this.notifiedAfter = notifiedAfter;
+        this.term = notifiedAfter - ownLateness;
         this.pushed = pushed;
         this.crowdLasts = crowdLasts;
     }
@@ -67,21 +67,21 @@
     /**
      * For a list that instances poll: nothing is sent before the service has answered.
      *
-     * @param inForceAfter time after which a change at the service is in force
+     * @param notifiedAfter time after which a change at the service counts as notified
      * @param ownLateness time by which this instance may act late
      * @param instances number of instances that poll the service
      */
-    public static EndpointListLease polled(double inForceAfter, double ownLateness, int instances) {
+    public static EndpointListLease polled(double notifiedAfter, double ownLateness, int instances) {
         double spread = SPREADS_PER_CROWD * instances * EndpointPollSchedule.SPREAD_PER_INSTANCE_MS;
-        return new EndpointListLease(inForceAfter, ownLateness, false, Math.min(LONGEST_CROWD_MS, spread));
+        return new EndpointListLease(notifiedAfter, ownLateness, false, Math.min(LONGEST_CROWD_MS, spread));
     }
 
     /**
      * For a list that an agent on the same machine is sent and gives out at once. It is silent only while the
      * service is down; a refused connection shows at once that there is none.
      */
-    public static EndpointListLease pushed(double inForceAfter, double ownLateness) {
-        return new EndpointListLease(inForceAfter, ownLateness, true, 0);
+    public static EndpointListLease pushed(double notifiedAfter, double ownLateness) {
+        return new EndpointListLease(notifiedAfter, ownLateness, true, 0);
     }
 
     /** For a list without a source that must be obeyed, such as one of the configuration: it never ends. */
@@ -121,7 +121,7 @@
     /**
      * A call to begin a watch that was refused, reset, or rejected after it had been queued; and silence,
      * where the list is pushed. Elsewhere silence is a broken watch, and a call that is rejected at once has
-     * met a full queue: the service is there, and its changes are in force.
+     * met a full queue: the service is there, and its changes count as notified.
      */
     private boolean showsServiceDown(EndpointPollFailure failure, double took) {
         return switch (failure) {
@@ -132,9 +132,9 @@
         };
     }
 
-    /** The list comes from another service from now on, whose changes are in force sooner. */
+    /** The list comes from another service from now on, whose changes count as notified sooner. */
     public void sourceChanged(double now) {
-        sourceChangeBound = Math.min(sourceChangeBound, now + IN_FORCE_AFTER_MOVE_MS - inForceAfter);
+        sourceChangeBound = Math.min(sourceChangeBound, now + NOTIFIED_AFTER_MOVE_MS - notifiedAfter);
         downAt = Math.min(downAt, sourceChangeBound);
         failures = 0;
     }
--- a/src/main/java/kelphollow/decision/EndpointPollSchedule.java
+++ b/src/main/java/kelphollow/decision/EndpointPollSchedule.java
@@ -11,7 +11,7 @@
  * <p>The first call after a start is spread over the fleet's size, and a failed call is retried after a
  * backoff with jitter. The backoff doubles once a call was rejected at once, which is what a full queue does,
  * and from then on with each call that is rejected. An outage, whose calls fail late or by a reset, does not
- * lengthen it: a change is in force soon after the service is back.
+ * lengthen it: a change counts as notified soon after the service is back.
  *
  * <p>Times are milliseconds. Constant memory; for one thread.
  */
@@ -64,7 +64,8 @@
     }
 
     /**
-     * The service has been replaced by another one, whose changes are soon in force: a call is due at once.
+     * The service has been replaced by another one, whose changes soon count as notified: a call is due at
+     * once.
      */
     void sourceChanged(double now) {
         backoff = BASE_BACKOFF_MS;
--- a/src/test/java/kelphollow/decision/EndpointListLeaseTest.java
+++ b/src/test/java/kelphollow/decision/EndpointListLeaseTest.java
@@ -10,11 +10,11 @@
 import kelphollow.decision.EndpointListLease.State;
 import org.junit.jupiter.api.Test;
 
-/** What a lease on the endpoint list rests on, and that it never outlasts what may be in force. */
+/** What a lease on the endpoint list rests on, and that it never outlasts what may count as notified. */
 class EndpointListLeaseTest {
-    private static final double IN_FORCE_AFTER = 6_000;
+    private static final double NOTIFIED_AFTER = 6_000;
     private static final double LATENESS = 150;
-    private static final double TERM = IN_FORCE_AFTER - LATENESS;
+    private static final double TERM = NOTIFIED_AFTER - LATENESS;
     /** A call that fails after this time has been queued at the service. */
     private static final double QUEUED = 2_000;
 
@@ -23,7 +23,7 @@
         EndpointPollFailure.TIMED_OUT,
         EndpointPollFailure.INVALID_RESPONSE);
 
-    private final EndpointListLease polled = EndpointListLease.polled(IN_FORCE_AFTER, LATENESS, 1);
+    private final EndpointListLease polled = EndpointListLease.polled(NOTIFIED_AFTER, LATENESS, 1);
 
     @Test void aListOfUnknownAgeMayNotBeUsedBeforeTheServiceHasAnswered() {
         assertEquals(State.NEVER_HEARD, polled.state(0));
@@ -35,13 +35,13 @@
     }
 
     @Test void aPushedStartWaitsForItsAgentToAnswerOrToTimeOutTwice() {
-        EndpointListLease pushed = EndpointListLease.pushed(IN_FORCE_AFTER, LATENESS);
+        EndpointListLease pushed = EndpointListLease.pushed(NOTIFIED_AFTER, LATENESS);
         assertFalse(pushed.isValid(500));
         pushed.failed(EndpointPollFailure.TIMED_OUT, 500, 2_300);
-        assertFalse(pushed.isValid(2_800), "what the agent had before may have been in force from the start");
+        assertFalse(pushed.isValid(2_800), "what the agent had before may have counted as notified from the start");
         pushed.failed(EndpointPollFailure.TIMED_OUT, 2_900, 2_300);
         assertTrue(pushed.isValid(2_900 + TERM - 1), "an agent is silent only while the service is down");
-        EndpointListLease alone = EndpointListLease.pushed(IN_FORCE_AFTER, LATENESS);
+        EndpointListLease alone = EndpointListLease.pushed(NOTIFIED_AFTER, LATENESS);
         alone.failed(EndpointPollFailure.UNREACHABLE, 500, 1);
         assertTrue(alone.isValid(501), "there is no agent");
     }
@@ -78,7 +78,7 @@
     }
 
     @Test void aStartInALargeFleetWaitsForAsLongAsACrowdMayLast() {
-        EndpointListLease lease = EndpointListLease.polled(IN_FORCE_AFTER, LATENESS, 100);
+        EndpointListLease lease = EndpointListLease.polled(NOTIFIED_AFTER, LATENESS, 100);
         for (double calledAt = 1_000; calledAt < 11_000; calledAt += 3_000) {
             lease.failed(EndpointPollFailure.REJECTED, calledAt, QUEUED);
             assertFalse(lease.isValid(calledAt + QUEUED), "called at " + calledAt);
@@ -87,18 +87,18 @@
         assertTrue(lease.isValid(13_000), "12 s after the first of them: twice 60 ms for each instance");
     }
 
-    @Test void changesAtAnotherServiceAreInForceSooner() {
+    @Test void changesAtAnotherServiceCountSooner() {
         polled.confirmed(10_000);
         polled.sourceChanged(11_000);
-        assertEquals(11_000 + EndpointListLease.IN_FORCE_AFTER_MOVE_MS - LATENESS, polled.validUntil());
+        assertEquals(11_000 + EndpointListLease.NOTIFIED_AFTER_MOVE_MS - LATENESS, polled.validUntil());
         polled.confirmed(12_000);
         assertEquals(12_000 + TERM, polled.validUntil());
         polled.failed(EndpointPollFailure.UNREACHABLE, 13_000, 1);
         polled.sourceChanged(13_100);
-        double inForce = 13_100 + EndpointListLease.IN_FORCE_AFTER_MOVE_MS;
-        assertEquals(inForce - LATENESS, polled.validUntil(), "the old one's outage says nothing");
+        double notified = 13_100 + EndpointListLease.NOTIFIED_AFTER_MOVE_MS;
+        assertEquals(notified - LATENESS, polled.validUntil(), "the old one's outage says nothing");
         polled.sourceChanged(15_000);
-        assertEquals(inForce - LATENESS, polled.validUntil(), "a second move puts off nothing that the first one owes");
+        assertEquals(notified - LATENESS, polled.validUntil(), "a second move puts off nothing that the first one owes");
     }
 
     @Test void anUnboundedOneNeverEnds() {
@@ -112,14 +112,14 @@
 
     /**
      * A service that goes down and comes back, and calls that are served, lost, cut or kept waiting: while the lease is
-     * valid, no change that the caller has not received may be in force. What is in force is worked out from the history
-     * alone.
+     * valid, no change that the caller has not received may count as notified. What counts is worked out from the
+     * history alone.
      */
-    @Test void noUnreceivedChangeIsInForceWhileItIsValid() {
+    @Test void noUnreceivedChangeCountsWhileItIsValid() {
         for (long seed = 0; seed < 2_000; seed++) {
             Random random = new Random(seed);
-            EndpointListLease lease = EndpointListLease.polled(IN_FORCE_AFTER, LATENESS, 1);
-            double now = 0, upSince = 0, downUntil = -1, receivedAt = -1, unreceivedInForce = Double.POSITIVE_INFINITY;
+            EndpointListLease lease = EndpointListLease.polled(NOTIFIED_AFTER, LATENESS, 1);
+            double now = 0, upSince = 0, downUntil = -1, receivedAt = -1, unreceivedCounts = Double.POSITIVE_INFINITY;
             for (int call = 0; call < 40; call++) {
                 double calledAt = now;
                 boolean down = now < downUntil;
@@ -139,11 +139,11 @@
                 } else {
                     lease.failed(failure, calledAt, now - calledAt);
                 }
-                // The earliest change that it cannot know: right after what it received; in force once it can be received.
-                unreceivedInForce = Math.max(receivedAt, Math.min(upSince, now)) + IN_FORCE_AFTER;
+                // The earliest change that it cannot know: right after what it received; it counts once it can be received.
+                unreceivedCounts = Math.max(receivedAt, Math.min(upSince, now)) + NOTIFIED_AFTER;
                 double look = now + 2_000 * random.nextDouble();
                 if (lease.isValid(look) && look >= upSince) {
-                    assertTrue(look < unreceivedInForce, "seed " + seed + ", call " + call + ": at " + look);
+                    assertTrue(look < unreceivedCounts, "seed " + seed + ", call " + call + ": at " + look);
                 }
                 now += 1_400 * random.nextDouble();
             }
--- a/src/test/java/kelphollow/store/StoredFormatTest.java
+++ b/src/test/java/kelphollow/store/StoredFormatTest.java
@@ -135,7 +135,7 @@
 
     /** What a check finds: the findings, the store, its segments and its tables, a line each. */
     static List<String> checked(Path store) throws IOException, StoreFault {
-        Inspection inspection = Store.inspect(first(store), second(store), RecordedStore.OPTIONS, Progress.NONE);
+        Inspection inspection = Store.inspect(first(store), second(store), RecordedStore.OPTIONS, ProgressListener.NONE);
         List<String> lines = findings(inspection.report(), store);
         lines.add("damaged=" + inspection.report().isDamaged());
         lines.add("store id=" + inspection.store() + " generation=" + inspection.generation() + " sequence="
@@ -167,9 +167,10 @@
         return RecordedFolders.listing(store);
     }
 
-    private static List<String> findings(Report report, Path store) {
+    private static List<String> findings(IntegrityReport report, Path store) {
         List<String> lines = new ArrayList<>();
-        report.lines().forEach(line -> lines.add(line.toString().replace(store + "/", "").replace(store.toString(), "")));
+        report.findings().forEach(finding -> lines.add(finding.toString().replace(store + "/", "").replace(store.toString(),
+            "")));
         return lines;
     }
 }
