--- a/src/main/java/kelphollow/decision/ControlAction.java
+++ b/src/main/java/kelphollow/decision/ControlAction.java
@@ -13,7 +13,7 @@
         RATE_LIMITED,
         /** It is a client's retry, and the node's retry budget is spent. */
         RETRY_BUDGET_EXHAUSTED,
-        /** It would come too late behind requests of a higher priority weight. */
+        /** It would be served too late behind requests of a higher priority weight. */
         LOAD_SHED,
         /** No node could take it within the part of its time for which it may be queued. */
         NO_ENDPOINT_IN_TIME,
--- a/src/main/java/kelphollow/decision/ControlEvent.java
+++ b/src/main/java/kelphollow/decision/ControlEvent.java
@@ -28,7 +28,7 @@
      * @param node unique id of the node
      * @param zone its availability zone; may be null
      * @param cell the cell whose data it holds
-     * @param state what the list says of it
+     * @param state its state by the list
      * @param startedAt clock time of its last start, 0 when long past
      */
     record Endpoint(String node, String zone, int cell, EndpointState state, double startedAt) {}
@@ -64,11 +64,11 @@
     }
 
     /**
-     * The endpoint list has come.
+     * The endpoint list was received.
      *
      * @param endpoints the entries
      * @param complete whether these are all entries, or changes only
-     * @param cached whether this is not the service's word of now but what was kept of an earlier list
+     * @param cached whether this is a cached list rather than an answer of the service
      */
     record EndpointsReceived(List<Endpoint> endpoints, boolean complete, boolean cached) implements ControlEvent {
         @Override public void accept(Handler handler) {
--- a/src/main/java/kelphollow/decision/FleetLatency.java
+++ b/src/main/java/kelphollow/decision/FleetLatency.java
@@ -8,20 +8,20 @@
     private static final double OBJECTIVE_TO_GUESS = 3;
 
     private final DecisionContext context;
-    private final FadingLatency recent;
+    private final DecayingLatency recent;
 
     FleetLatency(DecisionContext context) {
         this.context = context;
-        recent = new FadingLatency(guess(), context.now());
+        recent = new DecayingLatency(guess(), context.now());
     }
 
     void served(double latency) {
         recent.add(latency, context.now());
     }
 
-    /** What was last seen, fading into a guess while nothing is heard. */
+    /** The latest average, decaying into a guess while no answer comes. */
     double current() {
-        return recent.fadedInto(guess(), context.now());
+        return recent.decayedInto(guess(), context.now());
     }
 
     private double guess() {
--- a/src/main/java/kelphollow/decision/LatencyEstimate.java
+++ b/src/main/java/kelphollow/decision/LatencyEstimate.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * What one node's answers tell of its latency: exponentially weighted averages, the best average seen, and
+ * Latency of one node by its answers: exponentially weighted averages, the best average, and
  * how long the oldest attempt has been out. Only served attempts are learned from, so that a fast error does
  * not look like a fast node. Times and latencies are milliseconds. Constant memory; confined to the thread
  * that drives {@link Control}.
@@ -32,7 +32,7 @@
     private final FleetLatency fleet;
     /** The node's attempts in flight, the oldest first; kept by {@link Node}. */
     private final Map<String, InFlightAttempt> inFlight;
-    private final FadingLatency recent;
+    private final DecayingLatency recent;
     /** Latency of a mean request; 0 until one is known. */
     private double mean;
     private double perUnit;
@@ -48,7 +48,7 @@
         this.fleet = fleet;
         this.inFlight = inFlight;
         double now = context.now();
-        recent = new FadingLatency(0, now);
+        recent = new DecayingLatency(0, now);
         bestAt = now;
         servedAt = now;
     }
@@ -92,7 +92,7 @@
     }
 
     /**
-     * Expected latency of a mean request: what was last seen here, fading into what all nodes show now, and
+     * Expected latency of a mean request: the latest average here, decaying into what all nodes show now, and
      * no less than the oldest attempt has been out. Guards against acting on old samples: with many instances
      * each hears of a node every few seconds only.
      */
@@ -106,7 +106,7 @@
     }
 
     private double usual() {
-        return recent.value() > 0 ? recent.fadedInto(fleet.current(), context.now()) : fleet.current();
+        return recent.value() > 0 ? recent.decayedInto(fleet.current(), context.now()) : fleet.current();
     }
 
     /**
--- a/src/main/java/kelphollow/decision/NodeHealth.java
+++ b/src/main/java/kelphollow/decision/NodeHealth.java
@@ -38,7 +38,7 @@
     private final Random random;
     private State state = State.RESPONSIVE;
     /** Whether an answer or connection was lost since the last answer: one is no sign of a faulty node. */
-    private boolean lossSeen;
+    private boolean lossForgiven;
     /** Whether the newest report names the node. */
     private boolean named;
     private int failures;
@@ -89,7 +89,7 @@
         state = State.RESPONSIVE;
         failures = 0;
         probes = 0;
-        lossSeen = false;
+        lossForgiven = false;
         sendableAt = 0;
         errorRate *= 1 - LatencyEstimate.SAMPLE_WEIGHT;
     }
@@ -101,8 +101,8 @@
             return false;
         }
         boolean trusted = state == State.RESPONSIVE || state == State.UNRESPONSIVE;
-        if (outcome.mayBeIsolated() && !lossSeen && trusted) {
-            lossSeen = true;
+        if (outcome.mayBeIsolated() && !lossForgiven && trusted) {
+            lossForgiven = true;
             return false;
         }
         state = State.UNRESPONSIVE;
--- a/src/main/java/kelphollow/decision/SlowStart.java
+++ b/src/main/java/kelphollow/decision/SlowStart.java
@@ -6,13 +6,14 @@
 
 /**
  * Limits what one node is sent while it warms up after its start. Each instance has an even quota of what the
- * node bears within the rule's span; where that is less than a request, requests are admitted at random.
+ * node tolerates within the rule's span; where that is less than a request, requests are admitted at random.
  * Times are milliseconds. Memory: an entry for each request sent within the span. Confined to the thread that
  * drives {@link Control}.
  */
 final class SlowStart {
     /**
-     * Share of what the node bears that random admission gives out; the rest is for surges and for chance.
+     * Share of what the node tolerates that random admission gives out; the rest is for surges and for
+     * chance.
      */
     private static final double RANDOM_SHARE = 0.6;
     /** Below so many mean requests within the span one more may go out while none is in flight. */
@@ -95,9 +96,9 @@
     }
 
     /**
-     * This instance's share of what the node bears within the span, in units: what the rule grants, or more
-     * where the other nodes' best latencies show more. That counts one mean request at a time, as if nodes
-     * had one core, so that the quotas of all instances together leave room for a slower node.
+     * This instance's share of what the node tolerates within the span, in units: what the rule grants, or
+     * more where the other nodes' best latencies show more. That counts one mean request at a time, as if
+     * nodes had one core, so that the quotas of all instances together leave room for a slower node.
      */
     private double quota() {
         ControlSettings settings = context.settings();
--- a/src/test/java/kelphollow/decision/ArrivalCurveTest.java
+++ b/src/test/java/kelphollow/decision/ArrivalCurveTest.java
@@ -101,12 +101,12 @@
         scheduler.request("hot1", "read", "free", "hot", 6, 0, null, scheduler.now + 2000, 20);
         scheduler.request("calm", "read", "free", "calm", 2, 0, null, scheduler.now + 2000, 20);   // must start now
         scheduler.now += 1;
-        scheduler.request("whole", "write", "free", "other", 2, 0);
+        scheduler.request("write", "write", "free", "other", 2, 0);
         for (int i = 0; i < 3; i++) {
             scheduler.end("fill" + i, AttemptOutcome.SERVED, 20);
         }
         assertTrue(scheduler.sent().contains("calm"));
         List<String> sent = scheduler.sent();
-        assertTrue(!sent.contains("whole") || sent.indexOf("calm") < sent.indexOf("whole"));
+        assertTrue(!sent.contains("write") || sent.indexOf("calm") < sent.indexOf("write"));
     }
 }
--- a/src/test/java/kelphollow/decision/FadingLatencyTest.java
+++ b/src/test/java/kelphollow/decision/DecayingLatencyTest.java
@@ -4,17 +4,17 @@
 
 import org.junit.jupiter.api.Test;
 
-/** An average that fades with a time constant of two seconds. */
-class FadingLatencyTest {
-    private final FadingLatency latency = new FadingLatency(40, 1_000);
+/** An average that decays with a time constant of two seconds. */
+class DecayingLatencyTest {
+    private final DecayingLatency latency = new DecayingLatency(40, 1_000);
 
-    @Test void itFadesIntoAnotherValue() {
-        assertEquals(40, latency.fadedInto(100, 1_000));
-        assertEquals(100 - 60 / Math.E, latency.fadedInto(100, 3_000), 1e-9);
+    @Test void itDecaysIntoAnotherValue() {
+        assertEquals(40, latency.decayedInto(100, 1_000));
+        assertEquals(100 - 60 / Math.E, latency.decayedInto(100, 3_000), 1e-9);
         assertEquals(40, latency.value(), "its own value stays");
     }
 
-    @Test void aSampleIsAveragedWithWhatHasFaded() {
+    @Test void aSampleIsAveragedWithWhatHasDecayed() {
         latency.add(60, 1_000);
         assertEquals(60 - 0.88 * 20, latency.value(), 1e-9);
 
@@ -26,6 +26,6 @@
     @Test void aResetForgetsWhatWasBefore() {
         latency.reset(70, 2_000);
 
-        assertEquals(70, latency.fadedInto(0, 2_000));
+        assertEquals(70, latency.decayedInto(0, 2_000));
     }
 }
--- a/src/test/java/kelphollow/decision/EndpointListTest.java
+++ b/src/test/java/kelphollow/decision/EndpointListTest.java
@@ -19,15 +19,15 @@
     @Test void nothingNewGoesToADrainingNode() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.fill();
-        scheduler.request("held", "read", "free", "v", 1, 0);
+        scheduler.request("queued", "read", "free", "v", 1, 0);
         scheduler.endpoints(node("n0", 0, EndpointState.DRAINING, 0), healthy("n1", 1));
         scheduler.end("fill0", AttemptOutcome.SERVED, 20);
         scheduler.request("new", "write", "free", "v", 1, -1);
-        assertFalse(scheduler.sent().contains("held"));
+        assertFalse(scheduler.sent().contains("queued"));
         assertEquals("n1", scheduler.nodeOf("new"));
         scheduler.endpoints(healthy("n1", 1));    // left out of the complete list: removed
         scheduler.advanceTo(scheduler.now + 1900);
-        assertFalse(scheduler.sent().contains("held"));
+        assertFalse(scheduler.sent().contains("queued"));
     }
 
     @Test void theListIsPolledOnceAndAgainAfterAFailureWithABackoff() {
@@ -52,10 +52,10 @@
     @Test void aReplacementInTheSameCellServesWhatIsQueued() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.endpoints(node("n0", 0, EndpointState.DRAINING, 0), healthy("n1", 1));
-        scheduler.request("held", "read", "free", "v", 1, 0);
-        assertFalse(scheduler.sent().contains("held"));
+        scheduler.request("queued", "read", "free", "v", 1, 0);
+        assertFalse(scheduler.sent().contains("queued"));
         scheduler.endpoints(healthy("n9", 0), healthy("n1", 1));
-        assertEquals("n9", scheduler.nodeOf("held"));
+        assertEquals("n9", scheduler.nodeOf("queued"));
     }
 
     /** On days on which nodes come under ever new ids, what is known of those that have gone must not pile up. */
--- a/src/test/java/kelphollow/decision/LatencyEstimateTest.java
+++ b/src/test/java/kelphollow/decision/LatencyEstimateTest.java
@@ -47,7 +47,7 @@
         assertEquals(20, node.latency.expected(0.5), 1e-9, "no less than one unit takes");
     }
 
-    @Test void anOldSampleFadesIntoWhatAllNodesShow() {
+    @Test void anOldSampleDecaysIntoWhatAllNodesShow() {
         harness.serve(node, 1, 40);
         Node other = harness.node("n1", 1);
         harness.advance(20_000);
--- a/src/test/java/kelphollow/decision/NodeLoadTest.java
+++ b/src/test/java/kelphollow/decision/NodeLoadTest.java
@@ -68,15 +68,15 @@
     @Test void aLateRequestWaitsUntilTheNodeHasBeenIdle() {
         ControlHarness scheduler = ControlHarness.ready();
         int filled = scheduler.fill();
-        scheduler.request("held", "read", "free", "v", 1, 0);
+        scheduler.request("queued", "read", "free", "v", 1, 0);
         scheduler.advanceTo(scheduler.now + 320);                          // its objective is missed
         double at = scheduler.now;
         for (int i = 0; i < filled; i++) {
             scheduler.end("fill" + i, AttemptOutcome.SERVED, 320);
         }
-        assertFalse(scheduler.sent().contains("held"));
+        assertFalse(scheduler.sent().contains("queued"));
         scheduler.advanceTo(at + 100);
-        assertFalse(scheduler.sent().contains("held"));
+        assertFalse(scheduler.sent().contains("queued"));
     }
 
     @Test void anAnswerThatIsSurelyLostTakesNoPlaceAtTheNodeButASecondDoes() {
--- a/src/test/java/kelphollow/decision/SlowStartSimulation.java
+++ b/src/test/java/kelphollow/decision/SlowStartSimulation.java
@@ -58,7 +58,7 @@
     private final ControlSettings settings;
     private final List<Control> fleet = new ArrayList<>();
     private final int[] incarnation;
-    private final double[] heardAt;
+    private final double[] notifiedAt;
     private final Endpoint started = ControlHarness.node("n", 0, EndpointState.HEALTHY, START);
     private final Endpoint other = ControlHarness.node("other", 1, EndpointState.HEALTHY, 0);
     private final PriorityQueue<Answer> answers = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
@@ -79,11 +79,11 @@
         random = new Random(seed);
         settings = settings(hosts);
         incarnation = new int[hosts];
-        heardAt = new double[hosts];
+        notifiedAt = new double[hosts];
         for (int h = 0; h < hosts; h++) {
             fleet.add(new Control(settings, seed * 1_000 + h, START - 10_000));
             fleet.get(h).on(START - 10_000, new EndpointsReceived(List.of(other), true, false));
-            heardAt[h] = START + random.nextDouble() * (h % 5 == 0 ? 2_500 : 400);
+            notifiedAt[h] = START + random.nextDouble() * (h % 5 == 0 ? 2_500 : 400);
         }
     }
 
@@ -140,8 +140,8 @@
 
     private void deliverStart() {
         for (int h = 0; h < fleet.size(); h++) {
-            if (heardAt[h] > 0 && now >= heardAt[h]) {
-                heardAt[h] = 0;
+            if (notifiedAt[h] > 0 && now >= notifiedAt[h]) {
+                notifiedAt[h] = 0;
                 tell(h, new EndpointsReceived(List.of(started), false, false));
             }
         }
