--- a/src/main/java/kelphollow/protocol/object/ObjectBackend.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectBackend.java
@@ -63,12 +63,12 @@
 
     @Override public void start(Attempt attempt) {
         Exchange exchange = new Exchange(attempt);
-        attempt.transportHandle = exchange;
+        attempt.attach(exchange);
         exchange.link = pools.acquire(attempt.target().endpoint().node(), attempt.target().address(), exchange);
     }
 
     @Override public void cancel(Attempt attempt) {
-        if (attempt.transportHandle instanceof Exchange exchange) {
+        if (attempt.transportHandle() instanceof Exchange exchange) {
             exchange.close();
         }
     }
--- a/src/main/java/kelphollow/protocol/resp/RespBackend.java
+++ b/src/main/java/kelphollow/protocol/resp/RespBackend.java
@@ -49,13 +49,13 @@
 
     @Override public void start(Attempt attempt) {
         Exchange exchange = new Exchange(attempt);
-        attempt.transportHandle = exchange;
+        attempt.attach(exchange);
         PooledConnection link = pools.acquire(attempt.target().endpoint().node(), attempt.target().address(), exchange);
         exchange.link = link;
     }
 
     @Override public void cancel(Attempt attempt) {
-        if (attempt.transportHandle instanceof Exchange exchange) {
+        if (attempt.transportHandle() instanceof Exchange exchange) {
             exchange.close();
         }
     }
--- a/src/main/java/kelphollow/routing/Attempt.java
+++ b/src/main/java/kelphollow/routing/Attempt.java
@@ -18,8 +18,6 @@
     /** Shortest time between two notices of progress to the decision module, in milliseconds. */
     private static final double PROGRESS_INTERVAL = 50;
 
-    /** What the backend carries the attempt by; free for its use. */
-    public Object transportHandle;
     private final AttemptLifecycle lifecycle;
     private final Request request;
     private final int number;
@@ -28,6 +26,7 @@
     private final double timeoutAt;
     private final double writeBy;
     private State state = State.IN_FLIGHT;
+    private Object transportHandle;
     private Ticker.Timeout timeout;
     private double responseStartedAt = Double.NaN;
     private double lastProgressAt;
@@ -86,6 +85,16 @@
         return timeoutAt - lifecycle.now();
     }
 
+    /** Remembers what the backend carries the attempt by; the router makes no use of it. */
+    public void attach(Object handle) {
+        transportHandle = handle;
+    }
+
+    /** What the backend carries the attempt by; null before {@link #attach}. */
+    public Object transportHandle() {
+        return transportHandle;
+    }
+
     /** Whether it has no outcome yet. */
     public boolean isInFlight() {
         return state != State.ENDED;
--- a/src/test/java/kelphollow/routing/RouterHarness.java
+++ b/src/test/java/kelphollow/routing/RouterHarness.java
@@ -34,6 +34,12 @@
     final List<Attempt> sent = new ArrayList<>();
     /** Nodes whose idle connections were to be closed. */
     final List<String> closedIdle = new ArrayList<>();
+    /** Attempts that the router has cancelled. */
+    final List<Attempt> cancelled = new ArrayList<>();
+    /** What the backend throws at the start of an attempt; null: nothing. */
+    RuntimeException fault;
+    /** Keys of the requests that were served. */
+    final List<String> served = new ArrayList<>();
     /** Keys of the requests that were rejected or failed. */
     final List<String> rejected = new ArrayList<>();
     private final List<Timer> timers = new ArrayList<>();
@@ -52,10 +58,15 @@
     };
     private final Backend backend = new Backend() {
         @Override public void start(Attempt attempt) {
+            if (fault != null) {
+                throw fault;
+            }
             sent.add(attempt);
         }
 
-        @Override public void cancel(Attempt attempt) {}
+        @Override public void cancel(Attempt attempt) {
+            cancelled.add(attempt);
+        }
 
         @Override public void closeIdleConnections(String node) {
             closedIdle.add(node);
@@ -97,7 +108,9 @@
     void submit(String requestClass, String plan, String key) {
         RequestArrived arrival = new RequestArrived("", requestClass, plan, key, now + 2_000, "v", 1, 0, 1);
         router.submit(arrival, null, new ResponseCallback() {
-            @Override public void served(Object answer) {}
+            @Override public void served(Object answer) {
+                served.add(key);
+            }
 
             @Override public void rejected(double retryAfter, boolean timedOut) {
                 rejected.add(key);
