--- a/src/test/java/kelphollow/program/DiscoveryWatchTest.java
+++ b/src/test/java/kelphollow/program/DiscoveryWatchTest.java
@@ -19,7 +19,7 @@
 
     /** The next poll; a wait, which is drawn, is checked against its bounds and left out. */
     private static String nextPoll(StandInDiscovery discovery) throws InterruptedException {
-        return withoutWait(discovery.asked.poll(10, TimeUnit.SECONDS));
+        return withoutWait(discovery.requests.poll(10, TimeUnit.SECONDS));
     }
 
     private static String withoutWait(String poll) {
@@ -39,7 +39,7 @@
         String poll = null;
         for (int i = 0; i < 100 && poll == null; i++) {
             server.ticker.advance(step);
-            poll = withoutWait(discovery.asked.poll(guardMillis, TimeUnit.MILLISECONDS));
+            poll = withoutWait(discovery.requests.poll(guardMillis, TimeUnit.MILLISECONDS));
         }
         return poll;
     }
@@ -50,10 +50,10 @@
                  ServerHarness server = ServerHarness.respWith(mode, discovery.address())) {
                 assertEquals("/catalog/members?index=1&now", nextPoll(discovery), mode);
 
-                discovery.answers.add(list(4, false));
+                discovery.responses.add(list(4, false));
 
                 assertEquals("/catalog/members?index=4&wait", nextPoll(discovery), mode);
-                assertTrue(discovery.asked.isEmpty(), "one poll at a time");
+                assertTrue(discovery.requests.isEmpty(), "one poll at a time");
             }
         }
     }
@@ -66,8 +66,8 @@
             assertEquals("/catalog/members?index=1&now", nextPoll(agent),
                 "silent from the start: the next one begins a watch");
 
-            agent.answers.add(CLOSE);                         // to the poll that timed out
-            agent.answers.add(CLOSE);
+            agent.responses.add(CLOSE);                         // to the poll that timed out
+            agent.responses.add(CLOSE);
             server.ticker.advance(5_000);                     // whenever the close is noticed, the delay is over by then
 
             assertEquals("/catalog/members?index=1&now", nextPollInSteps(agent, server, 100, 50),
@@ -87,7 +87,7 @@
             assertEquals("/catalog/members", nextPoll(agent), "its changes count as notified after 4 s");
             server.ticker.advance(5_000);
 
-            assertTrue(old.asked.isEmpty());
+            assertTrue(old.requests.isEmpty());
         }
     }
 
@@ -95,21 +95,21 @@
         try (StandInDiscovery agent = new StandInDiscovery();
              ServerHarness server = ServerHarness.respWith("automatic", agent.address())) {
             nextPoll(agent);
-            agent.answers.add(list(41, true));
+            agent.responses.add(list(41, true));
             assertEquals("/catalog/members?index=41&wait", nextPoll(agent));
 
             for (String older : List.of(list(40, false), list(7, true))) {
-                agent.answers.add(older);
+                agent.responses.add(older);
                 assertEquals("/catalog/members", nextPollInSteps(agent, server, STEP, 20), older);
             }
-            agent.answers.add(list(41, true));
+            agent.responses.add(list(41, true));
             assertEquals("/catalog/members?index=41&wait", nextPoll(agent), "the list that was held stands");
 
             for (int i = 0; i < 2; i++) {
-                agent.answers.add(list(7, true));
+                agent.responses.add(list(7, true));
                 assertEquals("/catalog/members", nextPollInSteps(agent, server, STEP, 20));
             }
-            agent.answers.add(list(8, true));
+            agent.responses.add(list(8, true));
             assertEquals("/catalog/members?index=8&wait", nextPoll(agent), "the service counts anew");
         }
     }
--- a/src/test/java/kelphollow/program/ReloadTest.java
+++ b/src/test/java/kelphollow/program/ReloadTest.java
@@ -17,22 +17,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A new configuration under load, and what the program does about the service it names. */
+/** A new configuration under load, and how the program follows the service that it names. */
 @Timeout(20)
 class ReloadTest {
-    @Test void aNewDiscoveryThatSaysNothingIsAskedAgainSoon() throws Exception {
+    @Test void aNewDiscoveryThatIsSilentIsPolledAgainSoon() throws Exception {
         try (StandInDiscovery old = new StandInDiscovery(); StandInDiscovery next = new StandInDiscovery();
-             ServerHarness bench = ServerHarness.resp(old.address())) {
-            bench.reload(next.address());
-            assertEquals("/catalog/members", next.asked.poll(10, TimeUnit.SECONDS));
-            bench.ticker.advance(3_200);   // its news counts as told after 4 s
-            assertEquals("/catalog/members", next.asked.poll(10, TimeUnit.SECONDS));
+             ServerHarness server = ServerHarness.resp(old.address())) {
+            server.reload(next.address());
+            assertEquals("/catalog/members", next.requests.poll(10, TimeUnit.SECONDS));
+
+            server.ticker.advance(3_200);   // its changes count as notified after 4 s
+
+            assertEquals("/catalog/members", next.requests.poll(10, TimeUnit.SECONDS));
         }
     }
 
-    @Test void interimAnswersOfDiscoveryArePassedOver() throws Exception {
+    @Test void interimResponsesOfDiscoveryAreSkipped() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
-             ServerHarness bench = ServerHarness.resp(new InetSocketAddress(discovery.getInetAddress(), discovery
+             ServerHarness server = ServerHarness.resp(new InetSocketAddress(discovery.getInetAddress(), discovery
                  .getLocalPort()));
              Socket watch = discovery.accept()) {
             BufferedReader in = new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.US_ASCII));
@@ -40,7 +42,7 @@
             String list = "{\"seq\":7,\"whole\":true,\"hosts\":[]}";
             watch.getOutputStream().write(("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: "
                 + list.length() + "\r\n\r\n" + list).getBytes(StandardCharsets.US_ASCII));
-            try (Socket next = discovery.accept()) {   // a connection carries no call right behind an answer
+            try (Socket next = discovery.accept()) {   // a connection carries no call right behind a response
                 in = new BufferedReader(new InputStreamReader(next.getInputStream(), StandardCharsets.US_ASCII));
                 assertTrue(in.readLine().startsWith("GET /catalog/members?index=7&wait="));
             }
@@ -51,32 +53,37 @@
         Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
         try (StandInServer old = new StandInServer(); StandInServer next = new StandInServer();
-             ServerHarness bench = ServerHarness.objects(Map.of("objects", objects), old.address());
-             StandInClient client = new StandInClient(bench.address)) {
+             ServerHarness server = ServerHarness.objects(Map.of("objects", objects), old.address());
+             StandInClient client = new StandInClient(server.address)) {
             old.objects.put("/symbols/a", new StandInServer.Stored("old".getBytes(), "\"e\""));
             next.objects.put("/symbols/a", new StandInServer.Stored("next".getBytes(), "\"e\""));
             assertEquals("old", client.call("GET /symbols/a", "", null).text());
-            bench.reload(Map.of("objects", objects), next.address());
+
+            server.reload(Map.of("objects", objects), next.address());
+
             assertEquals("next", client.call("GET /symbols/a", "", null).text());
         }
     }
 
-    @Test void theNewDiscoveryIsAskedForTheWholeListAndTheOldOneNoMore() throws Exception {
+    @Test void theNewDiscoveryIsAskedForTheCompleteListAndTheOldOneNoMore() throws Exception {
         try (StandInDiscovery old = new StandInDiscovery(); StandInDiscovery next = new StandInDiscovery()) {
-            try (ServerHarness bench = ServerHarness.resp(old.address())) {
-                assertTrue(old.asked.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=1&wait="));
-                bench.reload(next.address());
-                assertEquals("/catalog/members", next.asked.poll(10, TimeUnit.SECONDS),
+            try (ServerHarness server = ServerHarness.resp(old.address())) {
+                assertTrue(old.requests.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=1&wait="));
+
+                server.reload(next.address());
+                assertEquals("/catalog/members", next.requests.poll(10, TimeUnit.SECONDS),
                     "versions of the old one mean nothing");
-                next.answers.add("{\"seq\":7,\"whole\":true,\"hosts\":[]}");
-                assertTrue(next.asked.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=7&wait="));
-                old.answers.add("{\"seq\":90,\"whole\":true,\"hosts\":[]}");   // a late answer of the old watch
-                next.answers.add("{\"seq\":8,\"whole\":false,\"hosts\":[]}");
-                assertTrue(next.asked.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=8&wait="));
-                assertTrue(old.asked.isEmpty());
-                bench.reload(next.address());
-                bench.ticker.advance((int) (EndpointUpdateBudget.LONG_POLL_WAIT / 2));
-                assertTrue(next.asked.isEmpty(), "the watch goes on if its address is the same");
+                next.responses.add(StandInDiscovery.list(7, true));
+                assertTrue(next.requests.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=7&wait="));
+
+                old.responses.add(StandInDiscovery.list(90, true));   // a late response of the old watch
+                next.responses.add(StandInDiscovery.list(8, false));
+                assertTrue(next.requests.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=8&wait="));
+                assertTrue(old.requests.isEmpty());
+
+                server.reload(next.address());
+                server.ticker.advance((int) (EndpointUpdateBudget.LONG_POLL_WAIT / 2));
+                assertTrue(next.requests.isEmpty(), "the watch goes on if its address is the same");
             }
         }
     }
--- a/src/test/java/kelphollow/program/RestartOnStaleListTest.java
+++ b/src/test/java/kelphollow/program/RestartOnStaleListTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A process that is killed and started again has only the list of its file, which may be of any age: what changed while it
- * was away may count as told before its first request. Guards against a restarted process that sends to nodes which are
- * gone, because it takes clients before discovery has told it anything.
+ * A process that is killed and restarted has only the list of its file, which may be of any age: what changed meanwhile may
+ * count as notified before its first request. Guards against a restarted process that sends to nodes which are removed,
+ * because it accepts clients before discovery has responded.
  */
 @Timeout(120)
 class RestartOnStaleListTest {
-    /** Of a hundred instances, so that the first call to discovery is spread widely. */
+    /** So many that the first poll of discovery is spread widely. */
     private static final int INSTANCES = 100;
-    /** A seed whose first call comes late in that time. */
+    /** A seed whose first poll comes late in that time. */
     private static final long LATE_SEED = 7;
     @TempDir
     Path folder;
@@ -31,8 +31,8 @@
             + block + ",\"health\":\"" + health + "\",\"born_ms\":0}";
     }
 
-    private static String list(long version, boolean whole, List<String> rows) {
-        return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", rows) + "]}";
+    private static String list(long version, boolean complete, List<String> rows) {
+        return "{\"seq\":" + version + ",\"whole\":" + complete + ",\"hosts\":[" + String.join(",", rows) + "]}";
     }
 
     private static void start(ServeProcess program) throws Exception {
@@ -40,49 +40,55 @@
         program.awaitReady();
     }
 
-    private static String answer(String list) {
+    private static String response(String list) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
     }
 
-    @Test void aRestartedProcessSendsNothingBeforeDiscoveryHasSpoken() throws Exception {
+    @Test void aRestartedProcessSendsNothingBeforeDiscoveryHasResponded() throws Exception {
         try (ScriptedPeer before = new ScriptedPeer(); ScriptedPeer discovery = new ScriptedPeer();
              ScriptedPeer node = new ScriptedPeer(); ScriptedPeer other = new ScriptedPeer();
              ServeProcess program = new ServeProcess(folder, 0, ServeProcess.settings(INSTANCES, false))) {
             List<String> rows = List.of(row("a", node, 0, "ready"), row("b", other, 1, "ready"));
             program.configure(before.address(), list(1, true, rows), LATE_SEED);
             start(program);
-            program.kill();                // and while it is away, node a leaves the list
+
+            program.kill();                // and while it is down, node a is removed from the list
             program.configure(discovery.address(), list(1, true, rows), LATE_SEED);
             start(program);
             try (RespClient client = new RespClient(program.address())) {
                 client.send(RespClient.get("q1", "dump-read", 1_200, 0));
                 assertTrue(client.line().startsWith("-"), "nobody serves it");
-                assertNull(node.acceptIfAny(), "a node of which nothing is known any more was dialled");
-                ScriptedPeer.Line call = discovery.accept();
-                call.until("\r\n\r\n");
-                call.send(answer(list(2, false, List.of(row("a", node, 0, "gone")))));
+                assertNull(node.acceptIfAny(), "a connection to a node of unknown state");
+
+                ScriptedPeer.Line poll = discovery.accept();
+                poll.until("\r\n\r\n");
+                poll.send(response(list(2, false, List.of(row("a", node, 0, "gone")))));
+
                 client.send(RespClient.get("q2", "dump-read", 1_200, 1));
                 ScriptedPeer.Line attempt = other.accept();
                 attempt.until("hosts=1\r\n");
                 attempt.send("*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
                 assertEquals("ok", client.answer());
+
                 client.send(RespClient.get("q3", "dump-read", 1_200, 0));
-                assertTrue(client.line().startsWith("-"), "its node is gone");
+                assertTrue(client.line().startsWith("-"), "its node is removed");
                 assertNull(node.acceptIfAny());
             }
         }
     }
 
     /** Guards against a process that a new configuration ends because it comes before the clients' socket is open. */
-    @Test void aNewConfigurationThatIsToldDuringTheStartIsFollowed() throws Exception {
+    @Test void aNewConfigurationThatComesDuringTheStartIsFollowed() throws Exception {
         try (ScriptedPeer before = new ScriptedPeer(); ScriptedPeer after = new ScriptedPeer();
              ServeProcess program = new ServeProcess(folder, 0, ServeProcess.settings(1, true))) {
             program.configure(before.address(), list(1, true, List.of()), 1);
             program.start();
-            before.accept();               // asked before the warm-up, long before the clients' socket is open
+            before.accept();               // polled before the warm-up, long before the clients' socket is open
+
             program.configure(after.address(), list(1, true, List.of()), 1);
             program.signal("HUP");
             program.awaitReady();
+
             assertEquals("GET /catalog/members HTTP/1.1\r\n", after.accept().until("\r\n"));
         }
     }
