--- a/src/main/java/kelphollow/decision/ControlAction.java
+++ b/src/main/java/kelphollow/decision/ControlAction.java
@@ -2,29 +2,8 @@
 
 /** What the decision module wants done. Times are milliseconds on the host's clock. */
 public sealed interface ControlAction {
-    /** Calls the visitor's method for this kind of action. */
-    void accept(Visitor visitor);
-
-    /** What executes actions: one method for each kind. */
-    interface Visitor {
-        /** Sends an attempt. */
-        void visit(SendAttempt action);
-
-        /** Rejects a request. */
-        void visit(RejectRequest action);
-
-        /** Fails a request. */
-        void visit(FailRequest action);
-
-        /** Cancels an attempt. */
-        void visit(CancelAttempt action);
-
-        /** Sets a timer. */
-        void visit(SetTimer action);
-
-        /** Polls the endpoint list. */
-        void visit(PollEndpoints action);
-    }
+    /** Calls the method of {@code handler} for this kind of action. */
+    <E extends Exception> void accept(Handler<E> handler) throws E;
 
     /** Why a request got a final answer without being served. */
     enum Reason {
@@ -53,43 +32,68 @@
      * @param writeBy clock time by which writing must have begun; 0: no such bound
      */
     record SendAttempt(String id, String node, double timeout, double writeBy) implements ControlAction {
-        @Override public void accept(Visitor visitor) {
-            visitor.visit(this);
+        @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
+            handler.sendAttempt(this);
         }
     }
 
     /** Final answer: rejected. The client may safely retry, best after {@code retryAfter} (0: no advice). */
     record RejectRequest(String id, double retryAfter, Reason reason) implements ControlAction {
-        @Override public void accept(Visitor visitor) {
-            visitor.visit(this);
+        @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
+            handler.rejectRequest(this);
         }
     }
 
     /** Final answer: failed. The request may have been executed. */
     record FailRequest(String id, Reason reason) implements ControlAction {
-        @Override public void accept(Visitor visitor) {
-            visitor.visit(this);
+        @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
+            handler.failRequest(this);
         }
     }
 
     /** Stop waiting for an attempt. */
     record CancelAttempt(String id, int attempt) implements ControlAction {
-        @Override public void accept(Visitor visitor) {
-            visitor.visit(this);
+        @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
+            handler.cancelAttempt(this);
         }
     }
 
     /** Notify this instance by {@link ControlEvent.TimerFired} at a time. */
     record SetTimer(double at, String name) implements ControlAction {
-        @Override public void accept(Visitor visitor) {
-            visitor.visit(this);
+        @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
+            handler.setTimer(this);
         }
     }
 
     /** Poll the endpoint list and watch for later changes. */
     record PollEndpoints() implements ControlAction {
-        @Override public void accept(Visitor visitor) {
-            visitor.visit(this);
+        @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
+            handler.pollEndpoints(this);
         }
     }
+
+    /**
+     * One method for each kind of action, so that the compiler finds a kind that is not carried out.
+     *
+     * @param <E> what carrying out an action may throw
+     */
+    interface Handler<E extends Exception> {
+        /** Handles {@link SendAttempt}. */
+        void sendAttempt(SendAttempt action) throws E;
+
+        /** Handles {@link RejectRequest}. */
+        void rejectRequest(RejectRequest action) throws E;
+
+        /** Handles {@link FailRequest}. */
+        void failRequest(FailRequest action) throws E;
+
+        /** Handles {@link CancelAttempt}. */
+        void cancelAttempt(CancelAttempt action) throws E;
+
+        /** Handles {@link SetTimer}. */
+        void setTimer(SetTimer action) throws E;
+
+        /** Handles {@link PollEndpoints}. */
+        void pollEndpoints(PollEndpoints action) throws E;
+    }
 }
--- a/src/main/java/kelphollow/routing/ActionExecutor.java
+++ b/src/main/java/kelphollow/routing/ActionExecutor.java
@@ -10,7 +10,7 @@
 import kelphollow.decision.ControlEvent.TimerFired;
 
 /** Hands each action of the decision module to the part of the router that executes it. Confined to the event loop. */
-final class ActionExecutor implements ControlAction.Visitor {
+final class ActionExecutor implements ControlAction.Handler<RuntimeException> {
     private final Ticker ticker;
     private final DecisionLoop decisions;
     private final RequestLifecycle requests;
@@ -26,27 +26,27 @@
         this.endpoints = endpoints;
     }
 
-    @Override public void visit(SendAttempt action) {
+    @Override public void sendAttempt(SendAttempt action) {
         attempts.send(action);
     }
 
-    @Override public void visit(RejectRequest action) {
+    @Override public void rejectRequest(RejectRequest action) {
         requests.reject(action);
     }
 
-    @Override public void visit(FailRequest action) {
+    @Override public void failRequest(FailRequest action) {
         requests.fail(action);
     }
 
-    @Override public void visit(CancelAttempt action) {
+    @Override public void cancelAttempt(CancelAttempt action) {
         attempts.cancel(action);
     }
 
-    @Override public void visit(SetTimer action) {
+    @Override public void setTimer(SetTimer action) {
         ticker.after(action.at() - ticker.now(), () -> decisions.handle(new TimerFired(action.name())));
     }
 
-    @Override public void visit(PollEndpoints action) {
+    @Override public void pollEndpoints(PollEndpoints action) {
         endpoints.poll();
     }
 }
--- a/src/main/java/kelphollow/routing/DecisionLoop.java
+++ b/src/main/java/kelphollow/routing/DecisionLoop.java
@@ -22,7 +22,7 @@
     private final Control control;
     private final Ticker ticker;
     private final Queue<ControlEvent> pending = new ArrayDeque<>();
-    private ControlAction.Visitor executor;
+    private ControlAction.Handler<RuntimeException> executor;
     private State state = State.IDLE;
     private double decidedAt;
 
@@ -32,7 +32,7 @@
     }
 
     /** Sets what executes actions; once, before the first event. */
-    void setExecutor(ControlAction.Visitor executor) {
+    void setExecutor(ControlAction.Handler<RuntimeException> executor) {
         this.executor = executor;
     }
 
