--- a/src/main/java/kelphollow/scale/FleetHost.java
+++ b/src/main/java/kelphollow/scale/FleetHost.java
@@ -1,7 +1,7 @@
 package kelphollow.scale;
 
 import java.io.IOException;
-import java.util.concurrent.Callable;
+import java.util.function.Supplier;
 import kelphollow.fleet.Fleet;
 import kelphollow.routing.Ticker;
 
@@ -19,8 +19,16 @@
     /** Opens the transport; not on a loop. */
     void open(int instance, Fleet fleet) throws IOException;
 
-    /** Runs it on the loop of the instance and waits for it. */
-    <T> T call(int instance, Callable<T> task);
+    /** Runs a task on the loop of the instance, waits for it and returns its result. */
+    <T> T call(int instance, Supplier<T> task);
+
+    /** Runs a task on the loop of the instance and waits for it. */
+    default void run(int instance, Runnable task) {
+        call(instance, () -> {
+            task.run();
+            return null;
+        });
+    }
 
     /** Milliseconds on the host's clock. */
     double now();
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -7,8 +7,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.PriorityQueue;
-import java.util.concurrent.Callable;
 import java.util.function.Consumer;
+import java.util.function.Supplier;
 import kelphollow.fleet.Fleet;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PacketSealer;
@@ -75,12 +75,8 @@
         fleet.line().listen(network.addressOf(instance));
     }
 
-    @Override public <T> T call(int instance, Callable<T> task) {
-        try {
-            return task.call();
-        } catch (Exception e) {
-            throw new IllegalStateException(e);
-        }
+    @Override public <T> T call(int instance, Supplier<T> task) {
+        return task.get();
     }
 
     @Override public double now() {
--- a/src/main/java/kelphollow/scale/SimulatedInstance.java
+++ b/src/main/java/kelphollow/scale/SimulatedInstance.java
@@ -86,19 +86,17 @@
         SuspendableExecutor newProcess = new SuspendableExecutor();
         process = newProcess;
         Random drawn = new Random(random.nextLong());
-        host.call(index, () -> {
+        host.run(index, () -> {
             Ticker ticker = host.ticker(index, newProcess);
             nodes = new SimulatedNodes(scenario, index, ticker, ejected -> observer.ejected(index, ticker.now(), ejected));
             Fleet.Transports transports = host.transports(index, newProcess, KEY, Settings.USUAL.mostMembers());
             fleet = new Fleet(options(), settings(), epoch, transports,
                 ticker, nodes, drawn, new Events(new EventReader(ticker)), raised -> epoch = raised);
-            return null;
         });
         host.open(index, fleet);
-        host.call(index, () -> {
+        host.run(index, () -> {
             fleet.start();
             nodes.start();
-            return null;
         });
     }
 
@@ -129,33 +127,29 @@
 
     /** SIGKILL: the others are not notified. */
     void kill() {
-        host.call(index, () -> {
+        host.run(index, () -> {
             process.kill();
             fleet.line().close();
-            return null;
         });
     }
 
     /** SIGSTOP. */
     void suspend() {
-        host.call(index, () -> {
+        host.run(index, () -> {
             process.suspend();
-            return null;
         });
     }
 
     /** SIGCONT. */
     void resume() {
-        host.call(index, () -> {
+        host.run(index, () -> {
             process.resume();
-            return null;
         });
     }
 
     void drain(int node, boolean draining) {
-        host.call(index, () -> {
+        host.run(index, () -> {
             nodes.drain(node, draining);
-            return null;
         });
     }
 
@@ -164,9 +158,8 @@
     }
 
     void eachPart(BiConsumer<String, Double> nameAndAge) {
-        host.call(index, () -> {
+        host.run(index, () -> {
             fleet.eachPart((part, age) -> nameAndAge.accept(part.instance(), age));
-            return null;
         });
     }
 
--- a/src/main/java/kelphollow/scale/SocketHost.java
+++ b/src/main/java/kelphollow/scale/SocketHost.java
@@ -8,10 +8,10 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.Callable;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntPredicate;
+import java.util.function.Supplier;
 import kelphollow.fleet.Fleet;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PeerLine;
@@ -115,8 +115,8 @@
         }
     }
 
-    @Override public <T> T call(int instance, Callable<T> task) {
-        return loop(instance).submit(task).syncUninterruptibly().getNow();
+    @Override public <T> T call(int instance, Supplier<T> task) {
+        return loop(instance).submit(task::get).syncUninterruptibly().getNow();
     }
 
     @Override public double now() {
--- a/src/test/java/kelphollow/scale/ScaleSimulationTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSimulationTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.Callable;
+import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
 import kelphollow.dissemination.AntiEntropy;
 import kelphollow.fleet.Fleet;
@@ -223,7 +223,7 @@
             return host.ticker(instance, process);
         }
 
-        @Override public <T> T call(int instance, Callable<T> task) {
+        @Override public <T> T call(int instance, Supplier<T> task) {
             return host.call(instance, task);
         }
 
