--- a/src/main/java/kelphollow/scale/Scale.java
+++ b/src/main/java/kelphollow/scale/Scale.java
@@ -93,7 +93,7 @@
             if (!(Json.parse(Files.readString(options.scenario())) instanceof Map<?, ?> json)) {
                 throw new ScaleScenario.InvalidScenario("the file holds no JSON object");
             }
-            ScaleScenario scenario = ScaleScenario.read(json);
+            ScaleScenario scenario = ScenarioReader.read(json);
             scenario = Double.isNaN(options.seconds()) ? scenario : scenario.withSeconds(options.seconds());
             return options.simulated() ? scenario.withoutProcesses() : scenario;
         } catch (IOException e) {
--- a/src/test/java/kelphollow/scale/ScaleNamesTest.java
+++ b/src/test/java/kelphollow/scale/ScaleNamesTest.java
@@ -32,7 +32,7 @@
 
     private static Object read(Map<?, ?> json) throws KeyProbe.Refused {
         try {
-            return ScaleScenario.read(json);
+            return ScenarioReader.read(json);
         } catch (ScaleScenario.InvalidScenario e) {
             throw new KeyProbe.Refused(e.getMessage());
         }
--- a/src/test/java/kelphollow/scale/ScaleScenarioTest.java
+++ b/src/test/java/kelphollow/scale/ScaleScenarioTest.java
@@ -37,15 +37,15 @@
     }) void anInvalidScenarioIsRejected(
         String json, String key) throws Exception {
         Map<?, ?> parsed = (Map<?, ?>) Json.parse(json.replace('\'', '"'));
-        String message = assertThrows(ScaleScenario.InvalidScenario.class, () -> ScaleScenario.read(parsed)).getMessage();
+        String message = assertThrows(ScaleScenario.InvalidScenario.class, () -> ScenarioReader.read(parsed)).getMessage();
         assertTrue(message.startsWith(key), message);
     }
 
     @Test void aScenarioThatNeedsMoreThanHalfOfTheMachinesMemoryIsRejected() throws Exception {
-        ScaleScenario simulated = ScaleScenario.read(Map.of("name", "t", "instances", 900.0));
+        ScaleScenario simulated = ScenarioReader.read(Map.of("name", "t", "instances", 900.0));
         assertTrue(assertThrows(ScaleScenario.InvalidScenario.class, () -> Scale.bound(simulated, 1L << 30)).getMessage()
             .startsWith("instances"));
-        ScaleScenario real = ScaleScenario.read(Map.of("name", "t", "instances", 200.0, "real", 100.0));
+        ScaleScenario real = ScenarioReader.read(Map.of("name", "t", "instances", 200.0, "real", 100.0));
         assertTrue(assertThrows(ScaleScenario.InvalidScenario.class, () -> Scale.bound(real, 8L << 30)).getMessage()
             .startsWith("real"));
     }
@@ -59,7 +59,7 @@
     }
 
     @Test void zonesAreBlocksOfEqualSize() throws Exception {
-        ScaleScenario scenario = ScaleScenario.read(Map.of("name", "t", "instances", 510.0, "regions", 3.0, "zones", 6.0));
+        ScaleScenario scenario = ScenarioReader.read(Map.of("name", "t", "instances", 510.0, "regions", 3.0, "zones", 6.0));
         for (int zone = 0; zone < 6; zone++) {
             int current = zone;
             assertEquals(85, IntStream.range(0, 510).filter(i -> scenario.zoneOf(i) == current).count());
--- a/src/test/java/kelphollow/scale/ScaleSimulationTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSimulationTest.java
@@ -32,7 +32,7 @@
     private static final int NOTIFIED_SECOND = 23;
 
     private static ScaleScenario scenario(String json) throws Exception {
-        return ScaleScenario.read((Map<?, ?>) Json.parse("{" + json.replace('\'', '"') + "}"));
+        return ScenarioReader.read((Map<?, ?>) Json.parse("{" + json.replace('\'', '"') + "}"));
     }
 
     private static ScaleRun play(ScaleScenario scenario, long seed, UnaryOperator<FleetHost> faultInjection)
