--- a/src/main/java/kelphollow/ledger/EndpointRecords.java
+++ b/src/main/java/kelphollow/ledger/EndpointRecords.java
@@ -94,7 +94,7 @@
         for (ResolvedEndpoint member : saved.members()) {
             Endpoint endpoint = member.endpoint();
             if (endpoint.state() != EndpointState.REMOVED) {
-                double startedAt = CachedEndpointsAge.bornFor(trust, endpoint.startedAt(), now);
+                double startedAt = CachedEndpointsAge.effectiveStart(trust, endpoint.startedAt(), now);
                 usable.add(new ResolvedEndpoint(new Endpoint(endpoint.node(), endpoint.zone(), endpoint.cell(),
                     endpoint.state(), startedAt), member.address()));
             }
