--- a/src/main/java/kelphollow/adapter/Adapter.java
+++ b/src/main/java/kelphollow/adapter/Adapter.java
@@ -59,7 +59,7 @@
                     reply.clear();
                 }
                 case WireWords.START_INSTANCE -> start(message, now, reply);
-                default -> tell(kind, message, now, reply);
+                default -> deliver(kind, message, now, reply);
             }
         }
         return reply;
@@ -78,7 +78,7 @@
     }
 
     /** Once the module has thrown an exception, the instance's further events are only checked for their form. */
-    private void tell(String kind, List<?> message, double now, InstanceReply reply)
+    private void deliver(String kind, List<?> message, double now, InstanceReply reply)
         throws MalformedMessageException {
         Control control = instances.get(reply.instance());
         if (control == null) {
--- a/src/test/java/kelphollow/decision/EndpointListLeaseTest.java
+++ b/src/test/java/kelphollow/decision/EndpointListLeaseTest.java
@@ -141,9 +141,9 @@
                 }
                 // The earliest change that it cannot know: right after what it received; it counts once it can be received.
                 unreceivedCounts = Math.max(receivedAt, Math.min(upSince, now)) + NOTIFIED_AFTER;
-                double look = now + 2_000 * random.nextDouble();
-                if (lease.isValid(look) && look >= upSince) {
-                    assertTrue(look < unreceivedCounts, "seed " + seed + ", call " + call + ": at " + look);
+                double checkedAt = now + 2_000 * random.nextDouble();
+                if (lease.isValid(checkedAt) && checkedAt >= upSince) {
+                    assertTrue(checkedAt < unreceivedCounts, "seed " + seed + ", call " + call + ": at " + checkedAt);
                 }
                 now += 1_400 * random.nextDouble();
             }
--- a/src/test/java/kelphollow/decision/ManyInstancesTest.java
+++ b/src/test/java/kelphollow/decision/ManyInstancesTest.java
@@ -28,17 +28,18 @@
     private static final int HOSTS = 40;
     private static final double START = 50_000;
 
-    private static ControlSettings settings(boolean ask) {
+    private static ControlSettings settings(boolean endpointsPolled) {
         Rules rules = new Rules(250, 0.2, 18_000, 2, 1_000, 3, 0, 0, 0, 0, 10_000);
-        ControlSettings s = ControlHarness.settings(ask, rules);
-        return new ControlSettings(0, HOSTS, "a", 1, 3, 10_000, true, ask, 1_000, 2, 0.35, 0.05, s.classes(), s.plans(),
+        ControlSettings s = ControlHarness.settings(endpointsPolled, rules);
+        return new ControlSettings(0, HOSTS, "a", 1, 3, 10_000, true, endpointsPolled, 1_000, 2, 0.35, 0.05, s.classes(), s
+            .plans(),
             rules);
     }
 
-    private static List<Control> fleet(boolean ask) {
+    private static List<Control> fleet(boolean endpointsPolled) {
         List<Control> fleet = new ArrayList<>();
         for (int h = 0; h < HOSTS; h++) {
-            fleet.add(new Control(settings(ask), SEED + h, START));
+            fleet.add(new Control(settings(endpointsPolled), SEED + h, START));
         }
         return fleet;
     }
@@ -114,7 +115,7 @@
         private double now;
         private int requests;
 
-        /** {@code demand}: what clients ask of the nodes, as a share of their full capacity. */
+        /** {@code demand}: the load of clients, as a share of their full capacity. */
         NodesInSlowStart(double demand) {
             this.demand = demand;
             List<Endpoint> list = new ArrayList<>();
@@ -132,11 +133,11 @@
                 actions.clear();
                 while (!answers.isEmpty() && answers.peek().at <= now) {
                     Answer answer = answers.poll();
-                    tell(answer.to, answer.event);
+                    deliver(answer.to, answer.event);
                 }
                 arrive();
                 if (step % 10 == 0) {
-                    fleet.forEach(c -> tell(c, new TimerFired("wake")));
+                    fleet.forEach(c -> deliver(c, new TimerFired("wake")));
                 }
                 carryOut();
             }
@@ -147,7 +148,7 @@
             return sent;
         }
 
-        private void tell(Control control, ControlEvent event) {
+        private void deliver(Control control, ControlEvent event) {
             actors.add(control);
             actions.add(control.on(now, event));
         }
@@ -156,7 +157,7 @@
         private void arrive() {
             if (random.nextDouble() < NODES * CAPACITY / UNITS * demand * STEP / 1_000) {
                 int host = random.nextInt(random.nextBoolean() ? HOSTS / 3 : HOSTS);
-                tell(fleet.get(host), new RequestArrived("q" + requests, "read", "free", null, now + 2_000,
+                deliver(fleet.get(host), new RequestArrived("q" + requests, "read", "free", null, now + 2_000,
                     "v" + random.nextInt(400), UNITS, random.nextInt(NODES), 3));
                 requests++;
             }
--- a/src/test/java/kelphollow/decision/SlowStartSimulation.java
+++ b/src/test/java/kelphollow/decision/SlowStartSimulation.java
@@ -94,7 +94,7 @@
             List.of(READ, WRITE), List.of(new Plan("usual", rate, rate / 2, 1, 1, 0, 0, 0)), rules);
     }
 
-    /** {@code demand}: what clients ask of the node, as a share of its full capacity, from before its start on. */
+    /** {@code demand}: the load of clients, as a share of its full capacity, from before its start on. */
     static Result play(int hosts, double demand, long seed) {
         SlowStartSimulation simulation = new SlowStartSimulation(hosts, demand, seed);
         for (int step = FIRST_STEP; step < LAST_STEP; step += STEP) {
@@ -117,14 +117,14 @@
         arrive();
         if (step % TIMER_INTERVAL == 0) {
             for (int h = 0; h < fleet.size(); h++) {
-                tell(h, new TimerFired("wake"));
+                deliver(h, new TimerFired("wake"));
             }
         }
         carryOut();
         measure();
     }
 
-    private void tell(int host, ControlEvent event) {
+    private void deliver(int host, ControlEvent event) {
         actors.add(host);
         actions.add(fleet.get(host).on(now, event));
     }
@@ -133,7 +133,7 @@
         while (!answers.isEmpty() && answers.peek().at <= now) {
             Answer answer = answers.poll();
             if (answer.incarnation == incarnation[answer.host]) {
-                tell(answer.host, answer.event);
+                deliver(answer.host, answer.event);
             }
         }
     }
@@ -142,7 +142,7 @@
         for (int h = 0; h < fleet.size(); h++) {
             if (notifiedAt[h] > 0 && now >= notifiedAt[h]) {
                 notifiedAt[h] = 0;
-                tell(h, new EndpointsReceived(List.of(started), false, false));
+                deliver(h, new EndpointsReceived(List.of(started), false, false));
             }
         }
     }
@@ -166,7 +166,7 @@
         int host = (volume * 7 + way * 13) % fleet.size();
         arrived += step >= 0 ? 1 : 0;
         RequestClass requestClass = random.nextInt(3) > 0 ? READ : WRITE;
-        tell(host, new RequestArrived(incarnation[host] + "q" + requests, requestClass.name(), "usual", null,
+        deliver(host, new RequestArrived(incarnation[host] + "q" + requests, requestClass.name(), "usual", null,
             now + requestClass.deadline(), "v" + volume, MEAN_UNITS, 0, HOSTS_OF_A_VOLUME));
         requests++;
     }
--- a/src/test/java/kelphollow/decision/SlowStartTest.java
+++ b/src/test/java/kelphollow/decision/SlowStartTest.java
@@ -6,7 +6,7 @@
 
 /** What all instances together send to a node that has just started, counted by request in every span of the rule. */
 class SlowStartTest {
-    /** What is asked of the node before its start, for five seconds, is queued and still wanted when it is there. */
+    /** What arrives for the node before its start, for five seconds, is queued and still wanted when it is there. */
     @Test void theSumInEverySpanStaysWithinWhatTheRuleBearsWithAnyNumberOfInstances() {
         for (int hosts : new int[] {20, 30, 100}) {
             for (double demand : new double[] {0.6, 1, 1.5}) {
