--- a/src/main/java/kelphollow/routing/EndpointOverrides.java
+++ b/src/main/java/kelphollow/routing/EndpointOverrides.java
@@ -77,8 +77,11 @@
         List<Endpoint> changed = table.eject(nodes);
         if (!changed.isEmpty()) {
             notifyChanged(changed);
-            changed.stream().filter(e -> e.state() != EndpointState.HEALTHY).map(Endpoint::node).forEach(
-                closeIdleConnections);
+            for (Endpoint endpoint : changed) {
+                if (endpoint.state() != EndpointState.HEALTHY) {
+                    closeIdleConnections.accept(endpoint.node());
+                }
+            }
         }
     }
 
