--- a/src/bench/java/kelphollow/membership/MembershipFigures.java
+++ b/src/bench/java/kelphollow/membership/MembershipFigures.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import kelphollow.membership.Output.Kind;
+import kelphollow.membership.MembershipOutput.Kind;
 import org.knowm.xchart.BitmapEncoder;
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
@@ -22,10 +22,10 @@
 
     private MembershipFigures() {}
 
+    /** Prints the table and writes the chart. */
     public static void main(String[] args) throws IOException {
-        System.out.println(
-            "| size | loss | first sees death, rounds | all see it, rounds | suspicions of living a minute and "
-                + "instance | deaths of living | datagrams a second and instance |");
+        System.out.println("| size | loss | first sees death, rounds | all see it, rounds | suspicions of living a minute "
+            + "and instance | deaths of living | datagrams a second and instance |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
         Map<Double, List<Double>> all = new HashMap<>();
         for (int size : SIZES) {
@@ -36,33 +36,36 @@
                 double first = 0, last = 0, wrong = 0, dead = 0, sent = 0;
                 int seeds = size >= LARGE ? 1 : 5;
                 for (int seed = 1; seed <= seeds; seed++) {
-                    FleetWorld w = new FleetWorld(seed, Settings.USUAL);
+                    FleetWorld w = new FleetWorld(seed, MembershipSettings.DEFAULTS);
                     w.fleet(size);
                     w.run(20_000);
                     w.loss = loss;
-                    w.seen.clear();
+                    w.events.clear();
                     long before = w.messages;
                     w.run(w.now + 30_000);
                     sent += (w.messages - before) / 30.0 / size / seeds;
-                    wrong += w.seen(Kind.SUSPECTED, 0).stream().filter(s -> s.by().equals("i3")).count() * 2.0 / seeds;
-                    dead += w.seen(Kind.FAILED, 0).stream().map(FleetWorld.Seen::of).distinct().count() / (double) seeds;
-                    w.seen.clear();
+                    wrong += w.events(Kind.SUSPECTED, 0).stream()
+                        .filter(s -> s.observer().equals("i3")).count() * 2.0 / seeds;
+                    dead += w.events(Kind.FAILED, 0).stream()
+                        .map(FleetWorld.ObservedEvent::subject).distinct().count() / (double) seeds;
+                    w.events.clear();
                     double from = w.now;
                     w.kill("i4");
                     w.run(from + 60_000);
-                    List<FleetWorld.Seen> found = w.seen(Kind.FAILED, from).stream().filter(s -> s.of().equals("i4"))
-                        .toList();
-                    first += (found.stream().mapToDouble(FleetWorld.Seen::at).min().orElse(Double.NaN) - from) / 500 / seeds;
-                    last += (found.stream().mapToDouble(FleetWorld.Seen::at).max().orElse(Double.NaN) - from) / 500 / seeds;
+                    List<FleetWorld.ObservedEvent> found = w.events(Kind.FAILED, from).stream()
+                        .filter(s -> s.subject().equals("i4")).toList();
+                    first += (found.stream().mapToDouble(FleetWorld.ObservedEvent::at).min().orElse(Double.NaN) - from)
+                        / 500 / seeds;
+                    last += (found.stream().mapToDouble(FleetWorld.ObservedEvent::at).max().orElse(Double.NaN) - from)
+                        / 500 / seeds;
                 }
                 System.out.printf(Locale.ROOT, "| %d | %.1f | %.1f | %.1f | %.2f | %.1f | %.1f |%n", size, loss, first, last,
-                    wrong,
-                    dead, sent);
+                    wrong, dead, sent);
                 all.computeIfAbsent(loss, l -> new ArrayList<>()).add(last);
             }
         }
-        XYChart chart = new XYChartBuilder().width(800).height(420).title("Rounds until all see a death").xAxisTitle(
-            "instances")
+        XYChart chart = new XYChartBuilder().width(800).height(420).title("Rounds until all see a death")
+            .xAxisTitle("instances")
             .yAxisTitle("rounds").build();
         chart.getStyler().setXAxisLogarithmic(true);
         List<Double> sizes = new ArrayList<>();
--- a/src/bench/java/kelphollow/membership/MembershipSlopes.java
+++ b/src/bench/java/kelphollow/membership/MembershipSlopes.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import kelphollow.capacity.LineFit;
 import kelphollow.capacity.Meter;
-import kelphollow.membership.Output.Kind;
+import kelphollow.membership.MembershipOutput.Kind;
 
 /**
  * Membership alone by size on the simulation's clock, without loss: datagrams, processor time (the simulation's own
@@ -27,7 +27,7 @@
         double[] found = new double[SIZES.length];
         for (int i = 0; i < SIZES.length; i++) {
             int size = SIZES[i];
-            FleetWorld world = new FleetWorld(SEED, Settings.USUAL);
+            FleetWorld world = new FleetWorld(SEED, MembershipSettings.DEFAULTS);
             world.fleet(size);
             world.run(SETTLES);
             long before = world.messages;
@@ -38,10 +38,10 @@
             world.kill("i4");
             double from = world.now;
             world.run(from + DETECTS);
-            List<FleetWorld.Seen> dead = world.seen(Kind.FAILED, 0);
-            found[i] = dead.stream().filter(s -> s.of().equals("i4")).mapToDouble(FleetWorld.Seen::at).max()
+            List<FleetWorld.ObservedEvent> dead = world.events(Kind.FAILED, 0);
+            found[i] = dead.stream().filter(s -> s.subject().equals("i4")).mapToDouble(FleetWorld.ObservedEvent::at).max()
                 .orElse(Double.NaN) - from;
-            long wrong = dead.stream().filter(s -> !s.of().equals("i4")).count();
+            long wrong = dead.stream().filter(s -> !s.subject().equals("i4")).count();
             System.out.printf(Locale.ROOT, "| %d | %.1f | %.3f%% | %.0f | %d |%n", size, sent[i], router[i], found[i],
                 wrong);
         }
--- a/src/main/java/kelphollow/dissemination/Dissemination.java
+++ b/src/main/java/kelphollow/dissemination/Dissemination.java
@@ -145,10 +145,10 @@
         }
         if (now >= compareAt) {
             compareAt = now + settings.comparePeriod() * (0.5 + random.nextDouble());
-            List<String> present = members.present();
+            List<String> present = members.presentMembers();
             if (budget.allowsRoutine(now) && !present.isEmpty()) {
                 out.add(new Output.Compare(present.get(random.nextInt(present.size())),
-                    new AntiEntropy.Summary(hashes(members.all()))));
+                    new AntiEntropy.Summary(hashes(members.snapshot()))));
             }
         }
         return out;
@@ -168,7 +168,7 @@
     }
 
     private void tell(double now, int fanout, boolean urgentOnly, List<Output> out) {
-        List<String> present = members.present();
+        List<String> present = members.presentMembers();
         Set<String> to = new LinkedHashSet<>();
         for (int i = 0; i < fanout && !present.isEmpty(); i++) {
             to.add(present.get(random.nextInt(present.size())));
@@ -204,13 +204,13 @@
             return List.of();
         }
         if (message instanceof AntiEntropy.Summary summary) {
-            return differing(from, summary, members.all());
+            return differing(from, summary, members.snapshot());
         }
         if (message instanceof AntiEntropy.Versions versions) {
             compareAt = Math.min(compareAt, now + settings.compareSoon() * (0.5 + random.nextDouble()));
-            return delta(now, from, versions, members.all());
+            return delta(now, from, versions, members.snapshot());
         }
-        return wanted(now, from, (AntiEntropy.Delta) message, members.all());
+        return wanted(now, from, (AntiEntropy.Delta) message, members.snapshot());
     }
 
     private List<Output> differing(String from, AntiEntropy.Summary summary, List<MemberUpdate> all) {
--- a/src/main/java/kelphollow/fleet/Fleet.java
+++ b/src/main/java/kelphollow/fleet/Fleet.java
@@ -21,8 +21,9 @@
 import kelphollow.digest.InstanceState;
 import kelphollow.dissemination.Dissemination;
 import kelphollow.membership.Membership;
-import kelphollow.membership.Output;
-import kelphollow.membership.Settings;
+import kelphollow.membership.MemberView;
+import kelphollow.membership.MembershipOutput;
+import kelphollow.membership.MembershipSettings;
 import kelphollow.overload.LoadShedder;
 import kelphollow.overload.ProbeDelegation;
 import kelphollow.protocol.peer.Packet;
@@ -57,7 +58,7 @@
      * @param telling how changes of the digest reach the others, and within which budget
      */
     public record Options(String name, InetSocketAddress listen, Map<String, InetSocketAddress> peers, byte[] key,
-                          Settings membership, double fades, boolean findings, boolean shed, double repeats,
+                          MembershipSettings membership, double fades, boolean findings, boolean shed, double repeats,
                           Dissemination.Settings telling) {}
 
     /** Makes what carries an instance's packets; {@code epoch} is asked for with each of them. */
@@ -90,7 +91,7 @@
         io.netty.channel.EventLoop loop, Ticker ticker, FleetRouting router, Random random,
         Events events, LongConsumer raised) {
         this(options, settings, epoch, (name, lifeEpoch, peers) -> new PeerLine(loop, name, lifeEpoch, options.key(),
-            options.membership().mostMembers(), peers), ticker, router, random, events, raised);
+            options.membership().maxMembers(), peers), ticker, router, random, events, raised);
     }
 
     /** The same over another transport. */
@@ -121,7 +122,7 @@
     public void start() {
         router.limitRetries(options.repeats(), REPEATS_IN);
         if (shedding != null) {
-            router.admit(shedding);
+            router.setAdmissionFilter(shedding);
         }
         router.onEndpointsReceived(this::listed);
         events.tell("started", options.name(), membership.epoch(), "", Map.of());
@@ -156,16 +157,16 @@
             timer.cancel();
         }
         if (!over) {
-            timer = ticker.after(Math.max(1, membership.nextAt() - ticker.now()), this::turn);
+            timer = ticker.after(Math.max(1, membership.nextTickAt() - ticker.now()), this::turn);
         }
     }
 
-    @Override public void happened(Output output) {
-        if (output instanceof Output.Raised r) {
+    @Override public void happened(MembershipOutput output) {
+        if (output instanceof MembershipOutput.EpochRaised r) {
             raised.accept(r.epoch());
             events.tell("raised", options.name(), r.epoch(), "above this name's own past", Map.of());
-        } else if (output instanceof Output.Event e) {
-            events.tell(e.kind().name().toLowerCase(Locale.ROOT), e.name(), e.epoch(), e.why(), Map.of());
+        } else if (output instanceof MembershipOutput.Event e) {
+            events.tell(e.kind().name().toLowerCase(Locale.ROOT), e.name(), e.epoch(), e.reason(), Map.of());
         }
     }
 
@@ -189,7 +190,7 @@
         if (known != null) {
             return known;
         }
-        String said = membership.address(name);
+        String said = membership.addressOf(name);
         int colon = said == null ? -1 : said.lastIndexOf(':');
         try {
             return colon < 0 ? null
@@ -246,7 +247,8 @@
     private void follow() {
         double now = ticker.now();
         Set<String> drained = drains.byOthers(now, digest);
-        Set<String> left = options.findings() ? probing.rested(now, membership.present(), digest.on(SILENT, now)) : Set.of();
+        Set<String> left = options.findings() ? probing.rested(now, membership.presentMembers(), digest.on(SILENT, now))
+            : Set.of();
         if (!drained.equals(ejected) || !left.equals(rested)) {
             Set<String> all = new TreeSet<>(drained);
             all.addAll(left);
@@ -266,7 +268,7 @@
         });
         if (!silent.equals(doubted)) {
             doubted = silent;
-            router.doubt(silent);
+            router.suspect(silent);
         }
     }
 
@@ -298,7 +300,7 @@
 
     /** Names of the others that count as there. On the loop. */
     public List<String> present() {
-        return membership.present();
+        return membership.presentMembers();
     }
 
     /** By kind: packets out, bytes out, packets in, bytes in, all since the start. */
@@ -326,10 +328,10 @@
         });
         return Events.json(out -> {
             out.writeStringField("name", options.name());
-            out.writeNumberField("ill_health", membership.illHealth());
-            out.writeBooleanField("displaced", membership.displaced());
+            out.writeNumberField("ill_health", membership.localHealthScore());
+            out.writeBooleanField("displaced", membership.isDisplaced());
             out.writeArrayFieldStart("members");
-            for (Membership.View v : membership.view()) {
+            for (MemberView v : membership.view()) {
                 out.writeStartObject();
                 out.writeStringField("name", v.name());
                 out.writeStringField("state", v.state().name().toLowerCase(Locale.ROOT));
--- a/src/main/java/kelphollow/fleet/Gossip.java
+++ b/src/main/java/kelphollow/fleet/Gossip.java
@@ -11,7 +11,7 @@
 import kelphollow.membership.Membership;
 import kelphollow.membership.Message;
 import kelphollow.membership.MemberUpdate;
-import kelphollow.membership.Settings;
+import kelphollow.membership.MembershipSettings;
 import kelphollow.protocol.peer.Packet;
 
 /**
@@ -29,7 +29,7 @@
         void exchange(String with, Packet.Full ours);
 
         /** Something in membership that is not for sending. */
-        void happened(kelphollow.membership.Output output);
+        void happened(kelphollow.membership.MembershipOutput output);
 
         /** What others say has changed. */
         void learned();
@@ -50,12 +50,12 @@
     private double renewAt;
 
     /** {@code peers}: names that are tried when nobody else is known; {@code fades}: see {@link Digest}. */
-    Gossip(Settings settings, Dissemination.Settings telling, String self, String address, long epoch,
+    Gossip(MembershipSettings settings, Dissemination.Settings telling, String self, String address, long epoch,
         Collection<String> peers, double fades, RandomGenerator random, double now, Wire wire) {
         this.self = self;
         this.wire = wire;
         this.membership = new Membership(settings, self, address, epoch, peers, random, now);
-        this.digest = new Digest(self, epoch, fades, settings.mostMembers());
+        this.digest = new Digest(self, epoch, fades, settings.maxMembers());
         this.dissemination = new Dissemination(telling, self, membership, digest, random, now);
     }
 
@@ -86,7 +86,7 @@
 
     /** What those say that live counts on; what the others said fades. */
     private void renew(double now) {
-        for (MemberUpdate n : membership.all()) {
+        for (MemberUpdate n : membership.snapshot()) {
             if (n.state() == MemberUpdate.State.ALIVE) {
                 digest.renew(now, n.name(), n.epoch());
             } else {
@@ -101,15 +101,15 @@
         carryOut(now, membership.leave(now));
     }
 
-    private void carryOut(double now, List<kelphollow.membership.Output> outputs) {
-        for (kelphollow.membership.Output output : outputs) {
-            if (output instanceof kelphollow.membership.Output.Send send) {
+    private void carryOut(double now, List<kelphollow.membership.MembershipOutput> outputs) {
+        for (kelphollow.membership.MembershipOutput output : outputs) {
+            if (output instanceof kelphollow.membership.MembershipOutput.Send send) {
                 List<InstanceState> parts = dissemination.onBack(now);
                 dissemination.sent(now, wire.send(send.to(), new Packet.Small(send.message(), parts)));
-            } else if (output instanceof kelphollow.membership.Output.Exchange exchange) {
-                exchange(now, exchange.with());
+            } else if (output instanceof kelphollow.membership.MembershipOutput.FullExchange exchange) {
+                exchange(now, exchange.peer());
             } else {
-                if (output instanceof kelphollow.membership.Output.Raised raised) {
+                if (output instanceof kelphollow.membership.MembershipOutput.EpochRaised raised) {
                     digest.raise(raised.epoch());
                 }
                 wire.happened(output);
@@ -158,7 +158,7 @@
         if (message instanceof AntiEntropy.Delta delta) {
             learn(now, delta.parts());
             if (!delta.news().isEmpty()) {
-                carryOut(now, membership.told(now, from, delta.news()));
+                carryOut(now, membership.merge(now, from, delta.news()));
             }
         }
     }
@@ -173,7 +173,7 @@
 
     void answered(double now, String from, Packet.Full theirs) {
         learn(now, theirs.parts());
-        carryOut(now, membership.told(now, from, theirs.news()));
+        carryOut(now, membership.merge(now, from, theirs.news()));
     }
 
     private Packet.Full full(double now, boolean allParts) {
@@ -184,7 +184,8 @@
             }
         }
         // In debt this side tells of itself alone: that it is there is what the other must know first.
-        List<MemberUpdate> news = dissemination.allowsExchange(now) ? membership.all() : membership.all().subList(0, 1);
+        List<MemberUpdate> news = dissemination.allowsExchange(now) ? membership.snapshot() : membership.snapshot().subList(
+            0, 1);
         dissemination.sent(now, EXCHANGE_BYTES + (long) NEWS_BYTES * news.size()
             + parts.stream().mapToLong(InstanceState::estimatedBytes).sum());
         return new Packet.Full(news, parts);
--- a/src/main/java/kelphollow/membership/GossipQueue.java
+++ b/src/main/java/kelphollow/membership/GossipQueue.java
@@ -7,70 +7,72 @@
 import java.util.Map;
 
 /**
- * News on its way (SWIM section 4.1): each is told some multiple of log(n) times, the least told first, and a newer one
- * of the same instance takes the place of the older. So it holds one news an instance at most.
+ * Updates on their way to the other members (SWIM section 4.1): each is transmitted some multiple of log(n) times, the least
+ * transmitted first, and a newer one of the same member replaces the older. Holds at most one update a member.
  */
 final class GossipQueue {
-    private static final int TELLINGS = 4;
+    private static final int TRANSMISSIONS_PER_LOG10 = 4;
+    // Keeps the ceiling from falling short by rounding where the logarithm is a whole number.
+    private static final double LOG_MARGIN = 0.01;
 
-    private static final class Rumour {
-        final MemberUpdate news;
-        int told;
+    private static final class Entry {
+        private final MemberUpdate update;
+        private int transmissions;
 
-        Rumour(MemberUpdate news) {
-            this.news = news;
+        Entry(MemberUpdate update) {
+            this.update = update;
         }
     }
 
-    private final Map<String, Rumour> waiting = new LinkedHashMap<>();
+    private final Map<String, Entry> queued = new LinkedHashMap<>();
 
-    void add(MemberUpdate news) {
-        waiting.remove(news.name());
-        waiting.put(news.name(), new Rumour(news));
+    void add(MemberUpdate update) {
+        queued.remove(update.name());
+        queued.put(update.name(), new Entry(update));
     }
 
     /**
-     * Another told the same: for a first word of a life that counts as a telling (the counter with feedback of Demers and
-     * others 1987, section 1.4), or hundreds that start together tell each other for long what all know. Suspicions and
-     * what refutes them are told as often as they are due all the same.
+     * Another member sent the same update: for the first update of an epoch that counts as a transmission (the counter with
+     * feedback of Demers and others 1987, section 1.4), or hundreds that start together would long repeat what all know.
+     * Suspicions and refutations are transmitted in full all the same.
      */
-    void heardAgain(MemberUpdate news, int members) {
-        Rumour rumour = waiting.get(news.name());
-        if (rumour != null && news.state() == MemberUpdate.State.ALIVE && news.incarnation() == 0 && rumour.news.equals(news)
-            && ++rumour.told >= enough(members)) {
-            waiting.remove(news.name());
+    void receivedDuplicate(MemberUpdate update, int members) {
+        Entry entry = queued.get(update.name());
+        if (entry != null && update.state() == MemberUpdate.State.ALIVE && update.incarnation() == 0
+            && entry.update.equals(update) && ++entry.transmissions >= transmissionLimit(members)) {
+            queued.remove(update.name());
         }
     }
 
-    private static int enough(int members) {
-        return TELLINGS * (int) Math.ceil(Math.log10(members + 1) + 0.01);
+    private static int transmissionLimit(int members) {
+        return TRANSMISSIONS_PER_LOG10 * (int) Math.ceil(Math.log10(members + 1) + LOG_MARGIN);
     }
 
     boolean isEmpty() {
-        return waiting.isEmpty();
+        return queued.isEmpty();
     }
 
-    /** Up to {@code most} news for one datagram, {@code first} (or null) ahead of all. */
-    List<MemberUpdate> next(int most, int members, MemberUpdate first) {
-        List<MemberUpdate> out = new ArrayList<>();
+    /** Up to {@code max} updates for one datagram, {@code first} (or null) ahead of all. */
+    List<MemberUpdate> next(int max, int members, MemberUpdate first) {
+        List<MemberUpdate> updates = new ArrayList<>();
         if (first != null) {
-            out.add(first);
+            updates.add(first);
         }
-        int enough = enough(members);
-        List<Rumour> least = new ArrayList<>(waiting.values());
-        least.sort(Comparator.comparingInt(r -> r.told));   // stable: among equals the older one first
-        for (Rumour r : least) {
-            if (out.size() >= most) {
+        int limit = transmissionLimit(members);
+        List<Entry> leastTransmitted = new ArrayList<>(queued.values());
+        leastTransmitted.sort(Comparator.comparingInt(e -> e.transmissions));   // stable: among equals the older one first
+        for (Entry entry : leastTransmitted) {
+            if (updates.size() >= max) {
                 break;
             }
-            if (first != null && r.news.name().equals(first.name())) {
+            if (first != null && entry.update.name().equals(first.name())) {
                 continue;
             }
-            out.add(r.news);
-            if (++r.told >= enough) {
-                waiting.remove(r.news.name());
+            updates.add(entry.update);
+            if (++entry.transmissions >= limit) {
+                queued.remove(entry.update.name());
             }
         }
-        return out;
+        return updates;
     }
 }
--- a/src/main/java/kelphollow/membership/LocalHealth.java
+++ b/src/main/java/kelphollow/membership/LocalHealth.java
@@ -1,27 +1,28 @@
 package kelphollow.membership;
 
 /**
- * Lifeguard's local health multiplier: the more an instance seems to be slow itself, the longer it waits for others
- * before it accuses them. From 0 (well) to one less than the most.
+ * Lifeguard's local health multiplier (LHA-Probe): the more this instance seems to be slow itself, the longer it waits for
+ * others before it suspects them. The score runs from 0 (healthy) to one less than the limit.
  */
 final class LocalHealth {
-    private final int most;
+    private final int limit;
     private int score;
 
-    LocalHealth(int most) {
-        this.most = most;
+    LocalHealth(int limit) {
+        this.limit = limit;
     }
 
-    /** Worse by so much, or better where it is negative. */
+    /** Raises the score, or lowers it by a negative {@code delta}, within its bounds. */
     void add(int delta) {
-        score = Math.max(0, Math.min(most - 1, score + delta));
+        score = Math.max(0, Math.min(limit - 1, score + delta));
     }
 
     int score() {
         return score;
     }
 
-    double stretch(double time) {
-        return time * (1 + score);
+    /** A time in milliseconds, lengthened by the score. */
+    double stretch(double millis) {
+        return millis * (1 + score);
     }
 }
--- a/src/main/java/kelphollow/membership/MemberUpdate.java
+++ b/src/main/java/kelphollow/membership/MemberUpdate.java
@@ -1,35 +1,55 @@
 package kelphollow.membership;
 
 /**
- * What is said of one instance. News of one instance are totally ordered by {@link #overrides}, so that any order of
- * arrival, loss made good and duplicates lead to the same view.
+ * A statement about one member (SWIM section 4.1: an update). Updates of one member are totally ordered by {@link
+ * #overrides}, so that reordering, duplicates and loss that is made up for lead to the same view everywhere.
  *
- * @param name the instance, 1 to {@link #LONGEST_NAME} characters
- * @param address where it says it is reached, at most {@link #LONGEST_ADDRESS} characters; may be empty
- * @param epoch its life: grows with each start
- * @param incarnation its word against suspicion within a life, raised by the instance alone
- * @param by who suspects it, or who found it dead; empty for the instance's own word
+ * @param name the member, 1 to {@link #MAX_NAME_LENGTH} characters
+ * @param address where it says it is reached, at most {@link #MAX_ADDRESS_LENGTH} characters; may be empty
+ * @param epoch number of the member's process; grows with each start
+ * @param incarnation refutes suspicions within an epoch; raised by the member alone
+ * @param accuser who suspects the member or declared it dead; empty for the member's own statements
  */
-public record MemberUpdate(String name, String address, long epoch, long incarnation, State state, String by) {
-    /** Longest name and address, in characters. */
-    public static final int LONGEST_NAME = 64;
-    public static final int LONGEST_ADDRESS = 64;
+public record MemberUpdate(String name, String address, long epoch, long incarnation, State state, String accuser) {
+    /** Longest member name, in characters. */
+    public static final int MAX_NAME_LENGTH = 64;
+    /** Longest address, in characters. */
+    public static final int MAX_ADDRESS_LENGTH = 64;
 
-    /** In the order of their weight at one incarnation. */
-    public enum State { ALIVE, SUSPECT, DEAD, LEFT }
+    /** State of a member, in the order of precedence at one incarnation. */
+    public enum State {
+        /** Answers probes. */
+        ALIVE,
+        /** Did not answer a probe, and has not refuted that yet. */
+        SUSPECT,
+        /** Declared dead after the suspicion timeout. */
+        DEAD,
+        /** Left gracefully. */
+        LEFT;
 
-    /** Throws {@link IllegalArgumentException} for what no instance could mean. */
+        /** Whether a member in this state counts as part of the fleet. */
+        public boolean isPresent() {
+            return this == ALIVE || this == SUSPECT;
+        }
+    }
+
+    /** Throws {@link IllegalArgumentException} if a field is out of bounds. */
     public MemberUpdate {
-        if (name == null || name.isEmpty() || name.length() > LONGEST_NAME || address == null
-            || address.length() > LONGEST_ADDRESS || by == null || by.length() > LONGEST_NAME || state == null
-            || epoch < 0 || incarnation < 0) {
-            throw new IllegalArgumentException("no news of an instance");
+        if (name == null || name.isEmpty() || name.length() > MAX_NAME_LENGTH || address == null
+            || address.length() > MAX_ADDRESS_LENGTH || accuser == null || accuser.length() > MAX_NAME_LENGTH
+            || state == null || epoch < 0 || incarnation < 0) {
+            throw new IllegalArgumentException("invalid member update");
         }
     }
 
+    /** Whether the member counts as part of the fleet by this update. */
+    public boolean isPresent() {
+        return state.isPresent();
+    }
+
     /**
-     * SWIM section 4.2: a higher incarnation overrides; at the same one suspicion overrides life and death overrides
-     * both. Around that: a later life overrides an earlier one, and who left has left for the rest of its life.
+     * SWIM section 4.2: a higher incarnation overrides; at the same one SUSPECT overrides ALIVE and DEAD overrides both.
+     * Around that: a higher epoch overrides a lower one, and LEFT is final within its epoch.
      */
     public boolean overrides(MemberUpdate other) {
         if (epoch != other.epoch) {
@@ -44,7 +64,8 @@
         return state.ordinal() > other.state.ordinal();
     }
 
-    MemberUpdate as(State next, String who) {
-        return new MemberUpdate(name, address, epoch, incarnation, next, who);
+    /** The same member, epoch and incarnation in another state. */
+    MemberUpdate withState(State next, String statedBy) {
+        return new MemberUpdate(name, address, epoch, incarnation, next, statedBy);
     }
 }
--- a/src/main/java/kelphollow/membership/Message.java
+++ b/src/main/java/kelphollow/membership/Message.java
@@ -2,22 +2,67 @@
 
 import java.util.List;
 
-/** What instances say to each other in one datagram. Each carries news on its back (SWIM section 4.1). */
+/** The datagrams of the protocol. Each carries member updates piggybacked on it (SWIM section 4.1). */
 public sealed interface Message {
-    List<MemberUpdate> news();
+    /** The piggybacked updates. */
+    List<MemberUpdate> updates();
 
-    /** Are you there? Answered by an {@link Ack} of the same number. {@code to} guards against a reused address. */
-    record Ping(long number, String to, List<MemberUpdate> news) implements Message {}
+    /** Calls the visitor's method for this kind of message. */
+    <R> R accept(Visitor<R> visitor);
 
-    /** Ask {@code target} for me: answered by an {@link Ack}, or by a {@link Nack} if it says nothing in time. */
-    record PingRequest(long number, String target, List<MemberUpdate> news) implements Message {}
+    /** One method for each kind of message. */
+    interface Visitor<R> {
+        /** For a direct probe. */
+        R ping(Ping ping);
 
-    /** Yes, I am, or the one you had me ask is. */
-    record Ack(long number, List<MemberUpdate> news) implements Message {}
+        /** For a request for an indirect probe. */
+        R pingRequest(PingRequest request);
 
-    /** Lifeguard: I am here, but the one you had me ask has said nothing so far. */
-    record Nack(long number, List<MemberUpdate> news) implements Message {}
+        /** For the answer to a direct or indirect probe. */
+        R ack(Ack ack);
 
-    /** Only news. */
-    record Gossip(List<MemberUpdate> news) implements Message {}
+        /** For the report that an indirect probe is unanswered so far. */
+        R nack(Nack nack);
+
+        /** For updates without a probe. */
+        R gossip(Gossip gossip);
+    }
+
+    /**
+     * Direct probe, answered by an {@link Ack} with the same sequence number; {@code target} guards against a reused
+     * address.
+     */
+    record Ping(long sequence, String target, List<MemberUpdate> updates) implements Message {
+        @Override public <R> R accept(Visitor<R> visitor) {
+            return visitor.ping(this);
+        }
+    }
+
+    /** Indirect probe: the receiver probes {@code target} and relays its {@link Ack}, or sends a {@link Nack} in time. */
+    record PingRequest(long sequence, String target, List<MemberUpdate> updates) implements Message {
+        @Override public <R> R accept(Visitor<R> visitor) {
+            return visitor.pingRequest(this);
+        }
+    }
+
+    /** Answers a {@link Ping}, or relays the answer to an indirect probe. */
+    record Ack(long sequence, List<MemberUpdate> updates) implements Message {
+        @Override public <R> R accept(Visitor<R> visitor) {
+            return visitor.ack(this);
+        }
+    }
+
+    /** Lifeguard: the receiver of a {@link PingRequest} is reachable, but the target has not answered it so far. */
+    record Nack(long sequence, List<MemberUpdate> updates) implements Message {
+        @Override public <R> R accept(Visitor<R> visitor) {
+            return visitor.nack(this);
+        }
+    }
+
+    /** Only updates. */
+    record Gossip(List<MemberUpdate> updates) implements Message {
+        @Override public <R> R accept(Visitor<R> visitor) {
+            return visitor.gossip(this);
+        }
+    }
 }
--- a/src/main/java/kelphollow/membership/Suspicion.java
+++ b/src/main/java/kelphollow/membership/Suspicion.java
@@ -4,36 +4,37 @@
 import java.util.Set;
 
 /**
- * How long an instance stays suspected before it counts as dead (Lifeguard, LHA-Suspicion): from the most down to the
- * least, by the logarithm of how many accuse it independently.
+ * The suspicion timeout of one member (Lifeguard, LHA-Suspicion): falls from the longest to the shortest with the logarithm
+ * of the number of independent accusers. Times are in milliseconds.
  */
 final class Suspicion {
-    private final double least, most;
+    private final double shortest;
+    private final double longest;
     private final int confirmations;
     private final Set<String> accusers = new HashSet<>();
     private double startedAt;
 
-    Suspicion(double now, double least, double most, int confirmations, String accuser) {
+    Suspicion(double now, double shortest, double longest, int confirmations, String accuser) {
         this.startedAt = now;
-        this.least = least;
-        this.most = most;
+        this.shortest = shortest;
+        this.longest = longest;
         this.confirmations = confirmations;
         accusers.add(accuser);
     }
 
-    /** Another accuses too. True if that shortens the wait, and so is worth passing on. */
+    /** Adds an accuser. True if that shortens the timeout, so that the accusation is worth gossiping. */
     boolean confirm(String accuser) {
         return accusers.size() <= confirmations && accusers.add(accuser);
     }
 
-    /** Time that this instance slept through does not count against another. */
-    void shift(double by) {
-        startedAt += by;
+    /** Extends the timeout by the time for which this process was paused. */
+    void extend(double millis) {
+        startedAt += millis;
     }
 
-    double endsAt() {
-        double c = accusers.size() - 1;
-        double share = Math.min(1, Math.log(c + 1) / Math.log(confirmations + 1));
-        return startedAt + Math.max(least, most - (most - least) * share);
+    double expiresAt() {
+        double confirmed = accusers.size() - 1;
+        double fraction = Math.min(1, Math.log(confirmed + 1) / Math.log(confirmations + 1));
+        return startedAt + Math.max(shortest, longest - (longest - shortest) * fraction);
     }
 }
--- a/src/main/java/kelphollow/program/FleetConfig.java
+++ b/src/main/java/kelphollow/program/FleetConfig.java
@@ -14,7 +14,7 @@
 import kelphollow.fleet.Events;
 import kelphollow.fleet.Fleet;
 import kelphollow.membership.MemberUpdate;
-import kelphollow.membership.Settings;
+import kelphollow.membership.MembershipSettings;
 
 /**
  * The {@code fleet} object of an operator's file, checked and with its defaults. Times in milliseconds.
@@ -44,8 +44,8 @@
             throw new Config.Bad("fleet needs 'store': the numbers of this instance's lives are kept there");
         }
         String name = Config.word(json, "name", null);
-        if (name.length() > MemberUpdate.LONGEST_NAME) {
-            throw new Config.Bad("name is longer than " + MemberUpdate.LONGEST_NAME + " characters");
+        if (name.length() > MemberUpdate.MAX_NAME_LENGTH) {
+            throw new Config.Bad("name is longer than " + MemberUpdate.MAX_NAME_LENGTH + " characters");
         }
         Map<String, InetSocketAddress> peers = new TreeMap<>();
         for (Map.Entry<?, ?> peer : Config.object(fleet, "fleet.", "peers").entrySet()) {
@@ -55,13 +55,9 @@
             }
             peers.put((String) peer.getKey(), Config.address(address, key));
         }
-        double period = Config.number(fleet, "fleet.", "period_ms", Settings.USUAL.period(), 20);
-        int members = (int) Config.number(fleet, "fleet.", "members", (double) Settings.USUAL.mostMembers(), 2);
-        Settings usual = Settings.USUAL.withPeriod(period);
-        Settings settings = new Settings(usual.period(), usual.timeout(), usual.relays(), usual.spread(), usual.fanout(),
-            usual.suspicionLeast(), usual.suspicionMost(), usual.confirmations(), usual.healthMost(), usual.rejoin(),
-            members,
-            usual.mostNews(), usual.standstill());
+        double period = Config.number(fleet, "fleet.", "period_ms", MembershipSettings.DEFAULTS.protocolPeriod(), 20);
+        int members = (int) Config.number(fleet, "fleet.", "members", (double) MembershipSettings.DEFAULTS.maxMembers(), 2);
+        MembershipSettings settings = MembershipSettings.DEFAULTS.withProtocolPeriod(period).withMaxMembers(members);
         return new FleetConfig(new Fleet.Options(name, Config.address(text(fleet, "listen"), "fleet.listen"), peers,
             key(text(fleet, "key_file")), settings, Config.number(fleet, "fleet.", "fades_ms", FADES, 4 * period),
             !Boolean.FALSE.equals(fleet.get("findings")), !Boolean.FALSE.equals(fleet.get("shed")),
--- a/src/main/java/kelphollow/protocol/peer/PeerCodec.java
+++ b/src/main/java/kelphollow/protocol/peer/PeerCodec.java
@@ -70,19 +70,19 @@
 
     private static void message(Message message, JsonGenerator out) throws IOException {
         if (message instanceof Message.Ping m) {
-            head("ping", m.number(), out);
-            out.writeString(m.to());
+            head("ping", m.sequence(), out);
+            out.writeString(m.target());
         } else if (message instanceof Message.PingRequest m) {
-            head("ask", m.number(), out);
+            head("ask", m.sequence(), out);
             out.writeString(m.target());
         } else if (message instanceof Message.Ack m) {
-            head("ack", m.number(), out);
+            head("ack", m.sequence(), out);
         } else if (message instanceof Message.Nack m) {
-            head("nack", m.number(), out);
+            head("nack", m.sequence(), out);
         } else {
             out.writeString("news");
         }
-        news(message.news(), out);
+        news(message.updates(), out);
     }
 
     private static void head(String kind, long number, JsonGenerator out) throws IOException {
@@ -99,7 +99,7 @@
             out.writeNumber(n.epoch());
             out.writeNumber(n.incarnation());
             out.writeString(STATES[n.state().ordinal()]);
-            out.writeString(n.by());
+            out.writeString(n.accuser());
             out.writeEndArray();
         }
         out.writeEndArray();
--- a/src/main/java/kelphollow/routing/FleetRouting.java
+++ b/src/main/java/kelphollow/routing/FleetRouting.java
@@ -7,30 +7,30 @@
 import kelphollow.decision.ControlEvent.Endpoint;
 
 /**
- * What the fleet asks of the routing of its instance, and all that it changes there. {@link RequestRouter} is the one that routes
- * requests; an instance without a data path, as a scale run has them, answers for itself. All calls come on one loop.
+ * What the fleet reads from and changes in the routing of its instance. {@link RequestRouter} implements it in production; a
+ * simulated instance without a data path has its own. All calls come on one loop.
  */
 public interface FleetRouting {
     /**
-     * From now on further attempts at each node are at most this share of the first ones.
+     * Sets the retry budget of each node.
      *
-     * @param share of first attempts, 0 and up
-     * @param span in which both are counted, in milliseconds
+     * @param share retries as a fraction of first attempts, 0 and up
+     * @param window in which both are counted, in milliseconds
      */
-    void limitRetries(double share, double span);
+    void limitRetries(double share, double window);
 
-    /** From now on requests are looked at by this before the decision module hears of them. */
-    void admit(AdmissionFilter by);
+    /** Sets the filter that requests pass before the decision module gets them. */
+    void setAdmissionFilter(AdmissionFilter filter);
 
-    /** {@code heard} is told what each list from discovery says, as it says it, once it has been followed. */
-    void onEndpointsReceived(Consumer<List<Endpoint>> heard);
+    /** Sets the listener that gets each endpoint list from discovery, unchanged, after it has been applied. */
+    void onEndpointsReceived(Consumer<List<Endpoint>> listener);
 
-    /** Nodes that get nothing new for the sake of other instances; all of them each time. */
+    /** Replaces the set of nodes that get no new requests for the sake of other instances. */
     void eject(Set<String> nodes);
 
-    /** Nodes that others found silent; all of them each time. */
-    void doubt(Set<String> nodes);
+    /** Replaces the set of nodes that other instances found unresponsive. */
+    void suspect(Set<String> nodes);
 
-    /** Nodes that do not answer this instance, and how often it has tried each since. */
+    /** Nodes that do not respond to this instance, and how often it has tried each since it found that. */
     Map<String, Integer> unresponsiveNodes();
 }
--- a/src/main/java/kelphollow/routing/RequestRouter.java
+++ b/src/main/java/kelphollow/routing/RequestRouter.java
@@ -190,8 +190,8 @@
     }
 
     /** From now on requests are looked at by this before the module hears of them. */
-    @Override public void admit(AdmissionFilter by) {
-        admission = by;
+    @Override public void setAdmissionFilter(AdmissionFilter filter) {
+        admission = filter;
     }
 
     public int openRequests() {
@@ -300,7 +300,7 @@
     }
 
     /** Nodes that others found silent, all of them each time. */
-    @Override public void doubt(Set<String> nodes) {
+    @Override public void suspect(Set<String> nodes) {
         tell(new NodesSuspected(nodes));
     }
 
--- a/src/main/java/kelphollow/scale/DeathProbes.java
+++ b/src/main/java/kelphollow/scale/DeathProbes.java
@@ -3,7 +3,7 @@
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.Map;
-import kelphollow.membership.Settings;
+import kelphollow.membership.MembershipSettings;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -108,10 +108,10 @@
 
     /** A round of probes over all, and the longest suspicion, with half of it on top for news to spread; in milliseconds. */
     double longestDetection() {
-        Settings usual = Settings.USUAL.withPeriod(scenario.period());
-        double suspicion = usual.suspicionLeast() * Math.max(1, Math.log10(scenario.instances() + 1)) * usual.period()
-            * usual.suspicionMost();
-        return 1.5 * suspicion + 10 * usual.period();
+        MembershipSettings settings = MembershipSettings.DEFAULTS.withProtocolPeriod(scenario.period());
+        double suspicion = settings.suspicionMultiplier() * Math.max(1, Math.log10(scenario.instances() + 1))
+            * settings.protocolPeriod() * settings.suspicionMaxFactor();
+        return 1.5 * suspicion + 10 * settings.protocolPeriod();
     }
 
     synchronized long falseFailures() {
--- a/src/main/java/kelphollow/scale/SimulatedInstance.java
+++ b/src/main/java/kelphollow/scale/SimulatedInstance.java
@@ -17,7 +17,7 @@
 import kelphollow.dissemination.Dissemination;
 import kelphollow.fleet.Events;
 import kelphollow.fleet.Fleet;
-import kelphollow.membership.Settings;
+import kelphollow.membership.MembershipSettings;
 import kelphollow.protocol.json.Json;
 import kelphollow.protocol.peer.PeerLine;
 import kelphollow.protocol.peer.Traffic;
@@ -89,7 +89,8 @@
         host.call(index, () -> {
             Ticker ticker = host.ticker(index, life);
             nodes = new SimulatedNodes(scenario, index, ticker, ejected -> observer.ejected(index, ticker.now(), ejected));
-            fleet = new Fleet(options(), settings(), epoch, host.transports(index, life, KEY, Settings.USUAL.mostMembers()),
+            fleet = new Fleet(options(), settings(), epoch, host.transports(index, life, KEY,
+                MembershipSettings.DEFAULTS.maxMembers()),
                 ticker, nodes, drawn, new Events(new Tap(ticker)), raised -> epoch = raised);
             return null;
         });
@@ -107,7 +108,7 @@
             seeds.put(ScaleScenario.nameOf(seed), network.addressOf(seed));
         }
         return new Fleet.Options(ScaleScenario.nameOf(index), network.addressOf(index), seeds, KEY,
-            Settings.USUAL.withPeriod(scenario.period()), scenario.fades(), true, true, REPEATS,
+            MembershipSettings.DEFAULTS.withProtocolPeriod(scenario.period()), scenario.fades(), true, true, REPEATS,
             Dissemination.Settings.USUAL);
     }
 
--- a/src/main/java/kelphollow/scale/SimulatedNodes.java
+++ b/src/main/java/kelphollow/scale/SimulatedNodes.java
@@ -95,8 +95,8 @@
 
     @Override public void limitRetries(double share, double span) {}
 
-    @Override public void admit(AdmissionFilter by) {
-        admission = by;
+    @Override public void setAdmissionFilter(AdmissionFilter filter) {
+        admission = filter;
     }
 
     @Override public void onEndpointsReceived(Consumer<List<Endpoint>> heard) {
@@ -108,7 +108,7 @@
         ejections.accept(ejected);
     }
 
-    @Override public void doubt(Set<String> nodes) {}
+    @Override public void suspect(Set<String> nodes) {}
 
     @Override public Map<String, Integer> unresponsiveNodes() {
         double now = ticker.now();
--- a/src/test/java/kelphollow/fleet/DisseminationWorld.java
+++ b/src/test/java/kelphollow/fleet/DisseminationWorld.java
@@ -13,7 +13,7 @@
 import java.util.function.BiPredicate;
 import kelphollow.digest.InstanceState;
 import kelphollow.dissemination.Dissemination;
-import kelphollow.membership.Settings;
+import kelphollow.membership.MembershipSettings;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PacketSizes;
 import kelphollow.protocol.peer.PeerLine;
@@ -31,10 +31,10 @@
      * @param keys figures in each part
      * @param changeEvery milliseconds between changes of an instance's part, on average; infinite for none
      */
-    record Setup(int size, boolean before, int keys, double changeEvery, double fades, Settings membership,
+    record Setup(int size, boolean before, int keys, double changeEvery, double fades, MembershipSettings membership,
                  Dissemination.Settings telling) {
         static Setup of(int size, boolean before) {
-            return new Setup(size, before, 3, Double.POSITIVE_INFINITY, 10_000, Settings.USUAL,
+            return new Setup(size, before, 3, Double.POSITIVE_INFINITY, 10_000, MembershipSettings.DEFAULTS,
                 Dissemination.Settings.USUAL);
         }
 
@@ -179,7 +179,7 @@
     }
 
     private void wake(String name, Player player) {
-        double when = Math.max(now, player.membership().nextAt());
+        double when = Math.max(now, player.membership().nextTickAt());
         if (when >= armed.getOrDefault(player, Double.POSITIVE_INFINITY)) {
             return;
         }
@@ -206,7 +206,7 @@
         datagrams++;
         int header = PeerLine.HEADERS + PacketSizes.SEAL, all = PacketSizes.of(packet);
         if (packet instanceof Packet.Small small) {
-            boolean alone = small.message() instanceof kelphollow.membership.Message.Gossip && small.message().news()
+            boolean alone = small.message() instanceof kelphollow.membership.Message.Gossip && small.message().updates()
                 .isEmpty();
             int message = alone ? 0 : header + (small.parts().isEmpty() ? all : PacketSizes.of(PacketSizes.bare(packet)));
             charge(from, Kind.MEMBERSHIP, message);
@@ -299,8 +299,9 @@
 
     /** How many of the living see all others as present, and only those. */
     long rightViews() {
-        return lives.entrySet().stream().filter(e -> new java.util.HashSet<>(e.getValue().membership().present()).equals(
-            lives.keySet().stream().filter(n -> !n.equals(e.getKey())).collect(java.util.stream.Collectors.toSet())))
+        return lives.entrySet().stream().filter(e -> new java.util.HashSet<>(e.getValue().membership().presentMembers())
+            .equals(
+                lives.keySet().stream().filter(n -> !n.equals(e.getKey())).collect(java.util.stream.Collectors.toSet())))
             .count();
     }
 
--- a/src/test/java/kelphollow/fleet/GossipProperties.java
+++ b/src/test/java/kelphollow/fleet/GossipProperties.java
@@ -10,8 +10,8 @@
 import java.util.Random;
 import java.util.TreeMap;
 import kelphollow.dissemination.Dissemination;
-import kelphollow.membership.Output;
-import kelphollow.membership.Settings;
+import kelphollow.membership.MembershipOutput;
+import kelphollow.membership.MembershipSettings;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PacketSizes;
 import net.jqwik.api.ForAll;
@@ -49,7 +49,7 @@
             at(self).answered(now, with, theirs);
         }
 
-        @Override public void happened(Output output) {}
+        @Override public void happened(MembershipOutput output) {}
 
         @Override public void learned() {}
     }
@@ -65,7 +65,8 @@
         now = 0;
         for (int i = 0; i < SIZE; i++) {
             String name = String.valueOf((char) ('a' + i));
-            all.add(new Gossip(Settings.USUAL, Dissemination.Settings.USUAL, name, "x:1", 1, List.of("a", "b"), 10_000,
+            all.add(new Gossip(MembershipSettings.DEFAULTS, Dissemination.Settings.USUAL, name, "x:1", 1, List.of("a", "b"),
+                10_000,
                 new Random(random.nextLong()), 0, new End(name)));
         }
     }
@@ -73,7 +74,7 @@
     private void step(double loss, double twice) {
         now += STEP;
         for (Gossip g : all) {
-            if (g.membership().nextAt() <= now) g.tick(now);
+            if (g.membership().nextTickAt() <= now) g.tick(now);
             g.round(now);
         }
         for (int due = way.size(); due > 0; due--) {
--- a/src/test/java/kelphollow/fleet/Player.java
+++ b/src/test/java/kelphollow/fleet/Player.java
@@ -104,7 +104,7 @@
             net.exchange(self, with, ours);
         }
 
-        @Override public void happened(kelphollow.membership.Output output) {}
+        @Override public void happened(kelphollow.membership.MembershipOutput output) {}
 
         @Override public void learned() {}
     }
@@ -127,7 +127,7 @@
             this.random = random;
             this.net = net;
             this.membership = new Membership(setup.membership(), self, "10.0.0.1:10000", epoch, peers, random, now);
-            this.digest = new RenewingDigest(self, epoch, setup.fades(), setup.membership().mostMembers());
+            this.digest = new RenewingDigest(self, epoch, setup.fades(), setup.membership().maxMembers());
         }
 
         @Override public Membership membership() {
@@ -138,28 +138,28 @@
             carryOut(now, membership.tick(now));
         }
 
-        private void carryOut(double now, java.util.List<kelphollow.membership.Output> outputs) {
-            for (kelphollow.membership.Output output : outputs) {
-                if (output instanceof kelphollow.membership.Output.Send send) {
+        private void carryOut(double now, java.util.List<kelphollow.membership.MembershipOutput> outputs) {
+            for (kelphollow.membership.MembershipOutput output : outputs) {
+                if (output instanceof kelphollow.membership.MembershipOutput.Send send) {
                     net.send(self, send.to(), new Packet.Small(send.message(), digest.fresh(now, PARTS)));
-                } else if (output instanceof kelphollow.membership.Output.Exchange exchange) {
-                    net.exchange(self, exchange.with(), full(now));
-                } else if (output instanceof kelphollow.membership.Output.Raised raised) {
+                } else if (output instanceof kelphollow.membership.MembershipOutput.FullExchange exchange) {
+                    net.exchange(self, exchange.peer(), full(now));
+                } else if (output instanceof kelphollow.membership.MembershipOutput.EpochRaised raised) {
                     digest.raise(raised.epoch());
                 }
             }
         }
 
         private Packet.Full full(double now) {
-            return new Packet.Full(membership.all(), digest.all(now));
+            return new Packet.Full(membership.snapshot(), digest.all(now));
         }
 
         @Override public void look(double now) {
             digest.fade(now);
             digest.publish(now);
-            java.util.List<String> others = new java.util.ArrayList<>(membership.present());
+            java.util.List<String> others = new java.util.ArrayList<>(membership.presentMembers());
             java.util.Collections.shuffle(others, random);
-            for (String other : others.subList(0, Math.min(setup.membership().fanout(), others.size()))) {
+            for (String other : others.subList(0, Math.min(setup.membership().gossipFanout(), others.size()))) {
                 if (digest.hasFresh()) {
                     net.send(self, other, new Packet.Small(new kelphollow.membership.Message.Gossip(java.util.List.of()),
                         digest.fresh(now, PARTS)));
@@ -194,7 +194,7 @@
 
         @Override public void answered(double now, String from, Packet.Full theirs) {
             digest.merge(now, theirs.parts());
-            carryOut(now, membership.told(now, from, theirs.news()));
+            carryOut(now, membership.merge(now, from, theirs.news()));
         }
     }
 }
--- a/src/test/java/kelphollow/membership/FleetWorld.java
+++ b/src/test/java/kelphollow/membership/FleetWorld.java
@@ -12,30 +12,33 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.function.BiPredicate;
-import kelphollow.membership.Membership.View;
 import kelphollow.membership.MemberUpdate.State;
-import kelphollow.membership.Output.Kind;
+import kelphollow.membership.MembershipOutput.Kind;
 
-/** A fleet on one clock, with a net that loses, delays and cuts, by seed. */
+/** A simulated fleet on one clock, with a network that loses, delays and partitions, by seed. */
 final class FleetWorld {
-    record Due(double at, long order, Runnable task) {}
+    record ScheduledTask(double at, long order, Runnable task) {}
 
-    record Seen(double at, String by, Kind kind, String of) {}
+    record ObservedEvent(double at, String observer, Kind kind, String subject) {}
 
     final Random random;
     final long seed;
-    final Settings settings;
-    final Map<String, Membership> lives = new LinkedHashMap<>();
+    final MembershipSettings settings;
+    final Map<String, Membership> running = new LinkedHashMap<>();
     final Map<String, Long> epochs = new HashMap<>();
-    final Map<String, Double> sleepsUntil = new HashMap<>();
-    final Map<Membership, Double> armed = new IdentityHashMap<>();
-    final List<Seen> seen = new ArrayList<>();
-    final PriorityQueue<Due> dues = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+    final Map<String, Double> pausedUntil = new HashMap<>();
+    final Map<Membership, Double> wakeUps = new IdentityHashMap<>();
+    final List<ObservedEvent> events = new ArrayList<>();
+    final PriorityQueue<ScheduledTask> schedule = new PriorityQueue<>(
+        Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
     BiPredicate<String, String> passes = (from, to) -> true;
-    double now, loss, delay = 2;
-    long order, messages;
+    double now;
+    double loss;
+    double delay = 2;
+    long messages;
+    private long nextOrder;
 
-    FleetWorld(long seed, Settings settings) {
+    FleetWorld(long seed, MembershipSettings settings) {
         this.seed = seed;
         this.random = new Random(seed);
         this.settings = settings;
@@ -43,10 +46,10 @@
 
     void start(String name, String... peers) {
         long epoch = epochs.merge(name, 1L, Long::sum);
-        Membership life = new Membership(settings, name, name + "@", epoch, List.of(peers), new Random(random.nextLong()),
-            now);
-        lives.put(name, life);
-        wake(name, life);
+        Membership membership = new Membership(settings, name, name + "@", epoch, List.of(peers),
+            new Random(random.nextLong()), now);
+        running.put(name, membership);
+        wake(name, membership);
     }
 
     void fleet(int size) {
@@ -56,46 +59,46 @@
     }
 
     void kill(String name) {
-        lives.remove(name);
+        running.remove(name);
     }
 
     private void at(double time, Runnable task) {
-        dues.add(new Due(time, order++, task));
+        schedule.add(new ScheduledTask(time, nextOrder++, task));
     }
 
-    /** One wake-up an instance: a later one that is armed already is left to run into nothing. */
-    void wake(String name, Membership life) {
-        double when = Math.max(now, Math.max(life.nextAt(), sleepsUntil.getOrDefault(name, 0.0)));
-        if (when >= armed.getOrDefault(life, Double.POSITIVE_INFINITY)) {
+    /** Schedules the next tick; a later one that is scheduled already finds that it was replaced. */
+    void wake(String name, Membership membership) {
+        double when = Math.max(now, Math.max(membership.nextTickAt(), pausedUntil.getOrDefault(name, 0.0)));
+        if (when >= wakeUps.getOrDefault(membership, Double.POSITIVE_INFINITY)) {
             return;
         }
-        armed.put(life, when);
+        wakeUps.put(membership, when);
         at(when, () -> {
-            if (lives.get(name) == life && armed.get(life) == when) {
-                armed.remove(life);
-                if (now >= sleepsUntil.getOrDefault(name, 0.0)) {
-                    carryOut(name, life, life.tick(now));
+            if (running.get(name) == membership && wakeUps.get(membership) == when) {
+                wakeUps.remove(membership);
+                if (now >= pausedUntil.getOrDefault(name, 0.0)) {
+                    carryOut(name, membership, membership.tick(now));
                 }
-                wake(name, life);
+                wake(name, membership);
             }
         });
     }
 
-    void carryOut(String name, Membership life, List<Output> outputs) {
-        for (Output output : outputs) {
-            if (output instanceof Output.Send send) {
+    void carryOut(String name, Membership membership, List<MembershipOutput> outputs) {
+        for (MembershipOutput output : outputs) {
+            if (output instanceof MembershipOutput.Send send) {
                 messages++;
                 post(name, send.to(), loss, to -> carryOut(send.to(), to, to.received(now, name, send.message())));
-            } else if (output instanceof Output.Exchange exchange) {
-                List<MemberUpdate> mine = life.all();
-                post(name, exchange.with(), 0, to -> {
-                    List<MemberUpdate> theirs = to.all();
-                    carryOut(exchange.with(), to, to.told(now, name, mine));
-                    post(exchange.with(), name, 0, back -> carryOut(name, back, back.told(now, exchange.with(), theirs)));
+            } else if (output instanceof MembershipOutput.FullExchange exchange) {
+                List<MemberUpdate> mine = membership.snapshot();
+                post(name, exchange.peer(), 0, to -> {
+                    List<MemberUpdate> theirs = to.snapshot();
+                    carryOut(exchange.peer(), to, to.merge(now, name, mine));
+                    post(exchange.peer(), name, 0, back -> carryOut(name, back, back.merge(now, exchange.peer(), theirs)));
                 });
-            } else if (output instanceof Output.Event event) {
-                seen.add(new Seen(now, name, event.kind(), event.name()));
-            } else if (output instanceof Output.Raised raised) {
+            } else if (output instanceof MembershipOutput.Event event) {
+                events.add(new ObservedEvent(now, name, event.kind(), event.name()));
+            } else if (output instanceof MembershipOutput.EpochRaised raised) {
                 epochs.put(name, raised.epoch());
             }
         }
@@ -109,36 +112,36 @@
     }
 
     private void deliver(String from, String to, java.util.function.Consumer<Membership> arrive) {
-        double until = sleepsUntil.getOrDefault(to, 0.0);
+        double until = pausedUntil.getOrDefault(to, 0.0);
         if (now < until) {
-            at(until, () -> deliver(from, to, arrive));   // it waits in the sleeper's socket
-        } else if (lives.containsKey(to) && passes.test(from, to)) {
-            arrive.accept(lives.get(to));
-            // news may have made something due earlier
-            wake(to, lives.get(to));
+            at(until, () -> deliver(from, to, arrive));   // it waits in the socket of the paused process
+        } else if (running.containsKey(to) && passes.test(from, to)) {
+            arrive.accept(running.get(to));
+            // the message may have made something due earlier
+            wake(to, running.get(to));
         }
     }
 
     void run(double until) {
-        while (!dues.isEmpty() && dues.peek().at <= until) {
-            Due due = dues.poll();
-            now = Math.max(now, due.at);
-            due.task.run();
+        while (!schedule.isEmpty() && schedule.peek().at <= until) {
+            ScheduledTask task = schedule.poll();
+            now = Math.max(now, task.at);
+            task.task.run();
         }
         now = until;
     }
 
-    List<Seen> seen(Kind kind, double from) {
-        return seen.stream().filter(s -> s.kind == kind && s.at >= from).toList();
+    List<ObservedEvent> events(Kind kind, double from) {
+        return events.stream().filter(s -> s.kind == kind && s.at >= from).toList();
     }
 
-    /** Every living instance sees just these as present, itself aside. */
+    /** Every running instance sees exactly the other running ones as present and alive. */
     void assertViews(String what) {
-        lives.forEach((name, life) -> {
-            List<String> others = lives.keySet().stream().filter(n -> !n.equals(name)).sorted().toList();
-            assertEquals(others, life.present(), what + ", seen by " + name + ", seed " + seed);
-            for (View v : life.view()) {
-                if (lives.containsKey(v.name())) {
+        running.forEach((name, membership) -> {
+            List<String> others = running.keySet().stream().filter(n -> !n.equals(name)).sorted().toList();
+            assertEquals(others, membership.presentMembers(), what + ", seen by " + name + ", seed " + seed);
+            for (MemberView v : membership.view()) {
+                if (running.containsKey(v.name())) {
                     assertEquals(State.ALIVE, v.state(), what + ": " + v + " seen by " + name + ", seed " + seed);
                 }
             }
--- a/src/test/java/kelphollow/membership/MemberUpdateProperties.java
+++ b/src/test/java/kelphollow/membership/MemberUpdateProperties.java
@@ -16,15 +16,15 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** News of one instance are ordered, so that what all hear in the end is what all believe. */
+/** Updates of one member are totally ordered, so that all instances that received them agree. */
 class MemberUpdateProperties {
-    @Provide Arbitrary<MemberUpdate> news() {
+    @Provide Arbitrary<MemberUpdate> updates() {
         return Combinators.combine(Arbitraries.longs().between(1, 3), Arbitraries.longs().between(0, 3),
             Arbitraries.of(State.class)).as((e, i, s) -> new MemberUpdate("x", "", e, i, s, ""));
     }
 
-    @Property(tries = 1_000) void noTwoOverrideEachOtherAndTheOrderIsTransitive(@ForAll("news") MemberUpdate a,
-        @ForAll("news") MemberUpdate b, @ForAll("news") MemberUpdate c) {
+    @Property(tries = 1_000) void noTwoOverrideEachOtherAndTheOrderIsTransitive(@ForAll("updates") MemberUpdate a,
+        @ForAll("updates") MemberUpdate b, @ForAll("updates") MemberUpdate c) {
         assertFalse(a.overrides(b) && b.overrides(a));
         assertFalse(a.overrides(a));
         if (a.overrides(b) && b.overrides(c)) {
@@ -32,24 +32,25 @@
         }
     }
 
-    @Property(tries = 500) void theLastWordIsTheSameInAnyOrder(@ForAll("news") MemberUpdate first,
-        @ForAll("news") MemberUpdate second,
-        @ForAll("news") MemberUpdate third, @ForAll long seed) {
-        List<MemberUpdate> all = new ArrayList<>(List.of(first, second, third, new MemberUpdate("x", "", 1, 0, State.ALIVE,
-            "")));
-        String told = last(all);
+    @Property(tries = 500) void theFinalViewIsTheSameInAnyOrder(@ForAll("updates") MemberUpdate first,
+        @ForAll("updates") MemberUpdate second, @ForAll("updates") MemberUpdate third, @ForAll long seed) {
+        List<MemberUpdate> all = new ArrayList<>(List.of(first, second, third,
+            new MemberUpdate("x", "", 1, 0, State.ALIVE, "")));
+        String inOrder = finalView(all);
+
         Collections.shuffle(all, new Random(seed));
-        assertEquals(told, last(all));
+
+        assertEquals(inOrder, finalView(all));
     }
 
-    private static String last(List<MemberUpdate> all) {
-        // Nobody keeps what is dead of one that was never known, so life is told first. Rumours only: a full exchange
-        // makes suspects of the dead, and what they say decides.
-        Membership m = new Membership(Settings.USUAL, "me", "", 1, List.of(), new Random(1), 0);
-        m.told(0, "y", List.of(new MemberUpdate("x", "", 0, 0, State.ALIVE, "")));
-        all.forEach(n -> m.received(0, "y", new Message.Gossip(List.of(n))));
-        return m.view().stream().filter(v -> v.name().equals("x"))
-            .map(v -> v.epoch() + " " + v.state() + (v.state() == State.LEFT ? "" : " " + v.incarnation())).findFirst()
-            .orElse("");
+    private static String finalView(List<MemberUpdate> all) {
+        // A dead member that was never known is not kept, so ALIVE comes first. By gossip only: a full exchange makes
+        // suspects of the dead, and their refutation decides.
+        Membership membership = new Membership(MembershipSettings.DEFAULTS, "me", "", 1, List.of(), new Random(1), 0);
+        membership.merge(0, "y", List.of(new MemberUpdate("x", "", 0, 0, State.ALIVE, "")));
+        all.forEach(update -> membership.received(0, "y", new Message.Gossip(List.of(update))));
+        return membership.view().stream().filter(v -> v.name().equals("x"))
+            .map(v -> v.epoch() + " " + v.state() + (v.state() == State.LEFT ? "" : " " + v.incarnation()))
+            .findFirst().orElse("");
     }
 }
--- a/src/test/java/kelphollow/protocol/peer/PeerLineTest.java
+++ b/src/test/java/kelphollow/protocol/peer/PeerLineTest.java
@@ -124,11 +124,11 @@
             End a = new End("a", 3, KEY), later = new End("a", 4, KEY);
             byte[] first = tapped(a, at, tap, 1), newer = tapped(later, at, tap, 2);
             raw(tap, b.at, first);
-            assertTrue(b.next().contains("number=1"));
+            assertTrue(b.next().contains("sequence=1"));
             raw(tap, b.at, first);
             b.dropped(PeerLine.Drop.REPLAYED, 1);
             raw(tap, b.at, newer);
-            assertTrue(b.next().contains("number=2"));
+            assertTrue(b.next().contains("sequence=2"));
             raw(tap, b.at, tapped(a, at, tap, 3));
             b.dropped(PeerLine.Drop.REPLAYED, 2);
             assertTrue(b.heard.isEmpty());
@@ -167,7 +167,7 @@
             b.dropped(PeerLine.Drop.OVERSIZED, 1);
             assertTrue(b.heard.isEmpty());
             raw(tap, b.at, good);
-            assertTrue(b.next().contains("number=1"));
+            assertTrue(b.next().contains("sequence=1"));
         }
         try (Socket caller = new Socket(b.at.getAddress(), b.at.getPort())) {
             caller.setSoTimeout(10_000);
