--- a/src/bench/java/kelphollow/fleet/DisseminationFigures.java
+++ b/src/bench/java/kelphollow/fleet/DisseminationFigures.java
@@ -1,5 +1,6 @@
 package kelphollow.fleet;
 
+import java.util.Arrays;
 import java.util.Locale;
 import java.util.Map;
 
@@ -52,14 +53,14 @@
         cpu = java.lang.management.ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu;
         Map<DisseminationWorld.Kind, Double> kinds = world.bytesPerSecond(warm);
         double[] totals = world.totals(warm), in = world.drainDelays(true), across = world.drainDelays(false);
-        long lost = java.util.stream.DoubleStream.concat(java.util.Arrays.stream(in), java.util.Arrays.stream(across))
+        long lost = java.util.stream.DoubleStream.concat(Arrays.stream(in), Arrays.stream(across))
             .filter(Double::isInfinite).count();
         System.out.printf(Locale.ROOT, "| %d | %s | %.4f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f"
-            + " | %.0f | %.0f | %.0f | %.0f | %d | %.2f%% |%n", setup.size(), setup.before() ? "before" : "after", fresh
+            + " | %.0f | %.0f | %.0f | %.0f | %d | %.2f%% |%n", setup.size(), setup.previous() ? "before" : "after", fresh
                 / looks,
-            kinds.get(DisseminationWorld.Kind.MEMBERSHIP), kinds.get(DisseminationWorld.Kind.PARTS),
-            kinds.get(DisseminationWorld.Kind.COMPARE), kinds.get(DisseminationWorld.Kind.EXCHANGE),
-            java.util.Arrays.stream(totals).average().orElse(0), DisseminationWorld.percentile(totals, 0.99),
+            kinds.get(DisseminationWorld.Kind.MEMBERSHIP), kinds.get(DisseminationWorld.Kind.STATES),
+            kinds.get(DisseminationWorld.Kind.COMPARISON), kinds.get(DisseminationWorld.Kind.EXCHANGE),
+            Arrays.stream(totals).average().orElse(0), DisseminationWorld.percentile(totals, 0.99),
             DisseminationWorld.percentile(totals, 1), DisseminationWorld.percentile(in, 0.5), DisseminationWorld.percentile(
                 in, 0.99),
             DisseminationWorld.percentile(across, 0.5), DisseminationWorld.percentile(across, 0.99), lost,
--- a/src/bench/java/kelphollow/fleet/FaultFigures.java
+++ b/src/bench/java/kelphollow/fleet/FaultFigures.java
@@ -1,6 +1,7 @@
 package kelphollow.fleet;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -41,7 +42,7 @@
             return;
         }
         List<String> gone = new ArrayList<>();
-        for (String name : world.lives.keySet()) {
+        for (String name : world.running.keySet()) {
             if (args[0].equals("zone") ? DisseminationWorld.zone(name) == 1 : gone.size() < RACK) {
                 gone.add(name);
             }
@@ -62,11 +63,11 @@
             world.run(since + 1_000);
             Map<DisseminationWorld.Kind, Double> kinds = world.bytesPerSecond(since);
             double[] totals = world.totals(since);
-            long kept = java.util.Arrays.stream(world.drainDelays(null)).filter(Double::isFinite).count();
+            long kept = Arrays.stream(world.drainDelays(null)).filter(Double::isFinite).count();
             System.out.printf(Locale.ROOT, "| %s %.0f | %.4f | %d | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %d |%n", phase,
-                world.now / 1_000, world.fresh(), world.rightViews(), kinds.get(DisseminationWorld.Kind.MEMBERSHIP),
-                kinds.get(DisseminationWorld.Kind.PARTS), kinds.get(DisseminationWorld.Kind.COMPARE),
-                kinds.get(DisseminationWorld.Kind.EXCHANGE), java.util.Arrays.stream(totals).average().orElse(0),
+                world.now / 1_000, world.fresh(), world.correctViews(), kinds.get(DisseminationWorld.Kind.MEMBERSHIP),
+                kinds.get(DisseminationWorld.Kind.STATES), kinds.get(DisseminationWorld.Kind.COMPARISON),
+                kinds.get(DisseminationWorld.Kind.EXCHANGE), Arrays.stream(totals).average().orElse(0),
                 totals[totals.length - 1], kept);
         }
     }
--- a/src/main/java/kelphollow/digest/Digest.java
+++ b/src/main/java/kelphollow/digest/Digest.java
@@ -1,243 +1,306 @@
 package kelphollow.digest;
 
 import java.util.ArrayList;
+import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
+import java.util.regex.Pattern;
 
 /**
- * The merged view of what all instances say, this one's own part included. A part whose owner is known to live is
- * renewed by that alone and need not be told again; one whose owner does not fades, and its version is remembered, so
- * that no older copy brings it back. For one thread. Memory: one part an instance and one that faded,
- * {@code mostInstances} of each at most.
+ * The merged view of what all instances publish, this one included. An entry whose owner is present by membership is renewed
+ * by that alone and need not be sent again; one whose owner is not expires after the time to live, and its version is
+ * remembered, so that no older copy brings it back. For one thread. Memory: one entry an instance and one that expired,
+ * {@code maxInstances} of each at most.
  */
 public final class Digest {
-    private static final class Held {
-        final InstanceState part;
-        /** When the instance said it, on this instance's clock; the latest that any copy of this version proves. */
-        double saidAt;
-        /** Whether membership speaks for the owner, so that the ages of copies say nothing. */
-        boolean followed;
+    private static final Pattern SHARD_NUMBER = Pattern.compile("\\d{1,9}");
 
-        Held(InstanceState part, double saidAt) {
-            this.part = part;
-            this.saidAt = saidAt;
+    private static final class CachedEntry {
+        private final InstanceState state;
+        /** When the instance published it, on this instance's clock; the latest that any copy of this version proves. */
+        private double publishedAt;
+        /** Whether membership speaks for the owner, so that the ages of copies prove nothing. */
+        private boolean followsMembership;
+
+        CachedEntry(InstanceState state, double publishedAt) {
+            this.state = state;
+            this.publishedAt = publishedAt;
         }
     }
 
     private final String self;
-    private final double fades;
-    private final int mostInstances;
-    private final Map<String, Held> parts = new TreeMap<>();
-    private final Map<String, Held> faded = new LinkedHashMap<>();
-    private final Map<String, Map<String, Double>> own = new HashMap<>();
-    private long epoch, version;
+    private final double timeToLive;
+    private final int maxInstances;
+    private final Map<String, CachedEntry> entries = new TreeMap<>();
+    private final Map<String, CachedEntry> expired = new LinkedHashMap<>();
+    private final Map<Subject, Map<String, Double>> own = new EnumMap<>(Subject.class);
+    private long epoch;
+    private long version;
     private boolean changed = true;
 
     /**
-     * @param fades milliseconds after which what an instance said, and did not say again, counts no more
-     * @param mostInstances parts that are held; those of further instances are passed over
+     * @param timeToLive milliseconds for which a state counts that is neither renewed nor published again
+     * @param maxInstances entries that are kept; those of further instances are dropped
      */
-    public Digest(String self, long epoch, double fades, int mostInstances) {
+    public Digest(String self, long epoch, double timeToLive, int maxInstances) {
         this.self = self;
         this.epoch = epoch;
-        this.fades = fades;
-        this.mostInstances = mostInstances;
+        this.timeToLive = timeToLive;
+        this.maxInstances = maxInstances;
     }
 
-    /** Goes on under another epoch; what was said is said again. */
-    public void raise(long to) {
+    /** Goes on under another epoch; the own state is published again. */
+    public void raiseEpoch(long to) {
         epoch = to;
         changed = true;
     }
 
-    // ---------------------------------------------------------------- own part
+    // ---------------------------------------------------------------- this instance's state
 
-    /** Says a figure; returns whether it is news. A subject that is full takes no further key. */
-    public boolean say(String subject, String key, double figure) {
-        Map<String, Double> figures = own.get(subject);
-        if (figures == null ? own.size() >= InstanceState.MOST_SUBJECTS
-            : figures.size() >= InstanceState.MOST_KEYS && !figures.containsKey(key)) {
+    /** Sets a value; returns whether it changed. A subject that has its most keys takes no further one. */
+    public boolean publish(Subject subject, String key, double value) {
+        Map<String, Double> values = own.get(subject);
+        if (values != null && values.size() >= InstanceState.MAX_KEYS && !values.containsKey(key)) {
             return false;
         }
-        Double before = own.computeIfAbsent(subject, s -> new HashMap<>()).put(key, figure);
-        boolean news = before == null || before != figure;
-        changed |= news;
-        return news;
+        Double before = own.computeIfAbsent(subject, s -> new HashMap<>()).put(key, value);
+        boolean isNew = before == null || before != value;
+        changed |= isNew;
+        return isNew;
     }
 
-    /** Takes a figure back; returns whether it had been said. */
-    public boolean unsay(String subject, String key) {
-        Map<String, Double> figures = own.get(subject);
-        boolean news = figures != null && figures.remove(key) != null;
-        if (news && figures.isEmpty()) {
+    /** Removes a value; returns whether there was one. */
+    public boolean withdraw(Subject subject, String key) {
+        Map<String, Double> values = own.get(subject);
+        boolean removed = values != null && values.remove(key) != null;
+        if (removed && values.isEmpty()) {
             own.remove(subject);
         }
-        changed |= news;
-        return news;
+        changed |= removed;
+        return removed;
     }
 
-    /** Makes a new version of the own part if something changed; the first may be empty. */
-    public boolean publish(double now) {
+    /** Makes a new version of the own state if something changed; the first may be empty. Returns whether it did. */
+    public boolean commit(double now) {
         if (!changed) {
             return false;
         }
         changed = false;
-        parts.put(self, new Held(new InstanceState(self, epoch, ++version, 0, own), now));
+        Map<String, Map<String, Double>> subjects = new HashMap<>();
+        own.forEach((subject, values) -> subjects.put(subject.wireName(), values));
+        entries.put(self, new CachedEntry(new InstanceState(self, epoch, ++version, 0, subjects), now));
         return true;
     }
 
+    /** The keys on a subject in the last committed version of the own state. */
+    public Set<String> committedKeys(Subject subject) {
+        CachedEntry entry = entries.get(self);
+        return entry == null ? Set.of() : entry.state.values(subject).keySet();
+    }
+
     // ---------------------------------------------------------------- merging
 
     /**
-     * Takes what came from others; returns the parts that are new here. The join of a semilattice: the part with the
-     * higher epoch and version wins whole, and of two copies of one version the younger tells its age.
+     * Takes states from other instances; returns those that are new here. The join of a semilattice: the state with the
+     * higher epoch and version wins as a whole, and of two copies of one version the younger gives the age.
      */
-    public List<InstanceState> merge(double now, List<InstanceState> told) {
-        List<InstanceState> news = new ArrayList<>();
-        for (InstanceState part : told) {
-            if (part.instance().equals(self)) {
-                // An earlier process of this life's epoch can only be this one: its versions go on from there.
-                if (part.epoch() == epoch && part.version() > version) {
-                    version = part.version();
-                    changed = true;
-                }
-                continue;
-            }
-            double saidAt = now - part.age();
-            if (part.age() >= fades) {
-                continue;
-            }
-            Held held = parts.get(part.instance());
-            if (held == null && (parts.size() >= mostInstances || isPast(part))) {
-                continue;
-            }
-            if (held == null || part.replaces(held.part)) {
-                parts.put(part.instance(), new Held(part, saidAt));
-                faded.remove(part.instance());
-                news.add(part);
-            } else if (!held.followed && !held.part.replaces(part)) {
-                held.saidAt = Math.max(held.saidAt, saidAt);
+    public List<InstanceState> merge(double now, List<InstanceState> received) {
+        List<InstanceState> added = new ArrayList<>();
+        for (InstanceState state : received) {
+            if (state.instance().equals(self)) {
+                continueFrom(state);
+            } else if (state.age() < timeToLive && merge(now, state)) {
+                added.add(state);
             }
         }
-        return news;
+        return added;
     }
 
-    /** Whether a newer one has faded here, or this very one while membership held its owner for gone. */
-    private boolean isPast(InstanceState part) {
-        Held before = faded.get(part.instance());
-        return before != null && (before.part.replaces(part) || before.followed && !part.replaces(before.part));
+    /** A copy of the own state: one of this epoch from an earlier process means that versions go on from there. */
+    private void continueFrom(InstanceState state) {
+        if (state.epoch() == epoch && state.version() > version) {
+            version = state.version();
+            changed = true;
+        }
+    }
+
+    private boolean merge(double now, InstanceState state) {
+        double publishedAt = now - state.age();
+        CachedEntry entry = entries.get(state.instance());
+        if (entry == null && (entries.size() >= maxInstances || isOutdated(state))) {
+            return false;
+        }
+        if (entry == null || state.supersedes(entry.state)) {
+            entries.put(state.instance(), new CachedEntry(state, publishedAt));
+            expired.remove(state.instance());
+            return true;
+        }
+        if (!entry.followsMembership && !entry.state.supersedes(state)) {
+            entry.publishedAt = Math.max(entry.publishedAt, publishedAt);
+        }
+        return false;
+    }
+
+    /** Whether a newer one has expired here, or this very one while its owner was absent by membership. */
+    private boolean isOutdated(InstanceState state) {
+        CachedEntry past = expired.get(state.instance());
+        return past != null
+            && (past.state.supersedes(state) || past.followsMembership && !state.supersedes(past.state));
     }
 
     // ---------------------------------------------------------------- the owner's membership
 
     /**
-     * The owner lives under this epoch: its part counts from now on as said anew, also one that had faded. What it said in
-     * an earlier life is not renewed.
+     * The owner is alive under this epoch: its state counts as published now, also one that had expired. A state of an
+     * earlier epoch is not renewed.
      */
-    public void renew(double now, String owner, long underEpoch) {
-        Held back = faded.get(owner);
-        if (back != null && back.part.epoch() >= underEpoch && parts.size() < mostInstances) {
-            faded.remove(owner);
-            parts.put(owner, back);
+    public void renew(double now, String owner, long ownerEpoch) {
+        CachedEntry past = expired.get(owner);
+        if (past != null && past.state.epoch() >= ownerEpoch && entries.size() < maxInstances) {
+            expired.remove(owner);
+            entries.put(owner, past);
         }
-        Held held = parts.get(owner);
-        if (held != null && held.part.epoch() >= underEpoch) {
-            held.saidAt = Math.max(held.saidAt, now);
-            held.followed = true;
+        CachedEntry entry = entries.get(owner);
+        if (entry != null && entry.state.epoch() >= ownerEpoch) {
+            entry.publishedAt = Math.max(entry.publishedAt, now);
+            entry.followsMembership = true;
         }
     }
 
-    /** The owner is suspected, dead or gone: its part fades from when it was last seen alive, whatever copies say. */
-    public void lapse(String owner) {
-        Held held = parts.get(owner);
-        if (held != null) {
-            held.followed = true;
+    /**
+     * The owner is suspected, dead or gone: its state expires from when it was last seen alive, whatever copies prove.
+     */
+    public void stopRenewing(String owner) {
+        CachedEntry entry = entries.get(owner);
+        if (entry != null) {
+            entry.followsMembership = true;
         }
     }
 
-    /** Drops what has faded; returns whose parts went. */
-    public List<String> fade(double now) {
-        List<String> gone = new ArrayList<>();
-        parts.forEach((name, held) -> {
-            if (!name.equals(self) && now - held.saidAt >= fades) gone.add(name);
+    /** Removes what has passed its time to live; returns whose states those were. */
+    public List<String> expire(double now) {
+        List<String> owners = new ArrayList<>();
+        entries.forEach((name, entry) -> {
+            if (!isLive(name, entry, now)) {
+                owners.add(name);
+            }
         });
-        for (String name : gone) {
-            faded.put(name, parts.remove(name));
-            if (faded.size() > mostInstances) {
-                faded.remove(faded.keySet().iterator().next());
+        for (String owner : owners) {
+            expired.put(owner, entries.remove(owner));
+            if (expired.size() > maxInstances) {
+                expired.remove(expired.keySet().iterator().next());
             }
         }
-        return gone;
+        return owners;
+    }
+
+    private boolean isLive(String owner, CachedEntry entry, double now) {
+        return owner.equals(self) || now - entry.publishedAt < timeToLive;
     }
 
-    // ---------------------------------------------------------------- telling
+    // ---------------------------------------------------------------- what is sent
 
-    /** The part of one instance that counts here, or null. */
-    public InstanceState part(String instance) {
-        Held held = parts.get(instance);
-        return held == null ? null : held.part;
+    /** The state of one instance that counts here, or null. */
+    public InstanceState state(String instance) {
+        CachedEntry entry = entries.get(instance);
+        return entry == null ? null : entry.state;
     }
 
-    /** The newest part of one instance that this one has seen, also if it has faded, or null. */
-    public InstanceState newest(String instance) {
-        Held held = parts.containsKey(instance) ? parts.get(instance) : faded.get(instance);
-        return held == null ? null : held.part;
+    /** The newest state of one instance that was seen here, also an expired one, or null. */
+    public InstanceState latestState(String instance) {
+        CachedEntry entry = entries.containsKey(instance) ? entries.get(instance) : expired.get(instance);
+        return entry == null ? null : entry.state;
     }
 
-    /** The part of one instance that counts here with its age, for telling it, or null. */
-    public InstanceState aged(String instance, double now) {
-        Held held = parts.get(instance);
-        return held == null ? null : held.part.aged(instance.equals(self) ? 0 : Math.max(0, now - held.saidAt));
+    /** The state of one instance that counts here with its age, as it is sent, or null. */
+    public InstanceState agedState(String instance, double now) {
+        CachedEntry entry = entries.get(instance);
+        if (entry == null) {
+            return null;
+        }
+        return entry.state.withAge(instance.equals(self) ? 0 : Math.max(0, now - entry.publishedAt));
     }
 
     /**
-     * Whether a part names a drain that neither the part before it nor one of another instance names, so that it should be
-     * known everywhere at once.
+     * Whether a state has a drain notice that neither the state before it (or null) nor that of another instance has,
+     * so that it should be known everywhere at once.
      */
-    public boolean tellsNewDrain(InstanceState part, InstanceState before) {
-        Map<String, Double> unknown = new HashMap<>(part.subjects().getOrDefault(DrainNotices.SUBJECT, Map.of()));
-        if (unknown.isEmpty()) {
-            return false;
-        }
+    public boolean hasNewDrainNotice(InstanceState state, InstanceState before) {
+        Map<String, Double> unknown = new HashMap<>(state.values(Subject.DRAIN));
         if (before != null) {
-            unknown.entrySet().removeAll(before.subjects().getOrDefault(DrainNotices.SUBJECT, Map.of()).entrySet());
+            unknown.entrySet().removeAll(before.values(Subject.DRAIN).entrySet());
         }
-        for (Held held : parts.values()) {
+        for (CachedEntry entry : entries.values()) {
             if (unknown.isEmpty()) {
                 return false;
             }
-            if (!held.part.instance().equals(part.instance())) {
-                unknown.entrySet().removeAll(held.part.subjects().getOrDefault(DrainNotices.SUBJECT, Map.of()).entrySet());
+            if (!entry.state.instance().equals(state.instance())) {
+                unknown.entrySet().removeAll(entry.state.values(Subject.DRAIN).entrySet());
             }
         }
         return !unknown.isEmpty();
     }
 
-    /** All parts with their ages, for a full exchange. */
-    public List<InstanceState> all(double now) {
-        List<InstanceState> all = new ArrayList<>();
-        parts.keySet().forEach(name -> all.add(aged(name, now)));
-        return all;
+    /** All states that count here, without their ages. */
+    public List<InstanceState> states() {
+        return entries.values().stream().map(entry -> entry.state).toList();
+    }
+
+    /** All states with their ages, for a full exchange. */
+    public List<InstanceState> snapshot(double now) {
+        return entries.keySet().stream().map(name -> agedState(name, now)).toList();
     }
 
     // ---------------------------------------------------------------- reading
 
-    /** What each instance says on a subject, by instance; parts that have faded are left out. */
-    public Map<String, Map<String, Double>> on(String subject, double now) {
-        Map<String, Map<String, Double>> said = new LinkedHashMap<>();
-        parts.forEach((name, held) -> {
-            Map<String, Double> figures = held.part.subjects().get(subject);
-            if (figures != null && (name.equals(self) || now - held.saidAt < fades)) said.put(name, figures);
+    private interface Reader {
+        void read(String reporter, String key, double value);
+    }
+
+    /** Reads the live values on one subject, by reporter and key. */
+    private void read(Subject subject, double now, Reader reader) {
+        entries.forEach((reporter, entry) -> {
+            if (isLive(reporter, entry, now)) {
+                entry.state.values(subject).forEach((key, value) -> reader.read(reporter, key, value));
+            }
+        });
+    }
+
+    /** The live drain notices, this instance's included, by reporter and node. */
+    public List<DrainNotice> drainNotices(double now) {
+        List<DrainNotice> notices = new ArrayList<>();
+        read(Subject.DRAIN, now, (reporter, node, startedAt) -> notices.add(new DrainNotice(reporter, node, startedAt)));
+        return notices;
+    }
+
+    /** The live findings of unresponsive nodes, this instance's included, by reporter and node. */
+    public List<NodeFinding> nodeFindings(double now) {
+        List<NodeFinding> findings = new ArrayList<>();
+        read(Subject.UNRESPONSIVE_NODE, now,
+            (reporter, node, attempts) -> findings.add(new NodeFinding(reporter, node, attempts)));
+        return findings;
+    }
+
+    /**
+     * The live overload reports, this instance's included, by reporter; those without a valid shard number are left out.
+     */
+    public List<OverloadReport> overloadReports(double now) {
+        List<OverloadReport> reports = new ArrayList<>();
+        read(Subject.OVERLOAD, now, (reporter, shard, weight) -> {
+            if (SHARD_NUMBER.matcher(shard).matches()) {
+                reports.add(new OverloadReport(reporter, Integer.parseInt(shard), weight));
+            }
         });
-        return said;
+        return reports;
     }
 
-    /** Calls for each instance with its part's age, for a page that operators read. */
-    public void each(double now, BiConsumer<InstanceState, Double> reader) {
-        parts.values().forEach(h -> reader.accept(h.part, Math.max(0, now - h.saidAt)));
+    /** Calls for each instance with its state and the state's age in milliseconds. */
+    public void forEach(double now, BiConsumer<InstanceState, Double> reader) {
+        entries.values().forEach(entry -> reader.accept(entry.state, Math.max(0, now - entry.publishedAt)));
     }
 }
--- a/src/main/java/kelphollow/digest/DrainNotices.java
+++ b/src/main/java/kelphollow/digest/DrainNotices.java
@@ -1,72 +1,87 @@
 package kelphollow.digest;
 
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 
 /**
- * Which nodes drain by the word of other instances. What one instance was told all keep, until discovery's later word:
- * the teller takes it back, or this instance's own discovery says that the node has started anew, or takes back a drain
- * after the notice came. For one thread.
+ * Which nodes are draining by the reports of other instances. A notice that one instance got is kept by all until newer
+ * information from discovery: the reporter withdraws it, or this instance's own discovery reports that the node was started
+ * again, or ends a drain after the notice arrived. For one thread.
  */
 public final class DrainNotices {
-    /** The subject in the digest; the figure is when the node was last started, as discovery tells it. */
-    public static final String SUBJECT = "drain";
-    // How long a node that is gone is still named: for longer than lists are late.
-    private static final double GONE = 60_000;
+    /** How long a removed node is still reported, in milliseconds: longer than endpoint lists are late. */
+    private static final double REMOVED_NODE_RETENTION = 60_000;
 
-    private static final class Own {
-        boolean draining;
-        double born, takenBackAt = Double.NEGATIVE_INFINITY, goneAt = Double.NaN;
-    }
+    /** What this instance's own discovery reports of a node. */
+    private static final class DiscoveredNode {
+        private boolean draining;
+        private double startedAt;
+        private double drainEndedAt = Double.NEGATIVE_INFINITY;
+        private double removedAt = Double.NaN;
+
+        boolean hasExpired(double now) {
+            return now - removedAt > REMOVED_NODE_RETENTION;
+        }
 
-    private record Notice(String teller, String node, double born) {}
+        boolean overrides(DrainNotice notice, double receivedAt) {
+            return startedAt > notice.startedAt() || drainEndedAt > receivedAt;
+        }
+    }
 
     private final String self;
-    private final Map<String, Own> own = new HashMap<>();
-    private final Map<Notice, Double> notices = new HashMap<>();
+    private final Map<String, DiscoveredNode> discovered = new HashMap<>();
+    private Map<DrainNotice, Double> receivedAt = new HashMap<>();
 
+    /** {@code self}: name of this instance, whose own notices do not count as those of others. */
     public DrainNotices(String self) {
         this.self = self;
     }
 
-    /** What this instance's own discovery says of a node; the digest is changed to match. */
-    public void told(double now, String node, boolean draining, boolean gone, double born, Digest digest) {
-        Own o = own.computeIfAbsent(node, n -> new Own());
-        if (o.draining && !draining) {
-            o.takenBackAt = now;
+    /** Takes what this instance's own discovery reports of a node, and publishes or withdraws the notice to match. */
+    public void discovered(double now, String node, boolean draining, boolean removed, double startedAt, Digest digest) {
+        DiscoveredNode known = discovered.computeIfAbsent(node, n -> new DiscoveredNode());
+        if (known.draining && !draining) {
+            known.drainEndedAt = now;
         }
-        o.draining = draining || gone;
-        o.born = born;
-        o.goneAt = gone ? now : Double.NaN;
-        if (o.draining) {
-            digest.say(SUBJECT, node, born);
+        known.draining = draining || removed;
+        known.startedAt = startedAt;
+        known.removedAt = removed ? now : Double.NaN;
+        if (known.draining) {
+            digest.publish(Subject.DRAIN, node, startedAt);
         } else {
-            digest.unsay(SUBJECT, node);
+            digest.withdraw(Subject.DRAIN, node);
         }
     }
 
-    /** The nodes that must get nothing new by the word of others. */
-    public Set<String> byOthers(double now, Digest digest) {
-        own.entrySet().removeIf(e -> {
-            boolean old = now - e.getValue().goneAt > GONE;
-            if (old) digest.unsay(SUBJECT, e.getKey());
-            return old;
-        });
-        Map<Notice, Double> said = new HashMap<>();
-        digest.on(SUBJECT, now).forEach((teller, nodes) -> nodes.forEach((node, born) -> {
-            Notice notice = new Notice(teller, node, born);
-            if (!teller.equals(self)) said.put(notice, notices.getOrDefault(notice, now));
-        }));
-        notices.clear();
-        notices.putAll(said);
-        Set<String> drained = new TreeSet<>();
-        said.forEach((notice, since) -> {
-            Own o = own.get(notice.node);
-            boolean later = o != null && (o.born > notice.born || o.takenBackAt > since);
-            if (!later && (o == null || !o.draining)) drained.add(notice.node);
+    /** The nodes that must get no new requests by the notices of other instances. */
+    public Set<String> drainingByOthers(double now, Digest digest) {
+        withdrawRemovedNodes(now, digest);
+        Map<DrainNotice, Double> current = new HashMap<>();
+        for (DrainNotice notice : digest.drainNotices(now)) {
+            if (!notice.reporter().equals(self)) {
+                current.put(notice, receivedAt.getOrDefault(notice, now));
+            }
+        }
+        receivedAt = current;
+        Set<String> draining = new TreeSet<>();
+        current.forEach((notice, since) -> {
+            DiscoveredNode known = discovered.get(notice.node());
+            if (known == null || !known.draining && !known.overrides(notice, since)) {
+                draining.add(notice.node());
+            }
         });
-        return drained;
+        return draining;
+    }
+
+    private void withdrawRemovedNodes(double now, Digest digest) {
+        for (String node : new HashSet<>(discovered.keySet())) {
+            if (discovered.get(node).hasExpired(now)) {
+                digest.withdraw(Subject.DRAIN, node);
+                discovered.remove(node);
+            }
+        }
     }
 }
--- a/src/main/java/kelphollow/dissemination/AntiEntropy.java
+++ b/src/main/java/kelphollow/dissemination/AntiEntropy.java
@@ -6,16 +6,16 @@
 
 /**
  * The messages of one comparison of views, one datagram each: {@link Summary}, answered by {@link Versions} where it
- * differs, answered by a {@link Delta} of what is newer on one side, answered by one of what was wanted. Each stands for
- * itself: a lost one costs the comparison and no more.
+ * differs, answered by a {@link Delta} of what is newer on one side, answered by one of what was requested. Each stands for
+ * itself: losing one costs the comparison and no more.
  */
 public sealed interface AntiEntropy {
-    /** Entries, news, parts or names that one message carries at most. */
-    int MOST_ENTRIES = 256;
+    /** Most entries, updates, states or names in one message. */
+    int MAX_ENTRIES = 256;
 
     /** One hash a bucket, see {@link BucketHashes}. */
     record Summary(List<Integer> hashes) implements AntiEntropy {
-        /** Throws {@link IllegalArgumentException} if there are not just as many as buckets. */
+        /** Throws {@link IllegalArgumentException} if there are not exactly as many as buckets. */
         public Summary {
             hashes = List.copyOf(hashes);
             if (hashes.size() != BucketHashes.BUCKETS) {
@@ -24,9 +24,9 @@
         }
     }
 
-    /** What the sender holds of all instances that fall in these buckets. */
+    /** The versions that the sender has of all instances which fall into these buckets. */
     record Versions(List<Integer> buckets, List<Entry> entries) implements AntiEntropy {
-        /** Throws {@link IllegalArgumentException} for too much, or a bucket that there is not. */
+        /** Throws {@link IllegalArgumentException} for too many, or a bucket number out of range. */
         public Versions {
             buckets = bounded(buckets);
             entries = bounded(entries);
@@ -36,41 +36,44 @@
         }
     }
 
-    /** What the sender holds newer, and the names of which the receiver seems to. */
-    record Delta(List<MemberUpdate> news, List<InstanceState> parts, List<String> wanted) implements AntiEntropy {
-        /** Throws {@link IllegalArgumentException} for too much. */
+    /** What the sender has newer, and the names of the instances of which the receiver seems to. */
+    record Delta(List<MemberUpdate> updates, List<InstanceState> states, List<String> requested) implements AntiEntropy {
+        /** Throws {@link IllegalArgumentException} for too many. */
         public Delta {
-            news = bounded(news);
-            parts = bounded(parts);
-            wanted = bounded(wanted);
+            updates = bounded(updates);
+            states = bounded(states);
+            requested = bounded(requested);
         }
 
         boolean isEmpty() {
-            return news.isEmpty() && parts.isEmpty() && wanted.isEmpty();
+            return updates.isEmpty() && states.isEmpty() && requested.isEmpty();
         }
     }
 
     /**
      * One instance in {@link Versions}.
      *
-     * @param member its state without address and accuser
-     * @param partEpoch of the part that is held, or -1
-     * @param partVersion of the part that is held, or -1
+     * @param member its membership state, without address and accuser
+     * @param stateEpoch of the {@link InstanceState} that the sender has, or {@link #NONE}
+     * @param stateVersion of the {@link InstanceState} that the sender has, or {@link #NONE}
      */
-    record Entry(MemberUpdate member, long partEpoch, long partVersion) {
-        boolean isOlderThan(InstanceState part) {
-            return part.epoch() != partEpoch ? part.epoch() > partEpoch : part.version() > partVersion;
+    record Entry(MemberUpdate member, long stateEpoch, long stateVersion) {
+        /** Stands for epoch and version where the sender has no state. */
+        public static final long NONE = -1;
+
+        boolean isOlderThan(InstanceState state) {
+            return state.epoch() != stateEpoch ? state.epoch() > stateEpoch : state.version() > stateVersion;
         }
 
-        boolean isNewerThan(InstanceState part) {
-            return partEpoch >= 0 && (part == null
-                || (part.epoch() != partEpoch ? part.epoch() < partEpoch : part.version() < partVersion));
+        boolean isNewerThan(InstanceState state) {
+            return stateEpoch >= 0 && (state == null
+                || (state.epoch() != stateEpoch ? state.epoch() < stateEpoch : state.version() < stateVersion));
         }
     }
 
     private static <T> List<T> bounded(List<T> all) {
-        if (all.size() > MOST_ENTRIES) {
-            throw new IllegalArgumentException("more than " + MOST_ENTRIES + " entries");
+        if (all.size() > MAX_ENTRIES) {
+            throw new IllegalArgumentException("more than " + MAX_ENTRIES + " entries");
         }
         return List.copyOf(all);
     }
--- a/src/main/java/kelphollow/dissemination/BucketHashes.java
+++ b/src/main/java/kelphollow/dissemination/BucketHashes.java
@@ -6,25 +6,27 @@
 
 /**
  * A view in a few hundred bytes: instances fall into buckets by a hash of their name, and each bucket is the exclusive or of
- * its instances' hashes over life and version, so that order does not matter and equal views have equal summaries. Two
+ * its instances' hashes over epoch and version, so that order does not matter and equal views have equal summaries. Two
  * different buckets look equal once in 2^32, until either changes.
  */
 final class BucketHashes {
     static final int BUCKETS = 64;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
     private final int[] hashes = new int[BUCKETS];
 
     /**
-     * Adds one instance that is seen alive or suspected; the part's figures are -1 where none is held. Suspicions and what
-     * refutes them count: where a rumour of either was lost, an instance that runs could be found dead.
+     * Adds one instance that is present. Suspicions and what refutes them count: where gossip of either was lost, an
+     * instance that runs could be declared dead.
      */
-    void add(MemberUpdate member, long partEpoch, long partVersion) {
-        long hash = mix(of(member.name()) ^ member.epoch());
+    void add(MemberUpdate member, long stateEpoch, long stateVersion) {
+        long hash = mix(hashOf(member.name()) ^ member.epoch());
         hash = mix(mix(hash ^ member.incarnation()) ^ member.state().ordinal());
-        hash = mix(mix(hash ^ partEpoch) ^ partVersion);
-        hashes[bucket(member.name())] ^= (int) (hash >>> 32);
+        hash = mix(mix(hash ^ stateEpoch) ^ stateVersion);
+        hashes[bucketOf(member.name())] ^= (int) (hash >>> 32);
     }
 
-    List<Integer> list() {
+    List<Integer> toList() {
         List<Integer> all = new ArrayList<>(BUCKETS);
         for (int hash : hashes) {
             all.add(hash);
@@ -32,14 +34,15 @@
         return all;
     }
 
-    static int bucket(String name) {
-        return (int) (of(name) >>> 32 & BUCKETS - 1);
+    static int bucketOf(String name) {
+        return (int) (hashOf(name) >>> 32 & BUCKETS - 1);
     }
 
-    private static long of(String name) {
-        long hash = 0xcbf29ce484222325L;              // FNV-1a, then mixed: its high bits alone are poor
+    /** FNV-1a, then mixed: its high bits alone are poor. */
+    private static long hashOf(String name) {
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < name.length(); i++) {
-            hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ name.charAt(i)) * FNV_PRIME;
         }
         return mix(hash);
     }
--- a/src/main/java/kelphollow/dissemination/ByteBudget.java
+++ b/src/main/java/kelphollow/dissemination/ByteBudget.java
@@ -1,67 +1,72 @@
 package kelphollow.dissemination;
 
 /**
- * Token buckets of bytes: what is sent is charged, and what can wait waits while one is empty. One holds the sustained
- * rate and saves up for {@link #HEALING_SECONDS}; one bounds a burst to twice the rate. Guards against a fleet whose own
- * talk grows with its size. For one thread.
+ * Token buckets of bytes: what is sent is charged, and deferrable packets wait while one is empty. One bucket holds the
+ * sustained rate and saves up for {@link #SAVED_SECONDS}; one bounds a burst to twice the rate. Guards against a fleet whose
+ * gossip grows with its size. For one thread.
  */
 public final class ByteBudget {
-    /** How long twice the rate may be spent after a long calm: what a healed cut or a start needs. */
-    static final double HEALING_SECONDS = 10;
-    private static final double BURST = 2, BURST_SECONDS = 0.5;
-    // What may be owed, in seconds of the rate: what must be sent is never held back, but is waited for afterwards.
-    private static final double MOST_OWED = 3;
-    private final Bucket sustained, burst;
+    /** For how long twice the rate may be spent after a quiet period: what a healed partition or a start needs. */
+    static final double SAVED_SECONDS = 10;
+    private static final double BURST_FACTOR = 2;
+    private static final double BURST_SECONDS = 0.5;
+    // Bound of the debt, in seconds of the rate: packets that must be sent are never held back, but are made up for
+    // afterwards.
+    private static final double MAX_DEBT_SECONDS = 3;
+    private final TokenBucket sustained;
+    private final TokenBucket burst;
     private final double rate;
 
-    /** Tokens that grow with time up to a depth. */
-    private static final class Bucket {
-        private final double rate, most;
-        private double bytes, at;
+    /** Tokens that accrue with time up to a depth. */
+    private static final class TokenBucket {
+        private final double rate;
+        private final double depth;
+        private double tokens;
+        private double updatedAt;
 
-        Bucket(double rate, double seconds, double now) {
+        TokenBucket(double rate, double seconds, double now) {
             this.rate = rate;
-            this.most = rate * seconds;
-            this.bytes = most;
-            this.at = now;
+            this.depth = rate * seconds;
+            this.tokens = depth;
+            this.updatedAt = now;
         }
 
-        double left(double now) {
-            if (now > at) {
-                bytes = Math.min(most, bytes + (now - at) / 1_000 * rate);
-                at = now;
+        double tokens(double now) {
+            if (now > updatedAt) {
+                tokens = Math.min(depth, tokens + (now - updatedAt) / 1_000 * rate);
+                updatedAt = now;
             }
-            return bytes;
+            return tokens;
         }
 
-        void spend(double now, long sent) {
-            bytes = Math.max(-rate * MOST_OWED, left(now) - sent);
+        void spend(double now, long bytes) {
+            tokens = Math.max(-rate * MAX_DEBT_SECONDS, tokens(now) - bytes);
         }
     }
 
-    /** {@code rate}: bytes a second, above 0. */
+    /** {@code rate}: bytes a second, above 0; else an {@link IllegalArgumentException} is thrown. */
     public ByteBudget(double rate, double now) {
         if (!(rate > 0)) {
             throw new IllegalArgumentException("a budget is above 0");
         }
         this.rate = rate;
-        this.sustained = new Bucket(rate, HEALING_SECONDS, now);
-        this.burst = new Bucket(rate * BURST, BURST_SECONDS, now);
+        this.sustained = new TokenBucket(rate, SAVED_SECONDS, now);
+        this.burst = new TokenBucket(rate * BURST_FACTOR, BURST_SECONDS, now);
     }
 
-    /** Charges what was sent; it is never refused here. */
-    public void spend(double now, long sent) {
-        sustained.spend(now, sent);
-        burst.spend(now, sent);
+    /** Charges bytes that were sent; never refused. */
+    public void spend(double now, long bytes) {
+        sustained.spend(now, bytes);
+        burst.spend(now, bytes);
     }
 
-    /** Whether there is room for what can wait. */
-    public boolean allowsRoutine(double now) {
-        return sustained.left(now) > 0 && burst.left(now) > 0;
+    /** Whether deferrable packets may be sent. */
+    public boolean allowsDeferrable(double now) {
+        return sustained.tokens(now) > 0 && burst.tokens(now) > 0;
     }
 
-    /** Whether there is room for what should not wait long: it may borrow one second of the rate. */
+    /** Whether packets may be sent that should not wait long: they may borrow one second of the rate. */
     public boolean allowsDebt(double now) {
-        return sustained.left(now) > -rate && burst.left(now) > -rate;
+        return sustained.tokens(now) > -rate && burst.tokens(now) > -rate;
     }
 }
--- a/src/main/java/kelphollow/dissemination/StateGossipQueue.java
+++ b/src/main/java/kelphollow/dissemination/StateGossipQueue.java
@@ -9,110 +9,119 @@
 import kelphollow.digest.InstanceState;
 
 /**
- * Changed parts on their way (rumour mongering with counters, Demers and others 1987, section 1.4): each is told some
- * multiple of log(n) times and then rests; urgent ones first, the least told first. A newer one of the same instance takes
- * the place of the older. Of those that are not urgent at most {@link #MOST_ROUTINE} wait, the oldest resting early: where
- * that many change at once, comparisons move each part about once to each instance, and rumours several times. For one
- * thread.
+ * Changed states on their way (rumour mongering with counters, Demers and others 1987, section 1.4): each is
+ * transmitted some multiple of log(n) times; urgent ones first, the least transmitted first. A newer state of the same
+ * instance replaces the older. Of those that are not urgent at most {@link #MAX_ROUTINE} are queued, and the oldest is
+ * dropped early: where that many change at once, comparisons move each state about once to each instance, and gossip
+ * several times. For one thread.
  */
 final class StateGossipQueue {
-    /** Most changes that wait and are not urgent; some three datagrams' worth. */
-    static final int MOST_ROUTINE = 32;
+    /** Most changes that are queued and not urgent; some three datagrams' worth. */
+    static final int MAX_ROUTINE = 32;
 
-    // Tellings of an urgent part beside those that grow with the size: of twenty members five leave one out now and then.
-    private static final int LEAST_URGENT = 3;
+    // Transmissions of an urgent state beside those that grow with the size: of twenty members five leave one out now
+    // and then.
+    private static final int MIN_URGENT_TRANSMISSIONS = 3;
 
-    private static final class Rumour {
-        final boolean urgent;
-        int told;
+    private static final class GossipEntry {
+        private final boolean urgent;
+        private int transmissions;
 
-        Rumour(boolean urgent) {
+        GossipEntry(boolean urgent) {
             this.urgent = urgent;
         }
+
+        boolean isUrgent() {
+            return urgent;
+        }
+
+        int transmissions() {
+            return transmissions;
+        }
     }
 
-    private static final Comparator<Map.Entry<String, Rumour>> ORDER = Comparator
-        .comparing((Map.Entry<String, Rumour> e) -> !e.getValue().urgent).thenComparingInt(e -> e.getValue().told);
-    private final double urgentTellings, routineTellings;
-    private final Map<String, Rumour> waiting = new LinkedHashMap<>();
+    private static final Comparator<Map.Entry<String, GossipEntry>> URGENT_THEN_LEAST_TRANSMITTED = Comparator
+        .comparing((Map.Entry<String, GossipEntry> e) -> !e.getValue().isUrgent())
+        .thenComparingInt(e -> e.getValue().transmissions());
+    private final double urgentTransmissions;
+    private final double routineTransmissions;
+    private final Map<String, GossipEntry> queued = new LinkedHashMap<>();
 
     /** Both are multiples of the natural logarithm of the fleet's size. */
-    StateGossipQueue(double urgentTellings, double routineTellings) {
-        this.urgentTellings = urgentTellings;
-        this.routineTellings = routineTellings;
+    StateGossipQueue(double urgentTransmissions, double routineTransmissions) {
+        this.urgentTransmissions = urgentTransmissions;
+        this.routineTransmissions = routineTransmissions;
     }
 
+    /** Queues the current state of an instance; it stays urgent if the one before was and is still queued. */
     void add(String instance, boolean urgent) {
-        Rumour before = waiting.remove(instance);
-        waiting.put(instance, new Rumour(urgent || before != null && before.urgent));
-        if (waiting.size() > MOST_ROUTINE) {
+        GossipEntry before = queued.remove(instance);
+        queued.put(instance, new GossipEntry(urgent || before != null && before.urgent));
+        if (queued.size() > MAX_ROUTINE) {
             dropOldestRoutine();
         }
     }
 
     private void dropOldestRoutine() {
-        List<String> routine = new ArrayList<>();
-        waiting.forEach((name, rumour) -> {
-            if (!rumour.urgent) routine.add(name);
-        });
-        if (routine.size() > MOST_ROUTINE) {
-            waiting.remove(routine.get(0));
+        List<String> routine = queued.entrySet().stream().filter(e -> !e.getValue().urgent).map(Map.Entry::getKey).toList();
+        if (routine.size() > MAX_ROUTINE) {
+            queued.remove(routine.get(0));
         }
     }
 
     /**
-     * Another told what waits here: that counts as a telling, since it shows that the rumour has gone round (the counter
-     * with feedback of section 1.4). Urgent ones are told as often as they are due all the same.
+     * Another member sent a state that is queued here: that counts as a transmission, since it shows that the change
+     * has gone round (the counter with feedback of section 1.4). Urgent ones are transmitted in full all the same.
      */
-    void heardAgain(String instance, int members) {
-        Rumour rumour = waiting.get(instance);
-        if (rumour != null && !rumour.urgent && ++rumour.told >= enough(rumour, members)) {
-            waiting.remove(instance);
+    void receivedDuplicate(String instance, int members) {
+        GossipEntry entry = queued.get(instance);
+        if (entry != null && !entry.urgent && ++entry.transmissions >= transmissionLimit(entry, members)) {
+            queued.remove(instance);
         }
     }
 
-    private double enough(Rumour rumour, int members) {
+    private double transmissionLimit(GossipEntry entry, int members) {
         double log = Math.log(members + 1.0);
-        return rumour.urgent ? LEAST_URGENT + Math.ceil(log * urgentTellings) : Math.ceil(log * routineTellings);
+        return entry.urgent ? MIN_URGENT_TRANSMISSIONS + Math.ceil(log * urgentTransmissions)
+            : Math.ceil(log * routineTransmissions);
     }
 
     boolean isEmpty() {
-        return waiting.isEmpty();
+        return queued.isEmpty();
     }
 
     boolean hasUrgent() {
-        return waiting.values().stream().anyMatch(r -> r.urgent);
+        return queued.values().stream().anyMatch(GossipEntry::isUrgent);
     }
 
     /**
-     * Up to so many bytes of parts for one datagram, of the urgent ones or of all; each counts as told once more. One part
-     * always fits.
+     * Up to {@code maxBytes} of states for one datagram, of the urgent ones or of all; each counts as transmitted once more.
+     * One state always fits.
      */
-    List<InstanceState> next(double now, Digest digest, int members, int mostBytes, boolean urgentOnly) {
-        List<InstanceState> out = new ArrayList<>();
-        if (waiting.isEmpty()) {
-            return out;
-        }
-        List<Map.Entry<String, Rumour>> order = new ArrayList<>(waiting.entrySet());
-        order.sort(ORDER);                              // stable: among equals the older one first
+    List<InstanceState> next(double now, Digest digest, int members, int maxBytes, boolean urgentOnly) {
+        List<InstanceState> states = new ArrayList<>();
+        List<Map.Entry<String, GossipEntry>> order = new ArrayList<>(queued.entrySet());
+        order.sort(URGENT_THEN_LEAST_TRANSMITTED);           // stable: among equals the older one first
         int bytes = 0;
-        for (Map.Entry<String, Rumour> e : order) {
-            InstanceState part = digest.aged(e.getKey(), now);
-            Rumour rumour = e.getValue();
-            if (urgentOnly && !rumour.urgent) {
+        for (Map.Entry<String, GossipEntry> e : order) {
+            GossipEntry entry = e.getValue();
+            if (urgentOnly && !entry.urgent) {
                 break;
             }
-            if (part != null && !out.isEmpty() && bytes + part.estimatedBytes() > mostBytes) {
-                break;
+            InstanceState state = digest.agedState(e.getKey(), now);
+            if (state == null) {
+                queued.remove(e.getKey());
+                continue;
             }
-            if (part != null) {
-                out.add(part);
-                bytes += part.estimatedBytes();
+            if (!states.isEmpty() && bytes + state.estimatedBytes() > maxBytes) {
+                break;
             }
-            if (part == null || ++rumour.told >= enough(rumour, members)) {
-                waiting.remove(e.getKey());
+            states.add(state);
+            bytes += state.estimatedBytes();
+            if (++entry.transmissions >= transmissionLimit(entry, members)) {
+                queued.remove(e.getKey());
             }
         }
-        return out;
+        return states;
     }
 }
--- a/src/main/java/kelphollow/fleet/Fleet.java
+++ b/src/main/java/kelphollow/fleet/Fleet.java
@@ -1,393 +1,233 @@
 package kelphollow.fleet;
 
-import com.fasterxml.jackson.core.JsonGenerator;
-import java.io.IOException;
+import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Random;
-import java.util.Set;
-import java.util.TreeSet;
 import java.util.function.BiConsumer;
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
-import kelphollow.decision.ControlSettings;
 import kelphollow.decision.ControlEvent.Endpoint;
-import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.decision.ControlSettings;
 import kelphollow.digest.Digest;
-import kelphollow.digest.DrainNotices;
 import kelphollow.digest.InstanceState;
-import kelphollow.dissemination.Dissemination;
 import kelphollow.membership.Membership;
-import kelphollow.membership.MemberView;
 import kelphollow.membership.MembershipOutput;
-import kelphollow.membership.MembershipSettings;
-import kelphollow.overload.LoadShedder;
-import kelphollow.overload.ProbeDelegation;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PeerLine;
 import kelphollow.protocol.peer.PeerTransport;
-import kelphollow.protocol.peer.Traffic;
 import kelphollow.routing.FleetRouting;
 import kelphollow.routing.Ticker;
 
 /**
- * This instance's place in the fleet: carries out what membership wants, tells the others what this instance knows of
- * nodes, and the core what the others know. Lives on the loop of the core.
+ * This instance's participation in the fleet: drives membership and gossip by the ticker, carries packets between them
+ * and the transport, and observations of nodes between the digest and the routing. Confined to the routing's event
+ * loop.
  */
-public final class Fleet implements PeerLine.Peers, Gossip.Wire {
-    /** Found silent by the teller itself; the figure is how often it has tried the node since. */
-    static final String SILENT = "silent";
-    // How often what this instance sees of nodes is told, and what faded is dropped, in milliseconds.
-    private static final double LOOK = 50;
-    // A trial of a silent node is due every second (the module's trickle); three that do not come show that nobody tries.
-    private static final double PROBER_PATIENCE = 3_000;
-    // The span in which repeats are counted against first tries.
-    private static final double REPEATS_IN = 10_000;
+public final class Fleet implements PeerLine.Peers, Gossip.Outbound {
+    // How often observations of nodes are published and expired states are dropped, in milliseconds.
+    private static final double OBSERVATION_INTERVAL = 50;
+    // The span in which retries are counted against first attempts, in milliseconds.
+    private static final double RETRY_WINDOW = 10_000;
 
-    /**
-     * @param name of this instance, the same in each life
-     * @param peers where others are reached from here, by name; it stands over what they say of themselves
-     * @param key the fleet's key, at least 16 bytes
-     * @param fades milliseconds after which what an instance said, and did not say again, counts no more
-     * @param findings whether nodes that are found silent are told to the others, and taken from them
-     * @param shed whether what is worth less gives way to what other instances turn away, see {@link SheddingFilter}
-     * @param repeats at each node, further attempts are at most this share of the first ones in any 10 s
-     * @param telling how changes of the digest reach the others, and within which budget
-     */
-    public record Options(String name, InetSocketAddress listen, Map<String, InetSocketAddress> peers, byte[] key,
-                          MembershipSettings membership, double fades, boolean findings, boolean shed, double repeats,
-                          Dissemination.Settings telling) {}
-
-    /** Makes what carries an instance's packets; {@code epoch} is asked for with each of them. */
+    /** Makes the transport of an instance; {@code epoch} is read for each packet. */
     public interface Transports {
-        /** Opens the transport of the instance of that name; what it hears goes to {@code peers}, on its loop. */
-        PeerTransport open(String name, LongSupplier epoch, PeerLine.Peers peers);
+        /** The transport of the instance of that name; what it receives goes to {@code listener}, on its loop. */
+        PeerTransport open(String name, LongSupplier epoch, PeerLine.Peers listener);
     }
 
-    private final Options options;
+    private final FleetOptions options;
     private final Ticker ticker;
-    private final FleetRouting router;
-    private final Events events;
-    private final LongConsumer raised;
-    private final PeerTransport line;
+    private final FleetRouting routing;
+    private final EventLog events;
+    private final LongConsumer epochRaised;
+    private final PeerTransport transport;
     private final Gossip gossip;
     private final Membership membership;
     private final Digest digest;
-    private final DrainNotices drains;
-    private final ProbeDelegation probing;
+    private final PeerAddresses addresses;
+    private final PeerObservations observations;
     private final SheddingFilter shedding;
-    private Set<String> ejected = Set.of(), doubted = Set.of(), rested = Set.of();
-    private Ticker.Timeout timer;
-    private boolean over;
+    private final StatusReport status;
+    private Ticker.Timeout membershipTimer;
+    private boolean left;
 
     /**
-     * @param epoch this life's number, higher than that of any life before
-     * @param raised hears when this life goes on under a higher number, which is to be kept
+     * @param epoch number of this process, higher than that of any before
+     * @param epochRaised is notified when this process goes on under a higher number, which is to be stored
      */
-    public Fleet(Options options, ControlSettings settings, long epoch,
-        io.netty.channel.EventLoop loop, Ticker ticker, FleetRouting router, Random random,
-        Events events, LongConsumer raised) {
-        this(options, settings, epoch, (name, lifeEpoch, peers) -> new PeerLine(loop, name, lifeEpoch, options.key(),
-            options.membership().maxMembers(), peers), ticker, router, random, events, raised);
+    public Fleet(FleetOptions options, ControlSettings settings, long epoch, EventLoop loop, Ticker ticker,
+        FleetRouting routing, Random random, EventLog events, LongConsumer epochRaised) {
+        this(options, settings, epoch, (name, currentEpoch, listener) -> new PeerLine(loop, name, currentEpoch, options
+            .key(),
+            options.membership().maxMembers(), listener), ticker, routing, random, events, epochRaised);
     }
 
     /** The same over another transport. */
-    public Fleet(Options options, ControlSettings settings, long epoch, Transports transports,
-        Ticker ticker, FleetRouting router, Random random, Events events, LongConsumer raised) {
+    public Fleet(FleetOptions options, ControlSettings settings, long epoch, Transports transports, Ticker ticker,
+        FleetRouting routing, Random random, EventLog events, LongConsumer epochRaised) {
         this.options = options;
         this.ticker = ticker;
-        this.router = router;
+        this.routing = routing;
         this.events = events;
-        this.raised = raised;
-        this.gossip = new Gossip(options.membership(), options.telling(), options.name(),
-            options.listen().getAddress().getHostAddress() + ":" + options.listen().getPort(), epoch,
-            options.peers().keySet(), options.fades(), random, ticker.now(), this);
+        this.epochRaised = epochRaised;
+        this.gossip = new Gossip(options.membership(), options.dissemination(), options.name(),
+            PeerAddresses.format(options.listen()), epoch, options.peers().keySet(), options.timeToLive(), random, ticker
+                .now(),
+            this);
         this.membership = gossip.membership();
         this.digest = gossip.digest();
-        this.drains = new DrainNotices(options.name());
-        this.shedding = options.shed() ? new SheddingFilter(settings, ticker, random) : null;
-        this.probing = new ProbeDelegation(options.name(), PROBER_PATIENCE);
-        this.line = transports.open(options.name(), membership::epoch, this);
+        this.addresses = new PeerAddresses(options.peers(), membership);
+        this.observations = new PeerObservations(options, routing, membership, digest, events);
+        this.shedding = options.shedsLoad() ? new SheddingFilter(settings, ticker, random) : null;
+        this.transport = transports.open(options.name(), membership::epoch, this);
+        this.status = new StatusReport(options.name(), membership, digest, observations, shedding, transport);
     }
 
-    /** The line, to be opened from outside the loop before {@link #start}. */
-    public PeerTransport line() {
-        return line;
+    /** The transport, to be opened from outside the loop before {@link #start}. */
+    public PeerTransport transport() {
+        return transport;
     }
 
-    /** Joins. On the loop. */
+    /** Joins the fleet. On the loop. */
     public void start() {
-        router.limitRetries(options.repeats(), REPEATS_IN);
+        routing.limitRetries(options.retryShare(), RETRY_WINDOW);
         if (shedding != null) {
-            router.setAdmissionFilter(shedding);
+            routing.setAdmissionFilter(shedding);
         }
-        router.onEndpointsReceived(this::listed);
-        events.tell("started", options.name(), membership.epoch(), "", Map.of());
-        look();
-        turn();
+        routing.onEndpointsReceived(this::endpointsReceived);
+        events.write(FleetEvent.STARTED, options.name(), membership.epoch(), "");
+        observe();
+        tickMembership();
     }
 
-    /** Says good-bye and closes the line. On the loop. */
+    /** Leaves the fleet gracefully and closes the transport. On the loop. */
     public void leave() {
-        if (!over) {
+        if (!left) {
             gossip.leave(ticker.now());
-            over = true;
-            if (timer != null) {
-                timer.cancel();
-            }
-            line.close();
-            events.tell("left", options.name(), membership.epoch(), "this instance", Map.of());
+            left = true;
+            cancelMembershipTimer();
+            transport.close();
+            events.write(FleetEvent.LEFT, options.name(), membership.epoch(), "this instance");
         }
     }
 
-    // ---------------------------------------------------------------- membership
+    // ---------------------------------------------------------------- time
 
-    private void turn() {
-        if (!over) {
-            gossip.tick(ticker.now());
-            arm();
+    private void tickMembership() {
+        if (!left) {
+            gossip.tickMembership(ticker.now());
+            scheduleMembershipTick();
         }
     }
 
-    private void arm() {
-        if (timer != null) {
-            timer.cancel();
-        }
-        if (!over) {
-            timer = ticker.after(Math.max(1, membership.nextTickAt() - ticker.now()), this::turn);
+    private void scheduleMembershipTick() {
+        cancelMembershipTimer();
+        if (!left) {
+            membershipTimer = ticker.after(Math.max(1, membership.nextTickAt() - ticker.now()), this::tickMembership);
         }
     }
 
-    @Override public void happened(MembershipOutput output) {
-        if (output instanceof MembershipOutput.EpochRaised r) {
-            raised.accept(r.epoch());
-            events.tell("raised", options.name(), r.epoch(), "above this name's own past", Map.of());
-        } else if (output instanceof MembershipOutput.Event e) {
-            events.tell(e.kind().name().toLowerCase(Locale.ROOT), e.name(), e.epoch(), e.reason(), Map.of());
+    private void cancelMembershipTimer() {
+        if (membershipTimer != null) {
+            membershipTimer.cancel();
         }
     }
 
-    @Override public long send(String to, Packet packet) {
-        InetSocketAddress at = addressOf(to);
-        if (at == null) {
-            return 0;
+    private void observe() {
+        if (left) {
+            return;
         }
-        return line.send(at, packet);
-    }
-
-    @Override public void exchange(String with, Packet.Full ours) {
-        InetSocketAddress at = addressOf(with);
-        if (at != null) {
-            line.exchange(with, at, ours);
+        double now = ticker.now();
+        observations.publishFindings(now);
+        if (shedding != null && shedding.update(now, digest, options.name())) {
+            events.write(FleetEvent.SHEDDING_CHANGED, options.name(), membership.epoch(),
+                "others turn away what is worth more",
+                Map.of("shards", shedding.thresholds().keySet().stream().map(String::valueOf).toList()));
         }
+        gossip.tickDissemination(now);
+        observations.apply(ticker.now());
+        ticker.after(OBSERVATION_INTERVAL, this::observe);
     }
 
-    private InetSocketAddress addressOf(String name) {
-        InetSocketAddress known = options.peers().get(name);
-        if (known != null) {
-            return known;
-        }
-        String said = membership.addressOf(name);
-        int colon = said == null ? -1 : said.lastIndexOf(':');
-        try {
-            return colon < 0 ? null
-                : new InetSocketAddress(said.substring(0, colon), Integer.parseInt(said.substring(colon + 1)));
-        } catch (IllegalArgumentException e) {
-            return null;
-        }
+    private void endpointsReceived(List<Endpoint> endpoints) {
+        double now = ticker.now();
+        observations.endpointsReceived(now, endpoints);
+        observations.apply(ticker.now());
+        gossip.tickDissemination(now);
     }
 
-    @Override public void small(String from, Packet.Small packet) {
-        if (!over) {
-            gossip.small(ticker.now(), from, packet);
-            arm();
+    // ---------------------------------------------------------------- packets and changes from gossip
+
+    @Override public void membershipChanged(MembershipOutput output) {
+        if (output instanceof MembershipOutput.EpochRaised raised) {
+            epochRaised.accept(raised.epoch());
+            events.write(FleetEvent.EPOCH_RAISED, options.name(), raised.epoch(), "above this name's own past");
+        } else if (output instanceof MembershipOutput.Event event) {
+            events.write(FleetEvent.of(event.kind()), event.name(), event.epoch(), event.reason());
         }
     }
 
-    @Override public void compared(String from, Packet.Compare packet) {
-        if (!over) {
-            gossip.compared(ticker.now(), from, packet.message());
-            arm();
-        }
+    @Override public void statesChanged() {
+        observations.apply(ticker.now());
     }
 
-    @Override public Packet.Full asked(String from, Packet.Full theirs) {
-        Packet.Full ours = gossip.asked(ticker.now(), from, theirs);
-        arm();
-        return ours;
+    @Override public long send(String to, Packet packet) {
+        InetSocketAddress address = addresses.resolve(to);
+        return address == null ? 0 : transport.send(address, packet);
     }
 
-    @Override public void answered(String from, Packet.Full theirs) {
-        if (!over) {
-            gossip.answered(ticker.now(), from, theirs);
-            arm();
+    @Override public void exchange(String with, Packet.Full ours) {
+        InetSocketAddress address = addresses.resolve(with);
+        if (address != null) {
+            transport.exchange(with, address, ours);
         }
     }
 
-    // ---------------------------------------------------------------- the digest
+    // ---------------------------------------------------------------- packets from the transport
 
-    private void listed(List<Endpoint> entries) {
-        double now = ticker.now();
-        for (Endpoint e : entries) {
-            drains.told(now, e.node(), e.state() == EndpointState.DRAINING, e.state() == EndpointState.REMOVED, e
-                .startedAt(), digest);
+    @Override public void small(String from, Packet.Small packet) {
+        if (!left) {
+            gossip.received(ticker.now(), from, packet);
+            scheduleMembershipTick();
         }
-        follow();
-        gossip.round(now);
     }
 
-    @Override public void learned() {
-        follow();
+    @Override public void compared(String from, Packet.Compare packet) {
+        if (!left) {
+            gossip.comparisonReceived(ticker.now(), from, packet.message());
+            scheduleMembershipTick();
+        }
     }
 
-    /** What the others say of nodes, given to the core as far as it changed. */
-    private void follow() {
-        double now = ticker.now();
-        Set<String> drained = drains.byOthers(now, digest);
-        Set<String> left = options.findings() ? probing.rested(now, membership.presentMembers(), digest.on(SILENT, now))
-            : Set.of();
-        if (!drained.equals(ejected) || !left.equals(rested)) {
-            Set<String> all = new TreeSet<>(drained);
-            all.addAll(left);
-            router.eject(all);
-        }
-        if (!drained.equals(ejected)) {
-            ejected = drained;
-            events.tell("cordoned", options.name(), membership.epoch(), "by the word of others", Map.of("nodes", drained));
-        }
-        if (!left.equals(rested)) {
-            rested = left;
-            events.tell("rested", options.name(), membership.epoch(), "others try them", Map.of("nodes", left));
-        }
-        Set<String> silent = new TreeSet<>();
-        digest.on(SILENT, now).forEach((teller, nodes) -> {
-            if (!teller.equals(options.name()) && options.findings()) silent.addAll(nodes.keySet());
-        });
-        if (!silent.equals(doubted)) {
-            doubted = silent;
-            router.suspect(silent);
-        }
+    @Override public Packet.Full asked(String from, Packet.Full theirs) {
+        Packet.Full ours = gossip.exchangeRequested(ticker.now(), from, theirs);
+        scheduleMembershipTick();
+        return ours;
     }
 
-    private void look() {
-        if (over) {
-            return;
-        }
-        double now = ticker.now();
-        Map<String, Integer> silent = options.findings() ? router.unresponsiveNodes() : Map.of();
-        Set<String> said = new TreeSet<>(digest.on(SILENT, now).getOrDefault(options.name(), Map.of()).keySet());
-        silent.forEach((node, tries) -> digest.say(SILENT, node, tries));
-        said.removeAll(silent.keySet());
-        said.forEach(n -> digest.unsay(SILENT, n));
-        if (shedding != null && shedding.look(now, digest, options.name())) {
-            events.tell("gives_way", options.name(), membership.epoch(), "others turn away what is worth more",
-                Map.of("shards", shedding.cuts().keySet().stream().map(String::valueOf).toList()));
+    @Override public void answered(String from, Packet.Full theirs) {
+        if (!left) {
+            gossip.exchangeAnswered(ticker.now(), from, theirs);
+            scheduleMembershipTick();
         }
-        gossip.round(now);
-        follow();
-        ticker.after(LOOK, this::look);
     }
 
     // ---------------------------------------------------------------- operators
 
-    /** Calls for each instance that is heard of with its part and the part's age in milliseconds. On the loop. */
-    public void eachPart(BiConsumer<InstanceState, Double> reader) {
-        digest.each(ticker.now(), reader);
+    /** Calls for each known instance with its state and the state's age in milliseconds. On the loop. */
+    public void forEachState(BiConsumer<InstanceState, Double> reader) {
+        digest.forEach(ticker.now(), reader);
     }
 
-    /** Names of the others that count as there. On the loop. */
-    public List<String> present() {
+    /** Names of the other members that are present. On the loop. */
+    public List<String> presentMembers() {
         return membership.presentMembers();
     }
 
-    /** By kind: packets out, bytes out, packets in, bytes in, all since the start. */
-    private void traffic(JsonGenerator out) throws IOException {
-        out.writeObjectFieldStart("traffic");
-        for (Traffic.Kind kind : Traffic.Kind.values()) {
-            out.writeArrayFieldStart(kind.name().toLowerCase(Locale.ROOT));
-            out.writeNumber(line.traffic().packetsOut(kind));
-            out.writeNumber(line.traffic().bytesOut(kind));
-            out.writeNumber(line.traffic().packetsIn(kind));
-            out.writeNumber(line.traffic().bytesIn(kind));
-            out.writeEndArray();
-        }
-        out.writeEndObject();
-    }
-
-    /** What {@code fleet status} shows, as JSON on one line. */
+    /** The report of {@code fleet status}, as JSON on one line. On the loop. */
     public String status() {
-        double now = ticker.now();
-        Map<String, InstanceState> says = new HashMap<>();
-        Map<String, Double> ages = new HashMap<>();
-        digest.each(now, (part, age) -> {
-            says.put(part.instance(), part);
-            ages.put(part.instance(), age);
-        });
-        return Events.json(out -> {
-            out.writeStringField("name", options.name());
-            out.writeNumberField("ill_health", membership.localHealthScore());
-            out.writeBooleanField("displaced", membership.isDisplaced());
-            out.writeArrayFieldStart("members");
-            for (MemberView v : membership.view()) {
-                out.writeStartObject();
-                out.writeStringField("name", v.name());
-                out.writeStringField("state", v.state().name().toLowerCase(Locale.ROOT));
-                out.writeNumberField("epoch", v.epoch());
-                out.writeNumberField("since_ms", v.since() == 0 ? 0 : Math.round(now - v.since()));
-                InstanceState part = says.get(v.name());
-                if (part != null) {
-                    out.writeNumberField("said_ms_ago", Math.round(ages.get(v.name())));
-                    out.writeObjectFieldStart("says");
-                    for (Map.Entry<String, Map<String, Double>> subject : part.subjects().entrySet()) {
-                        out.writeArrayFieldStart(subject.getKey());
-                        for (String key : subject.getValue().keySet()) {
-                            out.writeString(key);
-                        }
-                        out.writeEndArray();
-                    }
-                    out.writeEndObject();
-                }
-                out.writeEndObject();
-            }
-            out.writeEndArray();
-            Events.names(out, "cordoned", ejected);
-            Events.names(out, "doubted", doubted);
-            out.writeObjectFieldStart("probers");
-            for (Map.Entry<String, String> e : probing.probers().entrySet()) {
-                out.writeStringField(e.getKey(), e.getValue());
-            }
-            out.writeEndObject();
-            writeShedding(out);
-            long datagrams = 0, bytes = 0;
-            for (Traffic.Kind kind : Traffic.Kind.values()) {
-                datagrams += kind == Traffic.Kind.EXCHANGE ? 0 : line.traffic().packetsOut(kind);
-                bytes += kind == Traffic.Kind.EXCHANGE ? 0 : line.traffic().bytesOut(kind);
-            }
-            out.writeNumberField("datagrams_sent", datagrams);
-            out.writeNumberField("bytes_sent", bytes);
-            traffic(out);
-            writeDropped(out);
-        });
-    }
-
-    private void writeShedding(JsonGenerator out) throws IOException {
-        Map<Integer, LoadShedder.Cut> cuts = shedding == null ? Map.of() : shedding.cuts();
-        out.writeObjectFieldStart("gives_way");
-        for (Map.Entry<Integer, LoadShedder.Cut> cut : cuts.entrySet()) {
-            out.writeStringField(cut.getKey().toString(), String.format(Locale.ROOT, "%.0f%% of what is worth under %s",
-                100 * cut.getValue().part(), cut.getValue().level()));
-        }
-        out.writeEndObject();
-    }
-
-    private void writeDropped(JsonGenerator out) throws IOException {
-        out.writeObjectFieldStart("dropped");
-        for (Map.Entry<PeerLine.Drop, Long> dropped : line.drops().entrySet()) {
-            out.writeNumberField(dropped.getKey().name().toLowerCase(Locale.ROOT), dropped.getValue());
-        }
-        out.writeEndObject();
+        return status.at(ticker.now());
     }
 }
--- a/src/main/java/kelphollow/fleet/Gossip.java
+++ b/src/main/java/kelphollow/fleet/Gossip.java
@@ -8,55 +8,58 @@
 import kelphollow.digest.InstanceState;
 import kelphollow.dissemination.AntiEntropy;
 import kelphollow.dissemination.Dissemination;
-import kelphollow.membership.Membership;
-import kelphollow.membership.Message;
+import kelphollow.dissemination.DisseminationOutput;
+import kelphollow.dissemination.DisseminationSettings;
 import kelphollow.membership.MemberUpdate;
+import kelphollow.membership.Membership;
+import kelphollow.membership.MembershipOutput;
 import kelphollow.membership.MembershipSettings;
+import kelphollow.membership.Message;
 import kelphollow.protocol.peer.Packet;
 
 /**
- * Membership, the digest and its dissemination, wired to each other but not to sockets or a core: what comes from others
- * goes in, what is to be sent goes out by the {@link Wire}. The simulation runs this class as the program does. For one
- * thread.
+ * Membership, the digest and its dissemination, wired to each other but not to sockets or to routing: packets from others go
+ * in, packets for others go out by the {@link Outbound}. The simulation runs this class as the program does. For one thread.
  */
 final class Gossip {
-    /** Who sends what this instance wants sent, and hears what happens. */
-    interface Wire {
-        /** Sends a datagram; returns what it cost, in bytes. */
+    /** Sends packets for this instance, and is notified of changes. */
+    interface Outbound {
+        /** Sends a datagram; returns its cost in bytes. */
         long send(String to, Packet packet);
 
-        /** Begins a full exchange by a connection. */
+        /** Starts a full exchange by a connection. */
         void exchange(String with, Packet.Full ours);
 
-        /** Something in membership that is not for sending. */
-        void happened(kelphollow.membership.MembershipOutput output);
+        /** Takes an output of membership that is not for sending. */
+        void membershipChanged(MembershipOutput output);
 
-        /** What others say has changed. */
-        void learned();
+        /** States of other instances have changed. */
+        void statesChanged();
     }
 
-    /** Parts beyond this size, in bytes, go by full exchanges, since no datagram holds them. */
-    private static final int LARGE_PART = 6_000;
-    // A full exchange's cost beside its parts and news, and of one news, in bytes, within some.
-    private static final int EXCHANGE_BYTES = 400, NEWS_BYTES = 60;
+    /** States above this size, in bytes, go by full exchanges, since no datagram holds them. */
+    private static final int LARGE_STATE_BYTES = 6_000;
+    // A full exchange's cost beside its states and updates, and that of an update, in bytes, approximately.
+    private static final int EXCHANGE_BYTES = 400;
+    private static final int UPDATE_BYTES = 60;
+    // How often membership renews states, in milliseconds: well under the shortest time to live.
+    private static final double RENEWAL_INTERVAL = 250;
 
-    // How often membership renews parts, in milliseconds: well under the shortest fading.
-    private static final double RENEW = 250;
     private final String self;
     private final Membership membership;
     private final Digest digest;
     private final Dissemination dissemination;
-    private final Wire wire;
-    private double renewAt;
+    private final Outbound outbound;
+    private double nextRenewalAt;
 
-    /** {@code peers}: names that are tried when nobody else is known; {@code fades}: see {@link Digest}. */
-    Gossip(MembershipSettings settings, Dissemination.Settings telling, String self, String address, long epoch,
-        Collection<String> peers, double fades, RandomGenerator random, double now, Wire wire) {
+    /** {@code peers}: names to try when nobody else is known; {@code timeToLive}: see {@link Digest}. */
+    Gossip(MembershipSettings membershipSettings, DisseminationSettings disseminationSettings, String self, String address,
+        long epoch, Collection<String> peers, double timeToLive, RandomGenerator random, double now, Outbound outbound) {
         this.self = self;
-        this.wire = wire;
-        this.membership = new Membership(settings, self, address, epoch, peers, random, now);
-        this.digest = new Digest(self, epoch, fades, settings.maxMembers());
-        this.dissemination = new Dissemination(telling, self, membership, digest, random, now);
+        this.outbound = outbound;
+        this.membership = new Membership(membershipSettings, self, address, epoch, peers, random, now);
+        this.digest = new Digest(self, epoch, timeToLive, membershipSettings.maxMembers());
+        this.dissemination = new Dissemination(disseminationSettings, self, membership, digest, random, now);
     }
 
     Membership membership() {
@@ -69,134 +72,139 @@
 
     // ---------------------------------------------------------------- time
 
-    /** What membership has due; to be called at its {@code nextAt}. */
-    void tick(double now) {
+    /** Runs what membership has due; to be called at its {@link Membership#nextTickAt}. */
+    void tickMembership(double now) {
         carryOut(now, membership.tick(now));
     }
 
-    /** To be called every few tens of milliseconds, and after a change of the own part that should be known at once. */
-    void round(double now) {
-        if (now >= renewAt) {
-            renewAt = now + RENEW;
-            renew(now);
+    /** To be called every few tens of milliseconds, and after a change of the own state that should be known at once. */
+    void tickDissemination(double now) {
+        if (now >= nextRenewalAt) {
+            nextRenewalAt = now + RENEWAL_INTERVAL;
+            renewStates(now);
         }
-        dissemination.publish(now);
-        post(now, dissemination.round(now));
+        dissemination.commit(now);
+        sendAll(now, dissemination.tick(now));
     }
 
-    /** What those say that live counts on; what the others said fades. */
-    private void renew(double now) {
-        for (MemberUpdate n : membership.snapshot()) {
-            if (n.state() == MemberUpdate.State.ALIVE) {
-                digest.renew(now, n.name(), n.epoch());
+    /** States of members that are alive count on; those of others expire. */
+    private void renewStates(double now) {
+        for (MemberUpdate member : membership.snapshot()) {
+            if (member.state() == MemberUpdate.State.ALIVE) {
+                digest.renew(now, member.name(), member.epoch());
             } else {
-                digest.lapse(n.name());
+                digest.stopRenewing(member.name());
             }
         }
-        digest.fade(now);
+        digest.expire(now);
     }
 
-    /** Says good-bye. */
+    /** Leaves the fleet gracefully. */
     void leave(double now) {
         carryOut(now, membership.leave(now));
     }
 
-    private void carryOut(double now, List<kelphollow.membership.MembershipOutput> outputs) {
-        for (kelphollow.membership.MembershipOutput output : outputs) {
-            if (output instanceof kelphollow.membership.MembershipOutput.Send send) {
-                List<InstanceState> parts = dissemination.onBack(now);
-                dissemination.sent(now, wire.send(send.to(), new Packet.Small(send.message(), parts)));
-            } else if (output instanceof kelphollow.membership.MembershipOutput.FullExchange exchange) {
-                exchange(now, exchange.peer());
+    private void carryOut(double now, List<MembershipOutput> outputs) {
+        for (MembershipOutput output : outputs) {
+            if (output instanceof MembershipOutput.Send send) {
+                List<InstanceState> states = dissemination.piggyback(now);
+                dissemination.sent(now, outbound.send(send.to(), new Packet.Small(send.message(), states)));
+            } else if (output instanceof MembershipOutput.FullExchange exchange) {
+                startExchange(now, exchange.peer());
             } else {
-                if (output instanceof kelphollow.membership.MembershipOutput.EpochRaised raised) {
-                    digest.raise(raised.epoch());
+                if (output instanceof MembershipOutput.EpochRaised raised) {
+                    digest.raiseEpoch(raised.epoch());
                 }
-                wire.happened(output);
+                outbound.membershipChanged(output);
             }
         }
     }
 
-    /** With members that are seen, views are compared by summaries; who is not is given all by a connection. */
-    private void exchange(double now, String with) {
-        if (membership.isPresent(with) && !holdsLargeParts()) {
+    /** Views of present members are compared by summaries; an absent one is sent all by a connection. */
+    private void startExchange(double now, String with) {
+        if (membership.isPresent(with) && !hasLargeStates()) {
             return;
         }
         if (dissemination.allowsExchange(now)) {
-            wire.exchange(with, full(now, false));
+            outbound.exchange(with, fullExchange(now, false));
         }
     }
 
-    private boolean holdsLargeParts() {
-        boolean[] large = new boolean[1];
-        digest.each(0, (part, age) -> large[0] |= part.estimatedBytes() > LARGE_PART);
-        return large[0];
+    private boolean hasLargeStates() {
+        return digest.states().stream().anyMatch(Gossip::isLarge);
     }
 
-    private void post(double now, List<kelphollow.dissemination.Output> outputs) {
-        for (kelphollow.dissemination.Output output : outputs) {
-            Packet packet;
-            if (output instanceof kelphollow.dissemination.Output.Compare compare) {
-                packet = new Packet.Compare(compare.message());
-            } else {
-                packet = new Packet.Small(new Message.Gossip(List.of()),
-                    ((kelphollow.dissemination.Output.Tell) output).parts());
-            }
-            dissemination.sent(now, wire.send(output.to(), packet));
+    private static boolean isLarge(InstanceState state) {
+        return state.estimatedBytes() > LARGE_STATE_BYTES;
+    }
+
+    private void sendAll(double now, List<DisseminationOutput> outputs) {
+        for (DisseminationOutput output : outputs) {
+            dissemination.sent(now, outbound.send(output.to(), packetOf(output)));
+        }
+    }
+
+    private static Packet packetOf(DisseminationOutput output) {
+        if (output instanceof DisseminationOutput.SendComparison comparison) {
+            return new Packet.Compare(comparison.message());
         }
+        return new Packet.Small(new Message.Gossip(List.of()), ((DisseminationOutput.SendStates) output).states());
     }
 
-    // ---------------------------------------------------------------- what comes
+    // ---------------------------------------------------------------- input
 
-    void small(double now, String from, Packet.Small packet) {
-        learn(now, packet.parts());
+    /** A membership message with piggybacked states. */
+    void received(double now, String from, Packet.Small packet) {
+        mergeStates(now, packet.parts());
         carryOut(now, membership.received(now, from, packet.message()));
     }
 
-    void compared(double now, String from, AntiEntropy message) {
-        post(now, dissemination.answer(now, from, message));
+    /** A step of a comparison of views. */
+    void comparisonReceived(double now, String from, AntiEntropy message) {
+        sendAll(now, dissemination.answer(now, from, message));
         if (message instanceof AntiEntropy.Delta delta) {
-            learn(now, delta.parts());
-            if (!delta.news().isEmpty()) {
-                carryOut(now, membership.merge(now, from, delta.news()));
+            mergeStates(now, delta.states());
+            if (!delta.updates().isEmpty()) {
+                carryOut(now, membership.merge(now, from, delta.updates()));
             }
         }
     }
 
-    /** The other side of an exchange; returns this one's. */
-    Packet.Full asked(double now, String from, Packet.Full theirs) {
-        // An instance of the version before tells all parts in an exchange and learns of most only by one.
-        Packet.Full ours = full(now, theirs.parts().size() > 1);
-        answered(now, from, theirs);
+    /** The other side of an exchange that {@code from} started; returns this side's. */
+    Packet.Full exchangeRequested(double now, String from, Packet.Full theirs) {
+        // An instance of the previous version sends all states in an exchange and learns most of them only by one.
+        Packet.Full ours = fullExchange(now, theirs.parts().size() > 1);
+        exchangeAnswered(now, from, theirs);
         return ours;
     }
 
-    void answered(double now, String from, Packet.Full theirs) {
-        learn(now, theirs.parts());
+    /** The other side of an exchange that was started here. */
+    void exchangeAnswered(double now, String from, Packet.Full theirs) {
+        mergeStates(now, theirs.parts());
         carryOut(now, membership.merge(now, from, theirs.news()));
     }
 
-    private Packet.Full full(double now, boolean allParts) {
-        List<InstanceState> parts = new ArrayList<>();
-        for (InstanceState part : digest.all(now)) {
-            if (allParts || part.instance().equals(self) || part.estimatedBytes() > LARGE_PART) {
-                parts.add(part);
+    private Packet.Full fullExchange(double now, boolean allStates) {
+        List<InstanceState> states = new ArrayList<>();
+        for (InstanceState state : digest.snapshot(now)) {
+            if (allStates || state.instance().equals(self) || isLarge(state)) {
+                states.add(state);
             }
         }
-        // In debt this side tells of itself alone: that it is there is what the other must know first.
-        List<MemberUpdate> news = dissemination.allowsExchange(now) ? membership.snapshot() : membership.snapshot().subList(
-            0, 1);
-        dissemination.sent(now, EXCHANGE_BYTES + (long) NEWS_BYTES * news.size()
-            + parts.stream().mapToLong(InstanceState::estimatedBytes).sum());
-        return new Packet.Full(news, parts);
-    }
-
-    private void learn(double now, List<InstanceState> parts) {
-        if (dissemination.heard(now, parts)) {
-            wire.learned();
-            // What is urgent goes on at once: a round's wait at each hop would be most of the time it takes.
+        // In debt this side sends its own update alone: that it is present is what the other must learn first.
+        List<MemberUpdate> snapshot = membership.snapshot();
+        List<MemberUpdate> updates = dissemination.allowsExchange(now) ? snapshot : snapshot.subList(0, 1);
+        dissemination.sent(now, EXCHANGE_BYTES + (long) UPDATE_BYTES * updates.size()
+            + states.stream().mapToLong(InstanceState::estimatedBytes).sum());
+        return new Packet.Full(updates, states);
+    }
+
+    private void mergeStates(double now, List<InstanceState> states) {
+        if (dissemination.received(now, states)) {
+            outbound.statesChanged();
+            // Urgent changes are passed on at once: a round's wait at each hop would be most of the time they take.
             if (dissemination.hasUrgent()) {
-                post(now, dissemination.round(now));
+                sendAll(now, dissemination.tick(now));
             }
         }
     }
--- /dev/null
+++ b/src/main/java/kelphollow/fleet/PeerObservations.java
@@ -0,0 +1,124 @@
+package kelphollow.fleet;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.digest.Digest;
+import kelphollow.digest.DrainNotices;
+import kelphollow.digest.NodeFinding;
+import kelphollow.digest.Subject;
+import kelphollow.membership.Membership;
+import kelphollow.overload.AttemptReport;
+import kelphollow.overload.ProbeDelegation;
+import kelphollow.routing.FleetRouting;
+
+/**
+ * Carries observations of nodes between this instance's routing and the digest: what is seen here is published, and
+ * what others publish is applied to the routing as far as it changed. For one thread.
+ */
+final class PeerObservations {
+    // An attempt at an unresponsive node is due every second (the decision module's probe rate); three that do not come show
+    // that nobody tries. In milliseconds.
+    private static final double HEALTH_CHECK_PATIENCE = 3_000;
+
+    private final FleetOptions options;
+    private final FleetRouting routing;
+    private final Membership membership;
+    private final Digest digest;
+    private final EventLog events;
+    private final DrainNotices drainNotices;
+    private final ProbeDelegation delegation;
+    private Set<String> draining = Set.of();
+    private Set<String> suspected = Set.of();
+    private Set<String> delegated = Set.of();
+
+    PeerObservations(FleetOptions options, FleetRouting routing, Membership membership, Digest digest, EventLog events) {
+        this.options = options;
+        this.routing = routing;
+        this.membership = membership;
+        this.digest = digest;
+        this.events = events;
+        this.drainNotices = new DrainNotices(options.name());
+        this.delegation = new ProbeDelegation(options.name(), HEALTH_CHECK_PATIENCE);
+    }
+
+    /** Takes what this instance's own discovery reports. */
+    void endpointsReceived(double now, List<Endpoint> endpoints) {
+        for (Endpoint endpoint : endpoints) {
+            drainNotices.discovered(now, endpoint.node(), endpoint.state() == EndpointState.DRAINING,
+                endpoint.state() == EndpointState.REMOVED, endpoint.startedAt(), digest);
+        }
+    }
+
+    /** Publishes which nodes do not respond to this instance. */
+    void publishFindings(double now) {
+        Map<String, Integer> unresponsive = options.sharesFindings() ? routing.unresponsiveNodes() : Map.of();
+        Set<String> recovered = new TreeSet<>(digest.committedKeys(Subject.UNRESPONSIVE_NODE));
+        unresponsive.forEach((node, attempts) -> digest.publish(Subject.UNRESPONSIVE_NODE, node, attempts));
+        recovered.removeAll(unresponsive.keySet());
+        recovered.forEach(node -> digest.withdraw(Subject.UNRESPONSIVE_NODE, node));
+    }
+
+    /** Applies what other instances publish to the routing. */
+    void apply(double now) {
+        Set<String> drainingNow = drainNotices.drainingByOthers(now, digest);
+        List<NodeFinding> findings = options.sharesFindings() ? digest.nodeFindings(now) : List.of();
+        Set<String> delegatedNow = options.sharesFindings()
+            ? delegation.delegatedNodes(now, membership.presentMembers(), attemptReports(findings)) : Set.of();
+        applyEjections(drainingNow, delegatedNow);
+        applySuspicions(findings);
+    }
+
+    private static List<AttemptReport> attemptReports(List<NodeFinding> findings) {
+        return findings.stream().map(f -> new AttemptReport(f.reporter(), f.node(), f.attempts())).toList();
+    }
+
+    private void applyEjections(Set<String> drainingNow, Set<String> delegatedNow) {
+        if (!drainingNow.equals(draining) || !delegatedNow.equals(delegated)) {
+            Set<String> ejected = new TreeSet<>(drainingNow);
+            ejected.addAll(delegatedNow);
+            routing.eject(ejected);
+        }
+        if (!drainingNow.equals(draining)) {
+            draining = drainingNow;
+            events.write(FleetEvent.NODES_DRAINING, options.name(), membership.epoch(), "by the word of others",
+                Map.of("nodes", draining));
+        }
+        if (!delegatedNow.equals(delegated)) {
+            delegated = delegatedNow;
+            events.write(FleetEvent.NODES_DELEGATED, options.name(), membership.epoch(), "others try them",
+                Map.of("nodes", delegated));
+        }
+    }
+
+    private void applySuspicions(List<NodeFinding> findings) {
+        Set<String> suspectedNow = new TreeSet<>();
+        for (NodeFinding finding : findings) {
+            if (!finding.reporter().equals(options.name())) {
+                suspectedNow.add(finding.node());
+            }
+        }
+        if (!suspectedNow.equals(suspected)) {
+            suspected = suspectedNow;
+            routing.suspect(suspected);
+        }
+    }
+
+    /** Nodes that are draining by the notices of others. */
+    Set<String> draining() {
+        return draining;
+    }
+
+    /** Nodes that others found unresponsive. */
+    Set<String> suspected() {
+        return suspected;
+    }
+
+    /** Which instance health-checks each unresponsive node. */
+    Map<String, String> healthCheckers() {
+        return delegation.healthCheckers();
+    }
+}
--- a/src/main/java/kelphollow/fleet/SheddingFilter.java
+++ b/src/main/java/kelphollow/fleet/SheddingFilter.java
@@ -11,105 +11,94 @@
 import kelphollow.decision.ControlSettings.Plan;
 import kelphollow.decision.ControlSettings.RequestClass;
 import kelphollow.digest.Digest;
+import kelphollow.digest.OverloadReport;
+import kelphollow.digest.Subject;
+import kelphollow.overload.AdmissionThreshold;
 import kelphollow.overload.LoadShedder;
 import kelphollow.routing.AdmissionFilter;
 import kelphollow.routing.Ticker;
 
 /**
- * Wires {@link LoadShedder} to the core and the digest: a request's worth is its class's times its plan's price; what is inside this
- * instance's part of its volume's reserve is never held back, and what a limit or
- * the bound of repeats may have turned away is no claim.
+ * Wires {@link LoadShedder} to the routing and the digest: a request's priority weight is its class's weight times its
+ * plan's price; what is inside this instance's part of its volume's reserve is never shed, and what a rate limit or the
+ * retry budget may have rejected is no overload. For one thread.
  */
 final class SheddingFilter implements AdmissionFilter {
-    /** The subject in the digest: by shard the highest worth that an instance turns away. */
-    static final String REFUSED = "refused";
+    private static final double ADMIT = -1;
+    private static final double UNKNOWN_WEIGHT = -1;
 
-    /** This instance's part of a volume's reserve: a second of it at most. */
-    private static final class Reserve {
-        double units, at;
-    }
-
-    // From so many volumes on, those whose reserve is full again are forgotten.
-    private static final int MANY = 1_000;
     private final Ticker ticker;
     private final Random random;
-    private final double longestAdvice;
+    private final double maxRetryAfter;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Map<String, Plan> plans = new HashMap<>();
-    private final Map<String, Reserve> reserves = new HashMap<>();
-    private final LoadShedder giveWay = new LoadShedder();
+    private final VolumeReserves reserves = new VolumeReserves();
+    private final LoadShedder shedder = new LoadShedder();
 
     SheddingFilter(ControlSettings settings, Ticker ticker, Random random) {
         this.ticker = ticker;
         this.random = random;
-        this.longestAdvice = settings.maxRetryAfter();
+        this.maxRetryAfter = settings.maxRetryAfter();
         settings.classes().forEach(c -> classes.put(c.name(), c));
         settings.plans().forEach(p -> plans.put(p.name(), p));
     }
 
-    private double worth(RequestArrived arrival) {
-        RequestClass kind = classes.get(arrival.requestClass());
+    private double priorityWeight(RequestArrived arrival) {
+        RequestClass requestClass = classes.get(arrival.requestClass());
         Plan plan = plans.get(arrival.plan());
-        return kind == null || plan == null ? -1 : kind.priorityWeight() * plan.price();
+        return requestClass == null || plan == null ? UNKNOWN_WEIGHT : requestClass.priorityWeight() * plan.price();
     }
 
     @Override public double advice(RequestArrived arrival) {
-        double worth = worth(arrival);
-        if (worth < 0 || arrival.cell() < 0 || isReserved(arrival)
-            || giveWay.admits(ticker.now(), arrival.cell(), worth, lot(arrival.key()))) {
-            return -1;
+        double weight = priorityWeight(arrival);
+        if (weight < 0 || arrival.cell() < 0 || isReserved(arrival)
+            || shedder.admits(ticker.now(), arrival.cell(), weight, admissionHash(arrival.key()))) {
+            return ADMIT;
         }
-        return random.nextDouble() * longestAdvice;   // full jitter: what is shed together must not come again together
+        return random.nextDouble() * maxRetryAfter;   // full jitter: what is shed together must not be retried together
     }
 
     @Override public void rejected(RequestArrived arrival) {
         Plan plan = plans.get(arrival.plan());
-        // A marked retry may have met the bound of its node's repeats, which says nothing of the node's room.
-        if (plan != null && plan.limitRate() <= 0 && !arrival.isRetry() && arrival.cell() >= 0 && worth(arrival) >= 0) {
-            giveWay.rejected(ticker.now(), arrival.cell(), worth(arrival));
+        // A retry may have exhausted its node's retry budget, which proves nothing of the node's capacity.
+        if (plan != null && plan.limitRate() <= 0 && !arrival.isRetry() && arrival.cell() >= 0
+            && priorityWeight(arrival) >= 0) {
+            shedder.rejected(ticker.now(), arrival.cell(), priorityWeight(arrival));
         }
     }
 
     private boolean isReserved(RequestArrived arrival) {
-        double rate = plans.get(arrival.plan()).reserve() / Math.max(1, arrival.hosts()), now = ticker.now();
-        if (rate <= 0) {
-            return false;
-        }
-        if (reserves.size() > MANY) {
-            reserves.values().removeIf(r -> now - r.at > 1_000);
-        }
-        Reserve r = reserves.computeIfAbsent(arrival.volume(), v -> new Reserve());
-        r.units = r.at == 0 ? rate : Math.min(rate, r.units + (now - r.at) / 1_000 * rate);
-        r.at = now;
-        if (r.units < arrival.units()) {
-            return false;
-        }
-        r.units -= arrival.units();
-        return true;
+        double rate = plans.get(arrival.plan()).reserve() / Math.max(1, arrival.hosts());
+        return rate > 0 && reserves.take(ticker.now(), arrival.volume(), rate, arrival.units());
     }
 
-    /** The same for the same object at all instances. */
-    private static double lot(String key) {
-        CRC32C sum = new CRC32C();
-        sum.update(String.valueOf(key).getBytes(StandardCharsets.UTF_8));
-        return sum.getValue() / 0x1p32;
+    /** From 0 to 1, the same for the same object on all instances. */
+    private static double admissionHash(String key) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(String.valueOf(key).getBytes(StandardCharsets.UTF_8));
+        return checksum.getValue() / 0x1p32;
     }
 
-    /** Tells this instance's claims and follows all; true if a cut came or went. */
-    boolean look(double now, Digest digest, String self) {
-        Map<Integer, Double> own = giveWay.claims(now);
-        for (String shard : digest.on(REFUSED, now).getOrDefault(self, Map.of()).keySet()) {
-            if (!own.containsKey(Integer.parseInt(shard))) digest.unsay(REFUSED, shard);
+    /** Publishes this instance's overload reports and follows all; true if a threshold was set or removed. */
+    boolean update(double now, Digest digest, String self) {
+        Map<Integer, Double> own = shedder.overloadReports(now);
+        for (String shard : digest.committedKeys(Subject.OVERLOAD)) {
+            if (!own.containsKey(Integer.parseInt(shard))) {
+                digest.withdraw(Subject.OVERLOAD, shard);
+            }
         }
-        own.forEach((shard, worth) -> digest.say(REFUSED, Integer.toString(shard), worth));
+        own.forEach((shard, weight) -> digest.publish(Subject.OVERLOAD, Integer.toString(shard), weight));
         Map<Integer, Double> highest = new TreeMap<>(own);
-        digest.on(REFUSED, now).forEach((teller, claims) -> claims.forEach((shard, worth) -> {
-            if (!teller.equals(self) && shard.matches("\\d{1,9}")) highest.merge(Integer.parseInt(shard), worth, Math::max);
-        }));
-        return giveWay.step(now, highest);
+        for (OverloadReport report : digest.overloadReports(now)) {
+            if (!report.reporter().equals(self)) {
+                highest.merge(report.shard(), report.priorityWeight(), Math::max);
+            }
+        }
+        return shedder.adjust(now, highest);
     }
 
-    Map<Integer, LoadShedder.Cut> cuts() {
-        return giveWay.cuts();
+    /** The current thresholds by shard. */
+    Map<Integer, AdmissionThreshold> thresholds() {
+        return shedder.thresholds();
     }
 }
--- a/src/main/java/kelphollow/overload/package-info.java
+++ b/src/main/java/kelphollow/overload/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a fleet decides as one when nodes are in trouble, so that what is harmless from one instance does no harm from all: who
- * tries a node that does not answer, and what gives way at a node that is asked for more than it bears. No I/O, no threads,
- * the clock is passed in.
+ * Decisions that the fleet must take together when nodes fail or are overloaded, so that what is harmless from one
+ * instance does no harm from all: which instance health-checks an unresponsive node, and which requests are shed at an
+ * overloaded one. No I/O and no threads; the clock is passed in.
  */
 package kelphollow.overload;
--- a/src/main/java/kelphollow/program/FleetConfig.java
+++ b/src/main/java/kelphollow/program/FleetConfig.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import java.util.logging.FileHandler;
 import java.util.logging.Level;
-import kelphollow.dissemination.Dissemination;
-import kelphollow.fleet.Events;
-import kelphollow.fleet.Fleet;
+import kelphollow.dissemination.DisseminationSettings;
+import kelphollow.fleet.EventLog;
+import kelphollow.fleet.FleetOptions;
 import kelphollow.membership.MemberUpdate;
 import kelphollow.membership.MembershipSettings;
 
@@ -21,7 +21,7 @@
  *
  * @param events where events go, or null for the log
  */
-record FleetConfig(Fleet.Options options, Path events) {
+record FleetConfig(FleetOptions options, Path events) {
     private static final double FADES = 10_000;
     private static final double REPEATS = 0.1;
     // Membership alone spends about 1,000 bytes a second; with less than twice that changes would hardly move.
@@ -58,12 +58,12 @@
         double period = Config.number(fleet, "fleet.", "period_ms", MembershipSettings.DEFAULTS.protocolPeriod(), 20);
         int members = (int) Config.number(fleet, "fleet.", "members", (double) MembershipSettings.DEFAULTS.maxMembers(), 2);
         MembershipSettings settings = MembershipSettings.DEFAULTS.withProtocolPeriod(period).withMaxMembers(members);
-        return new FleetConfig(new Fleet.Options(name, Config.address(text(fleet, "listen"), "fleet.listen"), peers,
+        return new FleetConfig(new FleetOptions(name, Config.address(text(fleet, "listen"), "fleet.listen"), peers,
             key(text(fleet, "key_file")), settings, Config.number(fleet, "fleet.", "fades_ms", FADES, 4 * period),
             !Boolean.FALSE.equals(fleet.get("findings")), !Boolean.FALSE.equals(fleet.get("shed")),
             Config.number(fleet, "fleet.", "repeats", REPEATS, 0),
-            Dissemination.Settings.USUAL.withBudget(Config.number(fleet, "fleet.", "bytes_per_second",
-                Dissemination.Settings.USUAL.bytesPerSecond(), LEAST_BUDGET))),
+            DisseminationSettings.DEFAULTS.withBudget(Config.number(fleet, "fleet.", "bytes_per_second",
+                DisseminationSettings.DEFAULTS.bytesPerSecond(), LEAST_BUDGET))),
             fleet.get("events") == null ? null : path(text(fleet, "events"), "fleet.events"));
     }
 
@@ -94,14 +94,14 @@
         }
     }
 
-    Events openEvents() throws Config.Bad {
+    EventLog openEvents() throws Config.Bad {
         try {
             if (events == null) {
-                return new Events(null);
+                return new EventLog(null);
             }
             FileHandler handler = new FileHandler(events.toString().replace("%", "%%"), true);
             handler.setLevel(Level.INFO);
-            return new Events(handler);
+            return new EventLog(handler);
         } catch (IOException e) {
             throw new Config.Bad("fleet.events: " + StoreConfig.message(e));
         }
--- a/src/main/java/kelphollow/program/Scheduler.java
+++ b/src/main/java/kelphollow/program/Scheduler.java
@@ -16,7 +16,7 @@
 import kelphollow.decision.ControlSettings;
 import kelphollow.decision.ControlSettings.RequestClass;
 import kelphollow.decision.EndpointListLease;
-import kelphollow.fleet.Events;
+import kelphollow.fleet.EventLog;
 import kelphollow.fleet.Fleet;
 import kelphollow.ledger.Ledger;
 import kelphollow.ledger.NodeRecords;
@@ -169,13 +169,13 @@
 
     /** Takes this instance's place in its fleet, under the number of its life in the store. */
     private void join(ObjectConfig config) throws Config.Bad, InterruptedException {
-        Events events = config.fleet().openEvents();
+        EventLog events = config.fleet().openEvents();
         loop.submit(() -> {
             fleet = new Fleet(config.fleet().options(), config.settings(), ledger.epoch(), loop, ticker, router,
                 new java.util.Random(config.seed() ^ ledger.epoch()), events, ledger::keepAbove);
         }).sync();
         try {
-            InetSocketAddress at = fleet.line().listen(config.fleet().options().listen());
+            InetSocketAddress at = fleet.transport().listen(config.fleet().options().listen());
             LOG.info(() -> "in a fleet at " + text(at));
         } catch (IOException e) {
             throw new Config.Bad(e.getMessage());
--- a/src/main/java/kelphollow/protocol/peer/CompareCodec.java
+++ b/src/main/java/kelphollow/protocol/peer/CompareCodec.java
@@ -50,9 +50,9 @@
             out.writeNumber(n.epoch());
             out.writeNumber(n.incarnation());
             out.writeString(PeerCodec.STATES[n.state().ordinal()]);
-            if (entry.partEpoch() >= 0) {
-                out.writeNumber(entry.partEpoch());
-                out.writeNumber(entry.partVersion());
+            if (entry.stateEpoch() >= 0) {
+                out.writeNumber(entry.stateEpoch());
+                out.writeNumber(entry.stateVersion());
             }
             out.writeEndArray();
         }
@@ -60,14 +60,14 @@
     }
 
     private static void delta(AntiEntropy.Delta delta, JsonGenerator out) throws IOException {
-        PeerCodec.news(delta.news(), out);
+        PeerCodec.news(delta.updates(), out);
         out.writeStartArray();
-        for (InstanceState part : delta.parts()) {
+        for (InstanceState part : delta.states()) {
             PeerCodec.part(part, out);
         }
         out.writeEndArray();
         out.writeStartArray();
-        for (String name : delta.wanted()) {
+        for (String name : delta.requested()) {
             out.writeString(name);
         }
         out.writeEndArray();
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -71,7 +71,7 @@
     }
 
     @Override public void open(int instance, Fleet fleet) throws IOException {
-        fleet.line().listen(network.addressOf(instance));
+        fleet.transport().listen(network.addressOf(instance));
     }
 
     @Override public <T> T call(int instance, Callable<T> task) {
--- a/src/main/java/kelphollow/scale/SimulatedInstance.java
+++ b/src/main/java/kelphollow/scale/SimulatedInstance.java
@@ -14,9 +14,10 @@
 import java.util.logging.LogRecord;
 import java.util.stream.IntStream;
 import kelphollow.decision.ControlSettings;
-import kelphollow.dissemination.Dissemination;
-import kelphollow.fleet.Events;
+import kelphollow.dissemination.DisseminationSettings;
+import kelphollow.fleet.EventLog;
 import kelphollow.fleet.Fleet;
+import kelphollow.fleet.FleetOptions;
 import kelphollow.membership.MembershipSettings;
 import kelphollow.protocol.json.Json;
 import kelphollow.protocol.peer.PeerLine;
@@ -91,7 +92,7 @@
             nodes = new SimulatedNodes(scenario, index, ticker, ejected -> observer.ejected(index, ticker.now(), ejected));
             fleet = new Fleet(options(), settings(), epoch, host.transports(index, life, KEY,
                 MembershipSettings.DEFAULTS.maxMembers()),
-                ticker, nodes, drawn, new Events(new Tap(ticker)), raised -> epoch = raised);
+                ticker, nodes, drawn, new EventLog(new Tap(ticker)), raised -> epoch = raised);
             return null;
         });
         host.open(index, fleet);
@@ -102,14 +103,14 @@
         });
     }
 
-    private Fleet.Options options() {
+    private FleetOptions options() {
         Map<String, InetSocketAddress> seeds = new TreeMap<>();
         for (int seed : seeds(scenario)) {
             seeds.put(ScaleScenario.nameOf(seed), network.addressOf(seed));
         }
-        return new Fleet.Options(ScaleScenario.nameOf(index), network.addressOf(index), seeds, KEY,
+        return new FleetOptions(ScaleScenario.nameOf(index), network.addressOf(index), seeds, KEY,
             MembershipSettings.DEFAULTS.withProtocolPeriod(scenario.period()), scenario.fades(), true, true, REPEATS,
-            Dissemination.Settings.USUAL);
+            DisseminationSettings.DEFAULTS);
     }
 
     /** The first instance of each zone: what others are told to look for at their start. */
@@ -131,7 +132,7 @@
     void kill() {
         host.call(index, () -> {
             gate.kill();
-            fleet.line().close();
+            fleet.transport().close();
             return null;
         });
     }
@@ -158,12 +159,12 @@
     }
 
     List<String> present() {
-        return host.call(index, fleet::present);
+        return host.call(index, fleet::presentMembers);
     }
 
     void eachPart(BiConsumer<String, Double> nameAndAge) {
         host.call(index, () -> {
-            fleet.eachPart((part, age) -> nameAndAge.accept(part.instance(), age));
+            fleet.forEachState((state, age) -> nameAndAge.accept(state.instance(), age));
             return null;
         });
     }
@@ -171,7 +172,7 @@
     /** What this life sent and received so far, by kind: packets out, bytes out, packets in, bytes in. */
     TrafficCount traffic() {
         return host.call(index, () -> {
-            Traffic traffic = fleet.line().traffic();
+            Traffic traffic = fleet.transport().traffic();
             TrafficCount count = new TrafficCount();
             for (Traffic.Kind kind : Traffic.Kind.values()) {
                 count.set(kind, traffic.packetsOut(kind), traffic.bytesOut(kind), traffic.packetsIn(kind),
@@ -182,7 +183,7 @@
     }
 
     long dropped(PeerLine.Drop why) {
-        return host.call(index, () -> fleet.line().drops().getOrDefault(why, 0L));
+        return host.call(index, () -> fleet.transport().drops().getOrDefault(why, 0L));
     }
 
     /** Takes the fleet's events out of its log. */
--- a/src/main/java/kelphollow/scale/SocketHost.java
+++ b/src/main/java/kelphollow/scale/SocketHost.java
@@ -102,7 +102,7 @@
         InetSocketAddress at = network.addressOf(instance);
         for (int tries = 1;; tries++) {
             try {
-                fleet.line().listen(at);
+                fleet.transport().listen(at);
                 return;
             } catch (IOException e) {
                 if (tries == BIND_TRIES) {   // the life before has the port until its channels are closed
--- a/src/test/java/kelphollow/digest/DrainNoticesTest.java
+++ b/src/test/java/kelphollow/digest/DrainNoticesTest.java
@@ -6,46 +6,48 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A drain told to one is kept by all, until discovery's later word. */
+/** A drain that one instance was notified of is kept by all, until newer information from discovery. */
 class DrainNoticesTest {
-    private final Digest theirs = new Digest("them", 1, 10_000, 8), ours = new Digest("us", 1, 10_000, 8);
-    private final DrainNotices them = new DrainNotices("them"), us = new DrainNotices("us");
+    private final Digest theirDigest = new Digest("them", 1, 10_000, 8);
+    private final Digest ourDigest = new Digest("us", 1, 10_000, 8);
+    private final DrainNotices theirs = new DrainNotices("them");
+    private final DrainNotices ours = new DrainNotices("us");
 
-    private Set<String> heard(double now) {
-        theirs.publish(now);
-        ours.merge(now, theirs.all(now));
-        return us.byOthers(now, ours);
+    private Set<String> drainingAfterGossip(double now) {
+        theirDigest.commit(now);
+        ourDigest.merge(now, theirDigest.snapshot(now));
+        return ours.drainingByOthers(now, ourDigest);
     }
 
-    @Test void whatOneWasToldAllKeepUntilItTakesItBack() {
-        us.told(0, "n", false, false, 5, ours);
-        them.told(0, "n", true, false, 5, theirs);
-        assertEquals(Set.of("n"), heard(1));
-        them.told(10, "n", false, false, 5, theirs);
-        assertEquals(Set.of(), heard(11));
+    @Test void aNoticeIsKeptByAllUntilItsReporterWithdrawsIt() {
+        ours.discovered(0, "n", false, false, 5, ourDigest);
+        theirs.discovered(0, "n", true, false, 5, theirDigest);
+        assertEquals(Set.of("n"), drainingAfterGossip(1));
+        theirs.discovered(10, "n", false, false, 5, theirDigest);
+        assertEquals(Set.of(), drainingAfterGossip(11));
     }
 
-    @Test void aLaterStartOrOurOwnTakingBackIsTheLaterWord() {
-        us.told(0, "n", false, false, 5, ours);
-        them.told(0, "n", true, false, 5, theirs);
-        assertEquals(Set.of("n"), heard(1));
-        us.told(2, "n", false, false, 5, ours);
-        assertEquals(Set.of("n"), heard(3), "our list says what it said before: it may be late");
-        us.told(4, "n", false, false, 6, ours);
-        assertEquals(Set.of(), heard(5), "the node has started anew");
-        them.told(6, "n", true, false, 6, theirs);
-        assertEquals(Set.of("n"), heard(7), "and drains anew");
-        us.told(8, "n", true, false, 6, ours);
-        us.told(9, "n", false, false, 6, ours);
-        assertEquals(Set.of(), heard(10), "we saw the drain come and go");
+    @Test void aLaterStartOrAnEndSeenByOurDiscoveryOverridesTheNotice() {
+        ours.discovered(0, "n", false, false, 5, ourDigest);
+        theirs.discovered(0, "n", true, false, 5, theirDigest);
+        assertEquals(Set.of("n"), drainingAfterGossip(1));
+        ours.discovered(2, "n", false, false, 5, ourDigest);
+        assertEquals(Set.of("n"), drainingAfterGossip(3), "our list is unchanged: it may be late");
+        ours.discovered(4, "n", false, false, 6, ourDigest);
+        assertEquals(Set.of(), drainingAfterGossip(5), "the node was started again");
+        theirs.discovered(6, "n", true, false, 6, theirDigest);
+        assertEquals(Set.of("n"), drainingAfterGossip(7), "and drains again");
+        ours.discovered(8, "n", true, false, 6, ourDigest);
+        ours.discovered(9, "n", false, false, 6, ourDigest);
+        assertEquals(Set.of(), drainingAfterGossip(10), "we saw the drain come and go");
     }
 
-    @Test void ourOwnDrainsAreOursAndAWordThatIsNotRenewedFades() {
-        us.told(0, "m", true, false, 0, ours);
-        assertEquals(Set.of(), us.byOthers(0, ours), "the list holds it already");
-        them.told(0, "n", false, true, 0, theirs);
-        assertEquals(Set.of("n"), heard(1), "gone counts as well");
-        assertEquals(Set.of(), us.byOthers(10_002, ours), "the teller is away");
-        assertEquals(List.of("them"), ours.fade(10_002));
+    @Test void ourOwnDrainsDoNotCountAndANoticeThatIsNotRenewedExpires() {
+        ours.discovered(0, "m", true, false, 0, ourDigest);
+        assertEquals(Set.of(), ours.drainingByOthers(0, ourDigest), "the list holds it already");
+        theirs.discovered(0, "n", false, true, 0, theirDigest);
+        assertEquals(Set.of("n"), drainingAfterGossip(1), "a removed node counts as well");
+        assertEquals(Set.of(), ours.drainingByOthers(10_002, ourDigest), "the reporter is gone");
+        assertEquals(List.of("them"), ourDigest.expire(10_002));
     }
 }
--- a/src/test/java/kelphollow/fleet/DisseminationSimulationTest.java
+++ b/src/test/java/kelphollow/fleet/DisseminationSimulationTest.java
@@ -6,19 +6,23 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Arrays;
 import java.util.List;
+import kelphollow.digest.Subject;
 import kelphollow.protocol.peer.Packet;
 import org.junit.jupiter.api.Test;
 
 /**
- * Dissemination in a fleet of 120 on one clock by seed: its cost, its delay, and what faults do to both. Larger ones are played
- * by {@code DisseminationFigures} and {@code FaultFigures} outside CI.
+ * Dissemination in a fleet of 120 on one clock by seed: its cost, its delay, and what faults do to both. Larger ones are
+ * simulated by {@code DisseminationFigures} and {@code FaultFigures} outside CI.
  */
 class DisseminationSimulationTest {
     private static final int SIZE = Integer.getInteger("kelphollow.dissemination.size", 120);
-    // Faults whose outcome does not hang on the size are played with fewer, for the time of CI.
-    private static final int SMALL = 60, SMALLEST = 24;
-    private static final double BUDGET = 12_000, SETTLED = 12_000;
+    // Faults whose outcome does not depend on the size are simulated with fewer, for the time of CI.
+    private static final int SMALL = 60;
+    private static final int SMALLEST = 24;
+    private static final double BUDGET = 12_000;
+    private static final double SETTLED = 12_000;
 
     private static DisseminationWorld settled(long seed) {
         return settled(seed, SIZE);
@@ -32,15 +36,15 @@
     }
 
     private static double mean(DisseminationWorld world, double since) {
-        return java.util.Arrays.stream(world.totals(since)).average().orElse(0);
+        return Arrays.stream(world.totals(since)).average().orElse(0);
     }
 
     /** What must hold of a fleet at rest; the planted faults below must not pass it. */
-    private static void assertWhole(DisseminationWorld world) {
-        assertEquals(1.0, world.fresh(), 0, "parts seen fresh, seed " + world.seed);
+    private static void assertComplete(DisseminationWorld world) {
+        assertEquals(1.0, world.fresh(), 0, "fresh states, seed " + world.seed);
         double[] delays = world.drainDelays(null);
         assertTrue(delays.length == 0 || delays[delays.length - 1] < Double.POSITIVE_INFINITY,
-            "a drain was not kept by all, seed " + world.seed);
+            "a drain did not reach all, seed " + world.seed);
     }
 
     @Test void changesReachAllInTimeWithinTheBudget() {
@@ -52,7 +56,7 @@
             world.run(world.now + 500);
         }
         world.run(world.now + 3_000);
-        assertWhole(world);
+        assertComplete(world);
         assertTrue(DisseminationWorld.percentile(world.drainDelays(true), 0.99) <= 250, "in the region, seed " + seed);
         assertTrue(DisseminationWorld.percentile(world.drainDelays(false), 0.99) <= 1_000, "across regions, seed " + seed);
         assertTrue(mean(world, SETTLED) <= BUDGET / 2, "bytes " + mean(world, SETTLED) + ", seed " + seed);
@@ -66,13 +70,14 @@
             world.run(world.now + 500);
         }
         world.run(world.now + 5_000);
-        assertWhole(world);
+        assertComplete(world);
         assertTrue(DisseminationWorld.percentile(world.drainDelays(null), 0.99) <= 2_000, "seed 3");
     }
 
-    @Test void aZoneThatIsLostLeavesTheOthersWholeAndItsWordsFade() {
+    @Test void theLossOfAZoneLeavesTheOthersConsistentAndItsStatesExpire() {
         DisseminationWorld world = settled(4, SMALL);
-        List<String> gone = List.copyOf(world.lives.keySet()).stream().filter(n -> DisseminationWorld.zone(n) == 1).toList();
+        List<String> gone = List.copyOf(world.running.keySet()).stream().filter(n -> DisseminationWorld.zone(n) == 1)
+            .toList();
         gone.forEach(world::kill);
         double lost = world.now;
         world.run(lost + 2_000);
@@ -82,26 +87,26 @@
             "a drain amid a zone's loss, seed 4");
         world.clearCounters();
         world.run(lost + 40_000);
-        assertWhole(world);
-        assertEquals(world.lives.size(), world.rightViews(), "seed 4");
-        for (Player viewer : world.lives.values()) {
-            gone.forEach(name -> assertNull(viewer.part(name), "the word of " + name + " still counts, seed 4"));
+        assertComplete(world);
+        assertEquals(world.running.size(), world.correctViews(), "seed 4");
+        for (SimulatedPeer viewer : world.running.values()) {
+            gone.forEach(name -> assertNull(viewer.state(name), "the state of " + name + " still counts, seed 4"));
         }
         assertTrue(mean(world, lost + 2_000) <= BUDGET, "bytes " + mean(world, lost + 2_000));
     }
 
-    @Test void eachSideOfACutGoesOnAndHealingIsCheapAndNoOldWordWins() {
+    @Test void eachSideOfAPartitionGoesOnAndHealingIsCheapAndNoOlderStateWins() {
         DisseminationWorld world = settled(5, SMALL);
         world.drain(DisseminationWorld.name(1), "before");
         world.run(world.now + 2_000);
         world.passes = (from, to) -> DisseminationWorld.region(from) == DisseminationWorld.region(to);
         world.run(world.now + 30_000);
-        world.lives.get(DisseminationWorld.name(1)).unsay("drain", "before");
+        world.running.get(DisseminationWorld.name(1)).withdraw(Subject.DRAIN, "before");
         DisseminationWorld.Drain own = world.drain(DisseminationWorld.name(2), "cut");
         world.run(world.now + 3_000);
-        world.lives.keySet().stream().filter(name -> !name.equals(own.teller)).forEach(name -> assertEquals(
-            DisseminationWorld.region(name) == DisseminationWorld.region(own.teller), own.keptAt.containsKey(name), name
-                + ", seed 5"));
+        world.running.keySet().stream().filter(name -> !name.equals(own.reporter)).forEach(name -> assertEquals(
+            DisseminationWorld.region(name) == DisseminationWorld.region(own.reporter), own.receivedAt.containsKey(name),
+            name + ", seed 5"));
         world.passes = (from, to) -> true;
         double healed = world.now;
         world.clearCounters();
@@ -111,58 +116,58 @@
         world.clearCounters();
         world.run(after + 10_000);
         assertTrue(mean(world, after) <= BUDGET, "after healing " + mean(world, after) + ", seed 5");
-        assertWhole(world);
-        assertEquals(world.lives.size(), world.rightViews(), "seed 5");
-        for (Player viewer : world.lives.values()) {
-            assertFalse(viewer.part(DisseminationWorld.name(1)).subjects().containsKey("drain"),
-                "taken back in the cut, seed 5");
+        assertComplete(world);
+        assertEquals(world.running.size(), world.correctViews(), "seed 5");
+        for (SimulatedPeer viewer : world.running.values()) {
+            assertFalse(viewer.state(DisseminationWorld.name(1)).subjects().containsKey(Subject.DRAIN.wireName()),
+                "withdrawn in the partition, seed 5");
         }
     }
 
-    @Test void instancesOfTheVersionBeforeAreHeardAndHear() {
+    @Test void instancesOfThePreviousVersionInteroperate() {
         DisseminationWorld world = new DisseminationWorld(6, DisseminationWorld.Setup.of(SMALLEST, false));
         for (int i = 0; i < SMALLEST; i++) {
             world.start(DisseminationWorld.name(i), i % 2 == 0);
         }
         world.run(30_000);
-        world.drain(DisseminationWorld.name(4), "by the version before");
+        world.drain(DisseminationWorld.name(4), "by the previous version");
         world.drain(DisseminationWorld.name(5), "by this one");
         world.run(world.now + 10_000);
-        assertWhole(world);
+        assertComplete(world);
     }
 
-    @Test void restartsGoOnUnderANewLifeAndTheOldLifesWordsGo() {
+    @Test void restartsContinueUnderANewEpochAndTheOldStateExpires() {
         DisseminationWorld world = settled(7, SMALLEST);
-        world.drain(DisseminationWorld.name(9), "of the first life");
+        world.drain(DisseminationWorld.name(9), "of the first epoch");
         world.run(world.now + 2_000);
         world.kill(DisseminationWorld.name(9));
         world.start(DisseminationWorld.name(9), false);
         world.run(world.now + 15_000);
         assertEquals(1.0, world.fresh(), 0, "seed 7");
-        for (Player viewer : world.lives.values()) {
-            assertEquals(2, viewer.part(DisseminationWorld.name(9)).epoch(), "seed 7");
-            assertFalse(viewer.part(DisseminationWorld.name(9)).subjects().containsKey("drain"), "seed 7");
+        for (SimulatedPeer viewer : world.running.values()) {
+            assertEquals(2, viewer.state(DisseminationWorld.name(9)).epoch(), "seed 7");
+            assertFalse(viewer.state(DisseminationWorld.name(9)).subjects().containsKey(Subject.DRAIN.wireName()), "seed 7");
         }
     }
 
-    // ---------------------------------------------------------------- planted faults, which the checks must find
+    // ---------------------------------------------------------------- planted faults, which the checks must detect
 
-    @Test void relaysThatDropWhatTheyShouldPassOnAreFound() {
+    @Test void relaysThatDropForwardedStatesAreDetected() {
         DisseminationWorld world = settled(8, SMALL);
         world.swallows = (from, packet) -> packet instanceof Packet.Compare
             || packet instanceof Packet.Small small && small.parts().stream().anyMatch(p -> !p.instance().equals(from));
         world.drain(DisseminationWorld.name(3), "n");
         world.run(world.now + 5_000);
-        assertThrows(AssertionError.class, () -> assertWhole(world));
+        assertThrows(AssertionError.class, () -> assertComplete(world));
     }
 
-    @Test void aPartThatNeverRenewsIsFound() {
+    @Test void aStateThatIsNeverRenewedIsDetected() {
         DisseminationWorld world = new DisseminationWorld(9, DisseminationWorld.Setup.of(SMALLEST, false));
         world.fleet();
         world.run(SETTLED);
-        assertWhole(world);
-        ((Player.Now) world.lives.get(DisseminationWorld.name(3))).stopRenewing();
+        assertComplete(world);
+        ((SimulatedPeer.Current) world.running.get(DisseminationWorld.name(3))).stopRenewing();
         world.run(world.now + 12_000);
-        assertThrows(AssertionError.class, () -> assertWhole(world));
+        assertThrows(AssertionError.class, () -> assertComplete(world));
     }
 }
--- a/src/test/java/kelphollow/fleet/DisseminationWorld.java
+++ b/src/test/java/kelphollow/fleet/DisseminationWorld.java
@@ -1,9 +1,12 @@
 package kelphollow.fleet;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.Comparator;
 import java.util.EnumMap;
 import java.util.HashMap;
+import java.util.HashSet;
+import java.util.IdentityHashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -11,72 +14,78 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.function.BiPredicate;
+import java.util.stream.Collectors;
 import kelphollow.digest.InstanceState;
-import kelphollow.dissemination.Dissemination;
+import kelphollow.digest.Subject;
+import kelphollow.dissemination.DisseminationSettings;
 import kelphollow.membership.MembershipSettings;
+import kelphollow.membership.Message;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PacketSizes;
 import kelphollow.protocol.peer.PeerLine;
 
 /**
- * A fleet's control side on one clock by seed: 3 regions of 2 zones, a net that delays, loses and cuts, all packets encoded by the
- * line's codec and counted with header and seal. Guards against a dissemination whose cost or delay grows unseen with size.
+ * The gossip of a fleet on one clock by seed: 3 regions of 2 zones, a network that delays, loses and partitions, all packets
+ * encoded by the codec and counted with header and seal. Guards against dissemination whose cost or delay grows unseen with
+ * size.
  */
-final class DisseminationWorld implements Player.Net {
+final class DisseminationWorld implements SimulatedPeer.Network {
     /** Kinds of traffic. */
-    enum Kind { MEMBERSHIP, PARTS, COMPARE, EXCHANGE }
+    enum Kind { MEMBERSHIP, STATES, COMPARISON, EXCHANGE }
 
     /**
-     * @param before whether all are of the version before
-     * @param keys figures in each part
-     * @param changeEvery milliseconds between changes of an instance's part, on average; infinite for none
+     * @param previous whether all are of the previous version
+     * @param keys values in each state
+     * @param changeInterval mean milliseconds between changes of an instance's state; infinite for none
      */
-    record Setup(int size, boolean before, int keys, double changeEvery, double fades, MembershipSettings membership,
-                 Dissemination.Settings telling) {
-        static Setup of(int size, boolean before) {
-            return new Setup(size, before, 3, Double.POSITIVE_INFINITY, 10_000, MembershipSettings.DEFAULTS,
-                Dissemination.Settings.USUAL);
+    record Setup(int size, boolean previous, int keys, double changeInterval, double timeToLive,
+                 MembershipSettings membership, DisseminationSettings dissemination) {
+        static Setup of(int size, boolean previous) {
+            return new Setup(size, previous, 3, Double.POSITIVE_INFINITY, 10_000, MembershipSettings.DEFAULTS,
+                DisseminationSettings.DEFAULTS);
         }
 
-        Setup with(int keys, double changeEvery) {
-            return new Setup(size, before, keys, changeEvery, fades, membership, telling);
+        Setup with(int keys, double changeInterval) {
+            return new Setup(size, previous, keys, changeInterval, timeToLive, membership, dissemination);
         }
     }
 
-    /** A drain told to one. */
+    /** A drain that one instance is notified of. */
     static final class Drain {
-        final String teller, node;
+        final String reporter;
+        final String node;
         final double at;
-        final Map<String, Double> keptAt = new HashMap<>();
+        final Map<String, Double> receivedAt = new HashMap<>();
 
-        Drain(String teller, String node, double at) {
-            this.teller = teller;
+        Drain(String reporter, String node, double at) {
+            this.reporter = reporter;
             this.node = node;
             this.at = at;
         }
     }
 
-    private record Due(double at, long order, Runnable task) {}
+    private record ScheduledTask(double at, long order, Runnable task) {}
 
-    private static final double LOOK = 50;
+    private static final double TICK = 50;
     // A connection's packets beside the two sides: handshakes, challenge, close, with their headers.
     private static final int CONNECTION = 400;
     final long seed;
     final Setup setup;
     final Random random;
-    final Map<String, Player> lives = new LinkedHashMap<>();
+    final Map<String, SimulatedPeer> running = new LinkedHashMap<>();
     final Map<String, Long> epochs = new HashMap<>();
     final Map<String, long[]> bytes = new HashMap<>();
     final Map<String, TreeMap<Double, InstanceState>> history = new HashMap<>();
     final List<Drain> drains = new ArrayList<>();
     BiPredicate<String, String> passes = (from, to) -> true;
     BiPredicate<String, Packet> swallows = (from, packet) -> false;
-    double now, loss;
+    double now;
+    double loss;
     long datagrams;
-    private final PriorityQueue<Due> dues = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(
-        Due::order));
-    private final Map<Player, Double> armed = new java.util.IdentityHashMap<>();
-    private long order;
+    private final PriorityQueue<ScheduledTask> schedule = new PriorityQueue<>(
+        Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
+    private final Map<SimulatedPeer, Double> wakeUps = new IdentityHashMap<>();
+    private long nextOrder;
 
     DisseminationWorld(long seed, Setup setup) {
         this.seed = seed;
@@ -96,99 +105,99 @@
         return Integer.parseInt(name.substring(10)) % 6;
     }
 
-    // ---------------------------------------------------------------- lives
+    // ---------------------------------------------------------------- instances
 
     void fleet() {
         for (int i = 0; i < setup.size; i++) {
-            start(name(i), setup.before);
+            start(name(i), setup.previous);
         }
     }
 
-    void start(String name, boolean before) {
+    void start(String name, boolean previous) {
         long epoch = epochs.merge(name, 1L, Long::sum);
         List<String> peers = List.of(name(0), name(1), name(2));
         Random own = new Random(random.nextLong());
-        Player player = before ? new Player.Before(setup, name, epoch, peers, own, now, this)
-            : new Player.Now(setup, name, epoch, peers, own, now, this);
-        lives.put(name, player);
+        SimulatedPeer peer = previous ? new SimulatedPeer.Previous(setup, name, epoch, peers, own, now, this)
+            : new SimulatedPeer.Current(setup, name, epoch, peers, own, now, this);
+        running.put(name, peer);
         bytes.computeIfAbsent(name, n -> new long[Kind.values().length]);
         for (int i = 0; i < setup.keys; i++) {
-            player.say("silent", String.format("node-%04d", (i * 37 + name.hashCode() & 0xffff) % 1000), 1);
+            peer.publish(Subject.UNRESPONSIVE_NODE, String.format("node-%04d", (i * 37 + name.hashCode() & 0xffff) % 1000), 1);
         }
-        at(now + random.nextDouble() * LOOK, () -> look(name, player));
-        change(name, player);
-        wake(name, player);
+        at(now + random.nextDouble() * TICK, () -> tick(name, peer));
+        change(name, peer);
+        wake(name, peer);
     }
 
     void kill(String name) {
-        lives.remove(name);
+        running.remove(name);
     }
 
-    private void look(String name, Player player) {
-        if (lives.get(name) == player) {
-            player.look(now);
-            remember(name, player);
-            at(now + LOOK, () -> look(name, player));
+    private void tick(String name, SimulatedPeer peer) {
+        if (running.get(name) == peer) {
+            peer.tickDissemination(now);
+            remember(name, peer);
+            at(now + TICK, () -> tick(name, peer));
         }
     }
 
-    private void remember(String name, Player player) {
-        InstanceState own = player.part(name);
+    private void remember(String name, SimulatedPeer peer) {
+        InstanceState own = peer.state(name);
         TreeMap<Double, InstanceState> past = history.computeIfAbsent(name, n -> new TreeMap<>());
         if (own != null && (past.isEmpty() || past.lastEntry().getValue() != own)) {
             past.put(now, own);
         }
     }
 
-    private void change(String name, Player player) {
-        if (setup.changeEvery < Double.POSITIVE_INFINITY) {
-            at(now + setup.changeEvery * 2 * random.nextDouble(), () -> {
-                if (lives.get(name) == player) {
-                    player.say("silent", "node-changing", now);
-                    change(name, player);
+    private void change(String name, SimulatedPeer peer) {
+        if (setup.changeInterval < Double.POSITIVE_INFINITY) {
+            at(now + setup.changeInterval * 2 * random.nextDouble(), () -> {
+                if (running.get(name) == peer) {
+                    peer.publish(Subject.UNRESPONSIVE_NODE, "node-changing", now);
+                    change(name, peer);
                 }
             });
         }
     }
 
-    /** A drain is told to one; all that live are to keep it. */
-    Drain drain(String teller, String node) {
-        Drain drain = new Drain(teller, node, now);
+    /** One instance is notified of a drain; all that run must learn it. */
+    Drain drain(String reporter, String node) {
+        Drain drain = new Drain(reporter, node, now);
         drains.add(drain);
-        lives.get(teller).say("drain", node, 5);
-        lives.get(teller).look(now);
-        remember(teller, lives.get(teller));
+        running.get(reporter).publish(Subject.DRAIN, node, 5);
+        running.get(reporter).tickDissemination(now);
+        remember(reporter, running.get(reporter));
         return drain;
     }
 
-    private void keep(String name, Player player) {
+    private void recordDrains(String name, SimulatedPeer peer) {
         for (Drain d : drains) {
-            if (!d.keptAt.containsKey(name)) {
-                InstanceState part = player.part(d.teller);
-                if (part != null && part.subjects().getOrDefault("drain", Map.of()).containsKey(d.node)) {
-                    d.keptAt.put(name, now);
+            if (!d.receivedAt.containsKey(name)) {
+                InstanceState state = peer.state(d.reporter);
+                if (state != null && state.values(Subject.DRAIN).containsKey(d.node)) {
+                    d.receivedAt.put(name, now);
                 }
             }
         }
     }
 
-    // ---------------------------------------------------------------- the net
+    // ---------------------------------------------------------------- the network
 
     private void at(double time, Runnable task) {
-        dues.add(new Due(time, order++, task));
+        schedule.add(new ScheduledTask(time, nextOrder++, task));
     }
 
-    private void wake(String name, Player player) {
-        double when = Math.max(now, player.membership().nextTickAt());
-        if (when >= armed.getOrDefault(player, Double.POSITIVE_INFINITY)) {
+    private void wake(String name, SimulatedPeer peer) {
+        double when = Math.max(now, peer.membership().nextTickAt());
+        if (when >= wakeUps.getOrDefault(peer, Double.POSITIVE_INFINITY)) {
             return;
         }
-        armed.put(player, when);
+        wakeUps.put(peer, when);
         at(when, () -> {
-            if (lives.get(name) == player && armed.get(player) == when) {
-                armed.remove(player);
-                player.tick(now);
-                wake(name, player);
+            if (running.get(name) == peer && wakeUps.get(peer) == when) {
+                wakeUps.remove(peer);
+                peer.tickMembership(now);
+                wake(name, peer);
             }
         });
     }
@@ -204,23 +213,24 @@
 
     @Override public long send(String from, String to, Packet packet) {
         datagrams++;
-        int header = PeerLine.HEADERS + PacketSizes.SEAL, all = PacketSizes.of(packet);
+        int header = PeerLine.HEADERS + PacketSizes.SEAL;
+        int all = PacketSizes.of(packet);
         if (packet instanceof Packet.Small small) {
-            boolean alone = small.message() instanceof kelphollow.membership.Message.Gossip && small.message().updates()
-                .isEmpty();
-            int message = alone ? 0 : header + (small.parts().isEmpty() ? all : PacketSizes.of(PacketSizes.bare(packet)));
+            boolean statesOnly = small.message() instanceof Message.Gossip && small.message().updates().isEmpty();
+            int message = statesOnly ? 0 : header + (small.parts().isEmpty() ? all : PacketSizes.of(PacketSizes.bare(
+                packet)));
             charge(from, Kind.MEMBERSHIP, message);
-            charge(from, Kind.PARTS, header + all - message);
+            charge(from, Kind.STATES, header + all - message);
         } else {
-            charge(from, Kind.COMPARE, header + all);
+            charge(from, Kind.COMPARISON, header + all);
         }
-        if (random.nextDouble() >= loss && lives.containsKey(to) && !swallows.test(from, packet)) {
+        if (random.nextDouble() >= loss && running.containsKey(to) && !swallows.test(from, packet)) {
             at(now + delay(from, to), () -> {
-                Player player = lives.get(to);
-                if (player != null && passes.test(from, to)) {
-                    player.received(now, from, packet);
-                    keep(to, player);
-                    wake(to, player);
+                SimulatedPeer peer = running.get(to);
+                if (peer != null && passes.test(from, to)) {
+                    peer.received(now, from, packet);
+                    recordDrains(to, peer);
+                    wake(to, peer);
                 }
             });
         }
@@ -228,23 +238,23 @@
     }
 
     @Override public void exchange(String from, String with, Packet.Full ours) {
-        Player caller = lives.get(from);
+        SimulatedPeer caller = running.get(from);
         double there = delay(from, with);
         charge(from, Kind.EXCHANGE, 60);
         at(now + 2 * there, () -> {
-            Player called = lives.get(with);
-            if (called == null || lives.get(from) != caller || !passes.test(from, with) || !passes.test(with, from)) {
+            SimulatedPeer called = running.get(with);
+            if (called == null || running.get(from) != caller || !passes.test(from, with) || !passes.test(with, from)) {
                 return;
             }
             charge(from, Kind.EXCHANGE, CONNECTION + PacketSizes.SEAL + PacketSizes.of(ours));
-            Packet.Full theirs = called.asked(now, from, ours);
+            Packet.Full theirs = called.exchangeRequested(now, from, ours);
             charge(with, Kind.EXCHANGE, CONNECTION + PacketSizes.SEAL + PacketSizes.of(theirs));
-            keep(with, called);
+            recordDrains(with, called);
             wake(with, called);
             at(now + there, () -> {
-                if (lives.get(from) == caller) {
-                    caller.answered(now, with, theirs);
-                    keep(from, caller);
+                if (running.get(from) == caller) {
+                    caller.exchangeAnswered(now, with, theirs);
+                    recordDrains(from, caller);
                     wake(from, caller);
                 }
             });
@@ -252,21 +262,21 @@
     }
 
     void run(double until) {
-        while (!dues.isEmpty() && dues.peek().at <= until) {
-            Due due = dues.poll();
-            now = Math.max(now, due.at);
-            due.task.run();
+        while (!schedule.isEmpty() && schedule.peek().at <= until) {
+            ScheduledTask task = schedule.poll();
+            now = Math.max(now, task.at);
+            task.task.run();
         }
         now = until;
     }
 
     // ---------------------------------------------------------------- what is measured
 
-    /** Bytes sent by each that lives since the counters were cleared, by kind. */
+    /** Mean bytes a second sent by a running instance since the counters were cleared, by kind. */
     Map<Kind, Double> bytesPerSecond(double since) {
         Map<Kind, Double> sums = new EnumMap<>(Kind.class);
         for (Kind kind : Kind.values()) {
-            sums.put(kind, lives.keySet().stream().mapToLong(n -> bytes.get(n)[kind.ordinal()]).average().orElse(0)
+            sums.put(kind, running.keySet().stream().mapToLong(n -> bytes.get(n)[kind.ordinal()]).average().orElse(0)
                 / (now - since) * 1_000);
         }
         return sums;
@@ -274,44 +284,48 @@
 
     /** The same of each instance, all kinds together, in order of size. */
     double[] totals(double since) {
-        return lives.keySet().stream().mapToDouble(n -> java.util.Arrays.stream(bytes.get(n)).sum() / (now - since) * 1_000)
+        return running.keySet().stream().mapToDouble(n -> Arrays.stream(bytes.get(n)).sum() / (now - since) * 1_000)
             .sorted().toArray();
     }
 
     void clearCounters() {
-        bytes.values().forEach(b -> java.util.Arrays.fill(b, 0));
+        bytes.values().forEach(b -> Arrays.fill(b, 0));
     }
 
-    /** Share of the living's parts that the living hold, no older than what the owner said {@code fades} ago. */
+    /** Fraction of current states that running instances have of each other, no older than the time to live. */
     double fresh() {
         long fresh = 0, all = 0;
-        for (String owner : lives.keySet()) {
+        for (String owner : running.keySet()) {
             Map.Entry<Double, InstanceState> due = history.getOrDefault(owner, new TreeMap<>()).floorEntry(now
-                - setup.fades);
-            for (Player viewer : lives.values()) {
-                InstanceState part = viewer.part(owner);
+                - setup.timeToLive);
+            for (SimulatedPeer viewer : running.values()) {
+                InstanceState state = viewer.state(owner);
                 all++;
-                fresh += part != null && (due == null || !due.getValue().replaces(part)) ? 1 : 0;
+                fresh += state != null && (due == null || !due.getValue().supersedes(state)) ? 1 : 0;
             }
         }
         return (double) fresh / all;
     }
 
-    /** How many of the living see all others as present, and only those. */
-    long rightViews() {
-        return lives.entrySet().stream().filter(e -> new java.util.HashSet<>(e.getValue().membership().presentMembers())
+    /** How many running instances see exactly the other running ones as present. */
+    long correctViews() {
+        return running.entrySet().stream().filter(e -> new HashSet<>(e.getValue().membership().presentMembers())
             .equals(
-                lives.keySet().stream().filter(n -> !n.equals(e.getKey())).collect(java.util.stream.Collectors.toSet())))
+                running.keySet().stream().filter(n -> !n.equals(e.getKey())).collect(Collectors.toSet())))
             .count();
     }
 
-    /** Milliseconds until each that lives kept each drain, infinite if it did not; {@code within}: of the teller's region or not. */
+    /**
+     * Sorted milliseconds until each running instance learned each drain, infinite if it did not.
+     *
+     * @param within whether the instances are in the reporter's region; null for all
+     */
     double[] drainDelays(Boolean within) {
         List<Double> delays = new ArrayList<>();
         for (Drain d : drains) {
-            for (String name : lives.keySet()) {
-                if (!name.equals(d.teller) && (within == null || within == (region(name) == region(d.teller)))) {
-                    delays.add(d.keptAt.getOrDefault(name, Double.POSITIVE_INFINITY) - d.at);
+            for (String name : running.keySet()) {
+                if (!name.equals(d.reporter) && (within == null || within == (region(name) == region(d.reporter)))) {
+                    delays.add(d.receivedAt.getOrDefault(name, Double.POSITIVE_INFINITY) - d.at);
                 }
             }
         }
--- a/src/test/java/kelphollow/fleet/GossipProperties.java
+++ b/src/test/java/kelphollow/fleet/GossipProperties.java
@@ -9,7 +9,8 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import kelphollow.dissemination.Dissemination;
+import kelphollow.digest.Subject;
+import kelphollow.dissemination.DisseminationSettings;
 import kelphollow.membership.MembershipOutput;
 import kelphollow.membership.MembershipSettings;
 import kelphollow.protocol.peer.Packet;
@@ -19,7 +20,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Whatever order, loss and duplicates: once packets pass, all hold the same of each other. */
+/** Whatever order, loss and duplicates: once packets pass, all have the same states of each other. */
 class GossipProperties {
     private static final int SIZE = 5;
     private static final double STEP = 25;
@@ -27,31 +28,31 @@
     private record Sent(String from, String to, Packet packet) {}
 
     private final List<Gossip> all = new ArrayList<>();
-    private final Deque<Sent> way = new ArrayDeque<>();
+    private final Deque<Sent> inFlight = new ArrayDeque<>();
     private Random random;
     private double now;
 
-    private final class End implements Gossip.Wire {
+    private final class Endpoint implements Gossip.Outbound {
         private final String self;
 
-        End(String self) {
+        Endpoint(String self) {
             this.self = self;
         }
 
         @Override public long send(String to, Packet packet) {
-            way.add(new Sent(self, to, packet));
+            inFlight.add(new Sent(self, to, packet));
             return 100 + PacketSizes.of(packet);
         }
 
         @Override public void exchange(String with, Packet.Full ours) {
             Gossip other = at(with);
-            Packet.Full theirs = other.asked(now, self, ours);
-            at(self).answered(now, with, theirs);
+            Packet.Full theirs = other.exchangeRequested(now, self, ours);
+            at(self).exchangeAnswered(now, with, theirs);
         }
 
-        @Override public void happened(MembershipOutput output) {}
+        @Override public void membershipChanged(MembershipOutput output) {}
 
-        @Override public void learned() {}
+        @Override public void statesChanged() {}
     }
 
     private Gossip at(String name) {
@@ -61,51 +62,58 @@
     private void start(long seed) {
         random = new Random(seed);
         all.clear();
-        way.clear();
+        inFlight.clear();
         now = 0;
         for (int i = 0; i < SIZE; i++) {
             String name = String.valueOf((char) ('a' + i));
-            all.add(new Gossip(MembershipSettings.DEFAULTS, Dissemination.Settings.USUAL, name, "x:1", 1, List.of("a", "b"),
+            all.add(new Gossip(MembershipSettings.DEFAULTS, DisseminationSettings.DEFAULTS, name, "x:1", 1, List.of("a",
+                "b"),
                 10_000,
-                new Random(random.nextLong()), 0, new End(name)));
+                new Random(random.nextLong()), 0, new Endpoint(name)));
         }
     }
 
-    private void step(double loss, double twice) {
+    private void step(double loss, double duplication) {
         now += STEP;
-        for (Gossip g : all) {
-            if (g.membership().nextTickAt() <= now) g.tick(now);
-            g.round(now);
+        for (Gossip gossip : all) {
+            if (gossip.membership().nextTickAt() <= now) {
+                gossip.tickMembership(now);
+            }
+            gossip.tickDissemination(now);
         }
-        for (int due = way.size(); due > 0; due--) {
-            Sent sent = way.poll();
+        for (int due = inFlight.size(); due > 0; due--) {
+            Sent sent = inFlight.poll();
             if (random.nextDouble() < 0.3) {
-                way.add(sent);                          // it is overtaken
+                inFlight.add(sent);                          // it is reordered
                 continue;
             }
-            if (random.nextDouble() < twice) way.add(sent);
-            if (random.nextDouble() >= loss) deliver(sent);
+            if (random.nextDouble() < duplication) {
+                inFlight.add(sent);
+            }
+            if (random.nextDouble() >= loss) {
+                deliver(sent);
+            }
         }
     }
 
     private void deliver(Sent sent) {
         Packet packet = PacketSizes.readBack(sent.packet);
         if (packet instanceof Packet.Small small) {
-            at(sent.to).small(now, sent.from, small);
+            at(sent.to).received(now, sent.from, small);
         } else {
-            at(sent.to).compared(now, sent.from, ((Packet.Compare) packet).message());
+            at(sent.to).comparisonReceived(now, sent.from, ((Packet.Compare) packet).message());
         }
     }
 
-    @Property(tries = 30) void allHoldTheSameOnceTheNetIsWhole(@ForAll long seed,
+    @Property(tries = 30) void allHaveTheSameStatesOnceTheNetworkDelivers(@ForAll long seed,
         @ForAll @Size(min = 1, max = 40) List<@IntRange(min = 0, max = 9) Integer> changes) {
         start(seed);
         for (int change : changes) {
-            Gossip who = all.get(change % SIZE);
+            Gossip publisher = all.get(change % SIZE);
             if (change < SIZE) {
-                who.digest().say("drain", "n" + random.nextInt(4), random.nextInt(3));
+                publisher.digest().publish(Subject.DRAIN, "n" + random.nextInt(4), random.nextInt(3));
             } else {
-                who.digest().unsay("drain", "n" + random.nextInt(4));
+                publisher.digest().withdraw(Subject.DRAIN, "n" + random.nextInt(4));
             }
             step(0.4, 0.2);
         }
@@ -114,14 +122,14 @@
         }
         Map<String, Long> versions = versions(all.get(0));
         assertEquals(SIZE, versions.size(), "seed " + seed);
-        for (Gossip g : all) {
-            assertEquals(versions, versions(g), "seed " + seed);
+        for (Gossip gossip : all) {
+            assertEquals(versions, versions(gossip), "seed " + seed);
         }
     }
 
     private Map<String, Long> versions(Gossip gossip) {
         Map<String, Long> versions = new TreeMap<>();
-        gossip.digest().each(now, (part, age) -> versions.put(part.instance(), part.version()));
+        gossip.digest().forEach(now, (state, age) -> versions.put(state.instance(), state.version()));
         return versions;
     }
 }
--- a/src/test/java/kelphollow/fleet/RenewingDigest.java
+++ b/src/test/java/kelphollow/fleet/RenewingDigest.java
@@ -2,183 +2,154 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import kelphollow.digest.InstanceState;
+import kelphollow.digest.Subject;
 
 /**
- * The digest as it was before parts lived by their owner's membership: each part is renewed every half of {@code fades} and told
- * four times. Kept for the comparison before and after, and to play an instance of the version before in a mixed fleet.
+ * The digest of the previous version, before states lived by their owner's membership: each state is renewed every half
+ * of its time to live and transmitted four times. Kept for comparison, and to play an instance of the previous version
+ * in a mixed fleet.
  */
 final class RenewingDigest {
-    // Fresh parts are told to so many others before they rest; full exchanges carry all.
-    private static final int TELLINGS = 4;
-
-    private static final class Held {
-        final InstanceState part;
-        /** When the instance said it, on this instance's clock; the latest that any copy of this version proves. */
-        double saidAt;
-        int told;
-
-        Held(InstanceState part, double saidAt) {
-            this.part = part;
-            this.saidAt = saidAt;
+    // Fresh states are transmitted so often; full exchanges carry all.
+    private static final int TRANSMISSIONS = 4;
+
+    private static final class CachedEntry {
+        private final InstanceState state;
+        /** When the instance published it, on this instance's clock; the latest that any copy of this version proves. */
+        private double publishedAt;
+        private int transmissions;
+
+        CachedEntry(InstanceState state, double publishedAt) {
+            this.state = state;
+            this.publishedAt = publishedAt;
         }
     }
 
     private final String self;
-    private final double fades;
-    private final int mostInstances;
-    private final Map<String, Held> parts = new TreeMap<>();
+    private final double timeToLive;
+    private final int maxInstances;
+    private final Map<String, CachedEntry> entries = new TreeMap<>();
     private final Map<String, Map<String, Double>> own = new HashMap<>();
-    private long epoch, version;
+    private long epoch;
+    private long version;
     private boolean changed;
-    private double publishedAt = Double.NEGATIVE_INFINITY;
+    private double committedAt = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param fades milliseconds after which what an instance said, and did not say again, counts no more
-     * @param mostInstances parts that are held; those of further instances are passed over
+     * @param timeToLive milliseconds for which a state counts that is not published again
+     * @param maxInstances states that are kept; those of further instances are dropped
      */
-    RenewingDigest(String self, long epoch, double fades, int mostInstances) {
+    RenewingDigest(String self, long epoch, double timeToLive, int maxInstances) {
         this.self = self;
         this.epoch = epoch;
-        this.fades = fades;
-        this.mostInstances = mostInstances;
+        this.timeToLive = timeToLive;
+        this.maxInstances = maxInstances;
     }
 
-    /** Goes on under another epoch; what was said is said again. */
-    public void raise(long to) {
+    /** Goes on under another epoch; the own state is published again. */
+    void raiseEpoch(long to) {
         epoch = to;
         changed = true;
     }
 
-    // ---------------------------------------------------------------- own part
+    // ---------------------------------------------------------------- this instance's state
 
-    /** Says a figure; returns whether it is news. A subject that is full takes no further key. */
-    public boolean say(String subject, String key, double figure) {
-        Map<String, Double> figures = own.get(subject);
-        if (figures == null ? own.size() >= InstanceState.MOST_SUBJECTS
-            : figures.size() >= InstanceState.MOST_KEYS && !figures.containsKey(key)) {
-            return false;
+    /** Sets a value. A subject that has its most keys takes no further one. */
+    void publish(Subject subject, String key, double value) {
+        Map<String, Double> values = own.computeIfAbsent(subject.wireName(), s -> new HashMap<>());
+        if (values.size() < InstanceState.MAX_KEYS || values.containsKey(key)) {
+            Double before = values.put(key, value);
+            changed |= before == null || before != value;
         }
-        Double before = own.computeIfAbsent(subject, s -> new HashMap<>()).put(key, figure);
-        boolean news = before == null || before != figure;
-        changed |= news;
-        return news;
     }
 
-    /** Takes a figure back; returns whether it had been said. */
-    public boolean unsay(String subject, String key) {
-        Map<String, Double> figures = own.get(subject);
-        boolean news = figures != null && figures.remove(key) != null;
-        if (news && figures.isEmpty()) {
-            own.remove(subject);
+    /** Removes a value. */
+    void withdraw(Subject subject, String key) {
+        Map<String, Double> values = own.get(subject.wireName());
+        boolean removed = values != null && values.remove(key) != null;
+        if (removed && values.isEmpty()) {
+            own.remove(subject.wireName());
         }
-        changed |= news;
-        return news;
+        changed |= removed;
     }
 
-    /** Makes a new version of the own part if something changed, or if the last one has lived half of its time. */
-    public boolean publish(double now) {
-        if (!changed && now - publishedAt < fades / 2) {
+    /** Makes a new version of the own state if something changed, or if the last one has lived half of its time. */
+    boolean commit(double now) {
+        if (!changed && now - committedAt < timeToLive / 2) {
             return false;
         }
         changed = false;
-        publishedAt = now;
-        parts.put(self, new Held(new InstanceState(self, epoch, ++version, 0, own), now));
+        committedAt = now;
+        entries.put(self, new CachedEntry(new InstanceState(self, epoch, ++version, 0, own), now));
         return true;
     }
 
     // ---------------------------------------------------------------- merging
 
-    /**
-     * Takes what came from others; returns the parts that are new here. The join of a semilattice: the part with the
-     * higher epoch and version wins whole, and of two copies of one version the younger tells its age.
-     */
-    public List<InstanceState> merge(double now, List<InstanceState> told) {
-        List<InstanceState> news = new ArrayList<>();
-        for (InstanceState part : told) {
-            if (part.instance().equals(self)) {
-                // An earlier process of this life's epoch can only be this one: its versions go on from there.
-                if (part.epoch() == epoch && part.version() > version) {
-                    version = part.version();
+    /** Takes states from other instances; the one with the higher epoch and version wins as a whole. */
+    void merge(double now, List<InstanceState> received) {
+        for (InstanceState state : received) {
+            if (state.instance().equals(self)) {
+                // An earlier process of this epoch can only be this one: its versions go on from there.
+                if (state.epoch() == epoch && state.version() > version) {
+                    version = state.version();
                     changed = true;
                 }
-                continue;
-            }
-            double saidAt = now - part.age();
-            if (part.age() >= fades) {
-                continue;
-            }
-            Held held = parts.get(part.instance());
-            if (held == null && parts.size() >= mostInstances) {
-                continue;
-            }
-            if (held == null || part.replaces(held.part)) {
-                parts.put(part.instance(), new Held(part, saidAt));
-                news.add(part);
-            } else if (!held.part.replaces(part)) {
-                held.saidAt = Math.max(held.saidAt, saidAt);
+            } else if (state.age() < timeToLive) {
+                merge(now - state.age(), state);
             }
         }
-        return news;
     }
 
-    /** Drops what has faded; returns whose parts went. */
-    public List<String> fade(double now) {
-        List<String> gone = new ArrayList<>();
-        parts.forEach((name, held) -> {
-            if (!name.equals(self) && now - held.saidAt >= fades) gone.add(name);
-        });
-        gone.forEach(parts::remove);
-        return gone;
-    }
-
-    // ---------------------------------------------------------------- telling
-
-    /** Up to {@code most} parts that are fresh here, least told first; each counts as told once more. */
-    public List<InstanceState> fresh(double now, int most) {
-        List<Held> waiting = new ArrayList<>();
-        parts.values().forEach(h -> {
-            if (h.told < TELLINGS) waiting.add(h);
-        });
-        waiting.sort((a, b) -> Integer.compare(a.told, b.told));
-        List<InstanceState> out = new ArrayList<>();
-        for (Held h : waiting.subList(0, Math.min(most, waiting.size()))) {
-            h.told++;
-            out.add(h.part.aged(Math.max(0, now - h.saidAt)));
+    private void merge(double publishedAt, InstanceState state) {
+        CachedEntry entry = entries.get(state.instance());
+        if (entry == null && entries.size() >= maxInstances) {
+            return;
+        }
+        if (entry == null || state.supersedes(entry.state)) {
+            entries.put(state.instance(), new CachedEntry(state, publishedAt));
+        } else if (!entry.state.supersedes(state)) {
+            entry.publishedAt = Math.max(entry.publishedAt, publishedAt);
         }
-        return out;
     }
 
-    /** Whether {@link #fresh} has something to tell. */
-    public boolean hasFresh() {
-        return parts.values().stream().anyMatch(h -> h.told < TELLINGS);
+    /** Removes what has passed its time to live. */
+    void expire(double now) {
+        entries.entrySet().removeIf(e -> !e.getKey().equals(self) && now - e.getValue().publishedAt >= timeToLive);
     }
 
-    /** All parts with their ages, for a full exchange. */
-    public List<InstanceState> all(double now) {
-        List<InstanceState> all = new ArrayList<>();
-        parts.values().forEach(h -> all.add(h.part.aged(Math.max(0, now - h.saidAt))));
-        return all;
+    // ---------------------------------------------------------------- what is sent
+
+    /** Up to {@code max} states that are fresh here, least transmitted first; each counts as transmitted once more. */
+    List<InstanceState> fresh(double now, int max) {
+        List<CachedEntry> waiting = new ArrayList<>(entries.values());
+        waiting.removeIf(entry -> entry.transmissions >= TRANSMISSIONS);
+        waiting.sort((a, b) -> Integer.compare(a.transmissions, b.transmissions));
+        List<InstanceState> states = new ArrayList<>();
+        for (CachedEntry entry : waiting.subList(0, Math.min(max, waiting.size()))) {
+            entry.transmissions++;
+            states.add(entry.state.withAge(Math.max(0, now - entry.publishedAt)));
+        }
+        return states;
     }
 
-    // ---------------------------------------------------------------- reading
+    /** Whether {@link #fresh} has something to send. */
+    boolean hasFresh() {
+        return entries.values().stream().anyMatch(entry -> entry.transmissions < TRANSMISSIONS);
+    }
 
-    /** What each instance says on a subject, by instance; parts that have faded are left out. */
-    public Map<String, Map<String, Double>> on(String subject, double now) {
-        Map<String, Map<String, Double>> said = new LinkedHashMap<>();
-        parts.forEach((name, held) -> {
-            Map<String, Double> figures = held.part.subjects().get(subject);
-            if (figures != null && (name.equals(self) || now - held.saidAt < fades)) said.put(name, figures);
-        });
-        return said;
+    /** All states with their ages, for a full exchange. */
+    List<InstanceState> snapshot(double now) {
+        return entries.values().stream().map(e -> e.state.withAge(Math.max(0, now - e.publishedAt))).toList();
     }
 
-    InstanceState part(String instance) {
-        Held held = parts.get(instance);
-        return held == null ? null : held.part;
+    /** The state of one instance, or null. */
+    InstanceState state(String instance) {
+        CachedEntry entry = entries.get(instance);
+        return entry == null ? null : entry.state;
     }
 }
--- /dev/null
+++ b/src/test/java/kelphollow/fleet/SimulatedPeer.java
@@ -0,0 +1,205 @@
+package kelphollow.fleet;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Random;
+import kelphollow.digest.InstanceState;
+import kelphollow.digest.Subject;
+import kelphollow.membership.Membership;
+import kelphollow.membership.MembershipOutput;
+import kelphollow.membership.Message;
+import kelphollow.protocol.peer.Packet;
+
+/** One instance in {@link DisseminationWorld}: of this version or of the previous one. */
+interface SimulatedPeer {
+    /** Sends for an instance; returns the bytes. */
+    interface Network {
+        long send(String from, String to, Packet packet);
+
+        void exchange(String from, String with, Packet.Full ours);
+    }
+
+    Membership membership();
+
+    void tickMembership(double now);
+
+    /** Every 50 ms. */
+    void tickDissemination(double now);
+
+    void publish(Subject subject, String key, double value);
+
+    void withdraw(Subject subject, String key);
+
+    /** Its state of one instance that counts, or null. */
+    InstanceState state(String instance);
+
+    void received(double now, String from, Packet packet);
+
+    Packet.Full exchangeRequested(double now, String from, Packet.Full theirs);
+
+    void exchangeAnswered(double now, String from, Packet.Full theirs);
+
+    /** The production classes as {@link Fleet} runs them. */
+    final class Current implements SimulatedPeer, Gossip.Outbound {
+        private final String self;
+        private final Gossip gossip;
+        private final Network network;
+        private boolean renews = true;
+
+        Current(DisseminationWorld.Setup setup, String self, long epoch, List<String> peers, Random random, double now,
+            Network network) {
+            this.self = self;
+            this.network = network;
+            this.gossip = new Gossip(setup.membership(), setup.dissemination(), self, "10.0.0.1:10000", epoch, peers,
+                setup.timeToLive(), random, now, this);
+        }
+
+        @Override public Membership membership() {
+            return gossip.membership();
+        }
+
+        @Override public void tickMembership(double now) {
+            gossip.tickMembership(now);
+        }
+
+        @Override public void tickDissemination(double now) {
+            gossip.tickDissemination(now);
+            if (!renews) {
+                gossip.digest().expire(now + 1e9);        // planted: as if no state had been renewed
+            }
+        }
+
+        void stopRenewing() {
+            renews = false;
+        }
+
+        @Override public void publish(Subject subject, String key, double value) {
+            gossip.digest().publish(subject, key, value);
+        }
+
+        @Override public void withdraw(Subject subject, String key) {
+            gossip.digest().withdraw(subject, key);
+        }
+
+        @Override public InstanceState state(String instance) {
+            return gossip.digest().state(instance);
+        }
+
+        @Override public void received(double now, String from, Packet packet) {
+            if (packet instanceof Packet.Small small) {
+                gossip.received(now, from, small);
+            } else if (packet instanceof Packet.Compare compare) {
+                gossip.comparisonReceived(now, from, compare.message());
+            }
+        }
+
+        @Override public Packet.Full exchangeRequested(double now, String from, Packet.Full theirs) {
+            return gossip.exchangeRequested(now, from, theirs);
+        }
+
+        @Override public void exchangeAnswered(double now, String from, Packet.Full theirs) {
+            gossip.exchangeAnswered(now, from, theirs);
+        }
+
+        @Override public long send(String to, Packet packet) {
+            return network.send(self, to, packet);
+        }
+
+        @Override public void exchange(String with, Packet.Full ours) {
+            network.exchange(self, with, ours);
+        }
+
+        @Override public void membershipChanged(MembershipOutput output) {}
+
+        @Override public void statesChanged() {}
+    }
+
+    /** The previous version: fresh states to three members every 50 ms, four a datagram; full exchanges carry all. */
+    final class Previous implements SimulatedPeer {
+        private static final int STATES_PER_DATAGRAM = 4;
+        private final DisseminationWorld.Setup setup;
+        private final String self;
+        private final Membership membership;
+        private final RenewingDigest digest;
+        private final Random random;
+        private final Network network;
+
+        Previous(DisseminationWorld.Setup setup, String self, long epoch, List<String> peers, Random random, double now,
+            Network network) {
+            this.setup = setup;
+            this.self = self;
+            this.random = random;
+            this.network = network;
+            this.membership = new Membership(setup.membership(), self, "10.0.0.1:10000", epoch, peers, random, now);
+            this.digest = new RenewingDigest(self, epoch, setup.timeToLive(), setup.membership().maxMembers());
+        }
+
+        @Override public Membership membership() {
+            return membership;
+        }
+
+        @Override public void tickMembership(double now) {
+            carryOut(now, membership.tick(now));
+        }
+
+        private void carryOut(double now, List<MembershipOutput> outputs) {
+            for (MembershipOutput output : outputs) {
+                if (output instanceof MembershipOutput.Send send) {
+                    network.send(self, send.to(), new Packet.Small(send.message(), digest.fresh(now, STATES_PER_DATAGRAM)));
+                } else if (output instanceof MembershipOutput.FullExchange exchange) {
+                    network.exchange(self, exchange.peer(), full(now));
+                } else if (output instanceof MembershipOutput.EpochRaised raised) {
+                    digest.raiseEpoch(raised.epoch());
+                }
+            }
+        }
+
+        private Packet.Full full(double now) {
+            return new Packet.Full(membership.snapshot(), digest.snapshot(now));
+        }
+
+        @Override public void tickDissemination(double now) {
+            digest.expire(now);
+            digest.commit(now);
+            List<String> others = new ArrayList<>(membership.presentMembers());
+            Collections.shuffle(others, random);
+            for (String other : others.subList(0, Math.min(setup.membership().gossipFanout(), others.size()))) {
+                if (digest.hasFresh()) {
+                    network.send(self, other, new Packet.Small(new Message.Gossip(List.of()),
+                        digest.fresh(now, STATES_PER_DATAGRAM)));
+                }
+            }
+        }
+
+        @Override public void publish(Subject subject, String key, double value) {
+            digest.publish(subject, key, value);
+        }
+
+        @Override public void withdraw(Subject subject, String key) {
+            digest.withdraw(subject, key);
+        }
+
+        @Override public InstanceState state(String instance) {
+            return digest.state(instance);
+        }
+
+        @Override public void received(double now, String from, Packet packet) {
+            if (packet instanceof Packet.Small small) {
+                digest.merge(now, small.parts());
+                carryOut(now, membership.received(now, from, small.message()));
+            }
+        }
+
+        @Override public Packet.Full exchangeRequested(double now, String from, Packet.Full theirs) {
+            Packet.Full ours = full(now);
+            exchangeAnswered(now, from, theirs);
+            return ours;
+        }
+
+        @Override public void exchangeAnswered(double now, String from, Packet.Full theirs) {
+            digest.merge(now, theirs.parts());
+            carryOut(now, membership.merge(now, from, theirs.news()));
+        }
+    }
+}
--- a/src/test/java/kelphollow/overload/LoadShedderTest.java
+++ b/src/test/java/kelphollow/overload/LoadShedderTest.java
@@ -16,75 +16,79 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Instances with clients of uneven worth before one node that bears less than all ask for. */
+/** Instances with clients of different priority weights before one node whose capacity is below their demand. */
 class LoadShedderTest {
-    private static final double TICK = 10, LATE = 100;
+    private static final double TICK = 10;
+    private static final double REPORT_DELAY = 100;
 
-    /** A node that bears so many requests a second and holds as many as it bears in 100 ms; claims reach the others late. */
+    /** A node that serves so many requests a second and queues as many as it serves in 100 ms; reports arrive late. */
     private static final class World {
         final Random random;
         final List<LoadShedder> instances = new ArrayList<>();
-        final List<Map<Double, Double>> asks = new ArrayList<>();
-        final Map<Integer, Map<Integer, Double>> told = new HashMap<>();
-        final double bears;
-        double now, toldAt, waiting;
-        Map<Double, Integer> asked = new HashMap<>(), served = new HashMap<>();
+        final List<Map<Double, Double>> demands = new ArrayList<>();
+        final Map<Integer, Map<Integer, Double>> reports = new HashMap<>();
+        final double capacity;
+        double now;
+        double reportedAt;
+        double queued;
+        Map<Double, Integer> arrived = new HashMap<>();
+        Map<Double, Integer> served = new HashMap<>();
 
-        World(long seed, double bears) {
+        World(long seed, double capacity) {
             this.random = new Random(seed);
-            this.bears = bears;
+            this.capacity = capacity;
         }
 
-        /** An instance with so many requests a second, by worth. */
+        /** An instance with so many requests a second, by priority weight. */
         void instance(Map<Double, Double> perSecond) {
             instances.add(new LoadShedder());
-            asks.add(perSecond);
+            demands.add(perSecond);
         }
 
         void run(double millis) {
-            asked = new HashMap<>();
+            arrived = new HashMap<>();
             served = new HashMap<>();
             for (double until = now + millis; now < until; now += TICK) {
-                List<Runnable> come = new ArrayList<>();
-                waiting = Math.max(0, waiting - bears * TICK / 1_000);
+                List<Runnable> arrivals = new ArrayList<>();
+                queued = Math.max(0, queued - capacity * TICK / 1_000);
                 for (int i = 0; i < instances.size(); i++) {
-                    LoadShedder g = instances.get(i);
-                    asks.get(i).forEach((worth, rate) -> {
+                    LoadShedder shedder = instances.get(i);
+                    demands.get(i).forEach((weight, rate) -> {
                         for (int n = (int) (rate * TICK / 1_000 + random.nextDouble()); n > 0; n--) {
-                            come.add(() -> {
-                                asked.merge(worth, 1, Integer::sum);
-                                if (g.admits(now, 0, worth, random.nextDouble())) {
-                                    if (waiting++ < bears / 10) {
-                                        served.merge(worth, 1, Integer::sum);
+                            arrivals.add(() -> {
+                                arrived.merge(weight, 1, Integer::sum);
+                                if (shedder.admits(now, 0, weight, random.nextDouble())) {
+                                    if (queued++ < capacity / 10) {
+                                        served.merge(weight, 1, Integer::sum);
                                     } else {
-                                        waiting--;
-                                        g.rejected(now, 0, worth);
+                                        queued--;
+                                        shedder.rejected(now, 0, weight);
                                     }
                                 }
                             });
                         }
                     });
                 }
-                Collections.shuffle(come, random);
-                come.forEach(Runnable::run);
-                if (now - toldAt >= LATE) {
-                    toldAt = now;
+                Collections.shuffle(arrivals, random);
+                arrivals.forEach(Runnable::run);
+                if (now - reportedAt >= REPORT_DELAY) {
+                    reportedAt = now;
                     for (int i = 0; i < instances.size(); i++) {
-                        told.put(i, instances.get(i).claims(now));
+                        reports.put(i, instances.get(i).overloadReports(now));
                     }
                 }
                 Map<Integer, Double> highest = new HashMap<>();
-                told.values().forEach(c -> c.forEach((shard, worth) -> highest.merge(shard, worth, Math::max)));
-                instances.forEach(g -> g.step(now, highest));
+                reports.values().forEach(r -> r.forEach((shard, weight) -> highest.merge(shard, weight, Math::max)));
+                instances.forEach(shedder -> shedder.adjust(now, highest));
             }
         }
 
-        double part(double worth) {
-            return served.getOrDefault(worth, 0) / (double) asked.getOrDefault(worth, 1);
+        double servedFraction(double weight) {
+            return served.getOrDefault(weight, 0) / (double) arrived.getOrDefault(weight, 1);
         }
     }
 
-    @ParameterizedTest @CsvSource({"1,2", "2,5", "3,10"}) void whatIsWorthMoreIsServedFirstWhicheverInstanceItComesTo(
+    @ParameterizedTest @CsvSource({"1,2", "2,5", "3,10"}) void higherWeightsAreServedFirstWhicheverInstanceTheyArriveAt(
         long seed, double times) {
         World world = new World(seed, 200);
         for (int i = 0; i < 2; i++) {
@@ -95,71 +99,78 @@
         }
         world.run(10_000);
         world.run(20_000);
-        assertTrue(world.part(3) > 0.85, "seed " + seed + ": of the worthy " + world.part(3) + " served");
+        assertTrue(world.servedFraction(3) > 0.85, "seed " + seed + ": of the high weight " + world.servedFraction(3)
+            + " served");
         double all = world.served.values().stream().mapToInt(n -> n).sum() / 20.0;
-        assertTrue(all > 0.8 * 200, "seed " + seed + ": the node is used, " + all + " a second, worthy " + world.part(3));
+        assertTrue(all > 0.8 * 200, "seed " + seed + ": the node is used, " + all + " a second, high weight " + world
+            .servedFraction(3));
     }
 
-    /** A second of so many requests worth 1 at the shard, under these claims; how many of them are admitted. */
-    private static int admitted(LoadShedder g, double from, int shard, int perSecond, Map<Integer, Double> claims) {
+    /** A second of so many requests of weight 1 at the shard, under these reports; how many of them are admitted. */
+    private static int admitted(LoadShedder shedder, double from, int shard, int perSecond, Map<Integer, Double> reports) {
         int admitted = 0;
         for (int i = 0; i < perSecond; i++) {
             double now = from + i * 1_000.0 / perSecond;
-            admitted += g.admits(now, shard, 1, i % 100 / 100.0) ? 1 : 0;
-            g.step(now, claims);
+            admitted += shedder.admits(now, shard, 1, i % 100 / 100.0) ? 1 : 0;
+            shedder.adjust(now, reports);
         }
         return admitted;
     }
 
-    @Test void aCutIsARateSoThatNothingIsHeldBackOnceLessIsAskedFor() {
-        LoadShedder g = new LoadShedder();
-        int through = 500;
+    @Test void aThresholdIsARateSoThatNothingIsShedOnceDemandFalls() {
+        LoadShedder shedder = new LoadShedder();
+        int admitted = 500;
         for (double now = 0; now < 6_000; now += 1_000) {
-            through = admitted(g, now, 7, 500, Map.of(7, 3.0));
+            admitted = admitted(shedder, now, 7, 500, Map.of(7, 3.0));
         }
-        assertTrue(through > 0 && through < 150, through + " of 500");
-        assertTrue(g.admits(6_000, 8, 1, 0.99), "other shards are as they were");
-        assertTrue(g.admits(6_000, 7, 3, 0.99) && g.admits(6_000, 7, 2.8, 0.99), "nor what is worth as much, or nearly");
-        admitted(g, 6_000, 7, 2_000, Map.of());
-        int four = admitted(g, 7_000, 7, 2_000, Map.of());
-        assertTrue(four < 500, "four times as many, and not four times as many get through: " + four);
-        admitted(g, 8_000, 7, 50, Map.of());
-        assertEquals(50, admitted(g, 9_000, 7, 50, Map.of()), "a tenth as many, and all do");
+        assertTrue(admitted > 0 && admitted < 150, admitted + " of 500");
+        assertTrue(shedder.admits(6_000, 8, 1, 0.99), "other shards are not affected");
+        assertTrue(shedder.admits(6_000, 7, 3, 0.99) && shedder.admits(6_000, 7, 2.8, 0.99),
+            "nor are weights as high, or nearly");
+        admitted(shedder, 6_000, 7, 2_000, Map.of());
+        int four = admitted(shedder, 7_000, 7, 2_000, Map.of());
+        assertTrue(four < 500, "four times the demand, and not four times as many admitted: " + four);
+        admitted(shedder, 8_000, 7, 50, Map.of());
+        assertEquals(50, admitted(shedder, 9_000, 7, 50, Map.of()), "a tenth of the demand, and all are admitted");
         double now = 10_000;
-        while (!g.cuts().isEmpty()) {
-            g.step(now += LoadShedder.STEP, Map.of());
-            assertTrue(now < 25_000, "without news it ends");
+        while (!shedder.thresholds().isEmpty()) {
+            shedder.adjust(now += LoadShedder.ADJUSTMENT_INTERVAL, Map.of());
+            assertTrue(now < 25_000, "without reports it ends");
         }
     }
 
-    @Test void aChanceRefusalIsNoClaim() {
-        LoadShedder g = new LoadShedder();
+    @Test void aSingleRejectionIsNotReported() {
+        LoadShedder shedder = new LoadShedder();
         for (int i = 0; i < 100; i++) {
-            g.admits(i, 0, 3, 0);
+            shedder.admits(i, 0, 3, 0);
         }
-        g.rejected(100, 0, 3);
-        assertEquals(Map.of(), g.claims(100), "one");
+        shedder.rejected(100, 0, 3);
+        assertEquals(Map.of(), shedder.overloadReports(100), "one");
         for (int i = 0; i < 4; i++) {
-            g.rejected(100, 0, 3);
+            shedder.rejected(100, 0, 3);
         }
-        assertEquals(Map.of(0, 3.0), g.claims(100), "a twentieth");
-        assertEquals(Map.of(), g.claims(3_000), "it is forgotten");
+        assertEquals(Map.of(0, 3.0), shedder.overloadReports(100), "a twentieth");
+        assertEquals(Map.of(), shedder.overloadReports(3_000), "it has expired");
     }
 
-    /** Whatever claims come, a part is never below 0 nor above 1, and what is worth most is never held back. */
-    @Property(tries = 200) void noClaimsShedAll(@ForAll long seed, @ForAll @IntRange(min = 1, max = 50) int steps) {
+    /** Whatever is reported, a fraction is never below 0 nor above 1, and the highest weight is never shed. */
+    @Property(tries = 200) void noReportsShedTheHighestWeight(@ForAll long seed,
+        @ForAll @IntRange(min = 1, max = 50) int steps) {
         Random random = new Random(seed);
-        LoadShedder g = new LoadShedder();
+        LoadShedder shedder = new LoadShedder();
         double now = 0;
         for (int i = 0; i < steps; i++) {
             now += random.nextInt(600);
-            Map<Integer, Double> claims = new HashMap<>();
+            Map<Integer, Double> reports = new HashMap<>();
             for (int shard = 0; shard < 3; shard++) {
-                if (random.nextBoolean()) claims.put(shard, 1.0 + random.nextInt(3));
+                if (random.nextBoolean()) {
+                    reports.put(shard, 1.0 + random.nextInt(3));
+                }
             }
-            g.step(now, claims);
-            g.cuts().values().forEach(c -> assertTrue(c.part() >= LoadShedder.SMALLEST && c.part() < 1));
-            assertTrue(g.admits(now, random.nextInt(3), 3, 1));
+            shedder.adjust(now, reports);
+            shedder.thresholds().values().forEach(
+                t -> assertTrue(t.fraction() >= LoadShedder.MIN_FRACTION && t.fraction() < 1));
+            assertTrue(shedder.admits(now, random.nextInt(3), 3, 1));
         }
     }
 }
