--- a/src/test/java/kelphollow/overload/ProbeDelegationTest.java
+++ b/src/test/java/kelphollow/overload/ProbeDelegationTest.java
@@ -17,135 +17,157 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Trials of a silent node by a whole fleet, with news that is late, lost or wrong. */
+/** Health checks of an unresponsive node by a whole fleet, with findings that are late, lost or wrong. */
 class ProbeDelegationTest {
-    private static final double STEP = 50, TRICKLE = 1_000, PATIENCE = 3_000, NOTICED = 2_000;
+    private static final double STEP = 50;
+    private static final double ATTEMPT_INTERVAL = 1_000;
+    private static final double PATIENCE = 3_000;
+    private static final double DETECTION = 2_000;
 
-    /** Instances that each hear of the others' figures now and then; those without traffic never try. */
+    /** Instances that each receive the others' findings now and then; those without traffic never try. */
     private static final class World {
         final Random random;
         final int size;
-        final double heard;
-        final Map<String, ProbeDelegation> probing = new HashMap<>();
-        final Map<String, Double> tries = new HashMap<>(), nextAt = new HashMap<>();
+        final double delivery;
+        final Map<String, ProbeDelegation> instances = new HashMap<>();
+        final Map<String, Double> attempts = new HashMap<>();
+        final Map<String, Double> nextAt = new HashMap<>();
         final Map<String, Map<String, Double>> views = new HashMap<>();
-        final Set<String> idle = new HashSet<>(), stopped = new HashSet<>(), absent = new HashSet<>();
-        final List<Double> trials = new ArrayList<>();
-        boolean up;
+        final Set<String> idle = new HashSet<>();
+        final Set<String> stopped = new HashSet<>();
+        final Set<String> absent = new HashSet<>();
+        final List<Double> attemptTimes = new ArrayList<>();
+        boolean nodeResponds;
         double now;
 
-        World(long seed, int size, double heard) {
+        World(long seed, int size, double delivery) {
             this.random = new Random(seed);
             this.size = size;
-            this.heard = heard;
+            this.delivery = delivery;
             for (int i = 0; i < size; i++) {
-                probing.put("i" + i, new ProbeDelegation("i" + i, PATIENCE));
-                tries.put("i" + i, 0.0);
+                instances.put("i" + i, new ProbeDelegation("i" + i, PATIENCE));
+                attempts.put("i" + i, 0.0);
                 views.put("i" + i, new HashMap<>());
             }
         }
 
         void run(double until) {
             for (; now < until; now += STEP) {
-                for (String i : probing.keySet()) {
-                    if (!stopped.contains(i)) step(i);
+                for (String i : instances.keySet()) {
+                    if (!stopped.contains(i)) {
+                        step(i);
+                    }
                 }
             }
         }
 
         private void step(String i) {
             Map<String, Double> view = views.get(i);
-            for (String j : probing.keySet()) {
-                if (!j.equals(i) && !stopped.contains(j) && random.nextDouble() < heard) {
-                    if (tries.containsKey(j)) view.put(j, tries.get(j));
-                    else
+            for (String j : instances.keySet()) {
+                if (!j.equals(i) && !stopped.contains(j) && random.nextDouble() < delivery) {
+                    if (attempts.containsKey(j)) {
+                        view.put(j, attempts.get(j));
+                    } else {
                         view.remove(j);
+                    }
                 }
             }
-            Map<String, Map<String, Double>> said = new HashMap<>();
-            view.forEach((j, figure) -> said.put(j, Map.of("n", figure)));
-            if (tries.containsKey(i)) said.put(i, Map.of("n", tries.get(i)));
-            List<String> present = probing.keySet().stream().filter(j -> !j.equals(i) && !absent.contains(j)).toList();
-            boolean rests = probing.get(i).rested(now, present, said).contains("n");
-            if (!rests && !idle.contains(i) && tries.containsKey(i) && now >= nextAt.getOrDefault(i, 0.0)) {
-                trials.add(now);
-                nextAt.put(i, now + TRICKLE);
-                tries.merge(i, 1.0, Double::sum);
-                if (up) tries.remove(i);
+            List<AttemptReport> reports = new ArrayList<>();
+            view.forEach((j, count) -> reports.add(new AttemptReport(j, "n", count)));
+            if (attempts.containsKey(i)) {
+                reports.add(new AttemptReport(i, "n", attempts.get(i)));
+            }
+            List<String> present = instances.keySet().stream().filter(j -> !j.equals(i) && !absent.contains(j)).toList();
+            boolean delegates = instances.get(i).delegatedNodes(now, present, reports).contains("n");
+            if (!delegates && !idle.contains(i) && attempts.containsKey(i) && now >= nextAt.getOrDefault(i, 0.0)) {
+                attemptTimes.add(now);
+                nextAt.put(i, now + ATTEMPT_INTERVAL);
+                attempts.merge(i, 1.0, Double::sum);
+                if (nodeResponds) {
+                    attempts.remove(i);
+                }
             }
         }
 
-        long trials(double from, double to) {
-            return trials.stream().filter(t -> t >= from && t < to).count();
+        long attemptsBetween(double from, double to) {
+            return attemptTimes.stream().filter(t -> t >= from && t < to).count();
         }
     }
 
     @ParameterizedTest @CsvSource({"1,3,0.7", "2,6,0.7", "3,12,0.7", "4,50,0.7", "5,12,0.2",
-        "6,50,0.2"}) void theRateOfTrialsDoesNotGrowWithTheFleet(
-            long seed, int size, double heard) {
-        World world = new World(seed, size, heard);
+        "6,50,0.2"}) void theRateOfAttemptsDoesNotGrowWithTheFleet(
+            long seed, int size, double delivery) {
+        World world = new World(seed, size, delivery);
         world.run(40_000);
         for (double from = 10_000; from < 35_000; from += STEP) {
-            long trials = world.trials(from, from + 5_000);
-            assertTrue(trials >= 4 && trials <= 6, "seed " + seed + ": " + trials + " trials in 5 s from " + from);
+            long attempts = world.attemptsBetween(from, from + 5_000);
+            assertTrue(attempts >= 4 && attempts <= 6, "seed " + seed + ": " + attempts + " attempts in 5 s from " + from);
         }
     }
 
-    @ParameterizedTest @CsvSource({"1,6", "2,12", "3,12", "4,50"}) void whoeverHasNoRequestsStopsOrIsCutOffGivesWayToTheNext(
-        long seed, int size) {
+    @ParameterizedTest @CsvSource({"1,6", "2,12", "3,12",
+        "4,50"}) void anInstanceWithoutRequestsOrStoppedIsReplacedByTheNext(
+            long seed, int size) {
         World world = new World(seed, size, 0.7);
         for (int i = 0; i < size / 2; i++) {
             world.idle.add("i" + i);
         }
         world.run(10_000);
-        for (int i = size / 2; i < size - 1; i++) {   // the others stop one by one, and are found so later
+        for (int i = size / 2; i < size - 1; i++) {   // the others stop one by one, which is detected later
             world.stopped.add("i" + i);
             double from = world.now;
-            world.run(from + NOTICED);
+            world.run(from + DETECTION);
             world.absent.add("i" + i);
-            world.run(from + NOTICED + PATIENCE + 3 * TRICKLE);
-            assertTrue(world.trials(from, world.now) > 0, "seed " + seed + ": nobody tries after " + i + " stopped");
+            world.run(from + DETECTION + PATIENCE + 3 * ATTEMPT_INTERVAL);
+            assertTrue(world.attemptsBetween(from, world.now) > 0, "seed " + seed + ": nobody tries after " + i
+                + " stopped");
         }
-        assertTrue(world.trials(world.now - 5_000, world.now) <= 6, "and still one at a time");
+        assertTrue(world.attemptsBetween(world.now - 5_000, world.now) <= 6, "and still one at a time");
     }
 
-    @ParameterizedTest @CsvSource({"1,6", "2,50"}) void onceTheNodeAnswersAllAreBackWithinThePatience(long seed, int size) {
+    @ParameterizedTest @CsvSource({"1,6", "2,50"}) void onceTheNodeRespondsAllReturnWithinThePatience(long seed, int size) {
         World world = new World(seed, size, 0.7);
         world.run(10_000);
-        world.up = true;
-        world.run(10_000 + PATIENCE + 2 * TRICKLE);
-        assertEquals(Map.of(), world.tries, "seed " + seed);
+        world.nodeResponds = true;
+        world.run(10_000 + PATIENCE + 2 * ATTEMPT_INTERVAL);
+        assertEquals(Map.of(), world.attempts, "seed " + seed);
     }
 
-    /** Whatever each sees of the others, right or wrong, somebody that found the node silent tries it. */
-    @Property void noViewsLeaveANodeToNobody(@ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int size) {
+    /** Whatever each sees of the others, right or wrong, somebody that found the node unresponsive tries it. */
+    @Property void noViewsLeaveANodeWithoutHealthChecker(@ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int size) {
         Random random = new Random(seed);
-        int resting = 0;
+        int delegating = 0;
         for (int i = 0; i < size; i++) {
-            Map<String, Map<String, Double>> said = new HashMap<>();
+            List<AttemptReport> reports = new ArrayList<>();
             List<String> present = new ArrayList<>();
             for (int j = 0; j < size; j++) {
-                if (j == i || random.nextBoolean()) said.put("i" + j, Map.of("n", (double) random.nextInt(3)));
-                if (j != i && random.nextInt(3) > 0) present.add("i" + j);
+                if (j == i || random.nextBoolean()) {
+                    reports.add(new AttemptReport("i" + j, "n", random.nextInt(3)));
+                }
+                if (j != i && random.nextInt(3) > 0) {
+                    present.add("i" + j);
+                }
             }
-            ProbeDelegation probing = new ProbeDelegation("i" + i, PATIENCE);
-            probing.rested(0, present, said);
-            resting += probing.rested(random.nextInt(5_000), present, said).contains("n") ? 1 : 0;
+            ProbeDelegation delegation = new ProbeDelegation("i" + i, PATIENCE);
+            delegation.delegatedNodes(0, present, reports);
+            delegating += delegation.delegatedNodes(random.nextInt(5_000), present, reports).contains("n") ? 1 : 0;
         }
-        assertTrue(resting < size, size + " instances all rest");
+        assertTrue(delegating < size, size + " instances all delegate");
     }
 
-    @ParameterizedTest @CsvSource({"0,false", "1,false", "2,true"}) void oneThatDidNotMeetTheNodeRestsOnTheWordOfTwo(
-        int others, boolean rests) {
-        Map<String, Map<String, Double>> said = new HashMap<>();
+    @ParameterizedTest @CsvSource({"0,false", "1,false",
+        "2,true"}) void anInstanceThatDidNotTryTheNodeDelegatesByTwoFindings(
+            int others, boolean delegates) {
+        List<AttemptReport> reports = new ArrayList<>();
         List<String> present = new ArrayList<>();
         for (int i = 1; i <= others; i++) {
-            said.put("i" + i, Map.of("n", 0.0));
+            reports.add(new AttemptReport("i" + i, "n", 0));
             present.add("i" + i);
         }
-        ProbeDelegation probing = new ProbeDelegation("i0", PATIENCE);
-        assertEquals(rests, probing.rested(0, present, said).contains("n"));
-        assertFalse(probing.rested(PATIENCE, present, said).contains("n"), "nobody shows that it tries any more");
-        assertEquals(Set.of(), probing.rested(0, List.of(), said), "nor does whoever is not there");
+        ProbeDelegation delegation = new ProbeDelegation("i0", PATIENCE);
+        assertEquals(delegates, delegation.delegatedNodes(0, present, reports).contains("n"));
+        assertFalse(delegation.delegatedNodes(PATIENCE, present, reports).contains("n"),
+            "nobody shows that it tries any more");
+        assertEquals(Set.of(), delegation.delegatedNodes(0, List.of(), reports), "nor does an absent instance");
     }
 }
--- a/src/test/java/kelphollow/program/ProgramTest.java
+++ b/src/test/java/kelphollow/program/ProgramTest.java
@@ -61,8 +61,8 @@
 
     @Test void faultsOfTheFleetsObjectAreNamed() throws Exception {
         String good = Files.readString(Path.of("deploy/fleet-a.json"));
-        assertEquals(0.1, ObjectConfig.read((Map<?, ?>) Json.parse(good)).fleet().options().repeats());
-        assertTrue(ObjectConfig.read((Map<?, ?>) Json.parse(good)).fleet().options().shed());
+        assertEquals(0.1, ObjectConfig.read((Map<?, ?>) Json.parse(good)).fleet().options().retryShare());
+        assertTrue(ObjectConfig.read((Map<?, ?>) Json.parse(good)).fleet().options().shedsLoad());
         for (String[] fault : new String[][] {{"\"repeats\": -0.1", "fleet.repeats"}, {"\"repeats\": \"few\"",
             "fleet.repeats"},
             {"\"shed\": 1", "fleet.shed"}, {"\"findings\": \"no\"", "fleet.findings"}, {"\"sheds\": true", "fleet.sheds"}}) {
--- a/src/test/java/kelphollow/protocol/peer/PeerLineTest.java
+++ b/src/test/java/kelphollow/protocol/peer/PeerLineTest.java
@@ -211,7 +211,7 @@
         assertThrows(IllegalArgumentException.class, () -> new AntiEntropy.Versions(List.of(64), List.of()));
         assertThrows(IllegalArgumentException.class, () -> new AntiEntropy.Versions(List.of(-1), List.of()));
         assertThrows(IllegalArgumentException.class, () -> new AntiEntropy.Delta(List.of(), List.of(),
-            java.util.Collections.nCopies(AntiEntropy.MOST_ENTRIES + 1, "x")));
+            java.util.Collections.nCopies(AntiEntropy.MAX_ENTRIES + 1, "x")));
         assertThrows(IllegalArgumentException.class, () -> CompareCodec.read("sum", List.of("sum", new byte[7])));
         assertThrows(IllegalArgumentException.class, () -> CompareCodec.read("delta", List.of("delta", List.of())));
     }
