--- a/src/test/java/kelphollow/fleet/DisseminationWorld.java
+++ b/src/test/java/kelphollow/fleet/DisseminationWorld.java
@@ -122,7 +122,8 @@
         running.put(name, peer);
         bytes.computeIfAbsent(name, n -> new long[Kind.values().length]);
         for (int i = 0; i < setup.keys; i++) {
-            peer.publish(Subject.UNRESPONSIVE_NODE, String.format("node-%04d", (i * 37 + name.hashCode() & 0xffff) % 1000), 1);
+            peer.publish(Subject.UNRESPONSIVE_NODE, String.format("node-%04d", (i * 37 + name.hashCode() & 0xffff) % 1000),
+                1);
         }
         at(now + random.nextDouble() * TICK, () -> tick(name, peer));
         change(name, peer);
--- a/src/test/java/kelphollow/program/FleetNamesTest.java
+++ b/src/test/java/kelphollow/program/FleetNamesTest.java
@@ -20,11 +20,11 @@
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
 import kelphollow.digest.InstanceState;
-import kelphollow.fleet.Events;
+import kelphollow.fleet.EventLog;
 import kelphollow.fleet.Fleet;
 import kelphollow.membership.Message;
 import kelphollow.membership.MemberUpdate;
-import kelphollow.membership.Output;
+import kelphollow.membership.MembershipOutput;
 import kelphollow.names.RecordedNames;
 import kelphollow.protocol.json.Json;
 import kelphollow.protocol.peer.Packet;
@@ -56,7 +56,7 @@
     @BeforeEach void join() throws Exception {
         ObjectConfig config = ObjectConfig.read(FILE);
         fleet = new Fleet(config.fleet().options(), config.settings(), EPOCH, (name, epoch, peers) -> new Line(), clock,
-            nodes, new Random(1), new Events(new Listener()), raised -> {});
+            nodes, new Random(1), new EventLog(new Listener()), raised -> {});
         fleet.start();
     }
 
@@ -96,9 +96,9 @@
 
     @Test void eventsAndTheirKeysAreThoseRecorded() throws Exception {
         hearPeer();
-        fleet.happened(new Output.Raised(EPOCH + 1));
-        for (Output.Kind kind : Output.Kind.values()) {
-            fleet.happened(new Output.Event(kind, PEER, EPOCH, "why"));
+        fleet.membershipChanged(new MembershipOutput.EpochRaised(EPOCH + 1));
+        for (MembershipOutput.Kind kind : MembershipOutput.Kind.values()) {
+            fleet.membershipChanged(new MembershipOutput.Event(kind, PEER, EPOCH, "why"));
         }
         fleet.leave();
 
@@ -144,7 +144,7 @@
 
         @Override public void limitRetries(double share, double span) {}
 
-        @Override public void admit(AdmissionFilter by) {}
+        @Override public void setAdmissionFilter(AdmissionFilter filter) {}
 
         @Override public void onEndpointsReceived(Consumer<List<Endpoint>> heard) {
             list = heard;
@@ -152,7 +152,7 @@
 
         @Override public void eject(Set<String> names) {}
 
-        @Override public void doubt(Set<String> names) {}
+        @Override public void suspect(Set<String> names) {}
 
         @Override public Map<String, Integer> unresponsiveNodes() {
             Map<String, Integer> silent = new LinkedHashMap<>();
