--- a/src/main/java/kelphollow/fleet/Fleet.java
+++ b/src/main/java/kelphollow/fleet/Fleet.java
@@ -16,6 +16,7 @@
 import kelphollow.membership.MembershipOutput;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.PeerListener;
 import kelphollow.protocol.peer.PeerTransport;
 import kelphollow.routing.FleetRouting;
 import kelphollow.routing.Ticker;
@@ -25,7 +26,7 @@
  * and the transport, and observations of nodes between the digest and the routing. Confined to the routing's event
  * loop.
  */
-public final class Fleet implements PeerLine.Peers, Gossip.Outbound {
+public final class Fleet implements PeerListener, Gossip.Outbound {
     // How often observations of nodes are published and expired states are dropped, in milliseconds.
     private static final double OBSERVATION_INTERVAL = 50;
     // The span in which retries are counted against first attempts, in milliseconds.
@@ -34,7 +35,7 @@
     /** Makes the transport of an instance; {@code epoch} is read for each packet. */
     public interface Transports {
         /** The transport of the instance of that name; what it receives goes to {@code listener}, on its loop. */
-        PeerTransport open(String name, LongSupplier epoch, PeerLine.Peers listener);
+        PeerTransport open(String name, LongSupplier epoch, PeerListener listener);
     }
 
     private final FleetOptions options;
@@ -178,7 +179,7 @@
         return address == null ? 0 : transport.send(address, packet);
     }
 
-    @Override public void exchange(String with, Packet.Full ours) {
+    @Override public void exchange(String with, Packet.FullExchange ours) {
         InetSocketAddress address = addresses.resolve(with);
         if (address != null) {
             transport.exchange(with, address, ours);
@@ -187,27 +188,27 @@
 
     // ---------------------------------------------------------------- packets from the transport
 
-    @Override public void small(String from, Packet.Small packet) {
+    @Override public void membershipReceived(String from, Packet.Membership packet) {
         if (!left) {
             gossip.received(ticker.now(), from, packet);
             scheduleMembershipTick();
         }
     }
 
-    @Override public void compared(String from, Packet.Compare packet) {
+    @Override public void comparisonReceived(String from, Packet.Comparison packet) {
         if (!left) {
             gossip.comparisonReceived(ticker.now(), from, packet.message());
             scheduleMembershipTick();
         }
     }
 
-    @Override public Packet.Full asked(String from, Packet.Full theirs) {
-        Packet.Full ours = gossip.exchangeRequested(ticker.now(), from, theirs);
+    @Override public Packet.FullExchange exchangeRequested(String from, Packet.FullExchange theirs) {
+        Packet.FullExchange ours = gossip.exchangeRequested(ticker.now(), from, theirs);
         scheduleMembershipTick();
         return ours;
     }
 
-    @Override public void answered(String from, Packet.Full theirs) {
+    @Override public void exchangeAnswered(String from, Packet.FullExchange theirs) {
         if (!left) {
             gossip.exchangeAnswered(ticker.now(), from, theirs);
             scheduleMembershipTick();
--- a/src/main/java/kelphollow/fleet/Gossip.java
+++ b/src/main/java/kelphollow/fleet/Gossip.java
@@ -28,7 +28,7 @@
         long send(String to, Packet packet);
 
         /** Starts a full exchange by a connection. */
-        void exchange(String with, Packet.Full ours);
+        void exchange(String with, Packet.FullExchange ours);
 
         /** Takes an output of membership that is not for sending. */
         void membershipChanged(MembershipOutput output);
@@ -108,7 +108,7 @@
         for (MembershipOutput output : outputs) {
             if (output instanceof MembershipOutput.Send send) {
                 List<InstanceState> states = dissemination.piggyback(now);
-                dissemination.sent(now, outbound.send(send.to(), new Packet.Small(send.message(), states)));
+                dissemination.sent(now, outbound.send(send.to(), new Packet.Membership(send.message(), states)));
             } else if (output instanceof MembershipOutput.FullExchange exchange) {
                 startExchange(now, exchange.peer());
             } else {
@@ -146,16 +146,16 @@
 
     private static Packet packetOf(DisseminationOutput output) {
         if (output instanceof DisseminationOutput.SendComparison comparison) {
-            return new Packet.Compare(comparison.message());
+            return new Packet.Comparison(comparison.message());
         }
-        return new Packet.Small(new Message.Gossip(List.of()), ((DisseminationOutput.SendStates) output).states());
+        return new Packet.Membership(new Message.Gossip(List.of()), ((DisseminationOutput.SendStates) output).states());
     }
 
     // ---------------------------------------------------------------- input
 
     /** A membership message with piggybacked states. */
-    void received(double now, String from, Packet.Small packet) {
-        mergeStates(now, packet.parts());
+    void received(double now, String from, Packet.Membership packet) {
+        mergeStates(now, packet.states());
         carryOut(now, membership.received(now, from, packet.message()));
     }
 
@@ -171,20 +171,20 @@
     }
 
     /** The other side of an exchange that {@code from} started; returns this side's. */
-    Packet.Full exchangeRequested(double now, String from, Packet.Full theirs) {
+    Packet.FullExchange exchangeRequested(double now, String from, Packet.FullExchange theirs) {
         // An instance of the previous version sends all states in an exchange and learns most of them only by one.
-        Packet.Full ours = fullExchange(now, theirs.parts().size() > 1);
+        Packet.FullExchange ours = fullExchange(now, theirs.states().size() > 1);
         exchangeAnswered(now, from, theirs);
         return ours;
     }
 
     /** The other side of an exchange that was started here. */
-    void exchangeAnswered(double now, String from, Packet.Full theirs) {
-        mergeStates(now, theirs.parts());
-        carryOut(now, membership.merge(now, from, theirs.news()));
+    void exchangeAnswered(double now, String from, Packet.FullExchange theirs) {
+        mergeStates(now, theirs.states());
+        carryOut(now, membership.merge(now, from, theirs.updates()));
     }
 
-    private Packet.Full fullExchange(double now, boolean allStates) {
+    private Packet.FullExchange fullExchange(double now, boolean allStates) {
         List<InstanceState> states = new ArrayList<>();
         for (InstanceState state : digest.snapshot(now)) {
             if (allStates || state.instance().equals(self) || isLarge(state)) {
@@ -196,7 +196,7 @@
         List<MemberUpdate> updates = dissemination.allowsExchange(now) ? snapshot : snapshot.subList(0, 1);
         dissemination.sent(now, EXCHANGE_BYTES + (long) UPDATE_BYTES * updates.size()
             + states.stream().mapToLong(InstanceState::estimatedBytes).sum());
-        return new Packet.Full(updates, states);
+        return new Packet.FullExchange(updates, states);
     }
 
     private void mergeStates(double now, List<InstanceState> states) {
--- a/src/main/java/kelphollow/fleet/StatusReport.java
+++ b/src/main/java/kelphollow/fleet/StatusReport.java
@@ -10,7 +10,7 @@
 import kelphollow.membership.MemberView;
 import kelphollow.membership.Membership;
 import kelphollow.overload.AdmissionThreshold;
-import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.DropReason;
 import kelphollow.protocol.peer.PeerTransport;
 import kelphollow.protocol.peer.Traffic;
 
@@ -145,7 +145,7 @@
         Traffic traffic = transport.traffic();
         out.writeObjectFieldStart(TRAFFIC);
         for (Traffic.Kind kind : Traffic.Kind.values()) {
-            out.writeArrayFieldStart(kind.name().toLowerCase(Locale.ROOT));
+            out.writeArrayFieldStart(kind.word());
             out.writeNumber(traffic.packetsOut(kind));
             out.writeNumber(traffic.bytesOut(kind));
             out.writeNumber(traffic.packetsIn(kind));
@@ -157,8 +157,8 @@
 
     private void writeDropped(JsonGenerator out) throws IOException {
         out.writeObjectFieldStart(DROPPED);
-        for (Map.Entry<PeerLine.Drop, Long> dropped : transport.drops().entrySet()) {
-            out.writeNumberField(dropped.getKey().name().toLowerCase(Locale.ROOT), dropped.getValue());
+        for (Map.Entry<DropReason, Long> dropped : transport.drops().entrySet()) {
+            out.writeNumberField(dropped.getKey().word(), dropped.getValue());
         }
         out.writeEndObject();
     }
--- a/src/main/java/kelphollow/protocol/peer/CompareCodec.java
+++ b/src/main/java/kelphollow/protocol/peer/CompareCodec.java
@@ -6,66 +6,77 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import kelphollow.digest.InstanceState;
 import kelphollow.dissemination.AntiEntropy;
+import kelphollow.dissemination.AntiEntropy.Entry;
 import kelphollow.membership.MemberUpdate;
 
-/** The steps of a comparison of views as CBOR arrays, by position; the hashes of a summary are one run of bytes. */
+/**
+ * The steps of a comparison of views as CBOR arrays, by position; the hashes of a summary are one byte string. Safe for any
+ * thread.
+ */
 final class CompareCodec {
-    private static final String SUMMARY = "sum", VERSIONS = "versions", DELTA = "delta";
+    private static final String SUMMARY = "sum";
+    private static final String VERSIONS = "versions";
+    private static final String DELTA = "delta";
     static final Set<String> KINDS = Set.of(SUMMARY, VERSIONS, DELTA);
+    // Fields of an entry that has no instance state.
+    private static final int MEMBER_FIELDS = 4;
 
     private CompareCodec() {}
 
     static byte[] write(AntiEntropy message) {
-        return PeerCodec.bytes(out -> {
+        return Cbor.write(out -> {
             out.writeStartArray();
             if (message instanceof AntiEntropy.Summary summary) {
                 out.writeString(SUMMARY);
-                ByteBuffer hashes = ByteBuffer.allocate(Integer.BYTES * summary.hashes().size());
-                summary.hashes().forEach(hashes::putInt);
-                out.writeBinary(hashes.array());
+                writeSummary(summary, out);
             } else if (message instanceof AntiEntropy.Versions versions) {
                 out.writeString(VERSIONS);
-                versions(versions, out);
+                writeVersions(versions, out);
             } else if (message instanceof AntiEntropy.Delta delta) {
                 out.writeString(DELTA);
-                delta(delta, out);
+                writeDelta(delta, out);
             }
             out.writeEndArray();
         });
     }
 
-    private static void versions(AntiEntropy.Versions versions, JsonGenerator out) throws IOException {
+    private static void writeSummary(AntiEntropy.Summary summary, JsonGenerator out) throws IOException {
+        ByteBuffer hashes = ByteBuffer.allocate(Integer.BYTES * summary.hashes().size());
+        summary.hashes().forEach(hashes::putInt);
+        out.writeBinary(hashes.array());
+    }
+
+    private static void writeVersions(AntiEntropy.Versions versions, JsonGenerator out) throws IOException {
         out.writeStartArray();
         for (int bucket : versions.buckets()) {
             out.writeNumber(bucket);
         }
         out.writeEndArray();
         out.writeStartArray();
-        for (AntiEntropy.Entry entry : versions.entries()) {
-            MemberUpdate n = entry.member();
-            out.writeStartArray();
-            out.writeString(n.name());
-            out.writeNumber(n.epoch());
-            out.writeNumber(n.incarnation());
-            out.writeString(PeerCodec.STATES[n.state().ordinal()]);
-            if (entry.stateEpoch() >= 0) {
-                out.writeNumber(entry.stateEpoch());
-                out.writeNumber(entry.stateVersion());
-            }
-            out.writeEndArray();
+        for (Entry entry : versions.entries()) {
+            writeEntry(entry, out);
         }
         out.writeEndArray();
     }
 
-    private static void delta(AntiEntropy.Delta delta, JsonGenerator out) throws IOException {
-        PeerCodec.news(delta.updates(), out);
+    private static void writeEntry(Entry entry, JsonGenerator out) throws IOException {
+        MemberUpdate member = entry.member();
         out.writeStartArray();
-        for (InstanceState part : delta.states()) {
-            PeerCodec.part(part, out);
+        out.writeString(member.name());
+        out.writeNumber(member.epoch());
+        out.writeNumber(member.incarnation());
+        out.writeString(RecordCodec.letterOf(member.state()));
+        if (entry.stateEpoch() != Entry.NONE) {
+            out.writeNumber(entry.stateEpoch());
+            out.writeNumber(entry.stateVersion());
         }
         out.writeEndArray();
+    }
+
+    private static void writeDelta(AntiEntropy.Delta delta, JsonGenerator out) throws IOException {
+        RecordCodec.writeUpdates(delta.updates(), out);
+        RecordCodec.writeStates(delta.states(), out);
         out.writeStartArray();
         for (String name : delta.requested()) {
             out.writeString(name);
@@ -74,16 +85,16 @@
     }
 
     /** Throws {@link IllegalArgumentException} for what is no such message. */
-    static AntiEntropy read(String kind, List<?> words) {
+    static AntiEntropy read(String kind, List<?> fields) {
         return switch (kind) {
-            case SUMMARY -> summary(words);
-            case VERSIONS -> versions(words);
-            default -> delta(words);
+            case SUMMARY -> readSummary(fields);
+            case VERSIONS -> readVersions(fields);
+            default -> readDelta(fields);
         };
     }
 
-    private static AntiEntropy summary(List<?> words) {
-        if (!(PeerCodec.at(words, 1) instanceof byte[] bytes) || bytes.length % Integer.BYTES != 0) {
+    private static AntiEntropy readSummary(List<?> fields) {
+        if (!(Cbor.at(fields, 1) instanceof byte[] bytes) || bytes.length % Integer.BYTES != 0) {
             throw new IllegalArgumentException("no hashes");
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
@@ -94,38 +105,34 @@
         return new AntiEntropy.Summary(hashes);
     }
 
-    private static AntiEntropy versions(List<?> words) {
+    private static AntiEntropy readVersions(List<?> fields) {
         List<Integer> buckets = new ArrayList<>();
-        List<?> numbers = PeerCodec.list(PeerCodec.at(words, 1));
+        List<?> numbers = Cbor.list(Cbor.at(fields, 1));
         for (int i = 0; i < numbers.size(); i++) {
-            buckets.add((int) Math.min(Integer.MAX_VALUE, PeerCodec.whole(numbers, i)));
+            buckets.add((int) Math.min(Integer.MAX_VALUE, Cbor.integer(numbers, i)));
         }
-        List<AntiEntropy.Entry> entries = new ArrayList<>();
-        for (Object entry : PeerCodec.list(PeerCodec.at(words, 2))) {
-            List<?> w = PeerCodec.list(entry);
-            MemberUpdate member = new MemberUpdate(PeerCodec.text(w, 0), "", PeerCodec.whole(w, 1), PeerCodec.whole(w, 2),
-                PeerCodec.state(PeerCodec.text(w, 3)), "");
-            boolean hasPart = w.size() > 4;
-            entries.add(new AntiEntropy.Entry(member, hasPart ? PeerCodec.whole(w, 4) : -1,
-                hasPart ? PeerCodec.whole(w, 5) : -1));
+        List<Entry> entries = new ArrayList<>();
+        for (Object entry : Cbor.list(Cbor.at(fields, 2))) {
+            entries.add(readEntry(Cbor.list(entry)));
         }
         return new AntiEntropy.Versions(buckets, entries);
     }
 
-    private static AntiEntropy delta(List<?> words) {
-        List<MemberUpdate> news = new ArrayList<>();
-        for (Object n : PeerCodec.list(PeerCodec.at(words, 1))) {
-            news.add(PeerCodec.news(PeerCodec.list(n)));
-        }
-        List<InstanceState> parts = new ArrayList<>();
-        for (Object part : PeerCodec.list(PeerCodec.at(words, 2))) {
-            parts.add(PeerCodec.part(PeerCodec.list(part)));
-        }
-        List<String> wanted = new ArrayList<>();
-        List<?> names = PeerCodec.list(PeerCodec.at(words, 3));
+    private static Entry readEntry(List<?> fields) {
+        MemberUpdate member = new MemberUpdate(Cbor.text(fields, 0), "", Cbor.integer(fields, 1), Cbor.integer(fields, 2),
+            RecordCodec.stateOf(Cbor.text(fields, 3)), "");
+        boolean hasState = fields.size() > MEMBER_FIELDS;
+        return new Entry(member, hasState ? Cbor.integer(fields, MEMBER_FIELDS) : Entry.NONE,
+            hasState ? Cbor.integer(fields, MEMBER_FIELDS + 1) : Entry.NONE);
+    }
+
+    private static AntiEntropy readDelta(List<?> fields) {
+        List<String> requested = new ArrayList<>();
+        List<?> names = Cbor.list(Cbor.at(fields, 3));
         for (int i = 0; i < names.size(); i++) {
-            wanted.add(PeerCodec.text(names, i));
+            requested.add(Cbor.text(names, i));
         }
-        return new AntiEntropy.Delta(news, parts, wanted);
+        return new AntiEntropy.Delta(RecordCodec.readUpdates(Cbor.at(fields, 1)), RecordCodec.readStates(Cbor.at(fields, 2)),
+            requested);
     }
 }
--- a/src/main/java/kelphollow/protocol/peer/Packet.java
+++ b/src/main/java/kelphollow/protocol/peer/Packet.java
@@ -3,23 +3,17 @@
 import java.util.List;
 import kelphollow.digest.InstanceState;
 import kelphollow.dissemination.AntiEntropy;
-import kelphollow.membership.Message;
 import kelphollow.membership.MemberUpdate;
+import kelphollow.membership.Message;
 
-/** What goes over the line. */
+/** What instances send each other. */
 public sealed interface Packet {
-    List<InstanceState> parts();
-
-    /** One datagram: a message of membership with parts of the digest on its back. */
-    record Small(Message message, List<InstanceState> parts) implements Packet {}
+    /** One datagram: a membership message with piggybacked states of the digest. */
+    record Membership(Message message, List<InstanceState> states) implements Packet {}
 
     /** One side of a full exchange. */
-    record Full(List<MemberUpdate> news, List<InstanceState> parts) implements Packet {}
+    record FullExchange(List<MemberUpdate> updates, List<InstanceState> states) implements Packet {}
 
     /** One datagram: a step of a comparison of views. */
-    record Compare(AntiEntropy message) implements Packet {
-        @Override public List<InstanceState> parts() {
-            return List.of();
-        }
-    }
+    record Comparison(AntiEntropy message) implements Packet {}
 }
--- a/src/main/java/kelphollow/protocol/peer/PacketSealer.java
+++ b/src/main/java/kelphollow/protocol/peer/PacketSealer.java
@@ -7,33 +7,34 @@
 import kelphollow.digest.InstanceState;
 
 /**
- * Encodes what one life of an instance says and seals it: name, epoch, life and a counter that never repeats. For one
- * thread. A replay of what it made is known by the counter.
+ * Encodes the packets of one process and seals them: name, epoch, incarnation id and a counter that never repeats, by
+ * which a replay is detected. For one thread.
  */
 public final class PacketSealer {
-    private static final int LIFE_BYTES = 8;
+    private static final int INCARNATION_ID_BYTES = 8;
 
     private final String name;
     private final LongSupplier epoch;
     private final Seal seal;
-    private final String life;
+    private final String incarnationId;
     private long counter;
 
     /**
-     * @param epoch this life's number, asked for with each packet
-     * @param key the fleet's, at least 16 bytes; an {@link IllegalArgumentException} says when it is shorter
+     * @param epoch number of this process, read for each packet
+     * @param key the fleet's, at least 16 bytes; an {@link IllegalArgumentException} is thrown if it is shorter
      */
     public PacketSealer(String name, LongSupplier epoch, byte[] key) {
         this.name = name;
         this.epoch = epoch;
         this.seal = new Seal(Seal.key(key));
-        byte[] id = new byte[LIFE_BYTES];
+        byte[] id = new byte[INCARNATION_ID_BYTES];
         new SecureRandom().nextBytes(id);
-        this.life = HexFormat.of().formatHex(id);
+        this.incarnationId = HexFormat.of().formatHex(id);
     }
 
-    String life() {
-        return life;
+    /** Tells this process from others of the same name and epoch. */
+    String incarnationId() {
+        return incarnationId;
     }
 
     Seal seal() {
@@ -41,27 +42,33 @@
     }
 
     /**
-     * A datagram, of at most {@link PeerLine#LARGEST_DATAGRAM} bytes unless it is no {@link Packet.Small}, and how many
-     * parts found room in it.
+     * A datagram, of at most {@link PeerLine#MAX_DATAGRAM_BYTES} unless it is no {@link Packet.Membership}, and how
+     * many states fit into it.
      */
-    public record Datagram(byte[] bytes, int parts) {}
+    public record Datagram(byte[] bytes, int states) {}
 
-    /** The datagram, less the parts that do not fit. */
+    /** The datagram, less the states that do not fit. */
     public Datagram datagram(Packet packet) {
-        if (!(packet instanceof Packet.Small small)) {
+        if (!(packet instanceof Packet.Membership membership)) {
             return new Datagram(sealed(packet, Seal.NO_CHALLENGE), 0);
         }
-        List<InstanceState> parts = packet.parts();
-        byte[] bytes;
-        while ((bytes = sealed(new Packet.Small(small.message(), parts), Seal.NO_CHALLENGE)).length
-            > PeerLine.LARGEST_DATAGRAM && !parts.isEmpty()) {
-            parts = parts.subList(0, parts.size() - 1);
+        List<InstanceState> states = membership.states();
+        byte[] bytes = sealedDatagram(membership, states);
+        while (bytes.length > PeerLine.MAX_DATAGRAM_BYTES && !states.isEmpty()) {
+            states = states.subList(0, states.size() - 1);
+            bytes = sealedDatagram(membership, states);
         }
-        return new Datagram(bytes, parts.size());
+        return new Datagram(bytes, states.size());
+    }
+
+    private byte[] sealedDatagram(Packet.Membership packet, List<InstanceState> states) {
+        return sealed(new Packet.Membership(packet.message(), states), Seal.NO_CHALLENGE);
     }
 
     /** One side of a full exchange, sealed over the challenge of the other. */
     public byte[] sealed(Packet packet, byte[] challenge) {
-        return seal.seal(new Seal.Sealed(name, epoch.getAsLong(), life, ++counter, PeerCodec.write(packet)), challenge);
+        Seal.Envelope envelope = new Seal.Envelope(name, epoch.getAsLong(), incarnationId, ++counter, PeerCodec.write(
+            packet));
+        return seal.seal(envelope, challenge);
     }
 }
--- a/src/main/java/kelphollow/protocol/peer/ReplayGuard.java
+++ b/src/main/java/kelphollow/protocol/peer/ReplayGuard.java
@@ -2,85 +2,120 @@
 
 import java.util.ArrayDeque;
 import java.util.BitSet;
+import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /**
- * Lets each counter of a life through once: a sliding window as IPsec has it (RFC 4303, section 3.4.3). A life is
- * replaced by one of a higher epoch, or of the same epoch if it answered a challenge; lives that were replaced are not
- * believed again. Bounded in names; for one thread.
+ * Accepts each counter of a process once: a sliding window as in IPsec (RFC 4303, section 3.4.3). A process is replaced
+ * by one of a higher epoch, or of the same epoch if it answered a challenge; replaced ones are not accepted again.
+ * Bounded in names; for one thread.
  */
 final class ReplayGuard {
     /** Counters that may arrive late, behind the highest seen. */
     static final int WINDOW = 1_024;
-    private static final int RETIRED = 16;
+    private static final int MAX_REPLACED = 16;
 
-    private static final class Life {
-        String id;
-        long epoch, highest;
-        final BitSet seen = new BitSet(WINDOW);
-        final ArrayDeque<String> retired = new ArrayDeque<>();
-    }
+    /** The current process of one name. */
+    private static final class Sender {
+        private final BitSet seen = new BitSet(WINDOW);
+        private final ArrayDeque<String> replacedIds = new ArrayDeque<>();
+        private String incarnationId;
+        private long epoch;
+        private long highest;
 
-    private final int mostNames;
-    private final Map<String, Life> lives = new LinkedHashMap<>(16, 0.75f, true);
+        Sender(Seal.Envelope first) {
+            adopt(first);
+        }
 
-    ReplayGuard(int mostNames) {
-        this.mostNames = mostNames;
-    }
+        /** The process of this packet becomes the current one. */
+        void adopt(Seal.Envelope envelope) {
+            incarnationId = envelope.incarnationId();
+            epoch = envelope.epoch();
+            highest = envelope.counter();
+            seen.clear();
+            seen.set(bit(envelope.counter()));
+        }
 
-    /** Whether it is new. {@code challenged}: it answers a challenge made just now, so it is no replay. */
-    boolean accept(Seal.Sealed sealed, boolean challenged) {
-        Life life = lives.get(sealed.name());
-        if (life == null) {
-            if (lives.size() >= mostNames) {
-                lives.remove(lives.keySet().iterator().next());
+        void replaceBy(Seal.Envelope envelope) {
+            if (replacedIds.size() >= MAX_REPLACED) {
+                replacedIds.poll();
             }
-            life = new Life();
-            lives.put(sealed.name(), life);
-            adopt(life, sealed);
-            return true;
+            replacedIds.add(incarnationId);
+            adopt(envelope);
         }
-        if (!sealed.life().equals(life.id)) {
-            if (challenged && sealed.epoch() < life.epoch) {
-                return true;               // it lives, and is to hear of the later life; that one is not replaced by it
+
+        boolean acceptCounter(long counter) {
+            long behind = highest - counter;
+            if (behind >= WINDOW) {
+                return false;
             }
-            if (life.retired.contains(sealed.life()) || !challenged && sealed.epoch() <= life.epoch) {
+            if (behind < 0) {
+                advanceTo(counter);
+            } else if (seen.get(bit(counter))) {
                 return false;
             }
-            if (life.retired.size() >= RETIRED) {
-                life.retired.poll();
+            seen.set(bit(counter));
+            return true;
+        }
+
+        /** Moves the window on, and clears what it leaves behind for the counters to come. */
+        private void advanceTo(long counter) {
+            if (counter - highest > WINDOW) {
+                seen.clear();
+            } else {
+                for (long skipped = highest + 1; skipped <= counter; skipped++) {
+                    seen.clear(bit(skipped));
+                }
             }
-            life.retired.add(life.id);
-            adopt(life, sealed);
+            highest = counter;
+        }
+
+        private static int bit(long counter) {
+            return (int) (counter % WINDOW);
+        }
+    }
+
+    private final int maxNames;
+    /** By name, the one accessed longest ago first. */
+    private final Map<String, Sender> senders = new LinkedHashMap<>(16, 0.75f, true);
+
+    ReplayGuard(int maxNames) {
+        this.maxNames = maxNames;
+    }
+
+    /** Whether the packet is new. {@code challenged}: it answers a challenge made just now, so it is no replay. */
+    boolean accept(Seal.Envelope envelope, boolean challenged) {
+        Sender sender = senders.get(envelope.name());
+        if (sender == null) {
+            makeRoom();
+            senders.put(envelope.name(), new Sender(envelope));
             return true;
         }
-        life.epoch = Math.max(life.epoch, sealed.epoch());
-        long behind = life.highest - sealed.counter();
-        if (behind >= WINDOW) {
-            return false;
+        if (!envelope.incarnationId().equals(sender.incarnationId)) {
+            return acceptOtherProcess(sender, envelope, challenged);
         }
-        if (behind < 0) {
-            // The window moves on: what it leaves behind is cleared for the counters that come.
-            for (long c = life.highest + 1; c <= sealed.counter() && c <= life.highest + WINDOW; c++) {
-                life.seen.clear((int) (c % WINDOW));
-            }
-            if (-behind > WINDOW) {
-                life.seen.clear();
-            }
-            life.highest = sealed.counter();
-        } else if (life.seen.get((int) (sealed.counter() % WINDOW))) {
-            return false;
+        sender.epoch = Math.max(sender.epoch, envelope.epoch());
+        return sender.acceptCounter(envelope.counter());
+    }
+
+    private void makeRoom() {
+        if (senders.size() >= maxNames) {
+            Iterator<String> names = senders.keySet().iterator();
+            names.next();
+            names.remove();
         }
-        life.seen.set((int) (sealed.counter() % WINDOW));
-        return true;
     }
 
-    private static void adopt(Life life, Seal.Sealed sealed) {
-        life.id = sealed.life();
-        life.epoch = sealed.epoch();
-        life.highest = sealed.counter();
-        life.seen.clear();
-        life.seen.set((int) (sealed.counter() % WINDOW));
+    private static boolean acceptOtherProcess(Sender sender, Seal.Envelope envelope, boolean challenged) {
+        if (challenged && envelope.epoch() < sender.epoch) {
+            return true;               // it runs, and must learn of the later process, which it does not replace
+        }
+        boolean outdated = !challenged && envelope.epoch() <= sender.epoch;
+        if (outdated || sender.replacedIds.contains(envelope.incarnationId())) {
+            return false;
+        }
+        sender.replaceBy(envelope);
+        return true;
     }
 }
--- a/src/main/java/kelphollow/scale/ScaleRun.java
+++ b/src/main/java/kelphollow/scale/ScaleRun.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.DropReason;
 
 /**
  * Plays one scenario: starts all instances, waits until they see each other, then measures for the scenario's time while it
@@ -282,7 +282,7 @@
 
     /** Callers that were turned away by an instance that already had as many as it takes. */
     long crowded() {
-        return running().stream().mapToLong(i -> i.dropped(PeerLine.Drop.CROWDED)).sum();
+        return running().stream().mapToLong(i -> i.dropped(DropReason.CROWDED)).sum();
     }
 
     /** Milliseconds from the last start until all saw each other; NaN if they never did. */
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -10,9 +10,11 @@
 import java.util.concurrent.Callable;
 import java.util.function.Consumer;
 import kelphollow.fleet.Fleet;
+import kelphollow.protocol.peer.DropReason;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PacketSealer;
 import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.PeerListener;
 import kelphollow.protocol.peer.PeerTransport;
 import kelphollow.protocol.peer.Traffic;
 import kelphollow.routing.Ticker;
@@ -111,12 +113,12 @@
         private final Gate gate;
         private final PacketSealer sealer;
         private final String name;
-        private final PeerLine.Peers peers;
+        private final PeerListener peers;
         private final Traffic traffic = new Traffic();
-        private final Map<PeerLine.Drop, Long> drops = new EnumMap<>(PeerLine.Drop.class);
+        private final Map<DropReason, Long> drops = new EnumMap<>(DropReason.class);
         private int callers;
 
-        Line(int self, Gate gate, PacketSealer sealer, String name, PeerLine.Peers peers) {
+        Line(int self, Gate gate, PacketSealer sealer, String name, PeerListener peers) {
             this.self = self;
             this.gate = gate;
             this.sealer = sealer;
@@ -132,24 +134,24 @@
         @Override public long send(InetSocketAddress to, Packet packet) {
             PacketSealer.Datagram datagram = sealer.datagram(packet);
             int bytes = datagram.bytes().length;
-            if (bytes > PeerLine.LARGEST_DATAGRAM) {
-                drops.merge(PeerLine.Drop.OVERSIZED, 1L, Long::sum);
+            if (bytes > PeerLine.MAX_DATAGRAM_BYTES) {
+                drops.merge(DropReason.OVERSIZED, 1L, Long::sum);
                 return 0;
             }
             traffic.sent(Traffic.kind(packet), bytes);
             int target = network.instanceAt(to);
             double takes = target < 0 ? NetworkModel.LOST : network.datagram(self, target);
-            Packet arrives = packet instanceof Packet.Small small
-                ? new Packet.Small(small.message(), small.parts().subList(0, datagram.parts())) : packet;
+            Packet arrives = packet instanceof Packet.Membership membership
+                ? new Packet.Membership(membership.message(), membership.states().subList(0, datagram.states())) : packet;
             deliver(target, takes, line -> {
                 line.traffic.received(Traffic.kind(arrives), bytes);
-                if (arrives instanceof Packet.Small small) {
-                    line.peers.small(name, small);
-                } else if (arrives instanceof Packet.Compare compare) {
-                    line.peers.compared(name, compare);
+                if (arrives instanceof Packet.Membership membership) {
+                    line.peers.membershipReceived(name, membership);
+                } else if (arrives instanceof Packet.Comparison comparison) {
+                    line.peers.comparisonReceived(name, comparison);
                 }
             });
-            return bytes + PeerLine.HEADERS;
+            return bytes + PeerLine.HEADER_BYTES;
         }
 
         private void deliver(int target, double takes, Consumer<Line> arrive) {
@@ -164,7 +166,7 @@
             });
         }
 
-        @Override public void exchange(String with, InetSocketAddress at, Packet.Full ours) {
+        @Override public void exchange(String with, InetSocketAddress at, Packet.FullExchange ours) {
             int target = network.instanceAt(at);
             double takes = target < 0 ? NetworkModel.LOST : network.reliable(self, target) + network.reliable(target, self);
             if (Double.isNaN(takes)) {
@@ -175,14 +177,14 @@
             traffic.sent(Traffic.Kind.EXCHANGE, bytes);
         }
 
-        private void asked(Line caller, int bytes, Packet.Full theirs, double back) {
+        private void asked(Line caller, int bytes, Packet.FullExchange theirs, double back) {
             if (callers >= MOST_CALLERS) {
-                drops.merge(PeerLine.Drop.CROWDED, 1L, Long::sum);
+                drops.merge(DropReason.CROWDED, 1L, Long::sum);
                 return;
             }
             callers++;
             traffic.received(Traffic.Kind.EXCHANGE, bytes);
-            Packet.Full ours = peers.asked(caller.name, theirs);
+            Packet.FullExchange ours = peers.exchangeRequested(caller.name, theirs);
             int answer = sealer.sealed(ours, CHALLENGE).length;
             traffic.sent(Traffic.Kind.EXCHANGE, answer);
             SimulatedHost.this.at(now + back, () -> {
@@ -190,13 +192,13 @@
                 if (lines.get(caller.self) == caller) {
                     caller.gate.run(() -> {
                         caller.traffic.received(Traffic.Kind.EXCHANGE, answer);
-                        caller.peers.answered(name, ours);
+                        caller.peers.exchangeAnswered(name, ours);
                     });
                 }
             });
         }
 
-        @Override public Map<PeerLine.Drop, Long> drops() {
+        @Override public Map<DropReason, Long> drops() {
             return drops;
         }
 
--- a/src/main/java/kelphollow/scale/SimulatedInstance.java
+++ b/src/main/java/kelphollow/scale/SimulatedInstance.java
@@ -20,7 +20,7 @@
 import kelphollow.fleet.FleetOptions;
 import kelphollow.membership.MembershipSettings;
 import kelphollow.protocol.json.Json;
-import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.DropReason;
 import kelphollow.protocol.peer.Traffic;
 import kelphollow.routing.Ticker;
 
@@ -182,7 +182,7 @@
         });
     }
 
-    long dropped(PeerLine.Drop why) {
+    long dropped(DropReason why) {
         return host.call(index, () -> fleet.transport().drops().getOrDefault(why, 0L));
     }
 
--- a/src/main/java/kelphollow/scale/SocketHost.java
+++ b/src/main/java/kelphollow/scale/SocketHost.java
@@ -24,8 +24,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntPredicate;
 import kelphollow.fleet.Fleet;
+import kelphollow.protocol.peer.ChannelStages;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.PeerListener;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.WheelTicker;
 import org.HdrHistogram.Histogram;
@@ -149,39 +151,39 @@
     }
 
     /** A stopped instance hears nothing until it wakes, and answers no exchange. */
-    private final class GatedPeers implements PeerLine.Peers {
+    private final class GatedPeers implements PeerListener {
         private final int self;
         private final Gate gate;
-        private final PeerLine.Peers peers;
+        private final PeerListener peers;
 
-        GatedPeers(int self, Gate gate, PeerLine.Peers peers) {
+        GatedPeers(int self, Gate gate, PeerListener peers) {
             this.self = self;
             this.gate = gate;
             this.peers = peers;
         }
 
-        @Override public void small(String from, Packet.Small packet) {
-            gate.run(() -> peers.small(from, packet));
+        @Override public void membershipReceived(String from, Packet.Membership packet) {
+            gate.run(() -> peers.membershipReceived(from, packet));
         }
 
-        @Override public void compared(String from, Packet.Compare packet) {
-            gate.run(() -> peers.compared(from, packet));
+        @Override public void comparisonReceived(String from, Packet.Comparison packet) {
+            gate.run(() -> peers.comparisonReceived(from, packet));
         }
 
-        @Override public Packet.Full asked(String from, Packet.Full theirs) {
+        @Override public Packet.FullExchange exchangeRequested(String from, Packet.FullExchange theirs) {
             if (!gate.isOpen() || network.isCut(ScaleScenario.indexOf(from), self)) {
                 throw new IllegalStateException("stopped or cut off");   // the line ends the connection
             }
-            return peers.asked(from, theirs);
+            return peers.exchangeRequested(from, theirs);
         }
 
-        @Override public void answered(String from, Packet.Full theirs) {
-            gate.run(() -> peers.answered(from, theirs));
+        @Override public void exchangeAnswered(String from, Packet.FullExchange theirs) {
+            gate.run(() -> peers.exchangeAnswered(from, theirs));
         }
     }
 
     /** Stages of one instance's line. */
-    private final class Delays implements PeerLine.Stages {
+    private final class Delays implements ChannelStages {
         private final int self;
 
         Delays(int self) {
--- a/src/test/java/kelphollow/fleet/DisseminationSimulationTest.java
+++ b/src/test/java/kelphollow/fleet/DisseminationSimulationTest.java
@@ -154,8 +154,9 @@
 
     @Test void relaysThatDropForwardedStatesAreDetected() {
         DisseminationWorld world = settled(8, SMALL);
-        world.swallows = (from, packet) -> packet instanceof Packet.Compare
-            || packet instanceof Packet.Small small && small.parts().stream().anyMatch(p -> !p.instance().equals(from));
+        world.swallows = (from, packet) -> packet instanceof Packet.Comparison
+            || packet instanceof Packet.Membership membership
+                && membership.states().stream().anyMatch(s -> !s.instance().equals(from));
         world.drain(DisseminationWorld.name(3), "n");
         world.run(world.now + 5_000);
         assertThrows(AssertionError.class, () -> assertComplete(world));
--- a/src/test/java/kelphollow/fleet/DisseminationWorld.java
+++ b/src/test/java/kelphollow/fleet/DisseminationWorld.java
@@ -214,11 +214,11 @@
 
     @Override public long send(String from, String to, Packet packet) {
         datagrams++;
-        int header = PeerLine.HEADERS + PacketSizes.SEAL;
+        int header = PeerLine.HEADER_BYTES + PacketSizes.SEAL;
         int all = PacketSizes.of(packet);
-        if (packet instanceof Packet.Small small) {
-            boolean statesOnly = small.message() instanceof Message.Gossip && small.message().updates().isEmpty();
-            int message = statesOnly ? 0 : header + (small.parts().isEmpty() ? all : PacketSizes.of(PacketSizes.bare(
+        if (packet instanceof Packet.Membership membership) {
+            boolean statesOnly = membership.message() instanceof Message.Gossip && membership.message().updates().isEmpty();
+            int message = statesOnly ? 0 : header + (membership.states().isEmpty() ? all : PacketSizes.of(PacketSizes.bare(
                 packet)));
             charge(from, Kind.MEMBERSHIP, message);
             charge(from, Kind.STATES, header + all - message);
@@ -238,7 +238,7 @@
         return header + all;
     }
 
-    @Override public void exchange(String from, String with, Packet.Full ours) {
+    @Override public void exchange(String from, String with, Packet.FullExchange ours) {
         SimulatedPeer caller = running.get(from);
         double there = delay(from, with);
         charge(from, Kind.EXCHANGE, 60);
@@ -248,7 +248,7 @@
                 return;
             }
             charge(from, Kind.EXCHANGE, CONNECTION + PacketSizes.SEAL + PacketSizes.of(ours));
-            Packet.Full theirs = called.exchangeRequested(now, from, ours);
+            Packet.FullExchange theirs = called.exchangeRequested(now, from, ours);
             charge(with, Kind.EXCHANGE, CONNECTION + PacketSizes.SEAL + PacketSizes.of(theirs));
             recordDrains(with, called);
             wake(with, called);
--- a/src/test/java/kelphollow/fleet/GossipProperties.java
+++ b/src/test/java/kelphollow/fleet/GossipProperties.java
@@ -44,9 +44,9 @@
             return 100 + PacketSizes.of(packet);
         }
 
-        @Override public void exchange(String with, Packet.Full ours) {
+        @Override public void exchange(String with, Packet.FullExchange ours) {
             Gossip other = at(with);
-            Packet.Full theirs = other.exchangeRequested(now, self, ours);
+            Packet.FullExchange theirs = other.exchangeRequested(now, self, ours);
             at(self).exchangeAnswered(now, with, theirs);
         }
 
@@ -98,10 +98,10 @@
 
     private void deliver(Sent sent) {
         Packet packet = PacketSizes.readBack(sent.packet);
-        if (packet instanceof Packet.Small small) {
-            at(sent.to).received(now, sent.from, small);
+        if (packet instanceof Packet.Membership membership) {
+            at(sent.to).received(now, sent.from, membership);
         } else {
-            at(sent.to).comparisonReceived(now, sent.from, ((Packet.Compare) packet).message());
+            at(sent.to).comparisonReceived(now, sent.from, ((Packet.Comparison) packet).message());
         }
     }
 
--- a/src/test/java/kelphollow/fleet/SimulatedPeer.java
+++ b/src/test/java/kelphollow/fleet/SimulatedPeer.java
@@ -17,7 +17,7 @@
     interface Network {
         long send(String from, String to, Packet packet);
 
-        void exchange(String from, String with, Packet.Full ours);
+        void exchange(String from, String with, Packet.FullExchange ours);
     }
 
     Membership membership();
@@ -36,9 +36,9 @@
 
     void received(double now, String from, Packet packet);
 
-    Packet.Full exchangeRequested(double now, String from, Packet.Full theirs);
+    Packet.FullExchange exchangeRequested(double now, String from, Packet.FullExchange theirs);
 
-    void exchangeAnswered(double now, String from, Packet.Full theirs);
+    void exchangeAnswered(double now, String from, Packet.FullExchange theirs);
 
     /** The production classes as {@link Fleet} runs them. */
     final class Current implements SimulatedPeer, Gossip.Outbound {
@@ -87,18 +87,18 @@
         }
 
         @Override public void received(double now, String from, Packet packet) {
-            if (packet instanceof Packet.Small small) {
-                gossip.received(now, from, small);
-            } else if (packet instanceof Packet.Compare compare) {
-                gossip.comparisonReceived(now, from, compare.message());
+            if (packet instanceof Packet.Membership membership) {
+                gossip.received(now, from, membership);
+            } else if (packet instanceof Packet.Comparison comparison) {
+                gossip.comparisonReceived(now, from, comparison.message());
             }
         }
 
-        @Override public Packet.Full exchangeRequested(double now, String from, Packet.Full theirs) {
+        @Override public Packet.FullExchange exchangeRequested(double now, String from, Packet.FullExchange theirs) {
             return gossip.exchangeRequested(now, from, theirs);
         }
 
-        @Override public void exchangeAnswered(double now, String from, Packet.Full theirs) {
+        @Override public void exchangeAnswered(double now, String from, Packet.FullExchange theirs) {
             gossip.exchangeAnswered(now, from, theirs);
         }
 
@@ -106,7 +106,7 @@
             return network.send(self, to, packet);
         }
 
-        @Override public void exchange(String with, Packet.Full ours) {
+        @Override public void exchange(String with, Packet.FullExchange ours) {
             network.exchange(self, with, ours);
         }
 
@@ -146,7 +146,8 @@
         private void carryOut(double now, List<MembershipOutput> outputs) {
             for (MembershipOutput output : outputs) {
                 if (output instanceof MembershipOutput.Send send) {
-                    network.send(self, send.to(), new Packet.Small(send.message(), digest.fresh(now, STATES_PER_DATAGRAM)));
+                    network.send(self, send.to(), new Packet.Membership(send.message(), digest.fresh(now,
+                        STATES_PER_DATAGRAM)));
                 } else if (output instanceof MembershipOutput.FullExchange exchange) {
                     network.exchange(self, exchange.peer(), full(now));
                 } else if (output instanceof MembershipOutput.EpochRaised raised) {
@@ -155,8 +156,8 @@
             }
         }
 
-        private Packet.Full full(double now) {
-            return new Packet.Full(membership.snapshot(), digest.snapshot(now));
+        private Packet.FullExchange full(double now) {
+            return new Packet.FullExchange(membership.snapshot(), digest.snapshot(now));
         }
 
         @Override public void tickDissemination(double now) {
@@ -166,7 +167,7 @@
             Collections.shuffle(others, random);
             for (String other : others.subList(0, Math.min(setup.membership().gossipFanout(), others.size()))) {
                 if (digest.hasFresh()) {
-                    network.send(self, other, new Packet.Small(new Message.Gossip(List.of()),
+                    network.send(self, other, new Packet.Membership(new Message.Gossip(List.of()),
                         digest.fresh(now, STATES_PER_DATAGRAM)));
                 }
             }
@@ -185,21 +186,21 @@
         }
 
         @Override public void received(double now, String from, Packet packet) {
-            if (packet instanceof Packet.Small small) {
-                digest.merge(now, small.parts());
-                carryOut(now, membership.received(now, from, small.message()));
+            if (packet instanceof Packet.Membership piggyback) {
+                digest.merge(now, piggyback.states());
+                carryOut(now, membership.received(now, from, piggyback.message()));
             }
         }
 
-        @Override public Packet.Full exchangeRequested(double now, String from, Packet.Full theirs) {
-            Packet.Full ours = full(now);
+        @Override public Packet.FullExchange exchangeRequested(double now, String from, Packet.FullExchange theirs) {
+            Packet.FullExchange ours = full(now);
             exchangeAnswered(now, from, theirs);
             return ours;
         }
 
-        @Override public void exchangeAnswered(double now, String from, Packet.Full theirs) {
-            digest.merge(now, theirs.parts());
-            carryOut(now, membership.merge(now, from, theirs.news()));
+        @Override public void exchangeAnswered(double now, String from, Packet.FullExchange theirs) {
+            digest.merge(now, theirs.states());
+            carryOut(now, membership.merge(now, from, theirs.updates()));
         }
     }
 }
--- a/src/test/java/kelphollow/program/FleetNamesTest.java
+++ b/src/test/java/kelphollow/program/FleetNamesTest.java
@@ -27,8 +27,8 @@
 import kelphollow.membership.MembershipOutput;
 import kelphollow.names.RecordedNames;
 import kelphollow.protocol.json.Json;
+import kelphollow.protocol.peer.DropReason;
 import kelphollow.protocol.peer.Packet;
-import kelphollow.protocol.peer.PeerLine;
 import kelphollow.protocol.peer.PeerTransport;
 import kelphollow.protocol.peer.Traffic;
 import kelphollow.routing.AdmissionFilter;
@@ -73,7 +73,7 @@
             news.add(new MemberUpdate(name, "127.0.0.1:9030", EPOCH, 0, MemberUpdate.State.ALIVE, ""));
             news.add(new MemberUpdate(name, "127.0.0.1:9030", EPOCH, 0, state, PEER));
         }
-        fleet.small(PEER, new Packet.Small(new Message.Gossip(news), List.of(part)));
+        fleet.membershipReceived(PEER, new Packet.Membership(new Message.Gossip(news), List.of(part)));
         nodes.list.accept(List.of(new Endpoint("n8", "", 0, EndpointState.DRAINING, 0)));
         for (int i = 0; i < LOOKS; i++) {
             clock.advance(LOOK_MS);
@@ -117,7 +117,7 @@
         news.add(new MemberUpdate(self, "127.0.0.1:9021", EPOCH, 0, MemberUpdate.State.SUSPECT, PEER));
         news.add(new MemberUpdate(self, "127.0.0.1:9021", EPOCH, 1, MemberUpdate.State.DEAD, PEER));
 
-        fleet.small(PEER, new Packet.Small(new Message.Gossip(news), List.of()));
+        fleet.membershipReceived(PEER, new Packet.Membership(new Message.Gossip(news), List.of()));
 
         SortedSet<String> reasons = new TreeSet<>();
         for (String line : events) {
@@ -173,11 +173,11 @@
             return 1;
         }
 
-        @Override public void exchange(String with, InetSocketAddress at, Packet.Full ours) {}
+        @Override public void exchange(String with, InetSocketAddress at, Packet.FullExchange ours) {}
 
-        @Override public Map<PeerLine.Drop, Long> drops() {
-            Map<PeerLine.Drop, Long> drops = new EnumMap<>(PeerLine.Drop.class);
-            for (PeerLine.Drop why : PeerLine.Drop.values()) {
+        @Override public Map<DropReason, Long> drops() {
+            Map<DropReason, Long> drops = new EnumMap<>(DropReason.class);
+            for (DropReason why : DropReason.values()) {
                 drops.put(why, 1L);
             }
             return drops;
--- a/src/test/java/kelphollow/protocol/peer/PacketSizes.java
+++ b/src/test/java/kelphollow/protocol/peer/PacketSizes.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 
-/** What packets cost on the line, for simulations without sockets. */
+/** Sizes of encoded packets, for simulations without sockets. */
 public final class PacketSizes {
     /** What {@link Seal} adds with a name of thirteen characters, in bytes. */
     public static final int SEAL = 80;
@@ -24,8 +24,9 @@
         }
     }
 
-    /** The same message without parts. */
+    /** The same message without states. */
     public static Packet bare(Packet packet) {
-        return packet instanceof Packet.Small small ? new Packet.Small(small.message(), List.of()) : packet;
+        return packet instanceof Packet.Membership membership ? new Packet.Membership(membership.message(), List.of())
+            : packet;
     }
 }
--- a/src/test/java/kelphollow/protocol/peer/PeerLineTest.java
+++ b/src/test/java/kelphollow/protocol/peer/PeerLineTest.java
@@ -16,6 +16,8 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -30,12 +32,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The line between instances on real sockets: what proves itself comes through once, and nothing else. */
+/** The transport on real sockets: what is authentic is received once, and nothing else. */
 @Timeout(30)
 class PeerLineTest {
     private static final byte[] KEY = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
-    private static final MemberUpdate NEWS = new MemberUpdate("x", "127.0.0.1:1", 7, 2, MemberUpdate.State.SUSPECT, "y");
-    private static final InstanceState PART = new InstanceState("a", 3, 4, 12.5, Map.of("drain", Map.of("n1", 5.0), "silent",
+    private static final MemberUpdate UPDATE = new MemberUpdate("x", "127.0.0.1:1", 7, 2, MemberUpdate.State.SUSPECT, "y");
+    private static final InstanceState STATE = new InstanceState("a", 3, 4, 12.5, Map.of("drain", Map.of("n1", 5.0),
+        "silent",
         Map.of("n2", 1.0)));
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -46,111 +49,117 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** One end, which keeps what it hears as text. */
-    private final class End implements PeerLine.Peers {
-        final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    /** One instance, which keeps what it receives as text. */
+    private final class Instance implements PeerListener {
+        final BlockingQueue<String> received = new LinkedBlockingQueue<>();
         final PeerLine line;
         final InetSocketAddress at;
 
-        End(String name, long epoch, byte[] key) throws Exception {
+        Instance(String name, long epoch, byte[] key) throws Exception {
             line = new PeerLine(group.next(), name, () -> epoch, key, 8, this);
             lines.add(line);
             at = line.listen(new InetSocketAddress("127.0.0.1", 0));
         }
 
-        @Override public void small(String from, Packet.Small packet) {
-            heard.add(from + " " + packet);
+        @Override public void membershipReceived(String from, Packet.Membership packet) {
+            received.add(from + " " + packet);
         }
 
-        @Override public void compared(String from, Packet.Compare packet) {
-            heard.add(from + " compares " + packet.message());
+        @Override public void comparisonReceived(String from, Packet.Comparison packet) {
+            received.add(from + " compares " + packet.message());
         }
 
-        @Override public Packet.Full asked(String from, Packet.Full theirs) {
-            heard.add(from + " asks " + theirs);
-            return new Packet.Full(List.of(), List.of(PART));
+        @Override public Packet.FullExchange exchangeRequested(String from, Packet.FullExchange theirs) {
+            received.add(from + " asks " + theirs);
+            return new Packet.FullExchange(List.of(), List.of(STATE));
         }
 
-        @Override public void answered(String from, Packet.Full theirs) {
-            heard.add(from + " answers " + theirs);
+        @Override public void exchangeAnswered(String from, Packet.FullExchange theirs) {
+            received.add(from + " answers " + theirs);
         }
 
         void send(InetSocketAddress to, Message message) {
-            group.next().submit(() -> line.send(to, new Packet.Small(message, List.of(PART)))).syncUninterruptibly();
+            group.next().submit(() -> line.send(to, new Packet.Membership(message, List.of(STATE)))).syncUninterruptibly();
         }
 
         String next() throws InterruptedException {
-            return heard.poll(10, TimeUnit.SECONDS);
+            return received.poll(10, TimeUnit.SECONDS);
         }
 
         /** Waits until so much was dropped for this reason; the loop counts before it reads on. */
-        void dropped(PeerLine.Drop why, long count) throws Exception {
+        void awaitDrops(DropReason reason, long count) throws Exception {
             for (int i = 0; i < 1_000; i++) {
-                if (group.next().submit(() -> line.drops().getOrDefault(why, 0L)).get() >= count) {
+                if (group.next().submit(() -> line.drops().getOrDefault(reason, 0L)).get() >= count) {
                     return;
                 }
                 TimeUnit.MILLISECONDS.sleep(10);
             }
-            fail("not dropped: " + why);
+            fail("not dropped: " + reason);
         }
     }
 
-    @Test void everyKindOfMessageComesThroughAsItWas() throws Exception {
-        End a = new End("a", 3, KEY), b = new End("b", 1, KEY);
-        for (Message m : List.of(new Message.Ping(5, "b", List.of(NEWS)), new Message.PingRequest(6, "c", List.of()),
-            new Message.Ack(7, List.of(NEWS)), new Message.Nack(8, List.of()), new Message.Gossip(List.of(NEWS)))) {
+    @Test void everyKindOfMessageIsReceivedAsSent() throws Exception {
+        Instance a = new Instance("a", 3, KEY);
+        Instance b = new Instance("b", 1, KEY);
+        for (Message m : List.of(new Message.Ping(5, "b", List.of(UPDATE)), new Message.PingRequest(6, "c", List.of()),
+            new Message.Ack(7, List.of(UPDATE)), new Message.Nack(8, List.of()), new Message.Gossip(List.of(UPDATE)))) {
             a.send(b.at, m);
-            assertEquals("a " + new Packet.Small(m, List.of(PART)), b.next());
+            assertEquals("a " + new Packet.Membership(m, List.of(STATE)), b.next());
         }
-        AntiEntropy.Entry held = new AntiEntropy.Entry(new MemberUpdate("x", "", 7, 2, MemberUpdate.State.ALIVE, ""), 7, 9);
-        AntiEntropy.Entry bare = new AntiEntropy.Entry(new MemberUpdate("y", "", 1, 0, MemberUpdate.State.LEFT, ""), -1, -1);
+        AntiEntropy.Entry withState = new AntiEntropy.Entry(new MemberUpdate("x", "", 7, 2, MemberUpdate.State.ALIVE, ""), 7,
+            9);
+        AntiEntropy.Entry withoutState = new AntiEntropy.Entry(new MemberUpdate("y", "", 1, 0, MemberUpdate.State.LEFT, ""),
+            -1, -1);
         List<Integer> hashes = new Random(1).ints(64).boxed().toList();
         for (AntiEntropy m : List.of(new AntiEntropy.Summary(hashes),
-            new AntiEntropy.Versions(List.of(0, 63), List.of(held, bare)),
-            new AntiEntropy.Delta(List.of(NEWS), List.of(PART), List.of("x", "y")))) {
-            group.next().submit(() -> a.line.send(b.at, new Packet.Compare(m))).syncUninterruptibly();
+            new AntiEntropy.Versions(List.of(0, 63), List.of(withState, withoutState)),
+            new AntiEntropy.Delta(List.of(UPDATE), List.of(STATE), List.of("x", "y")))) {
+            group.next().submit(() -> a.line.send(b.at, new Packet.Comparison(m))).syncUninterruptibly();
             assertEquals("a compares " + m, b.next());
         }
-        group.next().submit(() -> a.line.exchange("b", b.at, new Packet.Full(List.of(NEWS), List.of())))
+        group.next().submit(() -> a.line.exchange("b", b.at, new Packet.FullExchange(List.of(UPDATE), List.of())))
             .syncUninterruptibly();
-        assertEquals("a asks " + new Packet.Full(List.of(NEWS), List.of()), b.next());
-        assertEquals("b answers " + new Packet.Full(List.of(), List.of(PART)), a.next());
+        assertEquals("a asks " + new Packet.FullExchange(List.of(UPDATE), List.of()), b.next());
+        assertEquals("b answers " + new Packet.FullExchange(List.of(), List.of(STATE)), a.next());
     }
 
-    @Test void aRecordedDatagramIsBelievedOnceAndAnOlderLifeNoMore() throws Exception {
-        End b = new End("b", 1, KEY);
+    @Test void aReplayedDatagramIsDroppedAndSoIsAnOlderProcess() throws Exception {
+        Instance b = new Instance("b", 1, KEY);
         try (DatagramSocket tap = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", tap.getLocalPort());
-            End a = new End("a", 3, KEY), later = new End("a", 4, KEY);
-            byte[] first = tapped(a, at, tap, 1), newer = tapped(later, at, tap, 2);
+            Instance a = new Instance("a", 3, KEY);
+            Instance later = new Instance("a", 4, KEY);
+            byte[] first = tapped(a, at, tap, 1);
+            byte[] newer = tapped(later, at, tap, 2);
             raw(tap, b.at, first);
             assertTrue(b.next().contains("sequence=1"));
             raw(tap, b.at, first);
-            b.dropped(PeerLine.Drop.REPLAYED, 1);
+            b.awaitDrops(DropReason.REPLAYED, 1);
             raw(tap, b.at, newer);
             assertTrue(b.next().contains("sequence=2"));
             raw(tap, b.at, tapped(a, at, tap, 3));
-            b.dropped(PeerLine.Drop.REPLAYED, 2);
-            assertTrue(b.heard.isEmpty());
+            b.awaitDrops(DropReason.REPLAYED, 2);
+            assertTrue(b.received.isEmpty());
         }
     }
 
-    private static byte[] tapped(End from, InetSocketAddress at, DatagramSocket tap, long number) throws Exception {
-        from.send(at, new Message.Ack(number, List.of()));
-        DatagramPacket packet = new DatagramPacket(new byte[PeerLine.LARGEST_DATAGRAM], PeerLine.LARGEST_DATAGRAM);
+    private static byte[] tapped(Instance from, InetSocketAddress at, DatagramSocket tap, long sequence) throws Exception {
+        from.send(at, new Message.Ack(sequence, List.of()));
+        DatagramPacket packet = new DatagramPacket(new byte[PeerLine.MAX_DATAGRAM_BYTES], PeerLine.MAX_DATAGRAM_BYTES);
         tap.receive(packet);
-        return java.util.Arrays.copyOf(packet.getData(), packet.getLength());
+        return Arrays.copyOf(packet.getData(), packet.getLength());
     }
 
     private static void raw(DatagramSocket from, InetSocketAddress to, byte[] bytes) throws Exception {
         from.send(new DatagramPacket(bytes, bytes.length, to));
     }
 
-    @Test void strangersNoiseFlippedBitsAndTooMuchAreDroppedAndTheLineGoesOn() throws Exception {
-        End a = new End("a", 3, KEY), b = new End("b", 1, KEY);
-        End stranger = new End("a", 9, "another key of 16 bytes".getBytes(StandardCharsets.US_ASCII));
+    @Test void strangersNoiseFlippedBitsAndOversizedPacketsAreDroppedAndTheTransportGoesOn() throws Exception {
+        Instance a = new Instance("a", 3, KEY);
+        Instance b = new Instance("b", 1, KEY);
+        Instance stranger = new Instance("a", 9, "another key of 16 bytes".getBytes(StandardCharsets.US_ASCII));
         stranger.send(b.at, new Message.Ack(1, List.of()));
-        b.dropped(PeerLine.Drop.FORGED, 1);
+        b.awaitDrops(DropReason.FORGED, 1);
         Random random = new Random(5);
         try (DatagramSocket tap = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             byte[] good = tapped(a, new InetSocketAddress("127.0.0.1", tap.getLocalPort()), tap, 1);
@@ -161,11 +170,11 @@
                 byte[] noise = new byte[1 + random.nextInt(500)];
                 random.nextBytes(noise);
                 raw(tap, b.at, noise);
-                b.dropped(PeerLine.Drop.FORGED, 2 * i + 3);
+                b.awaitDrops(DropReason.FORGED, 2 * i + 3);
             }
-            raw(tap, b.at, new byte[PeerLine.LARGEST_DATAGRAM + 1]);
-            b.dropped(PeerLine.Drop.OVERSIZED, 1);
-            assertTrue(b.heard.isEmpty());
+            raw(tap, b.at, new byte[PeerLine.MAX_DATAGRAM_BYTES + 1]);
+            b.awaitDrops(DropReason.OVERSIZED, 1);
+            assertTrue(b.received.isEmpty());
             raw(tap, b.at, good);
             assertTrue(b.next().contains("sequence=1"));
         }
@@ -174,20 +183,20 @@
             caller.getOutputStream().write(new byte[] {0x7f, 0, 0, 0});   // a frame of 2 GB
             assertTrue(caller.getInputStream().readAllBytes().length <= 20, "its challenge and no more");
         }
-        b.dropped(PeerLine.Drop.OVERSIZED, 2);
+        b.awaitDrops(DropReason.OVERSIZED, 2);
     }
 
-    @Test void anInstanceThatLostItsStoreIsHeardAndDoesNotReplaceALaterLife() {
+    @Test void anInstanceThatLostItsStoreIsAcceptedAndDoesNotReplaceALaterProcess() {
         ReplayGuard guard = new ReplayGuard(4);
-        assertTrue(guard.accept(new Seal.Sealed("a", 5, "old", 1, new byte[0]), false));
-        assertFalse(guard.accept(new Seal.Sealed("a", 1, "lost", 1, new byte[0]), false), "a datagram proves nothing");
-        assertTrue(guard.accept(new Seal.Sealed("a", 1, "lost", 2, new byte[0]), true), "it answered a challenge");
-        assertTrue(guard.accept(new Seal.Sealed("a", 5, "old", 2, new byte[0]), false), "the later life goes on");
-        assertTrue(guard.accept(new Seal.Sealed("a", 6, "lost", 3, new byte[0]), false), "it has raised its epoch");
-        assertFalse(guard.accept(new Seal.Sealed("a", 5, "old", 3, new byte[0]), false));
+        assertTrue(guard.accept(new Seal.Envelope("a", 5, "old", 1, new byte[0]), false));
+        assertFalse(guard.accept(new Seal.Envelope("a", 1, "lost", 1, new byte[0]), false), "a datagram proves nothing");
+        assertTrue(guard.accept(new Seal.Envelope("a", 1, "lost", 2, new byte[0]), true), "it answered a challenge");
+        assertTrue(guard.accept(new Seal.Envelope("a", 5, "old", 2, new byte[0]), false), "the later process goes on");
+        assertTrue(guard.accept(new Seal.Envelope("a", 6, "lost", 3, new byte[0]), false), "it has raised its epoch");
+        assertFalse(guard.accept(new Seal.Envelope("a", 5, "old", 3, new byte[0]), false));
     }
 
-    @Test void countersMayComeLateWithinTheWindowAndEachOnce() {
+    @Test void countersMayArriveLateWithinTheWindowAndEachOnce() {
         ReplayGuard guard = new ReplayGuard(4);
         List<Long> order = new ArrayList<>();
         for (long c = 1; c <= 3_000; c++) {
@@ -195,28 +204,28 @@
         }
         Random random = new Random(3);
         for (int i = 0; i < order.size(); i += 100) {
-            java.util.Collections.shuffle(order.subList(i, i + 100), random);
+            Collections.shuffle(order.subList(i, i + 100), random);
         }
         for (long c : order) {
-            assertTrue(guard.accept(new Seal.Sealed("a", 1, "l", c, new byte[0]), false), "counter " + c);
-            assertFalse(guard.accept(new Seal.Sealed("a", 1, "l", c, new byte[0]), false), "counter " + c + " again");
+            assertTrue(guard.accept(new Seal.Envelope("a", 1, "l", c, new byte[0]), false), "counter " + c);
+            assertFalse(guard.accept(new Seal.Envelope("a", 1, "l", c, new byte[0]), false), "counter " + c + " again");
         }
-        assertFalse(guard.accept(new Seal.Sealed("a", 1, "l", 3_000 - ReplayGuard.WINDOW, new byte[0]), false));
-        assertTrue(guard.accept(new Seal.Sealed("a", 1, "l", 9_000, new byte[0]), false));
-        assertTrue(guard.accept(new Seal.Sealed("a", 1, "l", 8_999, new byte[0]), false), "the window was cleared");
+        assertFalse(guard.accept(new Seal.Envelope("a", 1, "l", 3_000 - ReplayGuard.WINDOW, new byte[0]), false));
+        assertTrue(guard.accept(new Seal.Envelope("a", 1, "l", 9_000, new byte[0]), false));
+        assertTrue(guard.accept(new Seal.Envelope("a", 1, "l", 8_999, new byte[0]), false), "the window was cleared");
     }
 
-    @Test void aComparisonThatLiesAboutItsSizeIsRefused() {
+    @Test void aComparisonOfInvalidSizeIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> new AntiEntropy.Summary(List.of(1, 2, 3)));
         assertThrows(IllegalArgumentException.class, () -> new AntiEntropy.Versions(List.of(64), List.of()));
         assertThrows(IllegalArgumentException.class, () -> new AntiEntropy.Versions(List.of(-1), List.of()));
         assertThrows(IllegalArgumentException.class, () -> new AntiEntropy.Delta(List.of(), List.of(),
-            java.util.Collections.nCopies(AntiEntropy.MAX_ENTRIES + 1, "x")));
+            Collections.nCopies(AntiEntropy.MAX_ENTRIES + 1, "x")));
         assertThrows(IllegalArgumentException.class, () -> CompareCodec.read("sum", List.of("sum", new byte[7])));
         assertThrows(IllegalArgumentException.class, () -> CompareCodec.read("delta", List.of("delta", List.of())));
     }
 
-    @Test void aKeyThatIsTooShortIsRefused() {
+    @Test void aKeyThatIsTooShortIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> new Seal(Seal.key(" short \n".getBytes(
             StandardCharsets.US_ASCII))));
     }
--- a/src/test/java/kelphollow/protocol/peer/PeerPacketBytesTest.java
+++ b/src/test/java/kelphollow/protocol/peer/PeerPacketBytesTest.java
@@ -31,7 +31,7 @@
     private static final byte[] KEY = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] CHALLENGE = {0, 1, 2, 3, -1, -2, -3, -4, 127, -128, 10, 13, 26, 32, 64, 99};
     private static final String SENDER = "gateway-1";
-    private static final String LIFE = "00112233445566ff";
+    private static final String INCARNATION_ID = "00112233445566ff";
     private static final long EPOCH = 70_000;
     private static final long COUNTER = 300;
     private static final int HASHES = 64;
@@ -48,13 +48,13 @@
     private static final MemberUpdate LEFT = new MemberUpdate("gäteway-5", "", 0, 1_000, MemberUpdate.State.LEFT, "");
     private static final List<MemberUpdate> EVERY_STATE = List.of(ALIVE, SUSPECTED, DEAD, LEFT);
 
-    private static final InstanceState SILENT_ONLY =
+    private static final InstanceState UNRESPONSIVE_ONLY =
         new InstanceState("gateway-2", 7, 12, 12.5, Map.of("silent", Map.of("node-1", 3.0, "node-22", 0.0)));
     private static final InstanceState EVERY_SUBJECT = new InstanceState("gäteway-5", 300, 70_000, 0,
         Map.of("drain", Map.of("node-7", 1_700_000_000_000.5, "node-8", 0.0), "silent", Map.of("node-9", 41.0), "refused",
             Map.of("0", 0.25, "13", 800.0)));
     private static final InstanceState EMPTY = new InstanceState("gateway-9", 0, 0, 3_600_000, Map.of());
-    private static final List<InstanceState> PARTS = List.of(SILENT_ONLY, EVERY_SUBJECT, EMPTY);
+    private static final List<InstanceState> STATES = List.of(UNRESPONSIVE_ONLY, EVERY_SUBJECT, EMPTY);
 
     @Test void eachPacketIsWrittenAsRecorded() throws Exception {
         Map<String, String> recorded = recorded();
@@ -88,11 +88,11 @@
 
         for (Map.Entry<String, byte[]> challenge : challenges().entrySet()) {
             byte[] sealedBytes = HEX.parseHex(recorded.get(challenge.getKey()));
-            Seal.Sealed opened = seal.open(sealedBytes, challenge.getValue());
+            Seal.Envelope opened = seal.open(sealedBytes, challenge.getValue());
 
             assertEquals(SENDER, opened.name(), challenge.getKey());
             assertEquals(EPOCH, opened.epoch(), challenge.getKey());
-            assertEquals(LIFE, opened.life(), challenge.getKey());
+            assertEquals(INCARNATION_ID, opened.incarnationId(), challenge.getKey());
             assertEquals(COUNTER, opened.counter(), challenge.getKey());
             assertEquals(sealedPacket(), PeerCodec.read(opened.payload()), challenge.getKey());
             assertEquals(recorded.get(challenge.getKey()), HEX.formatHex(seal.seal(opened, challenge.getValue())));
@@ -105,20 +105,20 @@
         assertNull(new Seal(KEY).open(overChallenge, Seal.NO_CHALLENGE));
     }
 
-    /** The life is drawn at random: it is replaced by the recorded one before the bytes are compared. */
-    @Test void aDatagramIsSealedAsRecordedButForTheLife() throws Exception {
+    /** The incarnation id is drawn at random: it is replaced by the recorded one before the bytes are compared. */
+    @Test void aDatagramIsSealedAsRecordedButForTheIncarnationId() throws Exception {
         PacketSealer sealer = new PacketSealer(SENDER, () -> EPOCH, KEY);
         for (long i = 1; i < COUNTER; i++) {
             sealer.datagram(sealedPacket());
         }
         Seal seal = new Seal(KEY);
 
-        Seal.Sealed opened = seal.open(sealer.datagram(sealedPacket()).bytes(), Seal.NO_CHALLENGE);
+        Seal.Envelope opened = seal.open(sealer.datagram(sealedPacket()).bytes(), Seal.NO_CHALLENGE);
 
-        assertEquals(LIFE.length(), opened.life().length());
-        Seal.Sealed ofRecordedLife =
-            new Seal.Sealed(opened.name(), opened.epoch(), LIFE, opened.counter(), opened.payload());
-        assertEquals(recorded().get("sealed"), HEX.formatHex(seal.seal(ofRecordedLife, Seal.NO_CHALLENGE)));
+        assertEquals(INCARNATION_ID.length(), opened.incarnationId().length());
+        Seal.Envelope withRecordedId =
+            new Seal.Envelope(opened.name(), opened.epoch(), INCARNATION_ID, opened.counter(), opened.payload());
+        assertEquals(recorded().get("sealed"), HEX.formatHex(seal.seal(withRecordedId, Seal.NO_CHALLENGE)));
     }
 
     /** The recording: what this program writes, in the order of {@link #packets}. */
@@ -143,7 +143,7 @@
         byte[] payload = PeerCodec.write(sealedPacket());
         Seal seal = new Seal(KEY);
         challenges().forEach((name, challenge) -> all.put(name,
-            HEX.formatHex(seal.seal(new Seal.Sealed(SENDER, EPOCH, LIFE, COUNTER, payload), challenge))));
+            HEX.formatHex(seal.seal(new Seal.Envelope(SENDER, EPOCH, INCARNATION_ID, COUNTER, payload), challenge))));
         return all;
     }
 
@@ -155,38 +155,39 @@
     }
 
     private static Packet sealedPacket() {
-        return small(new Message.Ping(300, "gateway-2", EVERY_STATE));
+        return membership(new Message.Ping(300, "gateway-2", EVERY_STATE));
     }
 
     private static Map<String, Packet> packets() {
         Map<String, Packet> packets = new LinkedHashMap<>();
         packets.put("ping", sealedPacket());
-        packets.put("ping-alone", new Packet.Small(new Message.Ping(0, "gäteway-5", List.of()), List.of()));
-        packets.put("ping-request", small(new Message.PingRequest(24, "gateway-3", EVERY_STATE)));
-        packets.put("ack", small(new Message.Ack(255, EVERY_STATE)));
-        packets.put("nack", small(new Message.Nack(256, EVERY_STATE)));
-        packets.put("gossip", small(new Message.Gossip(EVERY_STATE)));
-        packets.put("gossip-of-parts", small(new Message.Gossip(List.of())));
+        packets.put("ping-alone", new Packet.Membership(new Message.Ping(0, "gäteway-5", List.of()), List.of()));
+        packets.put("ping-request", membership(new Message.PingRequest(24, "gateway-3", EVERY_STATE)));
+        packets.put("ack", membership(new Message.Ack(255, EVERY_STATE)));
+        packets.put("nack", membership(new Message.Nack(256, EVERY_STATE)));
+        packets.put("gossip", membership(new Message.Gossip(EVERY_STATE)));
+        packets.put("gossip-of-parts", membership(new Message.Gossip(List.of())));
         for (long number : WIDTHS) {
-            packets.put("ack-" + number, new Packet.Small(new Message.Ack(number, List.of()), List.of()));
+            packets.put("ack-" + number, new Packet.Membership(new Message.Ack(number, List.of()), List.of()));
         }
-        packets.put("exchange", new Packet.Full(EVERY_STATE, PARTS));
-        packets.put("exchange-of-nothing", new Packet.Full(List.of(), List.of()));
-        packets.put("exchange-of-many", new Packet.Full(manyNews(), List.of(largePart())));
-        packets.put("summary", new Packet.Compare(new AntiEntropy.Summary(new Random(1).ints(HASHES).boxed().toList())));
-        packets.put("versions", new Packet.Compare(new AntiEntropy.Versions(List.of(0, 23, 24, 63), entries())));
-        packets.put("versions-of-nothing", new Packet.Compare(new AntiEntropy.Versions(List.of(5), List.of())));
+        packets.put("exchange", new Packet.FullExchange(EVERY_STATE, STATES));
+        packets.put("exchange-of-nothing", new Packet.FullExchange(List.of(), List.of()));
+        packets.put("exchange-of-many", new Packet.FullExchange(manyUpdates(), List.of(largeState())));
+        packets.put("summary", new Packet.Comparison(new AntiEntropy.Summary(new Random(1).ints(HASHES).boxed().toList())));
+        packets.put("versions", new Packet.Comparison(new AntiEntropy.Versions(List.of(0, 23, 24, 63), entries())));
+        packets.put("versions-of-nothing", new Packet.Comparison(new AntiEntropy.Versions(List.of(5), List.of())));
         packets.put("delta",
-            new Packet.Compare(new AntiEntropy.Delta(EVERY_STATE, PARTS, List.of("gateway-2", "gäteway-5"))));
-        packets.put("delta-of-names", new Packet.Compare(new AntiEntropy.Delta(List.of(), List.of(), List.of("gateway-2"))));
+            new Packet.Comparison(new AntiEntropy.Delta(EVERY_STATE, STATES, List.of("gateway-2", "gäteway-5"))));
+        packets.put("delta-of-names", new Packet.Comparison(new AntiEntropy.Delta(List.of(), List.of(), List.of(
+            "gateway-2"))));
         return packets;
     }
 
-    private static Packet small(Message message) {
-        return new Packet.Small(message, PARTS);
+    private static Packet membership(Message message) {
+        return new Packet.Membership(message, STATES);
     }
 
-    private static List<MemberUpdate> manyNews() {
+    private static List<MemberUpdate> manyUpdates() {
         List<MemberUpdate> many = new ArrayList<>();
         for (long width : WIDTHS) {
             many.add(new MemberUpdate("x".repeat(1 + many.size() * 7), "192.0.2.9:7000", width, width,
@@ -195,7 +196,7 @@
         return many;
     }
 
-    private static InstanceState largePart() {
+    private static InstanceState largeState() {
         Map<String, Double> nodes = new LinkedHashMap<>();
         for (int i = 0; i < 30; i++) {
             nodes.put("node-" + "0".repeat(i) + i, i / 4.0);
@@ -203,13 +204,17 @@
         return new InstanceState("gateway-10", 24, 9_007_199_254_740_991L, 0.125, Map.of("drain", nodes));
     }
 
-    /** The states of members as a comparison carries them, without address and accuser; with a part and without. */
+    /**
+     * The states of members as a comparison carries them, without address and accuser; with an instance state and
+     * without.
+     */
     private static List<AntiEntropy.Entry> entries() {
         List<AntiEntropy.Entry> entries = new ArrayList<>();
-        for (MemberUpdate news : EVERY_STATE) {
-            MemberUpdate bare = new MemberUpdate(news.name(), "", news.epoch(), news.incarnation(), news.state(), "");
-            boolean hasPart = entries.size() % 2 == 0;
-            entries.add(new AntiEntropy.Entry(bare, hasPart ? news.epoch() : -1, hasPart ? 70_000 : -1));
+        for (MemberUpdate update : EVERY_STATE) {
+            MemberUpdate bare = new MemberUpdate(update.name(), "", update.epoch(), update.incarnation(), update.state(),
+                "");
+            boolean hasState = entries.size() % 2 == 0;
+            entries.add(new AntiEntropy.Entry(bare, hasState ? update.epoch() : -1, hasState ? 70_000 : -1));
         }
         return entries;
     }
--- a/src/test/java/kelphollow/scale/ScaleSimulationTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSimulationTest.java
@@ -12,8 +12,9 @@
 import kelphollow.fleet.Fleet;
 import kelphollow.membership.Message;
 import kelphollow.protocol.json.Json;
+import kelphollow.protocol.peer.DropReason;
 import kelphollow.protocol.peer.Packet;
-import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.PeerListener;
 import kelphollow.protocol.peer.PeerTransport;
 import kelphollow.protocol.peer.Traffic;
 import kelphollow.routing.Ticker;
@@ -103,14 +104,14 @@
     @Test void anInstanceThatTellsNoPartsIsFound() throws Exception {
         ScaleRun run = play(scenario(SMALL + "'seconds':9"), SEED, host -> new Planted(host, TOLD_SECOND) {
             @Override long send(PeerTransport line, InetSocketAddress to, Packet packet) {
-                if (packet instanceof Packet.Compare compare) {
-                    return compare.message() instanceof AntiEntropy.Delta ? 0 : line.send(to, packet);
+                if (packet instanceof Packet.Comparison comparison) {
+                    return comparison.message() instanceof AntiEntropy.Delta ? 0 : line.send(to, packet);
                 }
-                return line.send(to, new Packet.Small(((Packet.Small) packet).message(), List.of()));
+                return line.send(to, new Packet.Membership(((Packet.Membership) packet).message(), List.of()));
             }
 
-            @Override Packet.Full full(Packet.Full packet) {
-                return new Packet.Full(packet.news(), List.of());
+            @Override Packet.FullExchange full(Packet.FullExchange packet) {
+                return new Packet.FullExchange(packet.updates(), List.of());
             }
         });
         assertTrue(run.failures().stream().anyMatch(f -> f.startsWith("drain:")), run.failures() + ", seed " + SEED);
@@ -131,15 +132,15 @@
     @Test void aDeathThatIsNotFoundIsCounted() throws Exception {
         ScaleRun run = play(scenario(SMALL + "'seconds':14,'steps':[{'at_ms':0,'do':'kill','first':9}]"), SEED,
             host -> new Planted(host, 3) {
-                @Override void hear(PeerLine.Peers peers, String from, Packet.Small packet) {
+                @Override void hear(PeerListener peers, String from, Packet.Membership packet) {
                     if (packet.message() instanceof Message.Ack) {
-                        peers.small(from, new Packet.Small(packet.message(), List.of()));
+                        peers.membershipReceived(from, new Packet.Membership(packet.message(), List.of()));
                     } else {
-                        peers.small(from, new Packet.Small(new Message.Gossip(List.of()), List.of()));
+                        peers.membershipReceived(from, new Packet.Membership(new Message.Gossip(List.of()), List.of()));
                     }
                 }
 
-                @Override void compared(PeerLine.Peers peers, String from, Packet.Compare packet) {
+                @Override void compared(PeerListener peers, String from, Packet.Comparison packet) {
                     // Nor by comparing views.
                 }
             });
@@ -187,15 +188,15 @@
             return line.send(to, packet);
         }
 
-        void compared(PeerLine.Peers peers, String from, Packet.Compare packet) {
-            peers.compared(from, packet);
+        void compared(PeerListener peers, String from, Packet.Comparison packet) {
+            peers.comparisonReceived(from, packet);
         }
 
-        void hear(PeerLine.Peers peers, String from, Packet.Small packet) {
-            peers.small(from, packet);
+        void hear(PeerListener peers, String from, Packet.Membership packet) {
+            peers.membershipReceived(from, packet);
         }
 
-        Packet.Full full(Packet.Full packet) {
+        Packet.FullExchange full(Packet.FullExchange packet) {
             return packet;
         }
 
@@ -234,21 +235,21 @@
         }
     }
 
-    private record FaultyPeers(Planted fault, PeerLine.Peers peers) implements PeerLine.Peers {
-        @Override public void small(String from, Packet.Small packet) {
+    private record FaultyPeers(Planted fault, PeerListener peers) implements PeerListener {
+        @Override public void membershipReceived(String from, Packet.Membership packet) {
             fault.hear(peers, from, packet);
         }
 
-        @Override public void compared(String from, Packet.Compare packet) {
+        @Override public void comparisonReceived(String from, Packet.Comparison packet) {
             fault.compared(peers, from, packet);
         }
 
-        @Override public Packet.Full asked(String from, Packet.Full theirs) {
-            return fault.full(peers.asked(from, theirs));
+        @Override public Packet.FullExchange exchangeRequested(String from, Packet.FullExchange theirs) {
+            return fault.full(peers.exchangeRequested(from, theirs));
         }
 
-        @Override public void answered(String from, Packet.Full theirs) {
-            peers.answered(from, theirs);
+        @Override public void exchangeAnswered(String from, Packet.FullExchange theirs) {
+            peers.exchangeAnswered(from, theirs);
         }
     }
 
@@ -261,11 +262,11 @@
             return fault.send(line, to, packet);
         }
 
-        @Override public void exchange(String with, InetSocketAddress at, Packet.Full ours) {
+        @Override public void exchange(String with, InetSocketAddress at, Packet.FullExchange ours) {
             line.exchange(with, at, fault.full(ours));
         }
 
-        @Override public Map<PeerLine.Drop, Long> drops() {
+        @Override public Map<DropReason, Long> drops() {
             return line.drops();
         }
 
