--- a/src/main/java/kelphollow/fleet/SheddingFilter.java
+++ b/src/main/java/kelphollow/fleet/SheddingFilter.java
@@ -3,6 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.OptionalDouble;
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.zip.CRC32C;
@@ -24,7 +25,6 @@
  * retry budget may have rejected is no overload. For one thread.
  */
 final class SheddingFilter implements AdmissionFilter {
-    private static final double ADMIT = -1;
     private static final double UNKNOWN_WEIGHT = -1;
 
     private final Ticker ticker;
@@ -49,13 +49,14 @@
         return requestClass == null || plan == null ? UNKNOWN_WEIGHT : requestClass.priorityWeight() * plan.price();
     }
 
-    @Override public double advice(RequestArrived arrival) {
+    @Override public OptionalDouble retryAfter(RequestArrived arrival) {
         double weight = priorityWeight(arrival);
         if (weight < 0 || arrival.cell() < 0 || isReserved(arrival)
             || shedder.admits(ticker.now(), arrival.cell(), weight, admissionHash(arrival.key()))) {
-            return ADMIT;
+            return OptionalDouble.empty();
         }
-        return random.nextDouble() * maxRetryAfter;   // full jitter: what is shed together must not be retried together
+        // Full jitter: what is shed together must not be retried together.
+        return OptionalDouble.of(random.nextDouble() * maxRetryAfter);
     }
 
     @Override public void rejected(RequestArrived arrival) {
--- a/src/main/java/kelphollow/routing/FleetRouting.java
+++ b/src/main/java/kelphollow/routing/FleetRouting.java
@@ -7,30 +7,34 @@
 import kelphollow.decision.ControlEvent.Endpoint;
 
 /**
- * What the fleet reads from and changes in the routing of its instance. {@link RequestRouter} implements it in production; a
- * simulated instance without a data path has its own. All calls come on one loop.
+ * What the fleet asks of the routing of its instance, and all that it changes there. {@link RequestRouter} is the one
+ * that routes requests; an instance without a data path, as a scale run has them, answers for itself. Confined to one
+ * event loop.
  */
 public interface FleetRouting {
     /**
-     * Sets the retry budget of each node.
+     * From now on retries at each node are limited to a share of the first attempts there.
      *
-     * @param share retries as a fraction of first attempts, 0 and up
-     * @param window in which both are counted, in milliseconds
+     * @param share of first attempts, 0 and up
+     * @param span in which both are counted, in milliseconds
      */
-    void limitRetries(double share, double window);
+    void limitRetries(double share, double span);
 
-    /** Sets the filter that requests pass before the decision module gets them. */
+    /** From now on each request is offered to this filter before the decision module is notified of it. */
     void setAdmissionFilter(AdmissionFilter filter);
 
-    /** Sets the listener that gets each endpoint list from discovery, unchanged, after it has been applied. */
+    /** Sets who is notified of the entries of each list from discovery, once it has been applied. */
     void onEndpointsReceived(Consumer<List<Endpoint>> listener);
 
-    /** Replaces the set of nodes that get no new requests for the sake of other instances. */
+    /**
+     * Ejects nodes, all of them each time: nothing new goes there from now on. A node that is no longer named serves
+     * again in the state that its list gives it.
+     */
     void eject(Set<String> nodes);
 
-    /** Replaces the set of nodes that other instances found unresponsive. */
+    /** Nodes that other instances found unresponsive, all of them each time; they are only probed. */
     void suspect(Set<String> nodes);
 
-    /** Nodes that do not respond to this instance, and how often it has tried each since it found that. */
+    /** Nodes that do not answer this instance, each with the number of attempts since its last answer. */
     Map<String, Integer> unresponsiveNodes();
 }
--- a/src/test/java/kelphollow/fleet/SheddingFilterTest.java
+++ b/src/test/java/kelphollow/fleet/SheddingFilterTest.java
@@ -36,7 +36,7 @@
         }, new Random(1));
         for (int i = 0; i < 10; i++) {
             RequestArrived arrival = new RequestArrived("r" + i, "read", plan, "k" + i, 3_000, "v", 1, 7, 2, isRetry);
-            assertTrue(filter.advice(arrival) < 0, "goes on to the decision module");
+            assertTrue(filter.retryAfter(arrival).isEmpty(), "goes on to the decision module");
             filter.rejected(arrival);
         }
         Digest digest = new Digest("i0", 1, 10_000, 10);
--- a/src/test/java/kelphollow/program/StoredNamesTest.java
+++ b/src/test/java/kelphollow/program/StoredNamesTest.java
@@ -34,17 +34,17 @@
 
     private Ledger open() throws Exception {
         Store store = Store.open(new FolderDisk(folder.resolve("first")), new FolderDisk(folder.resolve("second")),
-            StoreOptions.USUAL.withInline(true), System::currentTimeMillis);
+            StoreOptions.DEFAULTS.withInline(true), System::currentTimeMillis);
         return Ledger.open(store, Runnable::run);
     }
 
     private static List<ResolvedEndpoint> members() throws Exception {
-        return DiscoveryListParser.read(Json.parse(NODES)).members();
+        return DiscoveryListParser.parse(Json.parse(NODES)).endpoints();
     }
 
     @Test void recordsAreWrittenAsRecorded() throws Exception {
         try (Ledger ledger = open()) {
-            ledger.nodes().told(members(), NOW);
+            ledger.endpoints().received(members(), NOW);
             ledger.limits().end(Map.of("volume", 7.5), NOW);
             ledger.parts().begun("upload", NOW);
             ledger.parts().intent("upload", 1, NOW, fault -> assertNull(fault));
@@ -65,10 +65,10 @@
 
     @Test void aKeptListIsReadBack() throws Exception {
         try (Ledger ledger = open()) {
-            ledger.nodes().told(members(), NOW);
+            ledger.endpoints().received(members(), NOW);
         }
         try (Ledger ledger = open()) {
-            assertEquals(members(), ledger.nodes().read().members());
+            assertEquals(members(), ledger.endpoints().read().members());
         }
     }
 }
