--- a/src/test/java/kelphollow/scale/ScaleSimulationTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSimulationTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.Callable;
+import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
 import kelphollow.dissemination.AntiEntropy;
 import kelphollow.fleet.Fleet;
@@ -33,7 +33,7 @@
     private static final int NOTIFIED_SECOND = 23;
 
     private static ScaleScenario scenario(String json) throws Exception {
-        return ScaleScenario.read((Map<?, ?>) Json.parse("{" + json.replace('\'', '"') + "}"));
+        return ScenarioReader.read((Map<?, ?>) Json.parse("{" + json.replace('\'', '"') + "}"));
     }
 
     private static ScaleRun play(ScaleScenario scenario, long seed, UnaryOperator<FleetHost> faultInjection)
@@ -224,7 +224,7 @@
             return host.ticker(instance, process);
         }
 
-        @Override public <T> T call(int instance, Callable<T> task) {
+        @Override public <T> T call(int instance, Supplier<T> task) {
             return host.call(instance, task);
         }
 
