--- a/src/main/java/kelphollow/scale/NetworkDelays.java
+++ b/src/main/java/kelphollow/scale/NetworkDelays.java
@@ -14,13 +14,13 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntPredicate;
-import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.ChannelStages;
 
 /**
  * Stages of one instance's line that delay or drop what it sends, and what it receives from processes, as the {@link
  * NetworkModel} says. Each handler is confined to its channel's event loop and owns the messages that it holds.
  */
-final class NetworkDelays implements PeerLine.Stages {
+final class NetworkDelays implements ChannelStages {
     private static final double NANOS_PER_MILLI = 1e6;
     private static final double MICROS_PER_MILLI = 1e3;
 
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -10,9 +10,11 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import kelphollow.fleet.Fleet;
+import kelphollow.protocol.peer.DropReason;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PacketSealer;
 import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.PeerListener;
 import kelphollow.protocol.peer.PeerTransport;
 import kelphollow.protocol.peer.Traffic;
 import kelphollow.routing.Ticker;
@@ -72,7 +74,7 @@
     }
 
     @Override public void open(int instance, Fleet fleet) throws IOException {
-        fleet.line().listen(network.addressOf(instance));
+        fleet.transport().listen(network.addressOf(instance));
     }
 
     @Override public <T> T call(int instance, Supplier<T> task) {
@@ -108,12 +110,12 @@
         private final SuspendableExecutor process;
         private final PacketSealer sealer;
         private final String name;
-        private final PeerLine.Peers peers;
+        private final PeerListener peers;
         private final Traffic traffic = new Traffic();
-        private final Map<PeerLine.Drop, Long> drops = new EnumMap<>(PeerLine.Drop.class);
+        private final Map<DropReason, Long> drops = new EnumMap<>(DropReason.class);
         private int callers;
 
-        Line(int self, SuspendableExecutor process, PacketSealer sealer, String name, PeerLine.Peers peers) {
+        Line(int self, SuspendableExecutor process, PacketSealer sealer, String name, PeerListener peers) {
             this.self = self;
             this.process = process;
             this.sealer = sealer;
@@ -129,24 +131,24 @@
         @Override public long send(InetSocketAddress to, Packet packet) {
             PacketSealer.Datagram datagram = sealer.datagram(packet);
             int bytes = datagram.bytes().length;
-            if (bytes > PeerLine.LARGEST_DATAGRAM) {
-                drops.merge(PeerLine.Drop.OVERSIZED, 1L, Long::sum);
+            if (bytes > PeerLine.MAX_DATAGRAM_BYTES) {
+                drops.merge(DropReason.OVERSIZED, 1L, Long::sum);
                 return 0;
             }
             traffic.sent(Traffic.kind(packet), bytes);
             int target = network.instanceAt(to);
             double delay = target < 0 ? NetworkModel.LOST : network.datagram(self, target);
-            Packet arrives = packet instanceof Packet.Small small
-                ? new Packet.Small(small.message(), small.parts().subList(0, datagram.parts())) : packet;
+            Packet arrives = packet instanceof Packet.Membership membership
+                ? new Packet.Membership(membership.message(), membership.states().subList(0, datagram.states())) : packet;
             deliver(target, delay, line -> {
                 line.traffic.received(Traffic.kind(arrives), bytes);
-                if (arrives instanceof Packet.Small small) {
-                    line.peers.small(name, small);
-                } else if (arrives instanceof Packet.Compare compare) {
-                    line.peers.compared(name, compare);
+                if (arrives instanceof Packet.Membership membership) {
+                    line.peers.membershipReceived(name, membership);
+                } else if (arrives instanceof Packet.Comparison comparison) {
+                    line.peers.comparisonReceived(name, comparison);
                 }
             });
-            return bytes + PeerLine.HEADERS;
+            return bytes + PeerLine.HEADER_BYTES;
         }
 
         private void deliver(int target, double delay, Consumer<Line> arrive) {
@@ -161,7 +163,7 @@
             });
         }
 
-        @Override public void exchange(String with, InetSocketAddress at, Packet.Full ours) {
+        @Override public void exchange(String with, InetSocketAddress at, Packet.FullExchange ours) {
             int target = network.instanceAt(at);
             double delay = target < 0 ? NetworkModel.LOST : network.reliable(self, target) + network.reliable(target, self);
             if (Double.isNaN(delay)) {
@@ -172,14 +174,14 @@
             traffic.sent(Traffic.Kind.EXCHANGE, bytes);
         }
 
-        private void answer(Line caller, int bytes, Packet.Full theirs, double delayBack) {
+        private void answer(Line caller, int bytes, Packet.FullExchange theirs, double delayBack) {
             if (callers >= MAX_CALLERS) {
-                drops.merge(PeerLine.Drop.CROWDED, 1L, Long::sum);
+                drops.merge(DropReason.CROWDED, 1L, Long::sum);
                 return;
             }
             callers++;
             traffic.received(Traffic.Kind.EXCHANGE, bytes);
-            Packet.Full ours = peers.asked(caller.name, theirs);
+            Packet.FullExchange ours = peers.exchangeRequested(caller.name, theirs);
             int answerBytes = sealer.sealed(ours, CHALLENGE).length;
             traffic.sent(Traffic.Kind.EXCHANGE, answerBytes);
             schedule(now + delayBack, () -> {
@@ -187,13 +189,13 @@
                 if (lines.get(caller.self) == caller) {
                     caller.process.execute(() -> {
                         caller.traffic.received(Traffic.Kind.EXCHANGE, answerBytes);
-                        caller.peers.answered(name, ours);
+                        caller.peers.exchangeAnswered(name, ours);
                     });
                 }
             });
         }
 
-        @Override public Map<PeerLine.Drop, Long> drops() {
+        @Override public Map<DropReason, Long> drops() {
             return drops;
         }
 
--- a/src/main/java/kelphollow/scale/SimulatedInstance.java
+++ b/src/main/java/kelphollow/scale/SimulatedInstance.java
@@ -14,12 +14,13 @@
 import java.util.logging.LogRecord;
 import java.util.stream.IntStream;
 import kelphollow.decision.ControlSettings;
-import kelphollow.dissemination.Dissemination;
-import kelphollow.fleet.Events;
+import kelphollow.dissemination.DisseminationSettings;
+import kelphollow.fleet.EventLog;
 import kelphollow.fleet.Fleet;
-import kelphollow.membership.Settings;
+import kelphollow.fleet.FleetOptions;
+import kelphollow.membership.MembershipSettings;
 import kelphollow.protocol.json.Json;
-import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.DropReason;
 import kelphollow.protocol.peer.Traffic;
 import kelphollow.routing.Ticker;
 
@@ -89,9 +90,9 @@
         host.run(index, () -> {
             Ticker ticker = host.ticker(index, newProcess);
             nodes = new SimulatedNodes(scenario, index, ticker, ejected -> observer.ejected(index, ticker.now(), ejected));
-            Fleet.Transports transports = host.transports(index, newProcess, KEY, Settings.USUAL.mostMembers());
+            Fleet.Transports transports = host.transports(index, newProcess, KEY, MembershipSettings.DEFAULTS.maxMembers());
             fleet = new Fleet(options(), settings(), epoch, transports,
-                ticker, nodes, drawn, new Events(new EventReader(ticker)), raised -> epoch = raised);
+                ticker, nodes, drawn, new EventLog(new EventReader(ticker)), raised -> epoch = raised);
         });
         host.open(index, fleet);
         host.run(index, () -> {
@@ -100,14 +101,15 @@
         });
     }
 
-    private Fleet.Options options() {
+    private FleetOptions options() {
         Map<String, InetSocketAddress> seeds = new TreeMap<>();
         for (int seed : seeds(scenario)) {
             seeds.put(ScaleScenario.nameOf(seed), network.addressOf(seed));
         }
-        return new Fleet.Options(ScaleScenario.nameOf(index), network.addressOf(index), seeds, KEY,
-            Settings.USUAL.withPeriod(scenario.period()), scenario.timeToLive(), true, true, RETRY_SHARE,
-            Dissemination.Settings.USUAL);
+        return new FleetOptions(ScaleScenario.nameOf(index), network.addressOf(index), seeds, KEY,
+            MembershipSettings.DEFAULTS.withProtocolPeriod(scenario.period()), scenario.timeToLive(), true, true,
+            RETRY_SHARE,
+            DisseminationSettings.DEFAULTS);
     }
 
     /** The first instance of each zone: what others contact at their start. */
@@ -129,7 +131,7 @@
     void kill() {
         host.run(index, () -> {
             process.kill();
-            fleet.line().close();
+            fleet.transport().close();
         });
     }
 
@@ -154,19 +156,19 @@
     }
 
     List<String> present() {
-        return host.call(index, fleet::present);
+        return host.call(index, fleet::presentMembers);
     }
 
     void eachPart(BiConsumer<String, Double> nameAndAge) {
         host.run(index, () -> {
-            fleet.eachPart((part, age) -> nameAndAge.accept(part.instance(), age));
+            fleet.forEachState((state, age) -> nameAndAge.accept(state.instance(), age));
         });
     }
 
     /** What this incarnation sent and received so far, by kind: packets out, bytes out, packets in, bytes in. */
     TrafficCount traffic() {
         return host.call(index, () -> {
-            Traffic traffic = fleet.line().traffic();
+            Traffic traffic = fleet.transport().traffic();
             TrafficCount count = new TrafficCount();
             for (Traffic.Kind kind : Traffic.Kind.values()) {
                 count.set(kind, traffic.packetsOut(kind), traffic.bytesOut(kind), traffic.packetsIn(kind),
@@ -176,8 +178,8 @@
         });
     }
 
-    long dropped(PeerLine.Drop why) {
-        return host.call(index, () -> fleet.line().drops().getOrDefault(why, 0L));
+    long dropped(DropReason why) {
+        return host.call(index, () -> fleet.transport().drops().getOrDefault(why, 0L));
     }
 
     /** Reads the fleet's events from its log. */
--- a/src/main/java/kelphollow/scale/SocketHost.java
+++ b/src/main/java/kelphollow/scale/SocketHost.java
@@ -15,6 +15,7 @@
 import kelphollow.fleet.Fleet;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.PeerListener;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.WheelTicker;
 import org.HdrHistogram.Histogram;
@@ -95,7 +96,7 @@
         InetSocketAddress at = network.addressOf(instance);
         for (int attempt = 1;; attempt++) {
             try {
-                fleet.line().listen(at);
+                fleet.transport().listen(at);
                 return;
             } catch (IOException e) {
                 if (attempt == BIND_ATTEMPTS) {   // the last incarnation has the port until its channels are closed
@@ -142,34 +143,34 @@
     }
 
     /** A suspended instance receives nothing until it is resumed, and answers no exchange. */
-    private final class SuspendablePeers implements PeerLine.Peers {
+    private final class SuspendablePeers implements PeerListener {
         private final int self;
         private final SuspendableExecutor process;
-        private final PeerLine.Peers peers;
+        private final PeerListener peers;
 
-        SuspendablePeers(int self, SuspendableExecutor process, PeerLine.Peers peers) {
+        SuspendablePeers(int self, SuspendableExecutor process, PeerListener peers) {
             this.self = self;
             this.process = process;
             this.peers = peers;
         }
 
-        @Override public void small(String from, Packet.Small packet) {
-            process.execute(() -> peers.small(from, packet));
+        @Override public void membershipReceived(String from, Packet.Membership packet) {
+            process.execute(() -> peers.membershipReceived(from, packet));
         }
 
-        @Override public void compared(String from, Packet.Compare packet) {
-            process.execute(() -> peers.compared(from, packet));
+        @Override public void comparisonReceived(String from, Packet.Comparison packet) {
+            process.execute(() -> peers.comparisonReceived(from, packet));
         }
 
-        @Override public Packet.Full asked(String from, Packet.Full theirs) {
+        @Override public Packet.FullExchange exchangeRequested(String from, Packet.FullExchange theirs) {
             if (!process.isRunning() || network.isPartitioned(ScaleScenario.indexOf(from), self)) {
                 throw new IllegalStateException("stopped or cut off");   // the line ends the connection
             }
-            return peers.asked(from, theirs);
+            return peers.exchangeRequested(from, theirs);
         }
 
-        @Override public void answered(String from, Packet.Full theirs) {
-            process.execute(() -> peers.answered(from, theirs));
+        @Override public void exchangeAnswered(String from, Packet.FullExchange theirs) {
+            process.execute(() -> peers.exchangeAnswered(from, theirs));
         }
     }
 }
--- a/src/test/java/kelphollow/scale/ScaleSimulationTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSimulationTest.java
@@ -14,8 +14,9 @@
 import kelphollow.fleet.Fleet;
 import kelphollow.membership.Message;
 import kelphollow.protocol.json.Json;
+import kelphollow.protocol.peer.DropReason;
 import kelphollow.protocol.peer.Packet;
-import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.PeerListener;
 import kelphollow.protocol.peer.PeerTransport;
 import kelphollow.protocol.peer.Traffic;
 import kelphollow.routing.Ticker;
@@ -111,14 +112,14 @@
     @Test void anInstanceThatSendsNoStateIsDetected() throws Exception {
         ScaleRun run = play(scenario(SMALL + "'seconds':9"), SEED, host -> new FaultyHost(host, NOTIFIED_SECOND) {
             @Override long send(PeerTransport line, InetSocketAddress to, Packet packet) {
-                if (packet instanceof Packet.Compare compare) {
-                    return compare.message() instanceof AntiEntropy.Delta ? 0 : line.send(to, packet);
+                if (packet instanceof Packet.Comparison comparison) {
+                    return comparison.message() instanceof AntiEntropy.Delta ? 0 : line.send(to, packet);
                 }
-                return line.send(to, new Packet.Small(((Packet.Small) packet).message(), List.of()));
+                return line.send(to, new Packet.Membership(((Packet.Membership) packet).message(), List.of()));
             }
 
-            @Override Packet.Full full(Packet.Full packet) {
-                return new Packet.Full(packet.news(), List.of());
+            @Override Packet.FullExchange full(Packet.FullExchange packet) {
+                return new Packet.FullExchange(packet.updates(), List.of());
             }
         });
         assertTrue(hasFailure(run, "drain:"), run.failures() + ", seed " + SEED);
@@ -138,15 +139,15 @@
     @Test void anUndetectedDeathIsCounted() throws Exception {
         ScaleRun run = play(scenario(SMALL + "'seconds':14,'steps':[{'at_ms':0,'do':'kill','first':9}]"), SEED,
             host -> new FaultyHost(host, 3) {
-                @Override void small(PeerLine.Peers peers, String from, Packet.Small packet) {
+                @Override void small(PeerListener peers, String from, Packet.Membership packet) {
                     if (packet.message() instanceof Message.Ack) {
-                        peers.small(from, new Packet.Small(packet.message(), List.of()));
+                        peers.membershipReceived(from, new Packet.Membership(packet.message(), List.of()));
                     } else {
-                        peers.small(from, new Packet.Small(new Message.Gossip(List.of()), List.of()));
+                        peers.membershipReceived(from, new Packet.Membership(new Message.Gossip(List.of()), List.of()));
                     }
                 }
 
-                @Override void compared(PeerLine.Peers peers, String from, Packet.Compare packet) {
+                @Override void compared(PeerListener peers, String from, Packet.Comparison packet) {
                     // nor does it learn of it by comparing views
                 }
             });
@@ -196,15 +197,15 @@
             return line.send(to, packet);
         }
 
-        void compared(PeerLine.Peers peers, String from, Packet.Compare packet) {
-            peers.compared(from, packet);
+        void compared(PeerListener peers, String from, Packet.Comparison packet) {
+            peers.comparisonReceived(from, packet);
         }
 
-        void small(PeerLine.Peers peers, String from, Packet.Small packet) {
-            peers.small(from, packet);
+        void small(PeerListener peers, String from, Packet.Membership packet) {
+            peers.membershipReceived(from, packet);
         }
 
-        Packet.Full full(Packet.Full packet) {
+        Packet.FullExchange full(Packet.FullExchange packet) {
             return packet;
         }
 
@@ -244,21 +245,21 @@
         }
     }
 
-    private record FaultyPeers(FaultyHost fault, PeerLine.Peers peers) implements PeerLine.Peers {
-        @Override public void small(String from, Packet.Small packet) {
+    private record FaultyPeers(FaultyHost fault, PeerListener peers) implements PeerListener {
+        @Override public void membershipReceived(String from, Packet.Membership packet) {
             fault.small(peers, from, packet);
         }
 
-        @Override public void compared(String from, Packet.Compare packet) {
+        @Override public void comparisonReceived(String from, Packet.Comparison packet) {
             fault.compared(peers, from, packet);
         }
 
-        @Override public Packet.Full asked(String from, Packet.Full theirs) {
-            return fault.full(peers.asked(from, theirs));
+        @Override public Packet.FullExchange exchangeRequested(String from, Packet.FullExchange theirs) {
+            return fault.full(peers.exchangeRequested(from, theirs));
         }
 
-        @Override public void answered(String from, Packet.Full theirs) {
-            peers.answered(from, theirs);
+        @Override public void exchangeAnswered(String from, Packet.FullExchange theirs) {
+            peers.exchangeAnswered(from, theirs);
         }
     }
 
@@ -271,11 +272,11 @@
             return fault.send(line, to, packet);
         }
 
-        @Override public void exchange(String with, InetSocketAddress at, Packet.Full ours) {
+        @Override public void exchange(String with, InetSocketAddress at, Packet.FullExchange ours) {
             line.exchange(with, at, fault.full(ours));
         }
 
-        @Override public Map<PeerLine.Drop, Long> drops() {
+        @Override public Map<DropReason, Long> drops() {
             return line.drops();
         }
 
