--- a/src/bench/java/kelphollow/program/SchedulerProcess.java
+++ b/src/bench/java/kelphollow/program/SchedulerProcess.java
@@ -40,10 +40,12 @@
             members.add(new ResolvedEndpoint(new Endpoint("n" + n, "a", n, EndpointState.HEALTHY, 0), standIn));
         }
         Map<String, Object> settings = ServerHarness.part(ServerHarness.example(), "settings");
-        Config config = new Config("capacity", null, new InetSocketAddress("127.0.0.1", 1), 1, Integer.parseInt(args[2]),
+        PlatformConfig config = new PlatformConfig("capacity", null, new InetSocketAddress("127.0.0.1", 1), 1, Integer
+            .parseInt(args[2]),
             DIAL_TIMEOUT,
-            IDLE_TIME, new DiscoveryListParser(1, true, members), Config.settings(settings), Config.Operations.NONE);
-        Scheduler scheduler = Scheduler.of(config, loop, new WheelTicker(loop, TICK));
+            IDLE_TIME, new DiscoveryListParser(1, true, members), SettingsConfig.read(settings),
+            PlatformConfig.Operations.NONE);
+        Scheduler scheduler = PlatformScheduler.start(config, loop, new WheelTicker(loop, TICK));
         System.out.println(scheduler.listen(new InetSocketAddress("127.0.0.1", 0)).getPort());
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in));
         while (in.readLine() != null) {
--- a/src/main/java/kelphollow/program/CheckConfig.java
+++ b/src/main/java/kelphollow/program/CheckConfig.java
@@ -8,14 +8,14 @@
     @Option(name = "--config", metaVar = "FILE", usage = "check this file for the object API")
     private String file;
 
-    @Override public int run(PrintStream out, PrintStream err) throws Config.Bad {
+    @Override public int run(PrintStream out, PrintStream err) throws ConfigurationException {
         if (file != null) {
             ObjectConfig config = ObjectConfig.read(file);
             out.println("configuration of " + config.name() + " is sound: " + config.options().buckets().size()
-                + " buckets, " + config.options().shards() + " shards");
+                + " buckets, " + config.options().cells() + " shards");
             return 0;
         }
-        Config config = Config.platform(System.getenv());
+        PlatformConfig config = PlatformConfig.read(System.getenv());
         out.println("configuration of " + config.name() + " is sound: " + config.known().members().size()
             + " nodes known, " + config.settings().classes().size() + " classes, "
             + config.settings().plans().size() + " plans");
--- a/src/main/java/kelphollow/program/ClassArchiveTraining.java
+++ b/src/main/java/kelphollow/program/ClassArchiveTraining.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.decision.ControlSettings;
 import kelphollow.protocol.discovery.DiscoveryListParser;
 import kelphollow.protocol.resp.RespWarmup;
 import kelphollow.routing.ResolvedEndpoint;
@@ -27,13 +28,18 @@
  * so long its clients are without one after a restart.
  */
 public final class ClassArchiveTraining implements Main.Command {
-    private static final int GUARD_MILLIS = 2_000;
+    private static final int TIMEOUT_MS = 2_000;
+    private static final int SOCKETS = 256;
+    private static final int DIAL_TIMEOUT_MS = 250;
+    private static final double IDLE_TIME_MS = 12_000;
+    /** The node's errors are retried, then the request is given up. */
+    private static final String REPLIES = "+PONG\r\n-BUSY";
 
     @Option(name = "--config", metaVar = "FILE", required = true, usage = "a file for the object API; its settings are used")
     private String file;
 
-    @Override public int run(PrintStream out, PrintStream err) throws Config.Bad, IOException {
-        var settings = ObjectConfig.read(file).settings();
+    @Override public int run(PrintStream out, PrintStream err) throws ConfigurationException, IOException {
+        ControlSettings settings = ObjectConfig.read(file).settings();
         RespWarmup.run(settings, 0);
         InetSocketAddress self;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -41,26 +47,33 @@
         }
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        // It is its own storage node, which fails a request since its id is open, and its own discovery, which fails.
-        ResolvedEndpoint node = new ResolvedEndpoint(new Endpoint("self", "", 0, EndpointState.HEALTHY, 0), self);
         try (WheelTicker ticker = new WheelTicker(loop, Serve.TICK)) {
-            Config config = new Config("train", self, self, 0, 256, 250, 12_000, new DiscoveryListParser(1, true, List.of(
-                node)), settings,
-                Config.Operations.NONE);
-            Scheduler.of(config, loop, ticker).listen(self);
-            try (Socket client = new Socket(self.getAddress(), self.getPort())) {
-                client.setSoTimeout(GUARD_MILLIS);
-                String values = "k=k,c=" + settings.classes().get(0).name() + ",t=" + settings.plans().get(0).name()
-                    + ",d=1000,volume=v,units=1,shard=0,hosts=1";
-                client.getOutputStream().write(("*1\r\n$4\r\nPING\r\n*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$"
-                    + values.length() + "\r\n" + values + "\r\n").getBytes(StandardCharsets.US_ASCII));
-                String answers = "+PONG\r\n-BUSY";   // the node's errors are repeated, then the request is given up
-                String got = new String(client.getInputStream().readNBytes(answers.length()), StandardCharsets.US_ASCII);
-                out.println(got.equals(answers) ? "trained" : "got " + got);
-                return got.equals(answers) ? 0 : 1;
-            }
+            PlatformScheduler.start(config(settings, self), loop, ticker).listen(self);
+            String replies = request(self, settings);
+            boolean expected = replies.equals(REPLIES);
+            out.println(expected ? "trained" : "got " + replies);
+            return expected ? 0 : 1;
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         }
     }
+
+    /** It is its own storage node, which fails a request since its id is open, and its own discovery, which fails. */
+    private static PlatformConfig config(ControlSettings settings, InetSocketAddress self) {
+        ResolvedEndpoint node = new ResolvedEndpoint(new Endpoint("self", "", 0, EndpointState.HEALTHY, 0), self);
+        return new PlatformConfig("train", self, self, 0, SOCKETS, DIAL_TIMEOUT_MS, IDLE_TIME_MS,
+            new DiscoveryListParser(1, true, List.of(node)), settings, PlatformConfig.Operations.NONE);
+    }
+
+    /** Sends two commands and reads as many bytes as their replies should have. */
+    private static String request(InetSocketAddress self, ControlSettings settings) throws IOException {
+        try (Socket client = new Socket(self.getAddress(), self.getPort())) {
+            client.setSoTimeout(TIMEOUT_MS);
+            String fields = "k=k,c=" + settings.classes().get(0).name() + ",t=" + settings.plans().get(0).name()
+                + ",d=1000,volume=v,units=1,shard=0,hosts=1";
+            client.getOutputStream().write(("*1\r\n$4\r\nPING\r\n*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$"
+                + fields.length() + "\r\n" + fields + "\r\n").getBytes(StandardCharsets.US_ASCII));
+            return new String(client.getInputStream().readNBytes(REPLIES.length()), StandardCharsets.US_ASCII);
+        }
+    }
 }
--- a/src/main/java/kelphollow/program/FleetConfig.java
+++ b/src/main/java/kelphollow/program/FleetConfig.java
@@ -2,10 +2,9 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
-import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
-import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.logging.FileHandler;
@@ -22,83 +21,77 @@
  * @param events where events go, or null for the log
  */
 record FleetConfig(Fleet.Options options, Path events) {
-    private static final double FADES = 10_000;
-    private static final double REPEATS = 0.1;
+    private static final double STATE_TIME_TO_LIVE = 10_000;
+    private static final double MIN_PERIODS_TO_LIVE = 4;
+    private static final double RETRY_SHARE = 0.1;
+    private static final double MIN_PERIOD = 20;
+    private static final int MIN_KEY_LENGTH = 16;
     // Membership alone spends about 1,000 bytes a second; with less than twice that changes would hardly move.
-    private static final double LEAST_BUDGET = 2_000;
+    private static final double MIN_BYTES_PER_SECOND = 2_000;
 
-    /** Null where the file has no such object: the instance is in no fleet. */
-    static FleetConfig read(Map<?, ?> json) throws Config.Bad {
-        if (json.get("fleet") == null) {
+    /** Reads it from the whole file; null where the file has no such object: the instance is in no fleet. */
+    static FleetConfig read(ConfigSection json) throws ConfigurationException {
+        if (!json.has("fleet")) {
             return null;
         }
-        Map<?, ?> fleet = Config.object(json, "fleet");
-        Config.known(fleet, "fleet.", "listen", "peers", "key_file", "period_ms", "fades_ms", "members", "events",
-            "findings", "repeats", "shed", "bytes_per_second");
-        for (String flag : List.of("findings", "shed")) {
-            if (fleet.get(flag) != null && !(fleet.get(flag) instanceof Boolean)) {
-                throw new Config.Bad("fleet." + flag + " must be true or false");
-            }
-        }
-        if (json.get("store") == null) {
-            throw new Config.Bad("fleet needs 'store': the numbers of this instance's lives are kept there");
+        ConfigSection fleet = json.section("fleet");
+        fleet.allowOnly("listen", "peers", "key_file", "period_ms", "fades_ms", "members", "events", "findings", "repeats",
+            "shed", "bytes_per_second");
+        boolean findings = fleet.flag("findings", true);
+        boolean shed = fleet.flag("shed", true);
+        if (!json.has("store")) {
+            throw new ConfigurationException("fleet needs 'store': the numbers of this instance's lives are kept there");
         }
-        String name = Config.word(json, "name", null);
+        String name = json.text("name");
         if (name.length() > MemberUpdate.LONGEST_NAME) {
-            throw new Config.Bad("name is longer than " + MemberUpdate.LONGEST_NAME + " characters");
+            throw new ConfigurationException("name is longer than " + MemberUpdate.LONGEST_NAME + " characters");
         }
+        Map<String, InetSocketAddress> peers = peers(fleet.section("peers"));
+        double period = fleet.number("period_ms", Settings.USUAL.period(), MIN_PERIOD);
+        Settings membership = membership(fleet, period);
+        Fleet.Options options = new Fleet.Options(name, fleet.address("listen"), peers, key(fleet.file("key_file")),
+            membership, fleet.number("fades_ms", STATE_TIME_TO_LIVE, MIN_PERIODS_TO_LIVE * period), findings, shed,
+            fleet.number("repeats", RETRY_SHARE, 0),
+            Dissemination.Settings.USUAL.withBudget(fleet.number("bytes_per_second",
+                Dissemination.Settings.USUAL.bytesPerSecond(), MIN_BYTES_PER_SECOND)));
+        return new FleetConfig(options, fleet.has("events") ? fleet.file("events") : null);
+    }
+
+    private static Map<String, InetSocketAddress> peers(ConfigSection named) throws ConfigurationException {
         Map<String, InetSocketAddress> peers = new TreeMap<>();
-        for (Map.Entry<?, ?> peer : Config.object(fleet, "fleet.", "peers").entrySet()) {
-            String key = "fleet.peers." + peer.getKey();
+        for (Map.Entry<?, ?> peer : named.values().entrySet()) {
+            String key = named.key((String) peer.getKey());
             if (!(peer.getValue() instanceof String address)) {
-                throw new Config.Bad(key + " is not a text");
+                throw ConfigurationException.notText(key);
             }
-            peers.put((String) peer.getKey(), Config.address(address, key));
+            peers.put((String) peer.getKey(), ConfigSection.parseAddress(address, key));
         }
-        double period = Config.number(fleet, "fleet.", "period_ms", Settings.USUAL.period(), 20);
-        int members = (int) Config.number(fleet, "fleet.", "members", (double) Settings.USUAL.mostMembers(), 2);
-        Settings usual = Settings.USUAL.withPeriod(period);
-        Settings settings = new Settings(usual.period(), usual.timeout(), usual.relays(), usual.spread(), usual.fanout(),
-            usual.suspicionLeast(), usual.suspicionMost(), usual.confirmations(), usual.healthMost(), usual.rejoin(),
-            members,
-            usual.mostNews(), usual.standstill());
-        return new FleetConfig(new Fleet.Options(name, Config.address(text(fleet, "listen"), "fleet.listen"), peers,
-            key(text(fleet, "key_file")), settings, Config.number(fleet, "fleet.", "fades_ms", FADES, 4 * period),
-            !Boolean.FALSE.equals(fleet.get("findings")), !Boolean.FALSE.equals(fleet.get("shed")),
-            Config.number(fleet, "fleet.", "repeats", REPEATS, 0),
-            Dissemination.Settings.USUAL.withBudget(Config.number(fleet, "fleet.", "bytes_per_second",
-                Dissemination.Settings.USUAL.bytesPerSecond(), LEAST_BUDGET))),
-            fleet.get("events") == null ? null : path(text(fleet, "events"), "fleet.events"));
+        return peers;
     }
 
-    private static String text(Map<?, ?> fleet, String key) throws Config.Bad {
-        if (fleet.get(key) instanceof String text && !text.isEmpty()) {
-            return text;
-        }
-        throw new Config.Bad("fleet." + key + (fleet.get(key) == null ? " is missing" : " is not a text"));
-    }
-
-    private static Path path(String text, String key) throws Config.Bad {
-        try {
-            return Path.of(text);
-        } catch (InvalidPathException e) {
-            throw new Config.Bad(key + ": '" + text + "' is no path");
-        }
+    private static Settings membership(ConfigSection fleet, double period) throws ConfigurationException {
+        int members = (int) fleet.number("members", (double) Settings.USUAL.mostMembers(), 2);
+        Settings usual = Settings.USUAL.withPeriod(period);
+        return new Settings(usual.period(), usual.timeout(), usual.relays(), usual.spread(), usual.fanout(),
+            usual.suspicionLeast(), usual.suspicionMost(), usual.confirmations(), usual.healthMost(), usual.rejoin(),
+            members, usual.mostNews(), usual.standstill());
     }
 
-    private static byte[] key(String file) throws Config.Bad {
+    private static byte[] key(Path file) throws ConfigurationException {
         try {
-            byte[] key = Files.readAllBytes(path(file, "fleet.key_file"));
-            if (new String(key, java.nio.charset.StandardCharsets.ISO_8859_1).strip().length() < 16) {
-                throw new Config.Bad("fleet.key_file: " + file + " holds fewer than 16 bytes");
+            byte[] key = Files.readAllBytes(file);
+            if (new String(key, StandardCharsets.ISO_8859_1).strip().length() < MIN_KEY_LENGTH) {
+                throw ConfigurationException.failed("fleet.key_file",
+                    file + " holds fewer than " + MIN_KEY_LENGTH + " bytes");
             }
             return key;
         } catch (IOException e) {
-            throw new Config.Bad("fleet.key_file: " + StoreConfig.message(e));
+            throw ConfigurationException.failed("fleet.key_file", StoreConfig.message(e));
         }
     }
 
-    Events openEvents() throws Config.Bad {
+    /** Opens where events go; blocks on the file, if there is one. */
+    Events openEvents() throws ConfigurationException {
         try {
             if (events == null) {
                 return new Events(null);
@@ -107,7 +100,7 @@
             handler.setLevel(Level.INFO);
             return new Events(handler);
         } catch (IOException e) {
-            throw new Config.Bad("fleet.events: " + StoreConfig.message(e));
+            throw ConfigurationException.failed("fleet.events", StoreConfig.message(e));
         }
     }
 }
--- a/src/main/java/kelphollow/program/LimitHandoverFile.java
+++ b/src/main/java/kelphollow/program/LimitHandoverFile.java
@@ -3,30 +3,35 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The levels of volumes' limits as the old process of an upgrade hands them over: {@code volume level} a line. */
+/**
+ * The text by which the old process of an upgrade hands over the tokens of volumes' limits: {@code volume tokens} a
+ * line, and a last line that shows it is complete.
+ */
 final class LimitHandoverFile {
+    private static final String END = "end\n";
+
     private LimitHandoverFile() {}
 
-    static String text(Map<String, Double> levels) {
-        StringBuilder out = new StringBuilder();
-        new TreeMap<>(levels).forEach((volume, level) -> out.append(volume).append(' ').append(level).append('\n'));
-        return out.append("end\n").toString();
+    static String text(Map<String, Double> tokens) {
+        StringBuilder text = new StringBuilder();
+        new TreeMap<>(tokens).forEach((volume, left) -> text.append(volume).append(' ').append(left).append('\n'));
+        return text.append(END).toString();
     }
 
-    /** @throws IllegalArgumentException if the text is cut short or a line is not a volume and a number */
+    /** @throws IllegalArgumentException if the text is truncated or a line is not a volume and a number */
     static Map<String, Double> read(String text) {
-        if (!text.endsWith("end\n")) {
-            throw new IllegalArgumentException("cut short");
+        if (!text.endsWith(END)) {
+            throw new IllegalArgumentException("truncated");
         }
-        Map<String, Double> levels = new TreeMap<>();
+        Map<String, Double> tokens = new TreeMap<>();
         String[] lines = text.split("\n");
         for (int i = 0; i < lines.length - 1; i++) {
             String[] words = lines[i].split(" ");
             if (words.length != 2) {
-                throw new IllegalArgumentException("line " + (i + 1) + " is not a volume and a level");
+                throw new IllegalArgumentException("line " + (i + 1) + " is not a volume and a number");
             }
-            levels.put(words[0], Double.parseDouble(words[1]));
+            tokens.put(words[0], Double.parseDouble(words[1]));
         }
-        return levels;
+        return tokens;
     }
 }
--- a/src/main/java/kelphollow/program/Main.java
+++ b/src/main/java/kelphollow/program/Main.java
@@ -13,11 +13,19 @@
 public final class Main {
     /** What a sub-command does; the result is the exit code. */
     interface Command {
+        /**
+         * Runs it to its end.
+         *
+         * @throws ConfigurationException if the configuration has a fault, which is printed
+         * @throws Exception if it fails, which is printed too
+         */
         int run(PrintStream out, PrintStream err) throws Exception;
     }
 
+    /** The exit code of a wrong command line or configuration. */
     static final int USAGE = 2;
     private static final String LOG_MANAGER = "java.util.logging.manager";
+    private static final String LOG_FORMAT = "java.util.logging.SimpleFormatter.format";
 
     @Argument(required = true, metaVar = "COMMAND", handler = SubCommandHandler.class)
     @SubCommands({
@@ -35,9 +43,10 @@
 
     private Main() {}
 
+    /** Runs the command line and ends the process with its exit code. */
     public static void main(String[] args) {
-        if (System.getProperty("java.util.logging.SimpleFormatter.format") == null) {
-            System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
+        if (System.getProperty(LOG_FORMAT) == null) {
+            System.setProperty(LOG_FORMAT, "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
         }
         if (System.getProperty(LOG_MANAGER) == null) {
             System.setProperty(LOG_MANAGER, LastingLogManager.class.getName());
@@ -65,7 +74,7 @@
         }
         try {
             return main.command.run(out, err);
-        } catch (Config.Bad e) {
+        } catch (ConfigurationException e) {
             err.println("kelphollow: configuration: " + e.getMessage());
             return USAGE;
         } catch (Exception e) {
--- /dev/null
+++ b/src/main/java/kelphollow/program/ObjectScheduler.java
@@ -0,0 +1,191 @@
+package kelphollow.program;
+
+import io.netty.channel.EventLoop;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.logging.Logger;
+import kelphollow.decision.Control;
+import kelphollow.fleet.Events;
+import kelphollow.fleet.Fleet;
+import kelphollow.ledger.Ledger;
+import kelphollow.ledger.NodeRecords;
+import kelphollow.protocol.object.ObjectBackend;
+import kelphollow.protocol.object.ObjectFront;
+import kelphollow.protocol.xds.XdsPoll;
+import kelphollow.recovery.LimitRecovery;
+import kelphollow.routing.EndpointSource;
+import kelphollow.routing.RequestRouter;
+import kelphollow.routing.ResolvedEndpoint;
+import kelphollow.routing.Ticker;
+import kelphollow.store.StoreFault;
+import kelphollow.transport.Pools;
+import kelphollow.transport.HttpCall;
+
+/** The gateway of the object API, with its store and its place in a fleet if it has them. */
+final class ObjectScheduler extends Scheduler {
+    private static final Logger LOG = Logger.getLogger(ObjectScheduler.class.getName());
+    /** How this program names itself to xDS servers. */
+    private static final String USER_AGENT = "kelphollow";
+
+    /** Null if nothing outlives the process. */
+    private Ledger ledger;
+    private NodeRecords endpointRecords;
+    /** Null if the instance is in no fleet. */
+    private Fleet fleet;
+
+    private ObjectScheduler(ObjectConfig config, EventLoop loop, Ticker ticker) {
+        super(loop, ticker, config.sockets(), ShutdownSchedule.GATEWAY);
+    }
+
+    /**
+     * Opens the store, wires a gateway and takes its place in the fleet; blocks until that is done, on a thread other than
+     * the loop's. It serves once it {@link #listen listens}.
+     *
+     * @throws ConfigurationException if the store or the fleet's address cannot be used
+     */
+    static ObjectScheduler start(ObjectConfig config, EventLoop loop, Ticker ticker) throws ConfigurationException {
+        ObjectScheduler scheduler = new ObjectScheduler(config, loop, ticker);
+        scheduler.ledger = config.store() == null ? null : config.store().open(loop, ticker);
+        boolean started = false;
+        try {
+            scheduler.start(config);
+            started = true;
+            return scheduler;
+        } catch (IOException | StoreFault e) {
+            throw ConfigurationException.failed("store.folders", e.getMessage());
+        } catch (InterruptedException | RuntimeException e) {
+            throw new IllegalStateException(e);
+        } finally {
+            if (!started) {
+                scheduler.close();
+            }
+        }
+    }
+
+    private void start(ObjectConfig config) throws ConfigurationException, IOException, StoreFault, InterruptedException {
+        endpointRecords = ledger == null ? null : ledger.nodes();
+        List<ResolvedEndpoint> cached = endpointRecords == null ? List.of() : cachedEndpoints(config);
+        Map<String, Double> limits = ledger == null ? Map.of() : recoveredLimits(config);
+        loop().submit(() -> {
+            wire(config, cached, limits);
+            return null;
+        }).sync();
+        if (config.fleet() != null) {
+            joinFleet(config);
+        }
+    }
+
+    /** The endpoint list that an earlier incarnation stored, as far as its age allows. */
+    private List<ResolvedEndpoint> cachedEndpoints(ObjectConfig config) throws IOException, StoreFault {
+        double now = ticker().now();
+        NodeRecords.Saved saved = endpointRecords.read();
+        if (saved == null || config.cluster() instanceof ClusterConfig.Inline) {
+            return List.of();
+        }
+        List<ResolvedEndpoint> usable = NodeRecords.usable(saved, now, config.store().endpointsExpire());
+        LOG.info(() -> "starts from a node list " + (long) ((now - saved.at()) / 1000) + " s old: " + usable.size()
+            + " of its " + saved.members().size() + " nodes are used");
+        return usable;
+    }
+
+    private Map<String, Double> recoveredLimits(ObjectConfig config) throws IOException, StoreFault {
+        double now = ticker().now();
+        Map<String, LimitRecovery.Saved> saved = ledger.limits().take();
+        Map<String, Double> tokens = new HashMap<>();
+        config.options().buckets().forEach((name, bucket) -> config.settings().plans().stream()
+            .filter(plan -> plan.name().equals(bucket.plan()) && plan.limitRate() > 0)
+            .forEach(plan -> tokens.put(name, LimitRecovery.level(saved.get(name), 1.0 / bucket.gateways(),
+                plan.limitRate(), plan.limitBurst(), plan.limitSlack(), now))));
+        return tokens;
+    }
+
+    private void wire(ObjectConfig config, List<ResolvedEndpoint> cached, Map<String, Double> limits)
+        throws IOException, StoreFault {
+        Pools pools = new Pools(loop(), ticker(),
+            new Pools.Limits(config.dialTimeout(), config.idleTime(), nodeSockets(config.sockets())), ObjectBackend::codec);
+        RequestRouter router = new RequestRouter(new Control(config.settings(), config.seed(), ticker().now()), ticker(),
+            new ObjectBackend(pools, ticker(), config.stallTimeout()));
+        EndpointSource source = () -> {};
+        if (config.cluster() instanceof ClusterConfig.Polled polled) {
+            router.learn(cached, true, true);
+            source = poll(config, polled, router);
+        } else if (config.cluster() instanceof ClusterConfig.Inline inline) {
+            router.learn(inline.endpoints(), true, false);
+        }
+        router.start(source, false);   // xDS by REST must be polled, whatever the settings say of the platform's list
+        router.restoreLimits(limits);
+        wired(router, new ObjectFront(router, ticker(), config.options(), ledger));
+    }
+
+    private XdsPoll poll(ObjectConfig config, ClusterConfig.Polled polled, RequestRouter router) {
+        XdsPoll.Query query = new XdsPoll.Query(Addresses.text(polled.server()), polled.cluster(), config.options().cells(),
+            config.name(), USER_AGENT, polled.refreshInterval());
+        return new XdsPoll(new HttpCall(loop(), ticker(), polled.server()), ticker(), router, query, this::store);
+    }
+
+    private void store(List<ResolvedEndpoint> endpoints) {
+        if (endpointRecords != null) {
+            endpointRecords.told(endpoints, ticker().now());
+        }
+    }
+
+    /** Takes this instance's place in its fleet, under the number of its incarnation in the store. */
+    private void joinFleet(ObjectConfig config) throws ConfigurationException, InterruptedException {
+        Events events = config.fleet().openEvents();
+        loop().submit(() -> {
+            fleet = new Fleet(config.fleet().options(), config.settings(), ledger.epoch(), loop(), ticker(), router(),
+                new Random(config.seed() ^ ledger.epoch()), events, ledger::keepAbove);
+        }).sync();
+        try {
+            InetSocketAddress at = fleet.line().listen(config.fleet().options().listen());
+            LOG.info(() -> "in a fleet at " + Addresses.text(at));
+        } catch (IOException e) {
+            throw new ConfigurationException(e.getMessage());
+        }
+        loop().submit(fleet::start).sync();
+    }
+
+    /** Follows a new configuration in where the endpoints come from: they are read or polled anew. */
+    void reload(ObjectConfig config) {
+        loop().execute(() -> {
+            if (config.cluster() instanceof ClusterConfig.Inline inline) {
+                router().follow(() -> {}, false);
+                router().learn(inline.endpoints(), true, false);
+            } else if (config.cluster() instanceof ClusterConfig.Polled polled) {
+                router().follow(poll(config, polled, router()), false);
+            }
+        });
+    }
+
+    /** What outlives this process, or null. */
+    Ledger ledger() {
+        return ledger;
+    }
+
+    @Override String fleetStatus() {
+        return fleet == null ? null : fleet.status();
+    }
+
+    @Override void shutdownStarted() {
+        if (fleet != null) {
+            fleet.leave();
+        }
+    }
+
+    @Override void end() {
+        if (ledger != null) {
+            loop().submit(() -> ledger.limits().end(router().limitTokens(), ticker().now())).syncUninterruptibly();
+        }
+        close();
+    }
+
+    @Override void close() {
+        if (ledger != null) {
+            ledger.close();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/kelphollow/program/PlatformScheduler.java
@@ -0,0 +1,118 @@
+package kelphollow.program;
+
+import io.netty.channel.EventLoop;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.Random;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import kelphollow.decision.Control;
+import kelphollow.decision.ControlSettings;
+import kelphollow.decision.EndpointListLease;
+import kelphollow.protocol.discovery.DiscoveryWatch;
+import kelphollow.protocol.resp.RespBackend;
+import kelphollow.protocol.resp.RespFront;
+import kelphollow.retune.SettingsReload;
+import kelphollow.routing.EndpointUpdateBudget;
+import kelphollow.routing.RequestRouter;
+import kelphollow.routing.Ticker;
+import kelphollow.transport.HttpCall;
+import kelphollow.transport.Pools;
+
+/** The scheduler of the platform; whoever had its name before has ended by now. */
+final class PlatformScheduler extends Scheduler {
+    /** Its versions have nothing to do with those of another discovery service: the complete list is requested. */
+    private static final long NO_VERSION = -1;
+
+    private final Random discoveryRandom;
+    /** Discovery has reported its list, or a call to it has failed. */
+    private final CountDownLatch firstResponse = new CountDownLatch(1);
+    private RespFront front;
+    private InetSocketAddress discovery;
+    private boolean pushed;
+    /** The classes and attempts that bind once what was read last has settled. */
+    private SettingsReload.Tuning tuning;
+    private Ticker.Timeout settling;
+
+    private PlatformScheduler(PlatformConfig config, EventLoop loop, Ticker ticker) {
+        super(loop, ticker, config.sockets(), ShutdownSchedule.platform(config.settings()));
+        this.discoveryRandom = new Random(config.seed());
+    }
+
+    /** Wires a scheduler and asks discovery; blocks until that is done. It serves once it {@link #listen listens}. */
+    static PlatformScheduler start(PlatformConfig config, EventLoop loop, Ticker ticker) {
+        PlatformScheduler scheduler = new PlatformScheduler(config, loop, ticker);
+        loop.submit(() -> scheduler.wire(config)).syncUninterruptibly();
+        return scheduler;
+    }
+
+    private void wire(PlatformConfig config) {
+        ControlSettings settings = config.settings();
+        Pools pools = new Pools(loop(), ticker(),
+            new Pools.Limits(config.dialTimeout(), config.idleTime(), nodeSockets(config.sockets())), RespBackend::codec);
+        RequestRouter router = new RequestRouter(new Control(settings, config.seed(), ticker().now()), ticker(),
+            new RespBackend(pools, ticker()), lease(settings));
+        router.learn(config.known().members(), true, true);
+        router.onFirstResponse(firstResponse::countDown);
+        discovery = config.discovery();
+        pushed = !settings.endpointsPolled();
+        router.start(watch(router, config.known().version()), pushed);
+        front = new RespFront(router, ticker(), settings, clientSockets(config.sockets()));
+        tuning = tuning(settings);
+        wired(router, front);
+    }
+
+    /** On the platform the endpoint list binds by the terms of {@link EndpointUpdateBudget}. */
+    private static EndpointListLease lease(ControlSettings settings) {
+        return settings.endpointsPolled()
+            ? EndpointListLease.asked(EndpointUpdateBudget.TOLD_AFTER, EndpointUpdateBudget.OWN_LATENESS, settings.hosts())
+            : EndpointListLease.pushed(EndpointUpdateBudget.TOLD_AFTER, EndpointUpdateBudget.OWN_LATENESS);
+    }
+
+    private DiscoveryWatch watch(RequestRouter router, long version) {
+        return new DiscoveryWatch(new HttpCall(loop(), ticker(), discovery), ticker(), Addresses.text(discovery), router,
+            version, discoveryRandom);
+    }
+
+    private static SettingsReload.Tuning tuning(ControlSettings settings) {
+        return new SettingsReload.Tuning(settings.classes(), settings.maxAttempts());
+    }
+
+    /** Waits, on the caller's thread, for discovery's first response, so many milliseconds at most; false if none came. */
+    boolean awaitFirstResponse(long millis) throws InterruptedException {
+        return firstResponse.await(millis, TimeUnit.MILLISECONDS);
+    }
+
+    /**
+     * Follows a new configuration in what can change while requests are open: where the endpoints come from, and what the
+     * settings say of classes and attempts.
+     */
+    void reload(PlatformConfig config) {
+        loop().execute(() -> {
+            boolean nowPushed = !config.settings().endpointsPolled();
+            if (!config.discovery().equals(discovery) || nowPushed != pushed) {
+                discovery = config.discovery();
+                pushed = nowPushed;
+                router().follow(watch(router(), NO_VERSION), pushed);
+            }
+            reloadSettings(tuning(config.settings()));
+        });
+    }
+
+    /** The stricter blend of what holds and what comes at once, what comes alone after {@link SettingsReload#SETTLE_MS}. */
+    private void reloadSettings(SettingsReload.Tuning next) {
+        if (settling != null) {
+            settling.cancel();
+        }
+        List<SettingsReload.Step> steps = SettingsReload.plan(tuning, next, ticker().now());
+        SettingsReload.Step blend = steps.get(0);
+        SettingsReload.Step settled = steps.get(1);
+        router().retune(blend.classes(), blend.maxAttempts());
+        front.addClasses(blend.classes());
+        tuning = new SettingsReload.Tuning(settled.classes(), settled.maxAttempts());
+        settling = ticker().after(settled.at() - ticker().now(), () -> {
+            settling = null;
+            router().retune(settled.classes(), settled.maxAttempts());
+        });
+    }
+}
--- a/src/main/java/kelphollow/program/Scheduler.java
+++ b/src/main/java/kelphollow/program/Scheduler.java
@@ -1,315 +1,95 @@
 package kelphollow.program;
 
 import io.netty.channel.EventLoop;
-import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.HashMap;
-import java.util.List;
+import java.nio.channels.ServerSocketChannel;
 import java.util.Map;
-import java.util.Random;
-import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import java.util.logging.Logger;
-import kelphollow.decision.Control;
-import kelphollow.decision.ControlSettings;
-import kelphollow.decision.ControlSettings.RequestClass;
-import kelphollow.decision.EndpointListLease;
-import kelphollow.fleet.Events;
-import kelphollow.fleet.Fleet;
-import kelphollow.ledger.Ledger;
-import kelphollow.ledger.NodeRecords;
-import kelphollow.protocol.discovery.DiscoveryWatch;
-import kelphollow.protocol.object.ObjectBackend;
-import kelphollow.protocol.object.ObjectFront;
-import kelphollow.protocol.resp.RespBackend;
-import kelphollow.protocol.resp.RespFront;
-import kelphollow.protocol.xds.XdsPoll;
-import kelphollow.recovery.LimitRecovery;
-import kelphollow.retune.SettingsReload;
+import java.util.function.Function;
 import kelphollow.routing.RequestRouter;
-import kelphollow.routing.EndpointSource;
-import kelphollow.routing.EndpointUpdateBudget;
-import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.routing.Ticker;
-import kelphollow.store.StoreFault;
 import kelphollow.transport.Front;
-import kelphollow.transport.HttpCall;
-import kelphollow.transport.Pools;
 import kelphollow.transport.Server;
 
-/** One scheduler, wired: a front, the core with its module, a backend and a directory, all on one event loop. */
-final class Scheduler {
-    private static final Logger LOG = Logger.getLogger(Scheduler.class.getName());
-    // After SIGTERM new connections keep coming for up to 0.4 s; they are taken for a little longer than that.
-    private static final double LISTEN_ON = 450;
-    // The platform kills no sooner than the longest deadline, counted as 3 s where it is longer, and 0.7 s after SIGTERM.
-    private static final double LONGEST_COUNTED = 3_000;
-    private static final double KILLED_AFTER = 700;
-    // So long before that all has been answered, with time for what is slow on its way.
-    private static final double LAST_ANSWERS = 350;
-    // And so long before it connections that are owed nothing close. Clients keep using those they have for as long as
-    // they stay open and have no other scheduler: what would come later is lost to them, so even a short chance is taken.
-    private static final double LAST_REQUESTS = LAST_ANSWERS + 150;
-    // For so many milliseconds an end waits for the counters that it logs.
-    private static final long COUNTERS_MOST = 100;
+/**
+ * One scheduler: a front, the router with its decision module, a backend and a source of endpoints, all on one event loop.
+ * Its methods are for other threads than the loop's.
+ */
+abstract sealed class Scheduler permits PlatformScheduler, ObjectScheduler {
+    // In milliseconds.
+    private static final long COUNTERS_TIMEOUT = 100;
+
     private final EventLoop loop;
     private final Ticker ticker;
     private final Server server;
-    private final Random listRandom;
-    /** Discovery has told its list, or a call to it has failed. */
-    private final CountDownLatch firstResponse = new CountDownLatch(1);
+    private ShutdownSchedule shutdown;
     private Front front;
     private RequestRouter router;
-    private InetSocketAddress listAt;
-    private boolean pushed;
-    private Ledger ledger;
-    private NodeRecords nodes;
-    private double serveOn = LISTEN_ON, answerBy = Double.POSITIVE_INFINITY;
-    private volatile boolean inherited;
-    /** The classes and attempts that bind once what was read last has settled. */
-    private SettingsReload.Tuning tuning;
-    private Ticker.Timeout settling;
-    private Fleet fleet;
+    private volatile boolean hasInheritedSocket;
 
-    private Scheduler(EventLoop loop, Ticker ticker, int sockets, long seed) {
+    /** {@code sockets} are the descriptors that the program may use. */
+    Scheduler(EventLoop loop, Ticker ticker, int sockets, ShutdownSchedule shutdown) {
         this.loop = loop;
         this.ticker = ticker;
-        this.server = new Server(clients(sockets));
-        this.listRandom = new Random(seed);
+        this.server = new Server(clientSockets(sockets));
+        this.shutdown = shutdown;
     }
 
     /** Half of the descriptors are for clients, a third for nodes, the rest for what the program itself holds open. */
-    private static int clients(int sockets) {
+    static int clientSockets(int sockets) {
         return sockets / 2;
     }
 
-    private static int nodes(int sockets) {
+    static int nodeSockets(int sockets) {
         return sockets / 3;
     }
 
-    /** The scheduler of the platform; whoever had its name before has ended by now. */
-    static Scheduler of(Config config, EventLoop loop, Ticker ticker) {
-        Scheduler scheduler = new Scheduler(loop, ticker, config.sockets(), config.seed());
-        double killed = KILLED_AFTER + Math.min(LONGEST_COUNTED, config.settings().classes().stream()
-            .mapToDouble(RequestClass::deadline).max().orElse(0));
-        scheduler.serveOn = Math.max(LISTEN_ON, killed - LAST_REQUESTS);
-        scheduler.answerBy = killed - LAST_ANSWERS;
-        loop.submit(() -> {
-            Pools pools = new Pools(loop, ticker,
-                new Pools.Limits(config.dialTimeout(), config.idleTime(), nodes(config.sockets())), RespBackend::codec);
-            RequestRouter router = scheduler.router = new RequestRouter(
-                new Control(config.settings(), config.seed(), ticker.now()), ticker, new RespBackend(pools, ticker),
-                lease(config.settings()));
-            router.learn(config.known().members(), true, true);
-            router.onFirstResponse(scheduler.firstResponse::countDown);
-            scheduler.listAt = config.discovery();
-            scheduler.pushed = !config.settings().endpointsPolled();
-            router.start(scheduler.watch(config.discovery(), config.known().version()), scheduler.pushed);
-            scheduler.front = new RespFront(router, ticker, config.settings(), clients(config.sockets()));
-            scheduler.tuning = new SettingsReload.Tuning(config.settings().classes(), config.settings().maxAttempts());
-        }).syncUninterruptibly();
-        return scheduler;
-    }
-
-    /** On the platform the list binds by the terms of {@link EndpointUpdateBudget}. */
-    private static EndpointListLease lease(ControlSettings settings) {
-        return settings.endpointsPolled() ? EndpointListLease.asked(EndpointUpdateBudget.TOLD_AFTER,
-            EndpointUpdateBudget.OWN_LATENESS, settings.hosts())
-            : EndpointListLease.pushed(EndpointUpdateBudget.TOLD_AFTER, EndpointUpdateBudget.OWN_LATENESS);
-    }
-
-    /** The gateway of the object API. Its store, if it has one, is opened here and not on the event loop. */
-    static Scheduler of(ObjectConfig config, EventLoop loop, Ticker ticker) throws Config.Bad {
-        Scheduler scheduler = new Scheduler(loop, ticker, config.sockets(), config.seed());
-        Ledger ledger = scheduler.ledger = config.store() == null ? null : config.store().open(loop, ticker);
-        try {
-            NodeRecords nodes = scheduler.nodes = ledger == null ? null : ledger.nodes();
-            List<ResolvedEndpoint> known = nodes == null ? List.of() : kept(nodes, config, ticker.now());
-            Map<String, Double> limits = ledger == null ? Map.of() : limits(ledger, config, ticker.now());
-            loop.submit(() -> {
-                scheduler.wire(config, known, limits);
-                return null;
-            }).sync();
-            if (config.fleet() != null) {
-                scheduler.join(config);
-            }
-            return scheduler;
-        } catch (Exception e) {
-            scheduler.close();
-            if (e instanceof Config.Bad bad) {
-                throw bad;
-            }
-            if (e instanceof IOException || e instanceof StoreFault) {
-                throw new Config.Bad("store.folders: " + e.getMessage());
-            }
-            throw new IllegalStateException(e);
-        }
-    }
-
-    private void wire(ObjectConfig config, List<ResolvedEndpoint> known, Map<String, Double> limits)
-        throws IOException, StoreFault {
-        Pools pools = new Pools(loop, ticker,
-            new Pools.Limits(config.dialTimeout(), config.idleTime(), nodes(config.sockets())), ObjectBackend::codec);
-        router = new RequestRouter(new Control(config.settings(), config.seed(), ticker.now()), ticker,
-            new ObjectBackend(pools, ticker, config.stall()));
-        ObjectConfig.Xds xds = config.xds();
-        EndpointSource directory = () -> {};
-        if (xds.server() == null) {
-            router.learn(xds.inline(), true, false);
-        } else {
-            router.learn(known, true, true);
-            directory = poll(config);
-        }
-        router.start(directory, false);   // xDS by REST must be asked, whatever the settings say of the platform's list
-        router.restoreLimits(limits);
-        front = new ObjectFront(router, ticker, config.options(), ledger);
-    }
-
-    /** Takes this instance's place in its fleet, under the number of its life in the store. */
-    private void join(ObjectConfig config) throws Config.Bad, InterruptedException {
-        Events events = config.fleet().openEvents();
-        loop.submit(() -> {
-            fleet = new Fleet(config.fleet().options(), config.settings(), ledger.epoch(), loop, ticker, router,
-                new java.util.Random(config.seed() ^ ledger.epoch()), events, ledger::keepAbove);
-        }).sync();
-        try {
-            InetSocketAddress at = fleet.line().listen(config.fleet().options().listen());
-            LOG.info(() -> "in a fleet at " + text(at));
-        } catch (IOException e) {
-            throw new Config.Bad(e.getMessage());
-        }
-        loop.submit(fleet::start).sync();
-    }
-
-    /** What {@code fleet status} shows, or null without a fleet; on the loop. */
-    String fleetStatus() {
-        return fleet == null ? null : fleet.status();
-    }
-
-    /** The node list that the life before kept, as far as its age allows. */
-    private static List<ResolvedEndpoint> kept(NodeRecords nodes, ObjectConfig config, double now) throws IOException,
-        StoreFault {
-        NodeRecords.Saved saved = nodes.read();
-        if (saved == null || config.xds().server() == null) {
-            return List.of();
-        }
-        List<ResolvedEndpoint> usable = NodeRecords.usable(saved, now, config.store().listExpires());
-        LOG.info(() -> "starts from a node list " + (long) ((now - saved.at()) / 1000) + " s old: " + usable.size()
-            + " of its " + saved.members().size() + " nodes are used");
-        return usable;
+    /** Sets the parts once they are wired, on the loop and before anybody listens. */
+    final void wired(RequestRouter wiredRouter, Front wiredFront) {
+        router = wiredRouter;
+        front = wiredFront;
     }
 
-    private static Map<String, Double> limits(Ledger ledger, ObjectConfig config, double now)
-        throws IOException, StoreFault {
-        Map<String, LimitRecovery.Saved> saved = ledger.limits().take();
-        Map<String, Double> levels = new HashMap<>();
-        config.options().buckets().forEach((name, bucket) -> config.settings().plans().stream()
-            .filter(p -> p.name().equals(bucket.plan()) && p.limitRate() > 0)
-            .forEach(p -> levels.put(name, LimitRecovery.level(saved.get(name), 1.0 / bucket.hosts(), p.limitRate(),
-                p.limitBurst(), p.limitSlack(), now))));
-        return levels;
+    final EventLoop loop() {
+        return loop;
     }
 
-    /** What outlives this process, or null. */
-    Ledger ledger() {
-        return ledger;
+    final Ticker ticker() {
+        return ticker;
     }
 
-    /** What became of requests and attempts, for the log; on any thread but the loop's. */
-    String counters() {
-        try {
-            return onLoop(RequestRouter::counters).get(COUNTERS_MOST, TimeUnit.MILLISECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            return "requests: not counted";
-        } catch (ExecutionException | TimeoutException e) {
-            return "requests: not counted: " + e;
-        }
-    }
-
-    /** After everybody has left: what must outlive the end is written, and the folders are let go. */
-    void end() {
-        if (ledger != null) {
-            loop.submit(() -> ledger.limits().end(router.limitTokens(), ticker.now())).syncUninterruptibly();
-        }
-        close();
-    }
-
-    /** Lets the store go without a word on what was spent. */
-    void close() {
-        if (ledger != null) {
-            ledger.close();
-        }
-    }
-
-    private DiscoveryWatch watch(InetSocketAddress discovery, long version) {
-        return new DiscoveryWatch(new HttpCall(loop, ticker, discovery), ticker, text(discovery), router, version,
-            listRandom);
-    }
-
-    private void keep(List<ResolvedEndpoint> members) {
-        if (nodes != null) {
-            nodes.told(members, ticker.now());
-        }
+    final RequestRouter router() {
+        return router;
     }
 
-    private XdsPoll poll(ObjectConfig config) {
-        ObjectConfig.Xds xds = config.xds();
-        return new XdsPoll(new HttpCall(loop, ticker, xds.server()), ticker, router, new XdsPoll.Query(text(xds.server()),
-            xds.cluster(), config.options().shards(), config.name(), "kelphollow", xds.refresh()), this::keep);
+    /** Accepts clients from the socket that the platform handed down; nothing new is accepted at once on leaving. */
+    final InetSocketAddress listen(ServerSocketChannel inherited) {
+        shutdown = shutdown.acceptingNothing();
+        hasInheritedSocket = true;
+        return server.listen(loop, inherited, front);
     }
 
-    /**
-     * Follows a new configuration in what can change while requests are open: where the node list comes from. The
-     * new service is asked for the whole list, since its versions have nothing to do with those of the old one.
-     */
-    void reload(Config config) {
-        loop.execute(() -> {
-            boolean nowPushed = !config.settings().endpointsPolled();
-            if (!config.discovery().equals(listAt) || nowPushed != pushed) {
-                listAt = config.discovery();
-                pushed = nowPushed;
-                router.follow(watch(listAt, -1), pushed);
-            }
-            retune(new SettingsReload.Tuning(config.settings().classes(), config.settings().maxAttempts()));
-        });
+    /** Listens; returns the address with the port that was given. */
+    final InetSocketAddress listen(InetSocketAddress address) {
+        return server.listen(loop, address, front);
     }
 
-    /** The stricter blend of what holds and what comes at once, what comes alone after {@link SettingsReload#SETTLE_MS}. */
-    private void retune(SettingsReload.Tuning next) {
-        if (settling != null) {
-            settling.cancel();
-        }
-        List<SettingsReload.Step> steps = SettingsReload.plan(tuning, next, ticker.now());
-        SettingsReload.Step first = steps.get(0), then = steps.get(1);
-        router.retune(first.classes(), first.maxAttempts());
-        if (front instanceof RespFront resp) {
-            resp.know(first.classes());
-        }
-        tuning = new SettingsReload.Tuning(then.classes(), then.maxAttempts());
-        settling = ticker.after(then.at() - ticker.now(), () -> {
-            settling = null;
-            router.retune(then.classes(), then.maxAttempts());
-        });
+    /** Whether clients come through a socket that the platform handed down. */
+    final boolean hasInheritedSocket() {
+        return hasInheritedSocket;
     }
 
-    /** The same for the object API: the cluster is read or asked for anew. */
-    void reload(ObjectConfig config) {
-        loop.execute(() -> {
-            if (config.xds().server() == null) {
-                router.follow(() -> {}, false);
-                router.learn(config.xds().inline(), true, false);
-            } else {
-                router.follow(poll(config), false);
-            }
-        });
+    /** What the process before left of volumes' limits; before the first request. */
+    final void restoreLimits(Map<String, Double> tokens) {
+        loop.submit(() -> router.restoreLimits(tokens)).syncUninterruptibly();
     }
 
-    /** Runs the step on the loop that owns the core; its result comes when it has run. */
-    <T> java.util.concurrent.CompletableFuture<T> onLoop(java.util.function.Function<RequestRouter, T> step) {
-        java.util.concurrent.CompletableFuture<T> result = new java.util.concurrent.CompletableFuture<>();
+    /** Runs the step on the loop that owns the router; its result comes when it has run. */
+    final <T> CompletableFuture<T> onLoop(Function<RequestRouter, T> step) {
+        CompletableFuture<T> result = new CompletableFuture<>();
         loop.execute(() -> {
             try {
                 result.complete(step.apply(router));
@@ -320,64 +100,57 @@
         return result;
     }
 
-    /** What the process before left of volumes' limits; before the first request. */
-    void restoreLimits(Map<String, Double> levels) {
-        loop.submit(() -> router.restoreLimits(levels)).syncUninterruptibly();
-    }
-
-    /** Whether clients come through a socket that the platform handed down. */
-    boolean inherited() {
-        return inherited;
-    }
-
-    /** Whether discovery has said anything since the start; safe from any thread. */
-    boolean hasReceivedEndpoints() {
+    /** Whether the source of endpoints has responded since the start; safe from any thread. */
+    final boolean hasReceivedEndpoints() {
         return router != null && router.hasReceivedEndpoints();
     }
 
-    /** Waits, on the caller's thread, for discovery's first word, so many milliseconds at most; false if none came. */
-    boolean awaitList(long most) throws InterruptedException {
-        return firstResponse.await(most, TimeUnit.MILLISECONDS);
-    }
-
-    /** Takes clients from the socket that the platform handed down; nothing new is taken at once on leaving. */
-    InetSocketAddress listen(java.nio.channels.ServerSocketChannel inherited) {
-        serveOn = 0;
-        this.inherited = true;
-        return server.listen(loop, inherited, front);
-    }
-
-    /** Listens; returns the address with the port that was given. */
-    InetSocketAddress listen(InetSocketAddress address) {
-        return server.listen(loop, address, front);
+    /** What became of requests and attempts, for the log. */
+    final String counters() {
+        try {
+            return onLoop(RequestRouter::counters).get(COUNTERS_TIMEOUT, TimeUnit.MILLISECONDS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+            return "requests: not counted";
+        } catch (ExecutionException | TimeoutException e) {
+            return "requests: not counted: " + e;
+        }
     }
 
     /**
-     * Takes new connections a little longer, answers all that was taken, then runs the task. The platform's clients
-     * have no other scheduler and go on using the connections they have: those are served for as long as there is
-     * time, since what they ask after the last one was closed is lost to them.
+     * Accepts new connections a little longer, answers all that was taken, then runs the task. The platform's clients have
+     * no other scheduler and go on using the connections they have: those are served for as long as there is time, since
+     * what they request after the last one was closed is lost to them.
      */
-    void leave(Runnable whenLeft) {
+    final void leave(Runnable whenLeft) {
         loop.execute(() -> {
-            if (fleet != null) {
-                fleet.leave();
-            }
-            if (answerBy < Double.POSITIVE_INFINITY) {
-                router.leave(ticker.now() + answerBy);
+            shutdownStarted();
+            if (shutdown.answerWithin() < Double.POSITIVE_INFINITY) {
+                router.leave(ticker.now() + shutdown.answerWithin());
             }
-            ticker.after(serveOn, () -> {
+            ticker.after(shutdown.acceptFor(), () -> {
                 server.stop();
                 front.leave(whenLeft);
             });
         });
     }
 
-    /** How long leaving takes until nothing new is taken. */
-    double serveOn() {
-        return serveOn;
+    /** How long leaving takes until nothing new is accepted, in milliseconds. */
+    final double acceptsFor() {
+        return shutdown.acceptFor();
     }
 
-    static String text(InetSocketAddress address) {
-        return address.getHostString() + ":" + address.getPort();
+    /** Leaving has begun; on the loop. */
+    void shutdownStarted() {}
+
+    /** What {@code fleet status} shows, or null without a fleet; on the loop. */
+    String fleetStatus() {
+        return null;
     }
+
+    /** After everybody has left: what must outlive the end is written, and its files are let go. */
+    void end() {}
+
+    /** Lets the files go without a word on what was spent. */
+    void close() {}
 }
--- a/src/main/java/kelphollow/program/StoreConfig.java
+++ b/src/main/java/kelphollow/program/StoreConfig.java
@@ -1,10 +1,9 @@
 package kelphollow.program;
 
 import java.io.IOException;
-import java.nio.file.InvalidPathException;
+import java.nio.file.FileSystemException;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.Executor;
 import java.util.logging.Level;
 import java.util.logging.Logger;
@@ -19,64 +18,66 @@
 /**
  * The {@code store} object of an operator's file, checked and with its defaults. Sizes in bytes.
  *
- * @param listExpires a kept node list is used up to this age, in milliseconds
+ * @param first folder of the first copy
+ * @param second folder of the second copy
+ * @param endpointsExpire a cached endpoint list is used up to this age, in milliseconds
  */
-record StoreConfig(Path first, Path second, StoreOptions options, double listExpires) {
+record StoreConfig(Path first, Path second, StoreOptions options, double endpointsExpire) {
     private static final Logger LOG = Logger.getLogger(StoreConfig.class.getName());
-    private static final long HOUR = 3_600_000;
-    private static final double LIST_EXPIRES = 3_600_000;
+    private static final long MILLIS_PER_HOUR = 3_600_000;
+    private static final double ENDPOINTS_EXPIRE = 3_600_000;
+    private static final long MAX_SCRUB_HOURS = 24 * 366;
+    private static final long MIN_SEGMENT_BYTES = 4096;
+    private static final long MAX_SEGMENT_BYTES = 1 << 30;
+    private static final long MIN_BATCH_BYTES = 256;
+    private static final long MAX_BATCH_BYTES = 256 << 20;
+    private static final long MIN_COMPACT_BYTES = 4096;
+    private static final long MAX_BYTES = 1L << 40;
 
-    /** Null where the file has no such object: nothing is kept then. */
-    static StoreConfig read(Map<?, ?> json) throws Config.Bad {
-        if (json.get("store") == null) {
+    /** Reads it from the whole file; null where the file has no such object: nothing is stored then. */
+    static StoreConfig read(ConfigSection json) throws ConfigurationException {
+        if (!json.has("store")) {
             return null;
         }
-        Map<?, ?> store = Config.object(json, "store");
-        Config.known(store, "store.", "folders", "segment_bytes", "largest_batch", "queue_bytes",
-            "compact_bytes_per_second", "scrub_hours", "check_all", "list_expires_ms");
-        if (!(store.get("folders") instanceof List<?> folders) || folders.size() != 2) {
-            throw new Config.Bad("store.folders must be a list of two folders");
+        ConfigSection store = json.section("store");
+        store.allowOnly("folders", "segment_bytes", "largest_batch", "queue_bytes", "compact_bytes_per_second",
+            "scrub_hours", "check_all", "list_expires_ms");
+        if (!(store.value("folders") instanceof List<?> folders) || folders.size() != 2) {
+            throw new ConfigurationException("store.folders must be a list of two folders");
         }
-        Path first = folder(folders.get(0), 0), second = folder(folders.get(1), 1);
+        Path first = folder(folders, 0);
+        Path second = folder(folders, 1);
         if (first.equals(second)) {
-            throw new Config.Bad("store.folders[1] is the same as store.folders[0]: two copies need two folders");
+            throw new ConfigurationException(
+                "store.folders[1] is the same as store.folders[0]: two copies need two folders");
         }
-        if (store.get("check_all") != null && !(store.get("check_all") instanceof Boolean)) {
-            throw new Config.Bad("store.check_all must be true or false");
-        }
-        StoreOptions usual = StoreOptions.USUAL;
-        long largest = whole(store, "largest_batch", usual.largestBatch(), 256, 256 << 20);
-        StoreOptions options = new StoreOptions(whole(store, "segment_bytes", usual.segmentBytes(), 4096, 1 << 30),
-            (int) largest, whole(store, "queue_bytes", Math.max(largest, usual.queueBytes()), largest, 1L << 40),
-            usual.groupBytes(), whole(store, "compact_bytes_per_second", usual.compactBytesPerSecond(), 4096, 1L << 40),
-            whole(store, "scrub_hours", usual.scrubEvery() / HOUR, 0, 24 * 366) * HOUR,
-            Boolean.TRUE.equals(store.get("check_all")), false);
-        return new StoreConfig(first, second, options,
-            Config.number(store, "store.", "list_expires_ms", LIST_EXPIRES, 0));
+        boolean checkAll = store.flag("check_all", false);
+        StoreOptions options = options(store, checkAll);
+        return new StoreConfig(first, second, options, store.number("list_expires_ms", ENDPOINTS_EXPIRE, 0));
     }
 
-    private static long whole(Map<?, ?> store, String key, long absent, long least, long most) throws Config.Bad {
-        double value = Config.number(store, "store.", key, (double) absent, least);
-        if (value > most) {
-            throw new Config.Bad("store." + key + " must be at most " + most);
-        }
-        return (long) value;
+    private static StoreOptions options(ConfigSection store, boolean checkAll) throws ConfigurationException {
+        StoreOptions usual = StoreOptions.USUAL;
+        long largestBatch = store.integer("largest_batch", usual.largestBatch(), MIN_BATCH_BYTES, MAX_BATCH_BYTES);
+        return new StoreOptions(
+            store.integer("segment_bytes", usual.segmentBytes(), MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES), (int) largestBatch,
+            store.integer("queue_bytes", Math.max(largestBatch, usual.queueBytes()), largestBatch, MAX_BYTES),
+            usual.groupBytes(),
+            store.integer("compact_bytes_per_second", usual.compactBytesPerSecond(), MIN_COMPACT_BYTES, MAX_BYTES),
+            store.integer("scrub_hours", usual.scrubEvery() / MILLIS_PER_HOUR, 0, MAX_SCRUB_HOURS) * MILLIS_PER_HOUR,
+            checkAll, false);
     }
 
-    private static Path folder(Object told, int which) throws Config.Bad {
-        String key = "store.folders[" + which + "]";
-        if (!(told instanceof String text) || text.isEmpty()) {
-            throw new Config.Bad(key + " is not a text");
-        }
-        try {
-            return Path.of(text).toAbsolutePath().normalize();
-        } catch (InvalidPathException e) {
-            throw new Config.Bad(key + ": '" + text + "' is no path");
+    private static Path folder(List<?> folders, int index) throws ConfigurationException {
+        String key = "store.folders[" + index + "]";
+        if (!(folders.get(index) instanceof String text) || text.isEmpty()) {
+            throw ConfigurationException.notText(key);
         }
+        return ConfigSection.parsePath(text, key).toAbsolutePath().normalize();
     }
 
-    /** Opens the store and begins a life in it. What recovery found and repaired goes into the log. */
-    Ledger open(Executor loop, Ticker ticker) throws Config.Bad {
+    /** Opens the store and begins an incarnation in it. What recovery found and repaired goes into the log. */
+    Ledger open(Executor loop, Ticker ticker) throws ConfigurationException {
         try {
             Store store = Store.open(new FolderDisk(first), new FolderDisk(second), options,
                 () -> (long) ticker.now());
@@ -85,16 +86,16 @@
             }
             return Ledger.open(store, loop);
         } catch (StoreFault e) {
-            throw new Config.Bad("store.folders: " + e.getMessage() + (e.kind() == StoreFault.Kind.DAMAGED
-                ? "; see 'store verify' and 'store repair'" : ""));
+            throw ConfigurationException.failed("store.folders", e.getMessage()
+                + (e.kind() == StoreFault.Kind.DAMAGED ? "; see 'store verify' and 'store repair'" : ""));
         } catch (IOException e) {
-            throw new Config.Bad("store.folders: " + message(e));
+            throw ConfigurationException.failed("store.folders", message(e));
         }
     }
 
-    /** The system's word, with the file that it is about. */
-    static String message(IOException e) {
-        return e instanceof java.nio.file.FileSystemException f && f.getReason() == null
-            ? f.getFile() + ": " + e.getClass().getSimpleName().replace("Exception", "") : e.getMessage();
+    /** The system's message, with the file that it is about. */
+    static String message(IOException fault) {
+        return fault instanceof FileSystemException file && file.getReason() == null
+            ? file.getFile() + ": " + fault.getClass().getSimpleName().replace("Exception", "") : fault.getMessage();
     }
 }
--- a/src/main/java/kelphollow/protocol/json/Json.java
+++ b/src/main/java/kelphollow/protocol/json/Json.java
@@ -17,11 +17,12 @@
 
     private Json() {}
 
+    /** Reads a text that holds one value; numbers become doubles. */
     public static Object parse(String line) throws IOException {
-        try (JsonParser p = FACTORY.createParser(line)) {
-            p.nextToken();
-            Object value = read(p);
-            if (p.nextToken() != null) {
+        try (JsonParser parser = FACTORY.createParser(line)) {
+            parser.nextToken();
+            Object value = read(parser);
+            if (parser.nextToken() != null) {
                 throw new IOException("more than one value in the text");
             }
             return value;
@@ -29,48 +30,40 @@
     }
 
     /** Reads the value that begins at the parser's token, whatever format it parses; numbers become doubles. */
-    public static Object read(JsonParser p) throws IOException {
-        JsonToken token = p.currentToken();
+    public static Object read(JsonParser parser) throws IOException {
+        JsonToken token = parser.currentToken();
         if (token == null) {
             throw new IOException("the text holds no value");
         }
-        switch (token) {
-            case START_OBJECT -> {
-                Map<String, Object> map = new LinkedHashMap<>();
-                while (p.nextToken() != JsonToken.END_OBJECT) {
-                    String name = p.currentName();
-                    p.nextToken();
-                    map.put(name, read(p));
-                }
-                return map;
-            }
-            case START_ARRAY -> {
-                List<Object> list = new ArrayList<>();
-                while (p.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(read(p));
-                }
-                return list;
-            }
-            case VALUE_STRING -> {
-                return p.getText();
-            }
-            case VALUE_EMBEDDED_OBJECT -> {
-                return p.getBinaryValue();
-            }
-            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> {
-                return p.getDoubleValue();
-            }
-            case VALUE_TRUE -> {
-                return Boolean.TRUE;
-            }
-            case VALUE_FALSE -> {
-                return Boolean.FALSE;
-            }
-            case VALUE_NULL -> {
-                return null;
-            }
+        return switch (token) {
+            case START_OBJECT -> readObject(parser);
+            case START_ARRAY -> readArray(parser);
+            case VALUE_STRING -> parser.getText();
+            case VALUE_EMBEDDED_OBJECT -> parser.getBinaryValue();
+            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
+            case VALUE_TRUE -> Boolean.TRUE;
+            case VALUE_FALSE -> Boolean.FALSE;
+            case VALUE_NULL -> null;
             default -> throw new IOException("unexpected " + token);
+        };
+    }
+
+    private static Map<String, Object> readObject(JsonParser parser) throws IOException {
+        Map<String, Object> map = new LinkedHashMap<>();
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
+            map.put(name, read(parser));
+        }
+        return map;
+    }
+
+    private static List<Object> readArray(JsonParser parser) throws IOException {
+        List<Object> list = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            list.add(read(parser));
         }
+        return list;
     }
 
     /** Any value of maps, lists, texts, numbers and booleans as JSON on one line. */
@@ -87,9 +80,9 @@
     private static void write(Object value, JsonGenerator out) throws IOException {
         if (value instanceof Map<?, ?> map) {
             out.writeStartObject();
-            for (Map.Entry<?, ?> e : map.entrySet()) {
-                out.writeFieldName(String.valueOf(e.getKey()));
-                write(e.getValue(), out);
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                out.writeFieldName(String.valueOf(entry.getKey()));
+                write(entry.getValue(), out);
             }
             out.writeEndObject();
         } else if (value instanceof Iterable<?> list) {
@@ -98,12 +91,12 @@
                 write(item, out);
             }
             out.writeEndArray();
-        } else if (value instanceof Boolean b) {
-            out.writeBoolean(b);
+        } else if (value instanceof Boolean flag) {
+            out.writeBoolean(flag);
         } else if (value instanceof Integer || value instanceof Long) {
             out.writeNumber(((Number) value).longValue());
-        } else if (value instanceof Number n) {
-            out.writeNumber(n.doubleValue());
+        } else if (value instanceof Number number) {
+            out.writeNumber(number.doubleValue());
         } else if (value == null) {
             out.writeNull();
         } else {
--- a/src/main/java/kelphollow/protocol/mgmt/MgmtLine.java
+++ b/src/main/java/kelphollow/protocol/mgmt/MgmtLine.java
@@ -6,47 +6,72 @@
 /** One line of the management protocol, read strictly: a verb, its arguments, printable ASCII only. */
 public sealed interface MgmtLine {
     /** Longest line, in bytes without its end; a longer one is answered {@code NAK} and the connection closed. */
-    int LONGEST = 256;
+    int MAX_LENGTH = 256;
 
-    /** What a call asks for. */
-    enum Verb { STATUS, MAINT_ON, MAINT_OFF, FLEET_STATUS }
+    /** What a call asks for, with its word on the line. */
+    enum Verb {
+        /** Whether the instance is ready. */
+        STATUS("status"),
+        /** Takes a node into maintenance: nothing is sent to it. */
+        MAINTENANCE_ON("maint-on"),
+        /** Ends the maintenance of a node. */
+        MAINTENANCE_OFF("maint-off"),
+        /** How the instance sees the fleet; {@code status} is the only argument. */
+        FLEET_STATUS("fleet");
+
+        private final String word;
+
+        Verb(String word) {
+            this.word = word;
+        }
+
+        private static Verb of(String word) {
+            for (Verb verb : values()) {
+                if (verb.word.equals(word)) {
+                    return verb;
+                }
+            }
+            return null;
+        }
+    }
 
     /** A call that can be carried out. {@code node} is null where none is named. */
     record Call(Verb verb, String node) implements MgmtLine {}
 
     /** A line that is no call; {@code reason} goes behind {@code NAK}. */
-    record Bad(String reason) implements MgmtLine {}
+    record Invalid(String reason) implements MgmtLine {}
 
     /** Reads one line, its end already taken off. */
     static MgmtLine parse(byte[] line) {
-        for (byte b : line) {
-            if (b < 0x20 || b > 0x7e) {
-                return new Bad("the line holds bytes that are not printable text");
+        for (byte character : line) {
+            if (character < ' ' || character > '~') {
+                return new Invalid("the line holds bytes that are not printable text");
             }
         }
         String text = new String(line, StandardCharsets.US_ASCII).strip();
         if (text.isEmpty()) {
-            return new Bad("empty line");
+            return new Invalid("empty line");
         }
         String[] words = text.split(" +");
-        return switch (words[0]) {
-            case "status" -> words.length == 1 ? new Call(Verb.STATUS, null) : new Bad("status takes no argument");
-            case "fleet" -> words.length == 2 && words[1].equals("status") ? new Call(Verb.FLEET_STATUS, null)
-                : new Bad("fleet takes one word: status");
-            case "maint-on" -> node(Verb.MAINT_ON, words);
-            case "maint-off" -> node(Verb.MAINT_OFF, words);
-            default -> new Bad("unknown call '" + shortened(words[0])
+        Verb verb = Verb.of(words[0]);
+        if (verb == null) {
+            return new Invalid("unknown call '" + shortened(words[0])
                 + "'; known: status, maint-on ID, maint-off ID, fleet status");
+        }
+        return switch (verb) {
+            case STATUS -> words.length == 1 ? new Call(verb, null) : new Invalid("status takes no argument");
+            case FLEET_STATUS -> words.length == 2 && words[1].equals(Verb.STATUS.word) ? new Call(verb, null)
+                : new Invalid("fleet takes one word: status");
+            case MAINTENANCE_ON, MAINTENANCE_OFF -> maintenance(verb, words);
         };
     }
 
-    private static MgmtLine node(Verb verb, String[] words) {
-        String name = verb == Verb.MAINT_ON ? "maint-on" : "maint-off";
+    private static MgmtLine maintenance(Verb verb, String[] words) {
         if (words.length != 2) {
-            return new Bad(name + " takes one storage node's id");
+            return new Invalid(verb.word + " takes one storage node's id");
         }
-        return MaintenanceSet.validId(words[1]) ? new Call(verb, words[1]) : new Bad("'" + shortened(words[1])
-            + "' is no id");
+        return MaintenanceSet.validId(words[1]) ? new Call(verb, words[1])
+            : new Invalid("'" + shortened(words[1]) + "' is no id");
     }
 
     private static String shortened(String word) {
--- a/src/main/java/kelphollow/protocol/mgmt/MgmtServer.java
+++ b/src/main/java/kelphollow/protocol/mgmt/MgmtServer.java
@@ -28,21 +28,23 @@
  * {@code NAK reason}, then is closed. Runs on an event loop of its own, never on the scheduler's.
  */
 public final class MgmtServer {
-    /** Seconds a connection may stand without a whole line. */
-    public static final int PATIENCE_SECONDS = 5;
-    /** Connections held at once; when all are taken the oldest is closed. */
-    public static final int MOST_CONNECTIONS = 64;
+    /** How long a connection may take to bring a complete line, in seconds. */
+    public static final int READ_TIMEOUT_SECONDS = 5;
+    /** Connections open at once; one more closes the oldest. */
+    public static final int MAX_CONNECTIONS = 64;
 
     /** What carries out the calls; the answer is the whole line without its end. */
     public interface Calls {
+        /** Carries out a call, on the loop of the server; a failure's message goes behind {@code NAK}. */
         CompletionStage<String> call(MgmtLine.Call call);
     }
 
     private final EventLoop loop;
     private final Calls calls;
-    private final ArrayDeque<Channel> held = new ArrayDeque<>();
+    private final ArrayDeque<Channel> open = new ArrayDeque<>();
     private Channel listener;
 
+    /** A server whose connections live on this loop. */
     public MgmtServer(EventLoop loop, Calls calls) {
         this.loop = loop;
         this.calls = calls;
@@ -55,19 +57,24 @@
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override protected void initChannel(Channel channel) {
-                    if (held.size() >= MOST_CONNECTIONS) {
-                        held.poll().close();
-                    }
-                    held.add(channel);
-                    channel.closeFuture().addListener(closed -> held.remove(channel));
-                    channel.pipeline().addLast(new ReadTimeoutHandler(PATIENCE_SECONDS, TimeUnit.SECONDS),
-                        new LineBasedFrameDecoder(MgmtLine.LONGEST, true, true), new OneLine());
+                    accept(channel);
                 }
             })
             .bind(address).syncUninterruptibly().channel();
         return (InetSocketAddress) listener.localAddress();
     }
 
+    private void accept(Channel channel) {
+        if (open.size() >= MAX_CONNECTIONS) {
+            open.poll().close();
+        }
+        open.add(channel);
+        channel.closeFuture().addListener(closed -> open.remove(channel));
+        channel.pipeline().addLast(new ReadTimeoutHandler(READ_TIMEOUT_SECONDS, TimeUnit.SECONDS),
+            new LineBasedFrameDecoder(MgmtLine.MAX_LENGTH, true, true), new OneLine());
+    }
+
+    /** Closes the socket; blocks until it is closed. */
     public void stop() {
         if (listener != null) {
             listener.close().syncUninterruptibly();
@@ -84,8 +91,8 @@
             }
             called = true;
             MgmtLine line = MgmtLine.parse(ByteBufUtil.getBytes(frame));
-            if (line instanceof MgmtLine.Bad bad) {
-                answer(context, "NAK " + bad.reason());
+            if (line instanceof MgmtLine.Invalid invalid) {
+                answer(context, "NAK " + invalid.reason());
                 return;
             }
             calls.call((MgmtLine.Call) line).whenComplete(
@@ -100,10 +107,10 @@
                 context.close();
             } else if (cause instanceof TooLongFrameException) {
                 called = true;
-                answer(context, "NAK the line is longer than " + MgmtLine.LONGEST + " bytes");
+                answer(context, "NAK the line is longer than " + MgmtLine.MAX_LENGTH + " bytes");
             } else if (cause instanceof ReadTimeoutException) {
                 called = true;
-                answer(context, "NAK no whole line in " + PATIENCE_SECONDS + " s");
+                answer(context, "NAK no whole line in " + READ_TIMEOUT_SECONDS + " s");
             } else {
                 context.close();
             }
--- /dev/null
+++ b/src/main/java/kelphollow/protocol/object/CompletionForwarding.java
@@ -0,0 +1,141 @@
+package kelphollow.protocol.object;
+
+import io.netty.handler.codec.http.DefaultHttpHeaders;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaders;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import javax.xml.stream.XMLStreamException;
+import kelphollow.ledger.CompletionRecords.Answer;
+
+/**
+ * Forwards a client's completion of an upload. It is sent only if it cannot have run yet: one that ran gets the same
+ * response again, and one whose outcome is unknown is first looked up at the node, since an upload that is gone was
+ * completed or aborted. For the event loop alone.
+ */
+final class CompletionForwarding implements GuardedForwarding, UploadQuery.Listener {
+    private final ObjectServices services;
+    private final ObjectExchange exchange;
+    private final byte[] document;
+    private final String documentDigest;
+    private final UploadQuery query;
+    private Completions.Completion completion;
+    private IntentBarrier intent;
+    /** Whether it is this client's completion that is sent. */
+    private boolean isSender;
+
+    /** {@code document} is the client's list of parts. */
+    CompletionForwarding(ObjectServices services, ObjectExchange exchange, byte[] document) {
+        this.services = services;
+        this.exchange = exchange;
+        this.document = document;
+        this.query = new UploadQuery(services, this);
+        this.documentDigest = new Md5().update(ByteBuffer.wrap(document)).hex();
+    }
+
+    void begin() {
+        ObjectCall call = exchange.call();
+        completion = services.completions().find(UploadParts.upload(call), services.parts().isComplete(call),
+            services.startedAt());
+        if (completion == null) {
+            exchange.answer(S3Error.rejected(1));
+            return;
+        }
+        switch (completion.kind()) {
+            case RAN -> answerAgain();
+            case RUNNING -> exchange.answer(S3Error.rejected(1));
+            case UNKNOWN -> query.send(call.listParts(), exchange);
+            case NEVER_RAN -> send();
+        }
+    }
+
+    private void answerAgain() {
+        Answer recorded = completion.answer();
+        if (!recorded.print().equals(documentDigest)) {
+            exchange.answer(new S3Error(404, "NoSuchUpload", "This upload was completed with other parts."));
+            return;
+        }
+        HttpHeaders headers = new DefaultHttpHeaders();
+        if (recorded.type() != null) {
+            headers.set(HttpHeaderNames.CONTENT_TYPE, recorded.type());
+        }
+        exchange.answer(new NodeResponse(recorded.status(), headers, recorded.body().getBytes(StandardCharsets.UTF_8)));
+    }
+
+    private void send() {
+        isSender = true;
+        intent = new IntentBarrier(services.ticker(), services.writeDeadline(), () -> exchange.send(document),
+            error -> failed(error, false));
+        completion.running(services.now(), intent::recorded);
+    }
+
+    // ---------------------------------------------------------------- the node is asked for the upload
+
+    @Override public void answered(NodeResponse response) {
+        double wait = completion.settlesIn(services.now());
+        if (response.status() == 404) {
+            completion.neverRan();                 // the upload is gone: there is nothing to complete any more
+            exchange.answer(response);
+        } else if (response.status() != 200) {
+            exchange.answer(response);
+        } else if (wait > 0) {
+            exchange.answer(S3Error.rejected(wait));   // the attempt whose outcome is unknown may still be at work
+        } else {
+            send();
+        }
+    }
+
+    @Override public void failed(S3Error error) {
+        exchange.answer(error);
+    }
+
+    // ---------------------------------------------------------------- this client's completion was sent
+
+    @Override public void served(NodeResponse response) {
+        isSender = false;
+        String type = response.headers().get(HttpHeaderNames.CONTENT_TYPE);
+        if (response.isSuccess() && !isError(response)) {
+            String body = new String(response.body(), StandardCharsets.UTF_8);
+            completion.ran(new Answer(documentDigest, response.status(), type, body), services.now());
+            services.parts().finished(UploadParts.upload(exchange.call()));
+        } else if (response.isClientError()) {
+            completion.neverRan();
+        } else {
+            completion.unknown(services.now());
+        }
+        exchange.answer(response);
+    }
+
+    /** S3 begins its response before it is done: a failure then comes with the status 200. */
+    private static boolean isError(NodeResponse response) {
+        try {
+            return "Error".equals(S3Xml.root(response.body()));
+        } catch (XMLStreamException e) {
+            return true;
+        }
+    }
+
+    @Override public void failed(S3Error error, boolean mayHaveRun) {
+        abandon(mayHaveRun);
+        exchange.answer(error);
+    }
+
+    private void abandon(boolean mayHaveRun) {
+        if (isSender) {
+            isSender = false;
+            if (mayHaveRun) {
+                completion.unknown(services.now());
+            } else {
+                completion.neverRan();
+            }
+        }
+    }
+
+    @Override public void withdrawn(boolean sent) {
+        if (intent != null) {
+            intent.cancel();
+        }
+        query.cancel();
+        abandon(sent);
+    }
+}
--- a/src/main/java/kelphollow/protocol/object/Completions.java
+++ b/src/main/java/kelphollow/protocol/object/Completions.java
@@ -7,12 +7,14 @@
 import kelphollow.ledger.CompletionRecords;
 import kelphollow.ledger.CompletionRecords.Answer;
 import kelphollow.recovery.RecoveredOutcome;
+import kelphollow.recovery.RecoveredOutcome.Kind;
 import kelphollow.recovery.RecoveredOutcomes;
 import kelphollow.store.StoreFault;
 
 /**
- * What is known of the completions of uploads, so that none runs twice and one that ran is answered alike when its
- * client comes again. Memory is bounded: the oldest are forgotten, and their uploads are unknown to the node too.
+ * What is known of the completions of uploads, so that none runs twice and one that ran gets the same response when its
+ * client retries. Memory is bounded: the oldest are forgotten, and their uploads are unknown to the node too. For the event
+ * loop alone.
  */
 final class Completions {
     /** One upload's completion: {@code outcome} null while nothing was sent, {@code answer} once it ran. */
@@ -26,21 +28,23 @@
             this.upload = upload;
         }
 
-        RecoveredOutcome.Kind kind() {
-            return outcome == null ? RecoveredOutcome.Kind.NEVER_RAN : outcome.kind();
+        Kind kind() {
+            return outcome == null ? Kind.NEVER_RAN : outcome.kind();
         }
 
+        /** The recorded response, or null unless it ran. */
         Answer answer() {
             return answer;
         }
 
-        /** How long until what is not there will not come any more, in milliseconds. */
+        /** How long until what the node does not have will not come any more, in milliseconds. */
         double settlesIn(double now) {
-            return Math.max(0, unknownSince + settle - now);
+            return Math.max(0, unknownSince + settleTime - now);
         }
 
+        /** It is about to be sent; {@code then} gets null once that cannot be forgotten any more, or what hinders it. */
         void running(double now, Consumer<StoreFault> then) {
-            outcome = new RecoveredOutcome(RecoveredOutcome.Kind.RUNNING, 0);
+            outcome = new RecoveredOutcome(Kind.RUNNING, 0);
             if (records == null) {
                 then.accept(null);
             } else {
@@ -48,75 +52,82 @@
             }
         }
 
-        void ran(Answer with, double now) {
-            outcome = new RecoveredOutcome(RecoveredOutcome.Kind.RAN, 0);
-            answer = with;
+        /** It ran, with this response. */
+        void ran(Answer response, double now) {
+            outcome = new RecoveredOutcome(Kind.RAN, 0);
+            answer = response;
             if (records != null) {
-                records.ran(upload, with, now);
+                records.ran(upload, response, now);
             }
         }
 
+        /** It may have run; {@code now} is the time of its last sign. */
         void unknown(double now) {
-            outcome = new RecoveredOutcome(RecoveredOutcome.Kind.UNKNOWN, now + settle);
+            outcome = new RecoveredOutcome(Kind.UNKNOWN, now + settleTime);
             unknownSince = now;
         }
 
         /** It is proved that it never ran. */
         void neverRan() {
-            all.remove(upload, this);
+            completions.remove(upload, this);
             if (records != null) {
                 records.neverRan(upload);
             }
         }
     }
 
-    private final int most;
-    private final double settle;
+    private final int capacity;
+    private final double settleTime;
     private final CompletionRecords records;
-    private final Map<String, Completion> all = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<String, Completion> completions = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** {@code records} is null where nothing outlives this process. */
-    Completions(int most, double settle, CompletionRecords records) {
-        this.most = most;
-        this.settle = settle;
+    /**
+     * @param capacity how many are remembered
+     * @param settleTime how long after its last sign an attempt may still take effect, in milliseconds
+     * @param records null where nothing outlives this process
+     */
+    Completions(int capacity, double settleTime, CompletionRecords records) {
+        this.capacity = capacity;
+        this.settleTime = settleTime;
         this.records = records;
     }
 
-    /** Takes over what the lives before have left. */
+    /** Takes over what earlier incarnations have left. */
     void restore(RecoveredOutcomes recovered, double now) throws IOException, StoreFault {
         records.read((upload, found, epoch, answer) -> {
-            Completion c = new Completion(upload);
-            c.outcome = recovered.of(found, epoch, false);
-            c.answer = answer;
-            c.unknownSince = now;
-            all.put(upload, c);
+            Completion completion = new Completion(upload);
+            completion.outcome = recovered.of(found, epoch, false);
+            completion.answer = answer;
+            completion.unknownSince = now;
+            completions.put(upload, completion);
         });
-        while (all.size() > most && evict()) {
-            // what is left out is asked of the node
+        while (completions.size() > capacity && evict()) {
+            // what is left out is requested of the node
         }
     }
 
     /**
      * The completion of an upload, or null when so many are under way that none can be remembered.
      *
-     * @param isNew whether it is known that none was sent yet; otherwise one may have been, at {@code lastAt} at the latest
+     * @param neverSent whether it is known that none was sent yet
+     * @param lastAt when one may have been sent at the latest otherwise
      */
-    Completion find(String upload, boolean isNew, double lastAt) {
-        Completion c = all.get(upload);
-        if (c == null && (all.size() < most || evict())) {
-            c = new Completion(upload);
-            if (!isNew) {
-                c.unknown(lastAt);
+    Completion find(String upload, boolean neverSent, double lastAt) {
+        Completion completion = completions.get(upload);
+        if (completion == null && (completions.size() < capacity || evict())) {
+            completion = new Completion(upload);
+            if (!neverSent) {
+                completion.unknown(lastAt);
             }
-            all.put(upload, c);
+            completions.put(upload, completion);
         }
-        return c;
+        return completion;
     }
 
     private boolean evict() {
-        for (Completion c : all.values()) {
-            if (c.kind() == RecoveredOutcome.Kind.RAN || c.kind() == RecoveredOutcome.Kind.NEVER_RAN) {
-                all.remove(c.upload);
+        for (Completion completion : completions.values()) {
+            if (completion.kind() == Kind.RAN || completion.kind() == Kind.NEVER_RAN) {
+                completions.remove(completion.upload);
                 return true;
             }
         }
--- a/src/main/java/kelphollow/protocol/object/IntentBarrier.java
+++ b/src/main/java/kelphollow/protocol/object/IntentBarrier.java
@@ -5,36 +5,48 @@
 import kelphollow.store.StoreFault;
 
 /**
- * The wait between the wish to send and the record of it being safe. It ends once: by the record, by a fault of the
- * store, by patience running out, or by the client's going away; only the first lets anything go out.
+ * Holds back a request until the record of its intent is durable. It ends once: by the record, by a fault of the store, by
+ * its timeout, or by the client's going away; only the first lets anything be sent. For the event loop alone.
  */
 final class IntentBarrier {
-    private final Runnable safe;
-    private final Consumer<S3Error> rejected;
-    private final Ticker.Timeout patience;
-    private boolean over;
-
-    /** {@code patience} in milliseconds: when it has run out nothing was sent, and the client may come again. */
-    IntentBarrier(Ticker ticker, double patience, Runnable safe, Consumer<S3Error> rejected) {
-        this.safe = safe;
-        this.rejected = rejected;
-        this.patience = ticker.after(patience, () -> end(() -> rejected.accept(S3Error.rejected(1_000))));
+    // In milliseconds.
+    private static final double RETRY_AFTER = 1_000;
+
+    private final Runnable whenDurable;
+    private final Consumer<S3Error> whenRejected;
+    private final Ticker.Timeout timeout;
+    private boolean ended;
+
+    /**
+     * @param timeoutMillis when it has passed nothing was sent, and the client may retry
+     * @param whenDurable sends the request
+     * @param whenRejected gets the error for the client
+     */
+    IntentBarrier(Ticker ticker, double timeoutMillis, Runnable whenDurable, Consumer<S3Error> whenRejected) {
+        this.whenDurable = whenDurable;
+        this.whenRejected = whenRejected;
+        this.timeout = ticker.after(timeoutMillis, () -> end(this::reject));
     }
 
-    /** The store says how the record ended. */
+    /** The record has ended: durable if there is no fault. */
     void recorded(StoreFault fault) {
-        end(fault == null ? safe : () -> rejected.accept(S3Error.rejected(1_000)));
+        end(fault == null ? whenDurable : this::reject);
     }
 
-    void callOff() {
+    /** The client has gone. */
+    void cancel() {
         end(() -> {});
     }
 
-    private void end(Runnable what) {
-        if (!over) {
-            over = true;
-            patience.cancel();
-            what.run();
+    private void reject() {
+        whenRejected.accept(S3Error.rejected(RETRY_AFTER));
+    }
+
+    private void end(Runnable action) {
+        if (!ended) {
+            ended = true;
+            timeout.cancel();
+            action.run();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/kelphollow/protocol/object/NodeExchange.java
@@ -0,0 +1,324 @@
+package kelphollow.protocol.object;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.ChannelFuture;
+import io.netty.handler.codec.http.DefaultHttpContent;
+import io.netty.handler.codec.http.DefaultLastHttpContent;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.util.ReferenceCountUtil;
+import java.io.ByteArrayOutputStream;
+import java.util.logging.Logger;
+import kelphollow.decision.ControlEvent.AttemptOutcome;
+import kelphollow.routing.Attempt;
+import kelphollow.routing.AttemptResult;
+import kelphollow.routing.Ticker;
+import kelphollow.transport.PooledConnection;
+
+/**
+ * One request and its response on a connection to an object server. Releases each message that it receives, and each
+ * piece of a body that it does not write; content that it forwards is retained for the client's side. For the event loop
+ * alone.
+ */
+final class NodeExchange implements PooledConnection.User, Transfer.BodySink {
+    private static final Logger LOG = Logger.getLogger(NodeExchange.class.getName());
+    // In milliseconds. A server that ignores "Expect" says nothing; the body then follows after this time, as HTTP advises.
+    private static final double CONTINUE_TIMEOUT = 1_000;
+    private static final int FIRST_FINAL_STATUS = 200;
+    private static final int FIRST_SERVER_ERROR = 500;
+
+    /** How the body of the request goes up. */
+    private enum UploadState {
+        /** Nothing has been requested of the client: the server may still refuse it. */
+        NOT_STARTED,
+        /** The next piece has been requested of the client. */
+        PIECE_REQUESTED,
+        /** The last piece that was requested has been written. */
+        PIECE_WRITTEN
+    }
+
+    /** What is done with the content of the response. */
+    private enum ResponseState {
+        /** The head has not come. */
+        AWAITED,
+        /** It is collected, to be handed over as a whole. */
+        COLLECTING,
+        /** It is forwarded as it comes. */
+        STREAMING
+    }
+
+    private final Attempt attempt;
+    private final Transfer transfer;
+    private final Ticker ticker;
+    private final double stallTimeout;
+    private PooledConnection connection;
+    private ChannelFuture requestWritten;
+    private UploadState uploadState = UploadState.NOT_STARTED;
+    private ResponseState responseState = ResponseState.AWAITED;
+    private HttpResponse head;
+    private ByteArrayOutputStream collected;
+    private Ticker.Timeout timer;
+    private double lastProgressAt;
+
+    NodeExchange(Attempt attempt, Ticker ticker, double stallTimeout) {
+        this.attempt = attempt;
+        this.transfer = (Transfer) attempt.request().message();
+        this.ticker = ticker;
+        this.stallTimeout = stallTimeout;
+    }
+
+    /** The connection that was leased for it, which may still be dialled. */
+    void connection(PooledConnection leased) {
+        connection = leased;
+    }
+
+    @Override public void up(PooledConnection up) {
+        connection = up;
+        if (!attempt.maySend() || transfer.streamsBody() && transfer.isBodyConsumed()) {
+            up.release();
+            attempt.ended(AttemptResult.of(AttemptOutcome.NOT_SENT, null, transfer.isBodyConsumed()));
+        } else if (transfer.streamsBody()) {
+            up.channel().writeAndFlush(NodeRequests.streamed(transfer));
+            if (transfer.call().length() > 0) {
+                timer = ticker.after(CONTINUE_TIMEOUT, this::startBody);
+            } else {
+                startBody();
+            }
+        } else {
+            requestWritten = up.channel().writeAndFlush(NodeRequests.complete(transfer));
+        }
+    }
+
+    // ------------------------------------------------------------ the body goes up
+
+    private void startBody() {
+        if (uploadState != UploadState.NOT_STARTED || !attempt.isOut()) {
+            return;
+        }
+        cancelTimer();
+        lastProgressAt = ticker.now();
+        uploadState = UploadState.PIECE_REQUESTED;
+        transfer.forwardBodyTo(this);
+    }
+
+    @Override public void piece(ByteBuf piece, boolean last) {
+        uploadState = UploadState.PIECE_WRITTEN;
+        if (!attempt.isOut() || responseState != ResponseState.AWAITED) {
+            piece.release();
+            return;
+        }
+        attempt.progressed();
+        ChannelFuture write = connection.channel().writeAndFlush(last ? new DefaultLastHttpContent(piece)
+            : new DefaultHttpContent(piece));
+        if (last) {
+            requestWritten = write;
+            transfer.bodyForwarded();
+            attempt.sentWhole();
+        } else {
+            requestPiece();
+        }
+    }
+
+    private void requestPiece() {
+        if (uploadState == UploadState.PIECE_WRITTEN && !transfer.isBodyForwarded() && responseState == ResponseState.AWAITED
+            && connection.channel().isWritable()) {
+            uploadState = UploadState.PIECE_REQUESTED;
+            transfer.requestPiece();
+        }
+    }
+
+    @Override public void writable(PooledConnection on) {
+        if (uploadState != UploadState.NOT_STARTED) {
+            attempt.progressed();
+            requestPiece();
+        }
+    }
+
+    // ------------------------------------------------------------ the response comes down
+
+    @Override public void received(PooledConnection on, Object message) {
+        try {
+            if (message instanceof HttpResponse response) {
+                response(response);
+            }
+            if (message instanceof HttpContent content && attempt.isOut()) {
+                content(content);
+            }
+        } finally {
+            ReferenceCountUtil.release(message);
+        }
+    }
+
+    private void response(HttpResponse response) {
+        int status = response.status().code();
+        if (response.decoderResult().isFailure()) {
+            malformedResponse();
+        } else if (status < FIRST_FINAL_STATUS) {
+            if (status == 100 && transfer.streamsBody()) {
+                startBody();
+            }
+        } else {
+            finalResponse(response, status);
+        }
+    }
+
+    private void finalResponse(HttpResponse response, int status) {
+        cancelTimer();
+        head = response;
+        if (transfer.call().op() != ObjectCall.Operation.GET || status != 200 && status != 206) {
+            responseState = ResponseState.COLLECTING;
+            collected = new ByteArrayOutputStream();
+            return;
+        }
+        responseState = ResponseState.STREAMING;
+        if (!startsOrContinues(response)) {
+            close();
+            attempt.ended(AttemptResult.of(AttemptOutcome.ERROR, null, transfer.download().isStarted()));
+            return;
+        }
+        lastProgressAt = ticker.now();
+        watchForStall();
+        attempt.began();
+    }
+
+    private boolean startsOrContinues(HttpResponse response) {
+        if (transfer.download().isStarted()) {
+            return transfer.download().isContinuedBy(response);
+        }
+        if (!transfer.download().start(response)) {
+            LOG.warning(() -> attempt.target().endpoint().node() + " gave an invalid range");
+            return false;
+        }
+        transfer.head(response);
+        return true;
+    }
+
+    private void content(HttpContent content) {
+        if (responseState == ResponseState.AWAITED) {
+            return;                // the end of an interim response
+        }
+        if (content.decoderResult().isFailure()) {
+            broken(connection, content.decoderResult().cause());
+        } else if (responseState == ResponseState.STREAMING) {
+            stream(content);
+        } else {
+            collect(content);
+        }
+    }
+
+    private void stream(HttpContent content) {
+        attempt.progressed();
+        lastProgressAt = ticker.now();
+        if (content.content().isReadable()) {
+            transfer.content(content.content().retain());
+        }
+        if (content instanceof LastHttpContent) {
+            finish(AttemptResult.of(AttemptOutcome.SERVED));
+        } else if (!transfer.waitsForClient()) {
+            connection.channel().config().setAutoRead(false);
+            transfer.whenWritable(() -> {
+                lastProgressAt = ticker.now();
+                connection.channel().config().setAutoRead(true);
+            });
+        }
+    }
+
+    private void collect(HttpContent content) {
+        int size = content.content().readableBytes();
+        if (collected.size() + size > ObjectCall.MAX_DOCUMENT_BYTES) {
+            malformedResponse();
+            return;
+        }
+        byte[] bytes = new byte[size];
+        content.content().readBytes(bytes);
+        collected.writeBytes(bytes);
+        if (content instanceof LastHttpContent) {
+            collected();
+        }
+    }
+
+    private void collected() {
+        int status = head.status().code();
+        if (status == 503 || status == 429) {
+            // Rejected. Once all of a write has come, only the server knows whether that was before it ran.
+            boolean neverRan = transfer.call().op().isIdempotent() || transfer.streamsBody() && !transfer.isBodyForwarded();
+            AttemptOutcome outcome = neverRan ? AttemptOutcome.AT_CAPACITY : AttemptOutcome.ERROR;
+            finish(AttemptResult.of(outcome, null, transfer.isBodyConsumed()));
+        } else if (transfer.download().isStarted()) {
+            // The rest of a truncated response is not to be had, say since the object has changed (412): another response
+            // must not be written into the middle of the first.
+            finish(AttemptResult.of(AttemptOutcome.ERROR, null, true));
+        } else if (status >= FIRST_SERVER_ERROR) {
+            finish(AttemptResult.of(AttemptOutcome.ERROR, null, transfer.isBodyConsumed()));
+        } else {
+            NodeResponse response = new NodeResponse(status, head.headers(), collected.toByteArray());
+            finish(AttemptResult.of(AttemptOutcome.SERVED, response, false));
+        }
+    }
+
+    // ------------------------------------------------------------ ends
+
+    private void finish(AttemptResult result) {
+        cancelTimer();
+        boolean sentAll = !transfer.streamsBody() || transfer.isBodyForwarded();
+        if (sentAll && HttpUtil.isKeepAlive(head)) {
+            connection.channel().config().setAutoRead(true);
+            connection.release();
+        } else {
+            connection.close();
+        }
+        attempt.ended(result);
+    }
+
+    private void malformedResponse() {
+        LOG.warning(() -> attempt.target().endpoint().node() + " gave a response that cannot be read");
+        close();
+        attempt.ended(AttemptResult.of(AttemptOutcome.ERROR, null,
+            transfer.isBodyConsumed() || transfer.download().isStarted()));
+    }
+
+    /** A request whose last byte was not written never ran; a body that is consumed can't be sent again. */
+    @Override public void broken(PooledConnection on, Throwable cause) {
+        cancelTimer();
+        boolean neverRan = requestWritten == null || !requestWritten.isSuccess();
+        boolean consumed = transfer.isBodyConsumed()
+            || transfer.download().isStarted() && !transfer.download().isResumable();
+        if (on != null && on == connection) {
+            on.close();
+        }
+        AttemptOutcome outcome = neverRan ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET;
+        attempt.ended(AttemptResult.of(outcome, null, consumed));
+    }
+
+    private void watchForStall() {
+        timer = ticker.after(stallTimeout / 2, () -> {
+            if (!attempt.isOut()) {
+                return;
+            }
+            if (ticker.now() - lastProgressAt < stallTimeout) {
+                watchForStall();
+            } else if (transfer.waitsForClient()) {
+                transfer.clientStalled();
+            } else {
+                close();
+                attempt.ended(AttemptResult.of(AttemptOutcome.TIMED_OUT, null, !transfer.download().isResumable()));
+            }
+        });
+    }
+
+    private void cancelTimer() {
+        if (timer != null) {
+            timer.cancel();
+        }
+    }
+
+    /** Closes the connection, the sign to the node that its response is no longer awaited. */
+    void close() {
+        cancelTimer();
+        if (connection != null) {
+            connection.close();
+        }
+    }
+}
--- a/src/main/java/kelphollow/protocol/object/ObjectExchange.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectExchange.java
@@ -1,200 +1,217 @@
 package kelphollow.protocol.object;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.DefaultHttpContent;
-import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpHeaders;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.io.ByteArrayOutputStream;
-import java.util.Map;
-import java.util.Set;
 import javax.xml.stream.XMLStreamException;
-import kelphollow.routing.ResponseCallback;
+import kelphollow.decision.ControlEvent.RequestArrived;
 import kelphollow.routing.Request;
+import kelphollow.routing.ResponseCallback;
 import kelphollow.routing.Ticker;
 
-/** One request of a client, from its head to the last byte of its answer. */
+/**
+ * One request of a client, from its head to the last byte of its response. Pieces of the body are released here, by
+ * {@link PartForwarding} or by {@link Transfer}; content of the response is released by its write. For the event loop alone.
+ */
 final class ObjectExchange implements ResponseCallback, Transfer.Client {
-    private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection",
-        "transfer-encoding", "upgrade", "te", "trailer");
+    /** How far the client's body has been read. */
+    private enum Body {
+        /** None of it has been requested. */
+        UNREAD,
+        /** Some of it has been requested, after a "100 Continue" if the client waits for one. */
+        REQUESTED,
+        /** Its end has come, or there is none. */
+        READ
+    }
 
-    private final ObjectFront front;
-    private final ObjectClient client;
+    private final ObjectServices services;
+    private final ObjectConnection connection;
     private final HttpRequest request;
     private final String id;
+    private Body body = Body.UNREAD;
     private boolean keepAlive;
-    private boolean bodyRead;
-    private boolean over;
+    /** Whether the response is complete, or nobody waits for it any more. */
+    private boolean finished;
     private ObjectCall call;
     private Transfer transfer;
     private Request routed;
+    /** The body of a completion while it comes. */
     private ByteArrayOutputStream document;
-    private PartSending part;
-    private CompletionSending completion;
-    private IntentBarrier intent;
-    private boolean continued;
-    private Ticker.Timeout stall;
-
-    ObjectExchange(ObjectFront front, ObjectClient client, HttpRequest request) {
-        this.front = front;
-        this.id = front.nextId();
-        this.client = client;
+    private PartForwarding part;
+    private GuardedForwarding forwarding;
+    private IntentBarrier abortIntent;
+    private Ticker.Timeout stallTimer;
+
+    /** {@code id} names the request to its client if there is an error. */
+    ObjectExchange(ObjectServices services, ObjectConnection connection, HttpRequest request, String id) {
+        this.services = services;
+        this.connection = connection;
         this.request = request;
+        this.id = id;
         this.keepAlive = HttpUtil.isKeepAlive(request);
     }
 
     boolean isBodyRead() {
-        return bodyRead;
+        return body == Body.READ;
     }
 
-    /** The head makes no sense: nothing more is read on this connection. */
-    void unreadable() {
-        bodyRead = true;
-        keepAlive = false;
-        answer(new S3Error(400, "InvalidRequest", "The request cannot be read."));
-    }
-
-    boolean isOver() {
-        return over;
+    boolean isFinished() {
+        return finished;
     }
 
     ObjectCall call() {
         return call;
     }
 
+    /** What was given to the router, or null. */
     Transfer transfer() {
         return transfer;
     }
 
+    /** The head makes no sense: nothing more is read on this connection. */
+    void unreadable() {
+        body = Body.READ;
+        keepAlive = false;
+        answer(new S3Error(400, "InvalidRequest", "The request cannot be read."));
+    }
+
     void begin() {
         try {
-            call = ObjectCall.read(request, front.options.largestBody());
-            front.arrival(call);
+            call = ObjectCall.read(request, services.options().maxBodyBytes());
+            services.mapper().arrival(call);
         } catch (S3Error e) {
-            bodyRead = !HttpUtil.isContentLengthSet(request) && !HttpUtil.isTransferEncodingChunked(request);
+            boolean hasBody = HttpUtil.isContentLengthSet(request) || HttpUtil.isTransferEncodingChunked(request);
+            body = hasBody ? Body.UNREAD : Body.READ;
             answer(e);
             return;
         }
-        if (call.op() == ObjectCall.Op.COMPLETE) {
-            document = new ByteArrayOutputStream((int) call.length());
-            read();
-        } else if (call.op() == ObjectCall.Op.PART) {
-            part = new PartSending(front, this);
-            part.begin();
-        } else {
-            if (!call.op().hasBody()) {
-                client.want();       // the empty end of the request, and later the client's going away
+        switch (call.op()) {
+            case COMPLETE -> {
+                document = new ByteArrayOutputStream((int) call.length());
+                read();
+            }
+            case PART -> {
+                part = new PartForwarding(services, this);
+                forwarding = part;
+                part.begin();
             }
-            if (call.op() == ObjectCall.Op.ABORT) {
+            case ABORT -> {
+                connection.demand();
                 abort();
-            } else {
+            }
+            default -> {
+                if (!call.op().hasBody()) {
+                    connection.demand();   // the empty end of the request, and later the client's going away
+                }
                 send(null);
             }
         }
     }
 
-    void send(byte[] body) {
+    /** Gives the call to the router; {@code complete} is its body, or null if it is streamed or there is none. */
+    void send(byte[] complete) {
+        transfer = new Transfer(call, complete, this);
+        RequestArrived arrival;
         try {
-            transfer = new Transfer(call, body, this);
-            Request taken = front.router.take(front.arrival(call), transfer, this);
-            routed = over ? null : taken;
+            arrival = services.mapper().arrival(call);
         } catch (S3Error e) {
             answer(e);
+            return;
         }
+        Request taken = services.router().take(arrival, transfer, this);
+        routed = finished ? null : taken;
     }
 
     private void abort() {
-        intent = new IntentBarrier(front.ticker, front.options.write().deadline(), () -> send(null), this::answer);
-        front.parts.aborting(UploadParts.upload(call), intent::recorded);
+        abortIntent = new IntentBarrier(services.ticker(), services.writeDeadline(), () -> send(null), this::answer);
+        services.parts().aborting(UploadParts.upload(call), abortIntent::recorded);
     }
 
     // ------------------------------------------------------------ the body
 
     @Override public void read() {
-        if (!continued && HttpUtil.is100ContinueExpected(request)) {
-            client.channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+        if (body == Body.UNREAD) {
+            body = Body.REQUESTED;
+            if (HttpUtil.is100ContinueExpected(request)) {
+                connection.channel().writeAndFlush(HttpResponses.proceed());
+            }
         }
-        continued = true;
-        stall = front.ticker.after(front.options.stall(), () -> {
-            if (!over) {
-                withdraw();
-                keepAlive = false;
-                answer(new S3Error(400, "RequestTimeout", "Your body stood still for too long."));
+        stallTimer = services.ticker().after(services.options().stallTimeout(), () -> {
+            if (!finished) {
+                rejectBody("RequestTimeout", "Your body stood still for too long.");
             }
         });
-        client.want();
+        connection.demand();
     }
 
+    private void rejectBody(String code, String message) {
+        withdraw();
+        keepAlive = false;
+        answer(new S3Error(400, code, message));
+    }
+
+    /** Takes the next piece of the body, and its ownership. */
     void piece(HttpContent content) {
-        if (stall != null) {
-            stall.cancel();
-        }
+        cancelStallTimer();
         boolean last = content instanceof LastHttpContent;
-        bodyRead = last;
-        ByteBuf bytes = content.content();
+        if (last) {
+            body = Body.READ;
+        }
         if (content.decoderResult().isFailure()) {
             content.release();
-            withdraw();
-            keepAlive = false;
-            answer(new S3Error(400, "IncompleteBody", "The body cannot be read."));
+            rejectBody("IncompleteBody", "The body cannot be read.");
         } else if (document != null) {
-            byte[] copy = new byte[bytes.readableBytes()];
-            bytes.readBytes(copy);
-            content.release();
-            document.writeBytes(copy);
-            if (last) {
-                byte[] whole = document.toByteArray();
-                document = null;
-                completion = new CompletionSending(front, this, whole);
-                completion.begin();
-            } else {
-                read();
-            }
+            collect(content, last);
         } else if (part != null) {
-            part.piece(bytes, last);
-        } else if (transfer != null && transfer.isSpent()) {
-            transfer.piece(bytes, last);
+            part.piece(content.content(), last);
+        } else if (transfer != null && transfer.isBodyConsumed()) {
+            transfer.piece(content.content(), last);
         } else {
             content.release();
         }
-        if (last && !over) {
-            client.want();           // so that the client's going away is seen
+        if (last && !finished) {
+            connection.demand();     // so that the client's going away is seen
         }
     }
 
-    // ------------------------------------------------------------ the answer
+    private void collect(HttpContent content, boolean last) {
+        byte[] bytes = new byte[content.content().readableBytes()];
+        content.content().readBytes(bytes);
+        content.release();
+        document.writeBytes(bytes);
+        if (!last) {
+            read();
+            return;
+        }
+        byte[] complete = document.toByteArray();
+        document = null;
+        CompletionForwarding completion = new CompletionForwarding(services, this, complete);
+        forwarding = completion;
+        completion.begin();
+    }
+
+    // ------------------------------------------------------------ the response
 
     @Override public void head(HttpResponse head) {
-        HttpResponse own = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status());
-        copy(head.headers(), own.headers());
-        HttpUtil.setTransferEncodingChunked(own, !HttpUtil.isContentLengthSet(own));
-        HttpUtil.setKeepAlive(own, keepAlive && front.leaving == null);
-        client.channel.write(own);
+        connection.channel().write(HttpResponses.streamed(head, keepAlive && !connection.isShuttingDown()));
     }
 
     @Override public void content(ByteBuf content) {
-        client.channel.writeAndFlush(new DefaultHttpContent(content));
+        connection.channel().writeAndFlush(new DefaultHttpContent(content));
     }
 
     @Override public boolean isWritable() {
-        return client.channel.isWritable();
+        return connection.channel().isWritable();
     }
 
     @Override public void stalled() {
-        client.channel.close();
+        connection.channel().close();
     }
 
     void writable() {
@@ -205,131 +222,110 @@
 
     @Override public void served(Object answer) {
         if (answer == null) {
-            over = true;
-            client.channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-            client.done(keepAlive);
+            finished = true;
+            connection.channel().writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
+            connection.exchangeFinished(keepAlive);
             return;
         }
-        Transfer.Answer whole = (Transfer.Answer) answer;
+        NodeResponse response = (NodeResponse) answer;
         try {
-            note(whole);
+            noteUpload(response);
         } catch (XMLStreamException e) {
             answer(new S3Error(502, "BadGateway", "The storage node's answer cannot be read."));
             return;
         }
-        if (part != null) {
-            part.served(whole);
-        } else if (completion != null) {
-            completion.served(whole);
+        if (forwarding != null) {
+            forwarding.served(response);
         } else {
-            answer(whole);
+            answer(response);
         }
     }
 
-    /** What an answer tells of uploads. */
-    private void note(Transfer.Answer whole) throws XMLStreamException {
-        if (whole.status() / 100 == 2 && call.op() == ObjectCall.Op.CREATE) {
-            String uploadId = S3Xml.first(whole.body(), "UploadId");
+    /** Remembers uploads that have been begun or aborted. */
+    private void noteUpload(NodeResponse response) throws XMLStreamException {
+        if (!response.isSuccess()) {
+            return;
+        }
+        if (call.op() == ObjectCall.Operation.CREATE) {
+            String uploadId = S3Xml.first(response.body(), "UploadId");
             if (uploadId != null) {
-                front.parts.begun(call.bucket() + '/' + call.key() + '?' + uploadId, front.ticker.now());
+                services.parts().begun(UploadParts.upload(call, uploadId), services.now());
             }
-        } else if (whole.status() / 100 == 2 && call.op() == ObjectCall.Op.ABORT) {
-            front.parts.over(UploadParts.upload(call));
+        } else if (call.op() == ObjectCall.Operation.ABORT) {
+            services.parts().finished(UploadParts.upload(call));
         }
     }
 
-    @Override public void rejected(double after, boolean timedOut) {
-        end(timedOut ? S3Error.failed(true) : S3Error.rejected(after), timedOut);
+    @Override public void rejected(double retryAfter, boolean timedOut) {
+        fail(timedOut ? S3Error.failed(true) : S3Error.rejected(retryAfter), timedOut);
     }
 
     @Override public void failed(boolean timedOut) {
-        end(S3Error.failed(timedOut), true);
+        fail(S3Error.failed(timedOut), true);
     }
 
-    private void end(S3Error error, boolean mayHaveRun) {
-        if (part != null) {
-            part.ended(error);
-        } else if (completion != null) {
-            completion.failed(error, mayHaveRun);
+    private void fail(S3Error error, boolean mayHaveRun) {
+        if (forwarding != null) {
+            forwarding.failed(error, mayHaveRun);
         } else {
             answer(error);
         }
     }
 
-    void answer(Transfer.Answer whole) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-            HttpResponseStatus.valueOf(whole.status()), Unpooled.wrappedBuffer(whole.body()));
-        copy(whole.headers(), response.headers());
-        if (!request.method().equals(HttpMethod.HEAD) && whole.status() != 304) {
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, whole.body().length);
-        }
-        write(response);
+    void answer(NodeResponse response) {
+        write(HttpResponses.complete(response, request.method()));
     }
 
-    /** An answer that has begun can't become an error: its connection closes, so that the client sees it is short. */
+    /** A response that has begun can't become an error: its connection closes, so that the client sees it is truncated. */
     void answer(S3Error error) {
-        if (transfer != null && transfer.isHeadPassed()) {
-            over = true;
-            client.channel.close();
-            return;
-        }
-        byte[] body = S3Xml.error(error, request.uri(), id);
-        boolean bare = request.method().equals(HttpMethod.HEAD);
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, error.status,
-            bare ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body));
-        response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_XML)
-            .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        if (error.retryAfter > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, (long) Math.ceil(error.retryAfter / 1000));
+        if (transfer != null && transfer.download().isStarted()) {
+            finished = true;
+            connection.channel().close();
+        } else {
+            write(HttpResponses.error(error, request, id));
         }
-        write(response);
     }
 
+    /** Writes the response, or releases it if there was one already. */
     void write(FullHttpResponse response) {
-        if (over) {
+        if (finished) {
             response.release();
             return;
         }
-        over = true;
-        if (stall != null) {
-            stall.cancel();
-        }
-        boolean keep = keepAlive && bodyRead && front.leaving == null;
+        finished = true;
+        cancelStallTimer();
+        boolean keep = keepAlive && isBodyRead() && !connection.isShuttingDown();
         HttpUtil.setKeepAlive(response, keep);
-        client.channel.writeAndFlush(response);
-        client.done(keep);
+        connection.channel().writeAndFlush(response);
+        connection.exchangeFinished(keep);
     }
 
-    private void copy(HttpHeaders from, HttpHeaders to) {
-        for (Map.Entry<String, String> header : from) {
-            if (!HOP_BY_HOP.contains(header.getKey().toLowerCase(java.util.Locale.ROOT))) {
-                to.add(header.getKey(), header.getValue());
-            }
-        }
+    // ------------------------------------------------------------ ends
+
+    /** The client has gone. */
+    void disconnected() {
+        finished = true;
+        cancelStallTimer();
+        withdraw();
     }
 
-    void gone() {
-        over = true;
-        if (stall != null) {
-            stall.cancel();
+    private void cancelStallTimer() {
+        if (stallTimer != null) {
+            stallTimer.cancel();
         }
-        withdraw();
     }
 
-    /** Nothing is owed to the client any more. */
+    /** No attempt is wanted any more. */
     private void withdraw() {
-        if (intent != null) {
-            intent.callOff();
+        if (abortIntent != null) {
+            abortIntent.cancel();
         }
         if (routed != null) {
-            front.router.gone(routed);
+            services.router().gone(routed);
             routed = null;
         }
-        if (part != null) {
-            part.withdrawn();
-        }
-        if (completion != null) {
-            completion.withdrawn(transfer != null);
+        if (forwarding != null) {
+            forwarding.withdrawn(transfer != null);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/kelphollow/protocol/object/PartForwarding.java
@@ -0,0 +1,214 @@
+package kelphollow.protocol.object;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import javax.xml.stream.XMLStreamException;
+
+/**
+ * Forwards one client's part of an upload. It is sent only if the part cannot have been written yet; otherwise its
+ * content is read and compared with what was written, and the client gets the recorded response or a conflict. For the
+ * event loop alone.
+ */
+final class PartForwarding implements GuardedForwarding, PartOutcome.Listener, UploadQuery.Listener {
+    private final ObjectServices services;
+    private final ObjectExchange exchange;
+    private final Md5 digest = new Md5();
+    private final UploadQuery query;
+    private UploadPart part;
+    private IntentBarrier intent;
+    /** Whether it is this client's part that is sent, rather than compared. */
+    private boolean isSender;
+    private UploadPart.State stateBeforeQuery;
+    private double unknownSince;
+    /** Whether an attempt whose outcome is unknown might still store the part after the node was asked for it. */
+    private boolean mayStillBeStored;
+    private long size;
+    private PartContent content;
+    private PartOutcome outcome;
+
+    PartForwarding(ObjectServices services, ObjectExchange exchange) {
+        this.services = services;
+        this.exchange = exchange;
+        this.query = new UploadQuery(services, this);
+    }
+
+    void begin() {
+        part = services.parts().find(exchange.call(), services.now());
+        if (part == null) {
+            exchange.answer(S3Error.rejected(1));
+            return;
+        }
+        switch (part.state()) {
+            case BUSY -> compareWith(null);
+            case STORED -> compareWith(part.storedOutcome());
+            case UNKNOWN -> ask();
+            case UNRECORDED -> {
+                if (services.parts().isComplete(exchange.call())) {
+                    send();
+                } else {
+                    ask();
+                }
+            }
+        }
+    }
+
+    private void send() {
+        isSender = true;
+        intent = new IntentBarrier(services.ticker(), services.writeDeadline(), () -> exchange.send(null),
+            this::notSent);
+        part.sending(services.now(), intent::recorded);
+    }
+
+    /** Takes a piece of the client's body; it is released here or by what it is forwarded to. */
+    void piece(ByteBuf bytes, boolean last) {
+        digest.update(bytes.nioBuffer());
+        size += bytes.readableBytes();
+        if (last) {
+            content = new PartContent(size, digest.hex());
+        }
+        if (isSender) {
+            exchange.transfer().piece(bytes, last);
+            return;
+        }
+        bytes.release();
+        if (last) {
+            compare();
+        } else {
+            exchange.read();
+        }
+    }
+
+    // ------------------------------------------------------------ another client's part is sent, or was
+
+    /** Reads the body away; the client gets its response once the body is complete and the outcome is known. */
+    private void compareWith(PartOutcome known) {
+        outcome = known;
+        if (outcome == null) {
+            part.addListener(this);
+        }
+        exchange.read();
+    }
+
+    @Override public void ended(PartOutcome known) {
+        outcome = known;
+        compare();
+    }
+
+    private void compare() {
+        if (outcome == null || content == null || exchange.isFinished()) {
+            return;
+        }
+        if (outcome.error() != null) {
+            exchange.answer(outcome.error());
+        } else if (outcome.content().equals(content)) {
+            exchange.write(HttpResponses.partStored(outcome.etag()));
+        } else {
+            exchange.answer(new S3Error(409, "OperationAborted",
+                "This part has been sent with other content, which is stored or may be."));
+        }
+    }
+
+    // ------------------------------------------------------------ the node is asked for the part
+
+    private void ask() {
+        // What is not remembered may have been sent by an earlier incarnation, whose attempts ended when this one began.
+        unknownSince = part.state() == UploadPart.State.UNKNOWN ? part.unknownSince() : services.startedAt();
+        mayStillBeStored = services.now() - unknownSince < services.writeDeadline();
+        stateBeforeQuery = part.state();
+        part.querying();
+        query.send(exchange.call().listThisPart(), exchange);
+    }
+
+    @Override public void answered(NodeResponse response) {
+        if (response.status() != 200) {
+            revert(null);
+            exchange.answer(response);
+            return;
+        }
+        S3Xml.Part stored;
+        try {
+            stored = S3Xml.parts(response.body()).get(exchange.call().partNumber());
+        } catch (XMLStreamException e) {
+            revert(S3Error.failed(false));
+            return;
+        }
+        if (stored != null) {
+            PartContent found = new PartContent(stored.size(), stored.etag().replace("\"", ""));
+            part.stored(found, stored.etag(), services.now());
+            compareWith(PartOutcome.stored(found, stored.etag()));
+        } else if (mayStillBeStored) {
+            // The attempt whose outcome is unknown may still be at work; sending another now could store the part twice.
+            revert(S3Error.rejected(unknownSince + services.writeDeadline() - services.now()));
+        } else {
+            send();
+        }
+    }
+
+    @Override public void failed(S3Error error) {
+        revert(error);
+    }
+
+    /** The query brought nothing: the part is as before it; this client gets the error, if there is one. */
+    private void revert(S3Error error) {
+        S3Error forOthers = error == null ? S3Error.rejected(1) : error;
+        if (stateBeforeQuery == UploadPart.State.UNKNOWN) {
+            part.unknown(part.unknownSince(), forOthers);
+        } else {
+            part.forget(forOthers);
+        }
+        if (error != null) {
+            exchange.answer(error);
+        }
+    }
+
+    // ------------------------------------------------------------ this client's part was sent
+
+    @Override public void served(NodeResponse response) {
+        isSender = false;
+        String etag = response.headers().get(HttpHeaderNames.ETAG);
+        if (response.status() == 200 && etag != null && content != null) {
+            part.stored(content, etag, services.now());
+        } else if (response.isClientError()) {
+            part.forget(S3Error.rejected(1));
+        } else {
+            part.unknown(services.now(), S3Error.failed(false));
+        }
+        exchange.answer(response);
+    }
+
+    @Override public void failed(S3Error error, boolean mayHaveRun) {
+        abandon(error);
+        exchange.answer(error);
+    }
+
+    /** Nothing was sent, since the record of it is not durable. */
+    private void notSent(S3Error error) {
+        isSender = false;
+        part.forget(error);
+        exchange.answer(error);
+    }
+
+    /** Until the last byte of the body has left, no attempt can have stored the part. */
+    private void abandon(S3Error error) {
+        isSender = false;
+        if (exchange.transfer() != null && exchange.transfer().isBodyForwarded()) {
+            part.unknown(services.now(), error);
+        } else {
+            part.forget(error);
+        }
+    }
+
+    @Override public void withdrawn(boolean sent) {
+        if (intent != null) {
+            intent.cancel();
+        }
+        if (isSender) {
+            abandon(S3Error.rejected(1));
+        } else if (query.isPending()) {
+            query.cancel();
+            revert(null);
+        } else if (part != null) {
+            part.removeListener(this);
+        }
+    }
+}
--- a/src/main/java/kelphollow/protocol/object/S3Xml.java
+++ b/src/main/java/kelphollow/protocol/object/S3Xml.java
@@ -28,19 +28,17 @@
 
     private S3Xml() {}
 
+    /** The document of an error response. */
     static byte[] error(S3Error error, String resource, String requestId) {
         StringWriter text = new StringWriter();
         try {
             XMLStreamWriter xml = OUTPUT.createXMLStreamWriter(text);
             xml.writeStartDocument("UTF-8", "1.0");
             xml.writeStartElement("Error");
-            String[] fields = {"Code", error.code, "Message", error.getMessage(), "Resource", resource, "RequestId",
-                requestId};
-            for (int i = 0; i < fields.length; i += 2) {
-                xml.writeStartElement(fields[i]);
-                xml.writeCharacters(fields[i + 1].replaceAll("[^\\x20-\\uD7FF]", "?"));
-                xml.writeEndElement();
-            }
+            writeElement(xml, "Code", error.code());
+            writeElement(xml, "Message", error.getMessage());
+            writeElement(xml, "Resource", resource);
+            writeElement(xml, "RequestId", requestId);
             xml.writeEndElement();
             xml.writeEndDocument();
         } catch (XMLStreamException e) {
@@ -49,6 +47,12 @@
         return text.toString().getBytes(StandardCharsets.UTF_8);
     }
 
+    private static void writeElement(XMLStreamWriter xml, String name, String text) throws XMLStreamException {
+        xml.writeStartElement(name);
+        xml.writeCharacters(text.replaceAll("[^\\x20-\\uD7FF]", "?"));
+        xml.writeEndElement();
+    }
+
     /** The name of the document's outermost element. */
     static String root(byte[] document) throws XMLStreamException {
         XMLStreamReader xml = INPUT.createXMLStreamReader(new ByteArrayInputStream(document));
@@ -75,31 +79,35 @@
     static Map<Integer, Part> parts(byte[] document) throws XMLStreamException {
         XMLStreamReader xml = INPUT.createXMLStreamReader(new ByteArrayInputStream(document));
         Map<Integer, Part> parts = new HashMap<>();
-        boolean result = false;
+        boolean isResult = false;
         Map<String, String> part = null;
         while (xml.hasNext()) {
             int event = xml.next();
             if (event == XMLStreamConstants.START_ELEMENT) {
                 String name = xml.getLocalName();
-                result |= name.equals("ListPartsResult");
+                isResult |= name.equals("ListPartsResult");
                 if (name.equals("Part")) {
                     part = new HashMap<>();
                 } else if (part != null) {
                     part.put(name, xml.getElementText().strip());
                 }
             } else if (event == XMLStreamConstants.END_ELEMENT && xml.getLocalName().equals("Part")) {
-                try {
-                    parts.put(Integer.parseInt(part.get("PartNumber")),
-                        new Part(part.getOrDefault("ETag", ""), Long.parseLong(part.get("Size"))));
-                } catch (NumberFormatException e) {
-                    throw new XMLStreamException("a part without its number or size");
-                }
+                putPart(part, parts);
                 part = null;
             }
         }
-        if (!result) {
+        if (!isResult) {
             throw new XMLStreamException("no ListPartsResult");
         }
         return parts;
     }
+
+    private static void putPart(Map<String, String> part, Map<Integer, Part> into) throws XMLStreamException {
+        try {
+            into.put(Integer.parseInt(part.get("PartNumber")),
+                new Part(part.getOrDefault("ETag", ""), Long.parseLong(part.get("Size"))));
+        } catch (NumberFormatException e) {
+            throw new XMLStreamException("a part without its number or size");
+        }
+    }
 }
--- a/src/main/java/kelphollow/protocol/object/Transfer.java
+++ b/src/main/java/kelphollow/protocol/object/Transfer.java
@@ -1,27 +1,28 @@
 package kelphollow.protocol.object;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * One request of the object API as its front and its backend share it: the call, the body that goes up, and the
- * content that comes down. Lives on the event loop.
+ * One request of the object API as its front and its backend share it: the call, the body on its way to the node, and the
+ * content on its way to the client. For the event loop alone.
  */
 final class Transfer {
-    /** Takes the pieces of a body that goes up. */
-    interface Sink {
+    /** Takes the pieces of a body. */
+    interface BodySink {
         /** A piece, to be released by the sink. */
         void piece(ByteBuf piece, boolean last);
     }
 
     /** The client's side. */
     interface Client {
-        /** Asks for the next piece of the body. */
+        /** Requests the next piece of the body. */
         void read();
 
+        /** The head of the response; it stays the caller's. */
         void head(HttpResponse head);
 
+        /** Content of the response, to be released by the client's side. */
         void content(ByteBuf content);
 
         boolean isWritable();
@@ -30,58 +31,76 @@
         void stalled();
     }
 
-    /** A whole answer of a node. */
-    record Answer(int status, HttpHeaders headers, byte[] body) {}
+    /** How far the client's body has come. */
+    private enum BodyState {
+        /** None of it has been read for a node. */
+        NOT_STARTED,
+        /** Part of it is used up: it cannot be sent again. */
+        FORWARDING,
+        /** The last byte has left for the node: the request may take effect from here on. */
+        FORWARDED
+    }
 
-    final ObjectCall call;
-    /** The whole body of a call whose body is a small document, or null. */
-    final byte[] document;
+    private final ObjectCall call;
+    private final byte[] document;
     private final Client client;
-    private Sink sink;
-    private boolean bodyWhole;
-    /** Where the content that came down began, how long it is, what has passed on, and its entity tag. */
-    long from;
-    long length = -1;
-    long passed;
-    String etag;
-    private boolean headPassed;
+    private final Download download = new Download();
+    private BodyState bodyState = BodyState.NOT_STARTED;
+    private BodySink sink;
     private Runnable whenWritable;
 
+    /** {@code document} is the complete body of a call whose body is a small document, or null. */
     Transfer(ObjectCall call, byte[] document, Client client) {
         this.call = call;
         this.document = document;
         this.client = client;
     }
 
-    // ---------------------------------------------------------------- up
+    ObjectCall call() {
+        return call;
+    }
+
+    /** The complete body of a call whose body is a small document, or null. */
+    byte[] document() {
+        return document;
+    }
+
+    Download download() {
+        return download;
+    }
+
+    // ---------------------------------------------------------------- the body
 
     boolean streamsBody() {
         return call.op().hasBody() && document == null;
     }
 
-    /** A body that has begun to flow cannot be had again. */
-    boolean isSpent() {
-        return sink != null;
+    /** A body that has begun to be forwarded cannot be sent again. */
+    boolean isBodyConsumed() {
+        return bodyState != BodyState.NOT_STARTED;
     }
 
-    /** The last byte of the body has left for the node: it may take effect from here on. */
-    boolean isBodyWhole() {
-        return bodyWhole;
+    boolean isBodyForwarded() {
+        return bodyState == BodyState.FORWARDED;
     }
 
-    void bodyIsWhole() {
-        bodyWhole = true;
+    /** The last byte of the body has been written to the node. */
+    void bodyForwarded() {
+        bodyState = BodyState.FORWARDED;
     }
 
-    void flowTo(Sink to) {
+    /** Forwards the body to this sink from its first piece on. */
+    void forwardBodyTo(BodySink to) {
         sink = to;
+        bodyState = BodyState.FORWARDING;
         client.read();
     }
 
-    void more() {
+    void requestPiece() {
         client.read();
     }
 
+    /** Hands a piece to the sink, which releases it; without a sink it is released here. */
     void piece(ByteBuf piece, boolean last) {
         if (sink == null) {
             piece.release();
@@ -90,19 +109,16 @@
         }
     }
 
-    // ---------------------------------------------------------------- down
-
-    boolean isHeadPassed() {
-        return headPassed;
-    }
+    // ---------------------------------------------------------------- the content
 
+    /** Forwards the head of the first response, which the {@link #download} has taken. */
     void head(HttpResponse head) {
-        headPassed = true;
         client.head(head);
     }
 
+    /** Forwards content, and its ownership. */
     void content(ByteBuf content) {
-        passed += content.readableBytes();
+        download.forwarded(content.readableBytes());
         client.content(content);
     }
 
@@ -115,6 +131,7 @@
         }
     }
 
+    /** The client can take more. */
     void writable() {
         Runnable task = whenWritable;
         whenWritable = null;
@@ -130,9 +147,4 @@
     void clientStalled() {
         client.stalled();
     }
-
-    /** A cut answer can go on only where its end is known and its entity tag tells that it is still the same. */
-    boolean isResumable() {
-        return length >= 0 && etag != null && !etag.startsWith("W/");
-    }
 }
--- a/src/main/java/kelphollow/protocol/object/UploadParts.java
+++ b/src/main/java/kelphollow/protocol/object/UploadParts.java
@@ -1,10 +1,7 @@
 package kelphollow.protocol.object;
 
 import java.io.IOException;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.util.ArrayList;
-import java.util.HexFormat;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -19,123 +16,29 @@
 import kelphollow.store.StoreFault;
 
 /**
- * What is known of the parts of uploads, so that none is written twice. Memory is bounded: what is forgotten is
- * asked of the node again, by ListParts, before anything is sent. With records it outlives the process.
+ * What is known of the parts of uploads, so that none is written twice. Memory is bounded: what is forgotten is requested of
+ * the node again, by ListParts, before anything is sent. With records it outlives the process. For the event loop alone.
  */
 final class UploadParts {
-    /** What a client's sending of a part has to wait for, or what it may do. */
-    enum State {
-        /** Nothing is known: the node must be asked first. */
-        ASK,
-        /** Somebody is sending it, or asking for it. */
-        BUSY,
-        /** It is stored; {@link Part#print} tells with which content. */
-        STORED,
-        /** An attempt may have stored it, or may do so yet. */
-        UNKNOWN
-    }
-
-    /** The content of a part: its size and MD5, which S3 gives as its entity tag. */
-    record Print(long size, String md5) {}
-
-    /** How a sending ended, for all that wait for it: its answer, or the error that the others get too. */
-    record End(Print print, String etag, S3Error error) {}
-
-    /** Hears how the sending ended that it waited for. */
-    interface Waiter {
-        void ended(End end);
-    }
-
-    /** One part of one upload. */
-    final class Part {
-        private final String upload, name;
-        private final int number;
-        /** Whether there is a record that it may have gone out. */
-        private boolean isRecorded;
-        private final List<Waiter> waiters = new ArrayList<>(1);
-        State state;
-        Print print;
-        String etag;
-        double unknownSince;
-
-        private Part(String upload, int number, State state) {
-            this.upload = upload;
-            this.number = number;
-            this.name = upload + '#' + number;
-            this.state = state;
-        }
-
-        /** It is about to go out; hears when this cannot be forgotten any more. */
-        void sending(double now, Consumer<StoreFault> then) {
-            state = State.BUSY;
-            if (records == null) {
-                then.accept(null);
-            } else {
-                isRecorded = true;
-                records.intent(upload, number, now, then);
-            }
-        }
-
-        void join(Waiter waiter) {
-            waiters.add(waiter);
-        }
-
-        void leave(Waiter waiter) {
-            waiters.remove(waiter);
-        }
-
-        void stored(Print content, String tag, double now) {
-            state = State.STORED;
-            print = content;
-            etag = tag;
-            if (records != null) {
-                isRecorded = true;
-                records.stored(upload, number, content.size, content.md5, tag, now);
-            }
-            tell(new End(content, tag, null));
-        }
-
-        /** An attempt may have stored it. */
-        void unknown(double now, S3Error error) {
-            state = State.UNKNOWN;
-            unknownSince = now;
-            tell(new End(null, null, error));
-        }
-
-        /** Nothing was stored by this sending: the next one begins anew. */
-        void forget(S3Error error) {
-            parts.remove(name, this);
-            if (isRecorded) {
-                records.neverRan(upload, number);
-            }
-            tell(new End(null, null, error));
-        }
-
-        private void tell(End end) {
-            List<Waiter> told = List.copyOf(waiters);
-            waiters.clear();
-            told.forEach(w -> w.ended(end));
-        }
-    }
-
-    private final int most;
-    private final double settle;
+    private final int capacity;
+    private final double settleTime;
     private final PartRecords records;
-    private final Map<String, Part> parts = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<String, UploadPart> parts = new LinkedHashMap<>(16, 0.75f, true);
     /** Uploads begun through this process of which no part was forgotten: what is not in {@link #parts} was never sent. */
     private final Set<String> complete = new LinkedHashSet<>();
 
     /**
-     * {@code settle} is how long after its last sign an attempt may still take effect; {@code records} is null where
-     * nothing outlives this process.
+     * @param capacity how many parts, and how many uploads, are remembered
+     * @param settleTime how long after its last sign an attempt may still take effect, in milliseconds
+     * @param records null where nothing outlives this process
      */
-    UploadParts(int most, double settle, PartRecords records) {
-        this.most = most;
-        this.settle = settle;
+    UploadParts(int capacity, double settleTime, PartRecords records) {
+        this.capacity = capacity;
+        this.settleTime = settleTime;
         this.records = records;
     }
 
-    /** Takes over what the lives before have left, as far as there is room for it. */
+    /** Takes over what earlier incarnations have left, as far as there is room for it. */
     void restore(RecoveredOutcomes recovered, double now) throws IOException, StoreFault {
         records.read(new PartRecords.Reader() {
             @Override public void upload(String upload, long sinceEpoch) {
@@ -146,27 +49,34 @@
 
             @Override public void part(String upload, int number, Found found, long epoch, long size, String md5,
                 String tag) {
-                RecoveredOutcome outcome = recovered.of(found, epoch, false);
-                boolean ran = outcome.kind() == RecoveredOutcome.Kind.RAN;
-                Part part = new Part(upload, number, ran ? State.STORED : State.UNKNOWN);
-                part.isRecorded = true;
-                part.print = md5 == null ? null : new Print(size, md5);
-                part.etag = tag;
-                part.unknownSince = outcome.safeFrom() - settle;
-                if (parts.size() < most || evict(now)) {
-                    parts.put(part.name, part);
-                } else {
-                    complete.remove(upload);
-                }
+                restorePart(new UploadPart(UploadParts.this, records, upload, number), recovered.of(found, epoch, false),
+                    md5 == null ? null : new PartContent(size, md5), tag, now);
             }
         });
-        while (complete.size() > most) {
+        while (complete.size() > capacity) {
             complete.remove(complete.iterator().next());
         }
     }
 
+    private void restorePart(UploadPart part, RecoveredOutcome outcome, PartContent content, String tag, double now) {
+        boolean ran = outcome.kind() == RecoveredOutcome.Kind.RAN;
+        part.restore(ran ? UploadPart.State.STORED : UploadPart.State.UNKNOWN, content, tag,
+            outcome.safeFrom() - settleTime);
+        if (parts.size() < capacity || evict(now)) {
+            parts.put(part.name(), part);
+        } else {
+            complete.remove(part.upload());
+        }
+    }
+
+    /** The name of a call's upload, unique over objects. */
     static String upload(ObjectCall call) {
-        return call.bucket() + '/' + call.key() + '?' + call.uploadId();
+        return upload(call, call.uploadId());
+    }
+
+    /** The name of an upload of a call's object. */
+    static String upload(ObjectCall call, String uploadId) {
+        return call.bucket() + '/' + call.key() + '?' + uploadId;
     }
 
     /** An upload has been begun here. */
@@ -175,92 +85,81 @@
         if (records != null) {
             records.begun(upload, now);
         }
-        if (complete.size() > most) {
-            incomplete(complete.iterator().next());
+        if (complete.size() > capacity) {
+            markIncomplete(complete.iterator().next());
         }
     }
 
-    private void incomplete(String upload) {
+    private void markIncomplete(String upload) {
         if (complete.remove(upload) && records != null) {
             records.incomplete(upload);
         }
     }
 
-    /** An upload is over. */
-    void over(String upload) {
-        List<Integer> gone = forget(upload);
+    /** An upload has been completed or aborted. */
+    void finished(String upload) {
+        List<Integer> forgotten = forget(upload);
         if (records != null) {
-            records.over(upload, gone);
+            records.over(upload, forgotten);
         }
     }
 
     /**
-     * An abort of the upload is about to go out; hears when that cannot be forgotten any more. From here on its parts
-     * are asked for: a record that outlived the upload would answer for parts that are gone.
+     * An abort of the upload is about to be sent; {@code then} gets null once that cannot be forgotten any more, or what
+     * hinders it. From here on its parts are requested of the node: a record that outlived the upload would answer for parts
+     * that are gone.
      */
     void aborting(String upload, Consumer<StoreFault> then) {
-        List<Integer> gone = forget(upload);
+        List<Integer> forgotten = forget(upload);
         if (records == null) {
             then.accept(null);
         } else {
-            records.aborting(upload, gone, then);
+            records.aborting(upload, forgotten, then);
         }
     }
 
     /** Gives the numbers of the parts that were remembered. */
     private List<Integer> forget(String upload) {
         complete.remove(upload);
-        List<Integer> gone = new ArrayList<>();
-        parts.values().removeIf(p -> p.upload.equals(upload) && p.state != State.BUSY && gone.add(p.number));
-        return gone;
+        List<Integer> numbers = new ArrayList<>();
+        parts.values().removeIf(part -> part.upload().equals(upload) && part.state() != UploadPart.State.BUSY
+            && numbers.add(part.number()));
+        return numbers;
     }
 
-    /** The part, or a new one that is {@link State#ASK} unless it cannot have been sent before; null when all are busy. */
-    Part find(ObjectCall call, double now) {
+    /** The call's part, which is {@link UploadPart.State#UNRECORDED} if it is new; null when all that fit are busy. */
+    UploadPart find(ObjectCall call, double now) {
         String upload = upload(call);
-        String name = upload + '#' + call.partNumber();
-        Part part = parts.get(name);
+        UploadPart part = parts.get(UploadPart.name(upload, call.partNumber()));
         if (part == null) {
-            if (parts.size() >= most && !evict(now)) {
+            if (parts.size() >= capacity && !evict(now)) {
                 return null;
             }
-            part = new Part(upload, call.partNumber(), State.ASK);
-            parts.put(name, part);
+            part = new UploadPart(this, records, upload, call.partNumber());
+            parts.put(part.name(), part);
         }
         return part;
     }
 
     /** Whether what is not remembered of this call's upload is known never to have been sent. */
-    boolean isNew(ObjectCall call) {
+    boolean isComplete(ObjectCall call) {
         return complete.contains(upload(call));
     }
 
     private boolean evict(double now) {
-        for (Iterator<Part> all = parts.values().iterator(); all.hasNext();) {
-            Part part = all.next();
-            if (part.state == State.STORED || part.state == State.UNKNOWN && now - part.unknownSince > settle) {
+        for (Iterator<UploadPart> all = parts.values().iterator(); all.hasNext();) {
+            UploadPart part = all.next();
+            boolean settled = part.state() == UploadPart.State.UNKNOWN && now - part.unknownSince() > settleTime;
+            if (part.state() == UploadPart.State.STORED || settled) {
                 all.remove();
-                incomplete(part.upload);
+                markIncomplete(part.upload());
                 return true;
             }
         }
         return false;
     }
 
-    int remembered() {
-        return parts.size();
-    }
-
-    /** The digest that makes a {@link Print}. */
-    static MessageDigest digest() {
-        try {
-            return MessageDigest.getInstance("MD5");
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);   // every Java has it
-        }
-    }
-
-    static String hex(MessageDigest digest) {
-        return HexFormat.of().formatHex(digest.digest());
+    void remove(UploadPart part) {
+        parts.remove(part.name(), part);
     }
 }
--- /dev/null
+++ b/src/main/java/kelphollow/protocol/object/UploadQuery.java
@@ -0,0 +1,75 @@
+package kelphollow.protocol.object;
+
+import kelphollow.decision.ControlEvent.RequestArrived;
+import kelphollow.routing.Request;
+import kelphollow.routing.RequestRouter;
+import kelphollow.routing.ResponseCallback;
+
+/**
+ * Asks the node what it has of an upload, on behalf of a call that must not be sent before that is known. For the event loop
+ * alone.
+ */
+final class UploadQuery implements ResponseCallback {
+    /** Hears one of the two, once, unless the query is cancelled. */
+    interface Listener {
+        void answered(NodeResponse response);
+
+        void failed(S3Error error);
+    }
+
+    private final RequestRouter router;
+    private final ObjectRequestMapper mapper;
+    private final Listener listener;
+    private boolean pending;
+    private Request request;
+
+    UploadQuery(ObjectServices services, Listener listener) {
+        this.router = services.router();
+        this.mapper = services.mapper();
+        this.listener = listener;
+    }
+
+    /** Sends this call, which lists parts. */
+    void send(ObjectCall list, Transfer.Client client) {
+        pending = true;
+        RequestArrived arrival;
+        try {
+            arrival = mapper.arrival(list);
+        } catch (S3Error e) {
+            fail(e);
+            return;
+        }
+        Request taken = router.take(arrival, new Transfer(list, null, client), this);
+        request = pending ? taken : null;
+    }
+
+    boolean isPending() {
+        return pending;
+    }
+
+    /** The response is of no use any more. */
+    void cancel() {
+        if (pending) {
+            pending = false;
+            router.gone(request);
+        }
+    }
+
+    private void fail(S3Error error) {
+        pending = false;
+        listener.failed(error);
+    }
+
+    @Override public void served(Object answer) {
+        pending = false;
+        listener.answered((NodeResponse) answer);
+    }
+
+    @Override public void rejected(double retryAfter, boolean timedOut) {
+        fail(timedOut ? S3Error.failed(true) : S3Error.rejected(retryAfter));
+    }
+
+    @Override public void failed(boolean timedOut) {
+        fail(S3Error.failed(timedOut));
+    }
+}
--- a/src/main/java/kelphollow/protocol/resp/RespCall.java
+++ b/src/main/java/kelphollow/protocol/resp/RespCall.java
@@ -1,4 +1,9 @@
 package kelphollow.protocol.resp;
 
-/** A request as its front and its backend share it: what goes to a node, and who takes a value that cannot be held. */
-record RespCall(RespCommand command, LongValue.Taker taker) {}
+/**
+ * A request as its front and its backend share it.
+ *
+ * @param command what goes to a node
+ * @param receiver takes a value that is too long to be buffered
+ */
+record RespCall(RespCommand command, StreamedValue.Receiver receiver) {}
--- a/src/main/java/kelphollow/protocol/resp/Resp.java
+++ b/src/main/java/kelphollow/protocol/resp/RespCodec.java
@@ -15,44 +15,45 @@
 import io.netty.handler.codec.redis.RedisEncoder;
 import io.netty.handler.codec.redis.RedisMessage;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 
-/** Netty's RESP codec with the sizes of this protocol, and what both sides need to read and write with it. */
-final class Resp {
-    /** A value above this passes through in pieces, see {@link LongValue}; the body of a command may not be longer. */
-    static final int LARGEST_HELD = 64 * 1024;
-    /** No node gives a longer value. */
-    static final int LARGEST_VALUE = 4 * 1024 * 1024;
-    private static final int LONGEST_LINE = 4 * 1024;
-    private static final int MOST_ELEMENTS = 8;
+/** Netty's RESP codec with the sizes of this protocol, and what both sides need to read and write its messages. */
+final class RespCodec {
+    /** In bytes. A longer value is streamed, see {@link StreamedValue}; the body of a command may not be longer. */
+    static final int MAX_BUFFERED_BYTES = 64 * 1024;
+    /** No node gives a longer value, in bytes. */
+    static final int MAX_VALUE_BYTES = 4 * 1024 * 1024;
+    private static final int MAX_LINE_BYTES = 4 * 1024;
+    private static final int MAX_ELEMENTS = 8;
 
-    private Resp() {}
+    private RespCodec() {}
 
     /** For a client's connection. */
-    static ChannelHandler[] clientCodec() {
-        return codec(new SizeGuard());
+    static ChannelHandler[] forClient() {
+        return handlers(new SizeGuard());
     }
 
     /** For one exchange on a node's connection. */
-    static ChannelHandler[] nodeCodec() {
-        return codec(new LongValueSplitter());
+    static ChannelHandler[] forNode() {
+        return handlers(new StreamedValueSplitter());
     }
 
-    private static ChannelHandler[] codec(ChannelHandler longValues) {
-        return new ChannelHandler[] {new RedisDecoder(LONGEST_LINE, FixedRedisMessagePool.INSTANCE), longValues,
-            new RedisBulkStringAggregator(), new RedisArrayAggregator(MOST_ELEMENTS, 1), new RedisEncoder()};
+    private static ChannelHandler[] handlers(ChannelHandler longValues) {
+        return new ChannelHandler[] {new RedisDecoder(MAX_LINE_BYTES, FixedRedisMessagePool.INSTANCE), longValues,
+            new RedisBulkStringAggregator(), new RedisArrayAggregator(MAX_ELEMENTS, 1), new RedisEncoder()};
     }
 
     /** Guards against a header that announces more than the protocol allows: Netty's own bound is 512 MiB. */
     private static final class SizeGuard extends ChannelInboundHandlerAdapter {
-        @Override public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-            if (message instanceof BulkStringHeaderRedisMessage h && h.bulkStringLength() > LARGEST_HELD) {
-                throw new TooLongFrameException("a value of " + h.bulkStringLength() + " bytes");
+        @Override public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
+            if (message instanceof BulkStringHeaderRedisMessage header && header.bulkStringLength() > MAX_BUFFERED_BYTES) {
+                throw new TooLongFrameException("a value of " + header.bulkStringLength() + " bytes");
             }
-            ctx.fireChannelRead(message);
+            context.fireChannelRead(message);
         }
     }
 
-    /** The bytes of a bulk string, or null where it is null or another type. */
+    /** A copy of the bytes of a bulk string, or null where it is null or another type; the message stays the caller's. */
     static byte[] bytes(RedisMessage message) {
         if (message instanceof FullBulkStringRedisMessage bulk && !bulk.isNull()) {
             byte[] bytes = new byte[bulk.content().readableBytes()];
@@ -62,11 +63,13 @@
         return null;
     }
 
+    /** The text of a bulk string, or null where it is null or another type. */
     static String text(RedisMessage message) {
         byte[] bytes = bytes(message);
         return bytes == null ? null : new String(bytes, StandardCharsets.UTF_8);
     }
 
+    /** A bulk string over these bytes, which are not copied. */
     static FullBulkStringRedisMessage bulk(byte[] bytes) {
         return new FullBulkStringRedisMessage(Unpooled.wrappedBuffer(bytes));
     }
@@ -75,7 +78,7 @@
         return bulk(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    static RedisMessage array(java.util.List<RedisMessage> elements) {
+    static RedisMessage array(List<RedisMessage> elements) {
         return new ArrayRedisMessage(elements);
     }
 }
--- a/src/main/java/kelphollow/protocol/resp/RespCommand.java
+++ b/src/main/java/kelphollow/protocol/resp/RespCommand.java
@@ -5,27 +5,31 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.regex.Pattern;
 import kelphollow.decision.ControlEvent.RequestArrived;
 
-/** A client's request on the platform's wire: {@code OBJ.GET} or {@code OBJ.PUT} with its names and values. */
-record RespCommand(String name, byte[] piece, byte[] id, Map<String, String> values, byte[] body) {
-    private static final double LONGEST_WAIT = 3_600_000;
-    private static final double MOST_UNITS = 1_000_000;
-    private static final Pattern NAME = Pattern.compile("[!-~]{1,128}");
+/**
+ * A client's request on the platform's wire: {@code OBJ.GET} or {@code OBJ.PUT} with its fields.
+ *
+ * @param name the command's name in capitals
+ * @param objectKey the object that it is for
+ * @param id tells it from other open requests; nodes see it
+ * @param fields the fields of its fourth argument in their order, see {@link RespWords}
+ * @param body what is written, or null for a command without a body
+ */
+record RespCommand(String name, byte[] objectKey, byte[] id, Map<String, String> fields, byte[] body) {
+    private static final int ARGUMENTS = 4;
+    private static final int ARGUMENTS_WITH_BODY = 5;
+    private static final double MAX_TIME_LEFT_MS = 3_600_000;
+    private static final double MAX_UNITS = 1_000_000;
+    private static final double MAX_INSTANCES = 1_000_000;
+    private static final int NEW_OBJECT = -1;
+    private static final Pattern WORD = Pattern.compile("[!-~]{1,128}");
     // Java's own reading takes "1d", "NaN" and more for numbers, which nodes do not.
     private static final Pattern NUMBER = Pattern.compile("-?\\d{1,12}(\\.\\d{1,9})?");
 
-    /** A request in a form that this protocol does not know; the message goes to the client. */
-    static final class Malformed extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        Malformed(String message) {
-            super(message);
-        }
-    }
-
     /** The id as text, by which two are told apart. */
     String idText() {
         return ascii(id);
@@ -35,74 +39,86 @@
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    static RespCommand read(List<RedisMessage> words) throws Malformed {
-        String name = Resp.text(words.get(0)).toUpperCase(java.util.Locale.ROOT);
-        int expected = name.equals("OBJ.PUT") ? 5 : 4;
+    /** Reads a command, whose messages stay the caller's; all of it is checked, its fields included. */
+    static RespCommand read(List<RedisMessage> words) throws MalformedCommandException {
+        String name = RespCodec.text(words.get(0)).toUpperCase(Locale.ROOT);
+        int expected = name.equals(RespWords.PUT) ? ARGUMENTS_WITH_BODY : ARGUMENTS;
         if (words.size() != expected) {
-            throw new Malformed("wrong number of arguments for '" + name + "'");
+            throw new MalformedCommandException("wrong number of arguments for '" + name + "'");
         }
-        List<byte[]> parts = new ArrayList<>();
+        List<byte[]> arguments = new ArrayList<>();
         for (RedisMessage word : words) {
-            byte[] bytes = Resp.bytes(word);
+            byte[] bytes = RespCodec.bytes(word);
             if (bytes == null) {
-                throw new Malformed("arguments must be bulk strings");
-            }
-            parts.add(bytes);
-        }
-        Map<String, String> values = new LinkedHashMap<>();
-        for (String pair : Resp.text(words.get(3)).split(",")) {
-            int equals = pair.indexOf('=');
-            if (equals < 1 || values.put(pair.substring(0, equals), pair.substring(equals + 1)) != null) {
-                throw new Malformed("'" + pair + "' is not a name with its value, given once");
+                throw new MalformedCommandException("arguments must be bulk strings");
             }
+            arguments.add(bytes);
         }
-        if (!NAME.matcher(ascii(parts.get(1))).matches() || !NAME.matcher(ascii(parts.get(2))).matches()) {
-            throw new Malformed("the piece or the id is missing or no word");
+        Map<String, String> fields = fields(RespCodec.text(words.get(3)));
+        if (!WORD.matcher(ascii(arguments.get(1))).matches() || !WORD.matcher(ascii(arguments.get(2))).matches()) {
+            throw new MalformedCommandException("the piece or the id is missing or no word");
         }
-        RespCommand command = new RespCommand(name, parts.get(1), parts.get(2), values,
-            expected == 5 ? parts.get(4) : null);
+        RespCommand command = new RespCommand(name, arguments.get(1), arguments.get(2), fields,
+            expected == ARGUMENTS_WITH_BODY ? arguments.get(4) : null);
         command.arrival(0);
         return command;
     }
 
-    /** What the module is told, for a request that came at {@code now}. */
-    RequestArrived arrival(double now) throws Malformed {
-        return new RequestArrived("", word("c"), word("t"), ascii(piece),
-            now + number("d", Double.NaN, 0, LONGEST_WAIT), word("volume"), number("units", 1, 0, MOST_UNITS),
-            (int) number("shard", -1, -1, Integer.MAX_VALUE), (int) number("hosts", 1, 1, 1_000_000),
-            "1".equals(values.get("r")));
+    private static Map<String, String> fields(String text) throws MalformedCommandException {
+        Map<String, String> fields = new LinkedHashMap<>();
+        for (String field : text.split(",")) {
+            int equals = field.indexOf('=');
+            if (equals < 1 || fields.put(field.substring(0, equals), field.substring(equals + 1)) != null) {
+                throw new MalformedCommandException("'" + field + "' is not a name with its value, given once");
+            }
+        }
+        return fields;
+    }
+
+    /** The request as the decision module sees it, if it arrived at {@code now}. */
+    RequestArrived arrival(double now) throws MalformedCommandException {
+        return new RequestArrived("", word(RespWords.REQUEST_CLASS), word(RespWords.PLAN), ascii(objectKey),
+            now + number(RespWords.TIME_LEFT, Double.NaN, 0, MAX_TIME_LEFT_MS), word(RespWords.VOLUME),
+            number(RespWords.UNITS, 1, 0, MAX_UNITS),
+            (int) number(RespWords.CELL, NEW_OBJECT, NEW_OBJECT, Integer.MAX_VALUE),
+            (int) number(RespWords.INSTANCES, 1, 1, MAX_INSTANCES),
+            RespWords.MARKED.equals(fields.get(RespWords.RETRY)));
     }
 
-    /** The command for a node that is to know how long it will be waited for; all else passes on unchanged. */
-    RedisMessage forNode(double wait) {
+    /**
+     * The command for a node that is to know how long it will be waited for; all else passes on unchanged.
+     *
+     * @param timeLeft in milliseconds, sent as 1 at least
+     */
+    RedisMessage forNode(double timeLeft) {
         StringBuilder line = new StringBuilder();
-        values.forEach((k, v) -> line.append(line.isEmpty() ? "" : ",").append(k).append('=')
-            .append(k.equals("d") ? Long.toString(Math.max(1, (long) wait)) : v));
-        List<RedisMessage> words = new ArrayList<>(List.of(Resp.bulk(name), Resp.bulk(piece), Resp.bulk(id),
-            Resp.bulk(line.toString())));
+        fields.forEach((field, value) -> line.append(line.isEmpty() ? "" : ",").append(field).append('=')
+            .append(field.equals(RespWords.TIME_LEFT) ? Long.toString(Math.max(1, (long) timeLeft)) : value));
+        List<RedisMessage> words = new ArrayList<>(List.of(RespCodec.bulk(name), RespCodec.bulk(objectKey),
+            RespCodec.bulk(id), RespCodec.bulk(line.toString())));
         if (body != null) {
-            words.add(Resp.bulk(body));
+            words.add(RespCodec.bulk(body));
         }
-        return Resp.array(words);
+        return RespCodec.array(words);
     }
 
-    /** The value of a name that must be there. */
-    String word(String key) throws Malformed {
-        String value = values.get(key);
+    /** The value of a field that must be there. */
+    String word(String field) throws MalformedCommandException {
+        String value = fields.get(field);
         if (value == null || value.isEmpty()) {
-            throw new Malformed("'" + key + "' is missing");
+            throw new MalformedCommandException("'" + field + "' is missing");
         }
         return value;
     }
 
-    private double number(String key, double absent, double least, double most) throws Malformed {
-        String value = values.get(key);
+    private double number(String field, double absent, double least, double most) throws MalformedCommandException {
+        String value = fields.get(field);
         if (value == null || NUMBER.matcher(value).matches()) {
             double number = value == null ? absent : Double.parseDouble(value);
             if (number >= least && number <= most) {
                 return number;
             }
         }
-        throw new Malformed("'" + key + "' must be a number from " + (long) least + " to " + (long) most);
+        throw new MalformedCommandException("'" + field + "' must be a number from " + (long) least + " to " + (long) most);
     }
 }
--- a/src/main/java/kelphollow/protocol/resp/RespWarmup.java
+++ b/src/main/java/kelphollow/protocol/resp/RespWarmup.java
@@ -26,71 +26,85 @@
  */
 public final class RespWarmup {
     private static final int REQUESTS = 200;
-    private static final long LONGEST_NANOS = 2_000_000_000L;
+    private static final long MAX_NANOS = 2_000_000_000L;
     private static final int NODES = 4;
-    private static final String ANSWER = "*3\r\n$5\r\nvalue\r\n$6\r\ncost=2\r\n$10\r\ninflight=3\r\n";
+    private static final int VOLUMES = 40;
+    private static final String REPLY = "*3\r\n$5\r\nvalue\r\n$6\r\ncost=2\r\n$10\r\ninflight=3\r\n";
 
     private RespWarmup() {}
 
-    /** Warms up for two seconds at most; returns how many requests were answered with a value. */
+    /** Warms up for two seconds at most; returns how many requests got a value. */
     public static int run(ControlSettings settings, long seed) {
-        long end = System.nanoTime() + LONGEST_NANOS;
-        Loopless world = new Loopless();
+        long end = System.nanoTime() + MAX_NANOS;
+        SimulatedWorld world = new SimulatedWorld();
         RequestRouter router = new RequestRouter(new Control(settings, seed, world.now()), world, world);
         router.mute();
-        List<ResolvedEndpoint> members = new ArrayList<>();
-        for (int i = 0; i < NODES; i++) {
-            members.add(new ResolvedEndpoint(new Endpoint("n" + i, "", i, EndpointState.HEALTHY, 0), new InetSocketAddress(
-                0)));
-        }
-        router.learn(members, true, true);
+        router.learn(endpoints(), true, true);
         router.start(() -> {}, false);
         EmbeddedChannel client = new EmbeddedChannel();
         new RespFront(router, world, settings, 1).accept(client);
         int served = 0;
         for (int i = 0; i < REQUESTS && System.nanoTime() < end; i++) {
-            var kind = settings.classes().get(i % settings.classes().size());
-            var plan = settings.plans().get(i % settings.plans().size());
-            String values = "k=" + i + ",c=" + kind.name() + ",t=" + plan.name() + ",d=1000,volume=" + i % 40
-                + ",units=2,shard=" + i % NODES + ",hosts=2";
-            client.writeInbound(ascii("*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$" + values.length() + "\r\n"
-                + values + "\r\n"));
-            world.pass(i % 7 == 0 ? 60 : 3);
-            ByteBuf reply;
-            while ((reply = client.readOutbound()) != null) {
-                served += reply.isReadable() && reply.getByte(reply.readerIndex()) == '$' ? 1 : 0;
-                reply.release();
-            }
+            client.writeInbound(command(i, settings));
+            world.advance(i % 7 == 0 ? 60 : 3);
+            served += values(client);
         }
         client.finishAndReleaseAll();
         world.node.finishAndReleaseAll();
         return served;
     }
 
+    private static List<ResolvedEndpoint> endpoints() {
+        List<ResolvedEndpoint> endpoints = new ArrayList<>();
+        for (int i = 0; i < NODES; i++) {
+            Endpoint endpoint = new Endpoint("n" + i, "", i, EndpointState.HEALTHY, 0);
+            endpoints.add(new ResolvedEndpoint(endpoint, new InetSocketAddress(0)));
+        }
+        return endpoints;
+    }
+
+    private static ByteBuf command(int number, ControlSettings settings) {
+        var requestClass = settings.classes().get(number % settings.classes().size());
+        var plan = settings.plans().get(number % settings.plans().size());
+        String fields = "k=" + number + ",c=" + requestClass.name() + ",t=" + plan.name() + ",d=1000,volume="
+            + number % VOLUMES + ",units=2,shard=" + number % NODES + ",hosts=2";
+        return ascii("*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$" + fields.length() + "\r\n" + fields + "\r\n");
+    }
+
+    /** Reads all replies; gives the number of those that are values. */
+    private static int values(EmbeddedChannel client) {
+        int values = 0;
+        for (ByteBuf reply; (reply = client.readOutbound()) != null;) {
+            values += reply.isReadable() && reply.getByte(reply.readerIndex()) == '$' ? 1 : 0;
+            reply.release();
+        }
+        return values;
+    }
+
     private static ByteBuf ascii(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
     }
 
-    /** A clock that is moved by hand, and nodes that answer when it moves. */
-    private static final class Loopless implements Ticker, Backend {
+    /** A clock that is moved by hand, and nodes that reply when it moves. */
+    private static final class SimulatedWorld implements Ticker, Backend {
         /** No record: linking the equality that Java makes for one takes as long as many requests. */
-        private static final class Due {
-            final double at;
+        private static final class Timer {
+            final double dueAt;
             final Runnable task;
 
-            Due(double at, Runnable task) {
-                this.at = at;
+            Timer(double dueAt, Runnable task) {
+                this.dueAt = dueAt;
                 this.task = task;
             }
         }
 
         final EmbeddedChannel node = new EmbeddedChannel();
-        private final List<Due> dues = new ArrayList<>();
-        private final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
+        private final List<Timer> timers = new ArrayList<>();
+        private final ArrayDeque<Attempt> pending = new ArrayDeque<>();
         private double now = 1_000;
 
-        Loopless() {
-            node.pipeline().addLast(Resp.nodeCodec());
+        SimulatedWorld() {
+            node.pipeline().addLast(RespCodec.forNode());
         }
 
         @Override public double now() {
@@ -98,39 +112,43 @@
         }
 
         @Override public Timeout after(double millis, Runnable task) {
-            Due due = new Due(now + millis, task);
-            dues.add(due);
-            return () -> dues.remove(due);
+            Timer timer = new Timer(now + millis, task);
+            timers.add(timer);
+            return () -> timers.remove(timer);
         }
 
         @Override public void start(Attempt attempt) {
-            waiting.add(attempt);
+            pending.add(attempt);
         }
 
         @Override public void abandon(Attempt attempt) {
-            waiting.remove(attempt);
+            pending.remove(attempt);
         }
 
         @Override public void retire(String name) {}
 
-        void pass(double millis) {
+        void advance(double millis) {
             now += millis;
-            for (Attempt attempt; (attempt = waiting.poll()) != null;) {
+            for (Attempt attempt; (attempt = pending.poll()) != null;) {
                 if (attempt.maySend()) {
-                    RespCommand command = ((RespCall) attempt.request().message()).command();
-                    node.writeOutbound(command.forNode(attempt.remaining()));
-                    ReferenceCountUtil.release(node.readOutbound());
-                    node.writeInbound(ascii(ANSWER));
-                    RedisMessage answer = node.readInbound();
-                    attempt.ended(RespBackend.read(answer, false));
-                    ReferenceCountUtil.release(answer);
+                    serve(attempt);
                 }
             }
-            for (Due due : List.copyOf(dues)) {
-                if (due.at <= now && dues.remove(due)) {
-                    due.task.run();
+            for (Timer timer : List.copyOf(timers)) {
+                if (timer.dueAt <= now && timers.remove(timer)) {
+                    timer.task.run();
                 }
             }
         }
+
+        private void serve(Attempt attempt) {
+            RespCommand command = ((RespCall) attempt.request().message()).command();
+            node.writeOutbound(command.forNode(attempt.remaining()));
+            ReferenceCountUtil.release(node.readOutbound());
+            node.writeInbound(ascii(REPLY));
+            RedisMessage reply = node.readInbound();
+            attempt.ended(NodeReply.read(reply, false));
+            ReferenceCountUtil.release(reply);
+        }
     }
 }
--- a/src/test/java/kelphollow/program/BetweenAttemptsTest.java
+++ b/src/test/java/kelphollow/program/BetweenAttemptsTest.java
@@ -15,7 +15,8 @@
  */
 @Timeout(20)
 class BetweenAttemptsTest {
-    private static final String HEAD_END = "\r\n\r\n", TURNED_AWAY = "HTTP/1.1 503 Slow Down\r\nContent-Length: 0\r\n\r\n";
+    private static final String HEAD_END = "\r\n\r\n";
+    private static final String REJECTED = "HTTP/1.1 503 Slow Down\r\nContent-Length: 0\r\n\r\n";
     private static final List<String> REQUESTS = List.of("GET /symbols/a HTTP/1.1\r\nHost: h\r\n\r\n",
         "PUT /symbols/a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody");
 
@@ -26,7 +27,7 @@
         client.send(request);
         ScriptedPeer.Line attempt = node.accept();
         attempt.until(HEAD_END);
-        attempt.send(TURNED_AWAY);
+        attempt.send(REJECTED);
         ServerHarness.turn(bench.loop);
         assertEquals(1, bench.openRequests(), "it is tried again after a pause");
         return client;
--- a/src/test/java/kelphollow/program/ClientCrossingTest.java
+++ b/src/test/java/kelphollow/program/ClientCrossingTest.java
@@ -120,8 +120,8 @@
     /** Half of the descriptors are for clients; the rest is never theirs, whatever they hold. */
     @Test void idleClientsKeepNeitherDiscoveryNorNodesNorTheNextClientOut() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-             ScriptedPeer discovery = new ScriptedPeer(); ServerHarness bench = ServerHarness.resp(discovery.address(), node
-                 .address())) {
+             ScriptedPeer discovery = new ScriptedPeer();
+             ServerHarness bench = ServerHarness.resp(discovery.address(), node.address())) {
             ScriptedPeer.Line silent = discovery.accept();
             for (int i = 0; i < ServerHarness.SOCKETS; i++) {
                 greeted(clients, bench);                      // evicts the one that has been idle longest
@@ -133,9 +133,8 @@
                 bench.ticker.advance(100);
                 watch = discovery.acceptIfAny();
             }
-            String list = "{\"seq\":9,\"whole\":true,\"hosts\":[{\"host\":\"n0\",\"dial\":\"127.0.0.1:" + node.address()
-                .getPort()
-                + "\",\"site\":\"a\",\"block\":0,\"health\":\"ready\",\"born_ms\":0}]}";
+            String list = "{\"seq\":9,\"whole\":true,\"hosts\":[{\"host\":\"n0\",\"dial\":\"127.0.0.1:"
+                + node.address().getPort() + "\",\"site\":\"a\",\"block\":0,\"health\":\"ready\",\"born_ms\":0}]}";
             watch.until("\r\n\r\n");
             watch.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
             assertTrue(discovery.accept().until("\r\n\r\n").contains("index=9"));
--- a/src/test/java/kelphollow/program/EndBehindTest.java
+++ b/src/test/java/kelphollow/program/EndBehindTest.java
@@ -66,8 +66,8 @@
     }
 
     @Test void anObjectRequestOfAClientThatHasGoneIsNotSentOn() throws Exception {
-        List<String> requests = List.of(request("GET", "left", ""), request("PUT", "left", "body"), request("DELETE", "left",
-            ""));
+        List<String> requests = List.of(request("GET", "left", ""), request("PUT", "left", "body"),
+            request("DELETE", "left", ""));
         for (String asked : requests) {
             for (boolean known : List.of(true, false)) {
                 for (Map.Entry<String, End> end : ENDS.entrySet()) {
--- a/src/test/java/kelphollow/program/EndOfTimeTest.java
+++ b/src/test/java/kelphollow/program/EndOfTimeTest.java
@@ -118,8 +118,8 @@
     /** An answer that is there waits for the one before it, no longer than that one's time. */
     @Test void whatWaitsForItsTurnBehindAnotherLeavesWithIt() throws Exception {
         try (ScriptedPeer silent = new ScriptedPeer(); ScriptedPeer node = new ScriptedPeer();
-             ScriptedPeer clients = new ScriptedPeer(); ServerHarness bench = ServerHarness.resp(null, silent.address(), node
-                 .address())) {
+             ScriptedPeer clients = new ScriptedPeer();
+             ServerHarness bench = ServerHarness.resp(null, silent.address(), node.address())) {
             ScriptedPeer.Line client = clients.connect(bench.address);
             client.send(get("first", "dump-write", 3_000, 0) + get("second", "dump-read", 1_200, 1));
             silent.accept().until("hosts=1\r\n");
--- a/src/test/java/kelphollow/program/HandoverTest.java
+++ b/src/test/java/kelphollow/program/HandoverTest.java
@@ -16,32 +16,34 @@
     @TempDir
     Path tmp;
 
-    private Management side(long pid) {
-        return new Management(null, null, tmp.resolve("kelphollow-bans"), pid);
+    private ProcessHandover process(long pid) {
+        return new ProcessHandover(tmp, pid);
     }
 
     @Test void theNewSideFindsTheOldAndTakesTheLevelsItLeaves() throws Exception {
-        Management old = side(100), next = side(200);
-        old.live();
-        assertEquals(100, next.other(), "the old one shows that it lives");
-        assertEquals(-1, old.other(), "and sees none but itself");
+        ProcessHandover old = process(100);
+        ProcessHandover next = process(200);
+        old.showAlive();
+        assertEquals(100, next.otherProcess(), "the old one shows that it lives");
+        assertEquals(-1, old.otherProcess(), "and sees none but itself");
         old.handOver(Map.of("v1", 3.5, "v2", 0.0));
-        assertEquals(Map.of("v1", 3.5, "v2", 0.0), next.awaitHandover(100, 5_000));
+        assertEquals(Map.of("v1", 3.5, "v2", 0.0), next.await(100, 5_000));
     }
 
     @Test void aSideThatShowsNoLifeIsNotWaitedFor() throws Exception {
-        Management old = side(100), next = side(200);
-        old.live();
+        ProcessHandover old = process(100);
+        ProcessHandover next = process(200);
+        old.showAlive();
         Files.setLastModifiedTime(tmp.resolve("kelphollow-alive-100"),
             FileTime.fromMillis(System.currentTimeMillis() - 5_000));
-        assertEquals(-1, next.other(), "killed long ago");
-        assertEquals(Map.of(), next.awaitHandover(100, 5_000), "it hands nothing over, and nothing is waited for");
+        assertEquals(-1, next.otherProcess(), "killed long ago");
+        assertEquals(Map.of(), next.await(100, 5_000), "it hands nothing over, and nothing is waited for");
     }
 
     @Test void aHalfWrittenHandOverIsNotTaken() throws Exception {
-        Management next = side(200);
-        side(100).live();
+        ProcessHandover next = process(200);
+        process(100).showAlive();
         Files.writeString(tmp.resolve("kelphollow-handover-100"), "v1 3.5\n");
-        assertEquals(Map.of(), next.awaitHandover(100, 100), "cut short: waited for until the time is up");
+        assertEquals(Map.of(), next.await(100, 100), "cut short: waited for until the time is up");
     }
 }
--- a/src/test/java/kelphollow/program/LateStallTest.java
+++ b/src/test/java/kelphollow/program/LateStallTest.java
@@ -10,7 +10,8 @@
 /** A watch that has been answered for 13 s and then falls silent is broken as soon as one that was silent from the start. */
 @Timeout(20)
 class LateStallTest {
-    private static final int ANSWERED_FOR = 13_000, STEP = 20;
+    private static final int ANSWERED_FOR = 13_000;
+    private static final int STEP = 20;
 
     private static void answer(ScriptedPeer.Line call, int version) throws Exception {
         String list = StandInDiscovery.list(version, false);
@@ -20,8 +21,8 @@
     @Test void itIsOpenedAnewInTimeThoughNothingEndsItsConnection() throws Exception {
         for (String mode : List.of("automatic", "subscribe")) {
             double most = EndpointUpdateBudget.longest(mode.equals("automatic")) - EndpointUpdateBudget.TURN;
-            try (ScriptedPeer discovery = new ScriptedPeer(); ServerHarness bench = ServerHarness.respWith(mode, discovery
-                .address())) {
+            try (ScriptedPeer discovery = new ScriptedPeer();
+                 ServerHarness bench = ServerHarness.respWith(mode, discovery.address())) {
                 int version = 1;
                 for (int passed = 0; passed < ANSWERED_FOR; passed += 500) {
                     ScriptedPeer.Line call = discovery.accept();
--- a/src/test/java/kelphollow/program/LayersTest.java
+++ b/src/test/java/kelphollow/program/LayersTest.java
@@ -60,7 +60,7 @@
             .whereLayer("decision").mayNotAccessAnyLayer()
             .whereLayer("maintenance").mayNotAccessAnyLayer()
             .whereLayer("retune").mayOnlyAccessLayers("decision")
-            .check(new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests()).importPackages(
-                "kelphollow"));
+            .check(new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
+                .importPackages("kelphollow"));
     }
 }
--- a/src/test/java/kelphollow/program/LingeringCloseTest.java
+++ b/src/test/java/kelphollow/program/LingeringCloseTest.java
@@ -29,8 +29,8 @@
     private final ManualTicker ticker = new ManualTicker(loop);
     private final LingeringClose lingering = new LingeringClose(ticker, 400, 250, 1);
     private final BlockingQueue<Channel> accepted = new LinkedBlockingQueue<>();
-    private final InetSocketAddress address = new Server(10).listen(loop, new InetSocketAddress("127.0.0.1", 0),
-        new Front() {
+    private final InetSocketAddress address = new Server(10).listen(loop,
+        new InetSocketAddress("127.0.0.1", 0), new Front() {
             @Override public void accept(Channel channel) {
                 accepted.add(channel);
             }
--- a/src/test/java/kelphollow/program/NodeResetTest.java
+++ b/src/test/java/kelphollow/program/NodeResetTest.java
@@ -9,17 +9,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A node's connection that is reset at any byte of its answer: one final answer each, and nothing sent again that may have run. */
+/**
+ * A node's connection that is reset at any byte of its answer: one final answer each, and nothing sent again that may have
+ * run.
+ */
 @Timeout(60)
 class NodeResetTest {
-    private static final String ANSWER = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n", PING = "*1\r\n$4\r\nPING\r\n";
+    private static final String ANSWER = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n";
+    private static final String PING = "*1\r\n$4\r\nPING\r\n";
 
     private static String put(int shard) {
-        String id = "w" + shard, values = "c=dump-write,t=padrao,d=3000,volume=v" + shard + ",units=1,shard=" + shard
-            + ",hosts=1";
+        String id = "w" + shard;
+        String values = "c=dump-write,t=padrao,d=3000,volume=v" + shard + ",units=1,shard=" + shard + ",hosts=1";
         return "*5\r\n$7\r\nOBJ.PUT\r\n$1\r\np\r\n$" + id.length() + "\r\n" + id + "\r\n$" + values.length() + "\r\n"
-            + values
-            + "\r\n$1\r\nb\r\n";
+            + values + "\r\n$1\r\nb\r\n";
     }
 
     private interface Plays {
--- a/src/test/java/kelphollow/program/ObjectFrontTest.java
+++ b/src/test/java/kelphollow/program/ObjectFrontTest.java
@@ -212,8 +212,8 @@
             assertEquals(200, client.call("PUT /symbols/m?partNumber=" + n + "&uploadId=" + id, "", CONTENT).status());
         }
         assertTrue(client.call("GET /symbols/m?uploadId=" + id, "", null).text().contains("<PartNumber>3</PartNumber>"));
-        assertEquals(200, client.call("POST /symbols/m?uploadId=" + id, "", "<CompleteMultipartUpload/>".getBytes())
-            .status());
+        assertEquals(200,
+            client.call("POST /symbols/m?uploadId=" + id, "", "<CompleteMultipartUpload/>".getBytes()).status());
         assertEquals(3 * CONTENT.length, server.objects.get("/symbols/m").bytes().length);
         assertEquals(Map.of(id + "#1", 1, id + "#2", 1, id + "#3", 1), server.partWrites);
     }
--- a/src/test/java/kelphollow/program/ReloadCrossingTest.java
+++ b/src/test/java/kelphollow/program/ReloadCrossingTest.java
@@ -20,7 +20,8 @@
  */
 @Timeout(20)
 class ReloadCrossingTest {
-    private static final String HEAD_END = "\r\n\r\n", COMMAND_END = "hosts=1\r\n";
+    private static final String HEAD_END = "\r\n\r\n";
+    private static final String COMMAND_END = "hosts=1\r\n";
     private static final List<String> MODES = List.of("subscribe", "automatic");
 
     private static String host(String name, ScriptedPeer node, String health) {
--- a/src/test/java/kelphollow/program/ReloadTest.java
+++ b/src/test/java/kelphollow/program/ReloadTest.java
@@ -21,7 +21,8 @@
 @Timeout(20)
 class ReloadTest {
     @Test void aNewDiscoveryThatSaysNothingIsAskedAgainSoon() throws Exception {
-        try (StandInDiscovery old = new StandInDiscovery(); StandInDiscovery next = new StandInDiscovery();
+        try (StandInDiscovery old = new StandInDiscovery();
+             StandInDiscovery next = new StandInDiscovery();
              ServerHarness bench = ServerHarness.resp(old.address())) {
             bench.reload(next.address());
             assertEquals("/catalog/members", next.asked.poll(10, TimeUnit.SECONDS));
@@ -32,8 +33,7 @@
 
     @Test void interimAnswersOfDiscoveryArePassedOver() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
-             ServerHarness bench = ServerHarness.resp(new InetSocketAddress(discovery.getInetAddress(), discovery
-                 .getLocalPort()));
+             ServerHarness bench = ServerHarness.resp((InetSocketAddress) discovery.getLocalSocketAddress());
              Socket watch = discovery.accept()) {
             BufferedReader in = new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.US_ASCII));
             while (!in.readLine().isEmpty()) {}
--- a/src/test/java/kelphollow/program/RequestBreakTest.java
+++ b/src/test/java/kelphollow/program/RequestBreakTest.java
@@ -120,7 +120,7 @@
     }
 
     private InetSocketAddress platform(int shards) throws Exception {
-        ControlSettings settings = Config.settings(ServerHarness.part(ServerHarness.example(), "settings"));
+        ControlSettings settings = SettingsConfig.read(ServerHarness.part(ServerHarness.example(), "settings"));
         return listen(() -> new RespFront(router(settings, shards, new RespBackend(pools(RespBackend::codec), ticker)),
             ticker, settings, 100));
     }
@@ -128,11 +128,11 @@
     private InetSocketAddress objects(int shards) throws Exception {
         Map<String, Object> config = ServerHarness.example();
         ServerHarness.part(config, "objects").put("shards", (double) shards);
-        ServerHarness.part(config, "xds").put("endpoints", List.of(Json.parse(ServerHarness.assignment("HEALTHY", node
-            .address()))));
-        ObjectConfig read = ObjectConfig.read(config);
+        Object assignment = Json.parse(ServerHarness.assignment("HEALTHY", node.address()));
+        ServerHarness.part(config, "xds").put("endpoints", List.of(assignment));
+        ObjectConfig read = ObjectConfig.read(new ConfigSection(config, ""));
         return listen(() -> new ObjectFront(router(read.settings(), shards,
-            new ObjectBackend(pools(ObjectBackend::codec), ticker, read.stall())), ticker, read.options(), null));
+            new ObjectBackend(pools(ObjectBackend::codec), ticker, read.stallTimeout())), ticker, read.options(), null));
     }
 
     private ScriptedPeer.Line nextAttempt(ScriptedPeer.Line client, String where) throws Exception {
--- a/src/test/java/kelphollow/program/ScriptedPeer.java
+++ b/src/test/java/kelphollow/program/ScriptedPeer.java
@@ -74,9 +74,9 @@
         /** All up to and with this text; what came until then if the connection ends. */
         String until(String end) throws IOException {
             ByteArrayOutputStream got = new ByteArrayOutputStream();
-            for (int c; !got.toString(StandardCharsets.ISO_8859_1).endsWith(end) && (c = socket.getInputStream().read())
-                >= 0;) {
-                got.write(c);
+            for (int next; !got.toString(StandardCharsets.ISO_8859_1).endsWith(end)
+                && (next = socket.getInputStream().read()) >= 0;) {
+                got.write(next);
             }
             return got.toString(StandardCharsets.ISO_8859_1);
         }
