--- a/src/test/java/kelphollow/program/SecondTermTest.java
+++ b/src/test/java/kelphollow/program/SecondTermTest.java
@@ -25,13 +25,11 @@
     Path folder;
 
     private Process start(InetSocketAddress discovery, InetSocketAddress node) throws Exception {
-        Path file = Files.writeString(folder.resolve("c.json"),
-            "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"mgmt\":\"127.0.0.1:0\","
-                + "\"discovery\":\"127.0.0.1:" + discovery.getPort()
-                + "\",\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"n0\","
-                + "\"dial\":\"127.0.0.1:" + node.getPort()
-                + "\",\"site\":\"a\",\"block\":0,\"health\":\"ready\",\"born_ms\":0}]},"
-                + "\"settings\":" + StartTest.settings() + "}");
+        Path file = Files.writeString(folder.resolve("c.json"), "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\","
+            + "\"mgmt\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.getPort() + "\","
+            + "\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"n0\",\"dial\":\"127.0.0.1:" + node.getPort()
+            + "\",\"site\":\"a\",\"block\":0,\"health\":\"ready\",\"born_ms\":0}]},"
+            + "\"settings\":" + StartTest.settings() + "}");
         ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-cp",
             System.getProperty("java.class.path"), Main.class.getName(), "serve").redirectErrorStream(true);
         builder.environment().put("GW_CONFIG", file.toString());
@@ -84,17 +82,17 @@
 
     /** Killed between writing its levels and giving them their name: what it left is no hand-over, whole or not. */
     @Test void aHandOverWhoseWriterIsKilledBeforeItsEndIsNotTakenAndNotWaitedFor() throws Exception {
-        Management old = new Management(null, null, folder.resolve("kelphollow-bans"), 100);
-        Management next = new Management(null, null, folder.resolve("kelphollow-bans"), 200);
-        old.live();
+        ProcessHandover old = new ProcessHandover(folder, 100);
+        ProcessHandover next = new ProcessHandover(folder, 200);
+        old.showAlive();
         String whole = LimitHandoverFile.text(Map.of("v1", 3.5, "v2", 0.0));
-        Files.setLastModifiedTime(folder.resolve("kelphollow-alive-100"), FileTime.fromMillis(System.currentTimeMillis()
-            - 5_000));
+        Files.setLastModifiedTime(folder.resolve("kelphollow-alive-100"),
+            FileTime.fromMillis(System.currentTimeMillis() - 5_000));
         for (int bytes = 0; bytes <= whole.length(); bytes++) {
             Files.writeString(folder.resolve("kelphollow-handover.part"), whole.substring(0, bytes));
-            assertEquals(Map.of(), next.awaitHandover(100, 60_000), bytes + " bytes");
+            assertEquals(Map.of(), next.await(100, 60_000), bytes + " bytes");
         }
         old.handOver(Map.of("v1", 3.5));                      // over what another left there
-        assertEquals(Map.of("v1", 3.5), next.awaitHandover(100, 60_000));
+        assertEquals(Map.of("v1", 3.5), next.await(100, 60_000));
     }
 }
--- a/src/test/java/kelphollow/program/ServerHarness.java
+++ b/src/test/java/kelphollow/program/ServerHarness.java
@@ -19,6 +19,7 @@
 import java.util.concurrent.CountDownLatch;
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.decision.ControlSettings;
 import kelphollow.protocol.discovery.DiscoveryListParser;
 import kelphollow.protocol.json.Json;
 import kelphollow.routing.RequestRouter;
@@ -33,9 +34,11 @@
     final EventLoop loop = group.next();
     final ManualTicker ticker = new ManualTicker(loop);
     static final int SOCKETS = 48;
+    private static final int DIAL_TIMEOUT_MS = 250;
+    private static final double IDLE_TIME_MS = 12_000;
     private Scheduler scheduler;
     private RequestRouter router;
-    private Config config;
+    private PlatformConfig config;
     InetSocketAddress address;
 
     static Map<String, Object> example() throws IOException {
@@ -63,21 +66,26 @@
         Map<String, Object> settings = part(example(), "settings");
         List<ResolvedEndpoint> members = new ArrayList<>();
         for (InetSocketAddress node : nodes) {
-            members.add(new ResolvedEndpoint(new Endpoint("n" + members.size(), "a", members.size(), EndpointState.HEALTHY,
-                0), node));
+            int cell = members.size();
+            members.add(new ResolvedEndpoint(new Endpoint("n" + cell, "a", cell, EndpointState.HEALTHY, 0), node));
         }
         settings.put("discovery", lists);
         List<Object> classes = new ArrayList<>((List<?>) settings.get("request_classes"));
         classes.add(Map.of("name", "keyed", "aim", 500.0, "deadline", 3000.0, "effect", "token", "dedup_scope", "cell",
             "window", 4000.0, "worth", 2.0, "late_share", 0.1));
         settings.put("request_classes", classes);
-        bench.config = new Config("test", null, discovery == null ? new InetSocketAddress("127.0.0.1", 1) : discovery, 1,
-            SOCKETS, 250, 12_000, new DiscoveryListParser(1, true, members), Config.settings(settings),
-            Config.Operations.NONE);
-        bench.start(Scheduler.of(bench.config, bench.loop, bench.ticker));
+        bench.config = platformConfig(discovery == null ? new InetSocketAddress("127.0.0.1", 1) : discovery,
+            new DiscoveryListParser(1, true, members), SettingsConfig.read(settings));
+        bench.start(PlatformScheduler.start(bench.config, bench.loop, bench.ticker));
         return bench;
     }
 
+    private static PlatformConfig platformConfig(InetSocketAddress discovery, DiscoveryListParser known,
+        ControlSettings settings) {
+        return new PlatformConfig("test", null, discovery, 1, SOCKETS, DIAL_TIMEOUT_MS, IDLE_TIME_MS, known, settings,
+            PlatformConfig.Operations.NONE);
+    }
+
     void reload(InetSocketAddress discovery) throws InterruptedException {
         hangUp(discovery);
         loop.submit(() -> {}).sync();
@@ -85,8 +93,7 @@
 
     /** As at SIGHUP with discovery moved there; the loop follows when it comes to it. */
     void hangUp(InetSocketAddress discovery) {
-        scheduler.reload(new Config("test", null, discovery, 1, SOCKETS, 250, 12_000, config.known(), config.settings(),
-            Config.Operations.NONE));
+        ((PlatformScheduler) scheduler).reload(platformConfig(discovery, config.known(), config.settings()));
     }
 
     /** A whole list, as if discovery told it; on the loop. */
@@ -103,7 +110,7 @@
     /** The gateway of the object API over these object servers. */
     static ServerHarness objects(Map<String, Object> changes, InetSocketAddress... servers) throws Exception {
         ServerHarness bench = new ServerHarness();
-        bench.start(Scheduler.of(objectConfig(changes, servers), bench.loop, bench.ticker));
+        bench.start(ObjectScheduler.start(objectConfig(changes, servers), bench.loop, bench.ticker));
         return bench;
     }
 
@@ -113,11 +120,11 @@
         xds.put("endpoints", List.of(Json.parse(assignment("HEALTHY", servers))));
         config.put("xds", xds);
         config.putAll(changes);
-        return ObjectConfig.read(config);
+        return ObjectConfig.read(new ConfigSection(config, ""));
     }
 
     void reload(Map<String, Object> changes, InetSocketAddress... servers) throws Exception {
-        scheduler.reload(objectConfig(changes, servers));
+        ((ObjectScheduler) scheduler).reload(objectConfig(changes, servers));
         loop.submit(() -> {}).sync();
     }
 
@@ -141,7 +148,7 @@
 
     void leave(Runnable whenLeft) throws InterruptedException {
         term(whenLeft);
-        ticker.advance((int) scheduler.serveOn() + 1);
+        ticker.advance((int) scheduler.acceptsFor() + 1);
     }
 
     int openRequests() throws Exception {
@@ -149,7 +156,7 @@
     }
 
     boolean awaitList(long most) throws InterruptedException {
-        return scheduler.awaitList(most);
+        return ((PlatformScheduler) scheduler).awaitFirstResponse(most);
     }
 
     /** The clock moves on while the loop goes round, reading what comes, as it does when nothing holds it up. */
@@ -177,7 +184,8 @@
     /** Returns when the store's writer has written all that it was given so far. */
     void written() throws Exception {
         CompletableFuture<StoreFault> done = new CompletableFuture<>();
-        scheduler.ledger().store().write(new Batch(), Durability.BUFFERED, Runnable::run, done::complete);
+        ((ObjectScheduler) scheduler).ledger().store().write(new Batch(), Durability.BUFFERED, Runnable::run,
+            done::complete);
         assertNull(done.get());
     }
 
--- a/src/test/java/kelphollow/program/SlowWriterTest.java
+++ b/src/test/java/kelphollow/program/SlowWriterTest.java
@@ -16,7 +16,8 @@
 class SlowWriterTest {
     /** A client may spend so long on a head, in milliseconds. */
     private static final int SLOWEST = 2_000;
-    private static final String PING = "*1\r\n$4\r\nPING\r\n", PONG = "+PONG\r\n";
+    private static final String PING = "*1\r\n$4\r\nPING\r\n";
+    private static final String PONG = "+PONG\r\n";
     private static final String ANSWER = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n";
 
     /** Sends a piece and sees to it that it has been read. */
@@ -48,8 +49,8 @@
 
     /** A rest is none of the command's time, wherever the first piece ends. */
     @Test void aClientThatHasRestedIsGivenAsLongForItsNextCommand() throws Exception {
-        try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness bench = ServerHarness.resp(null,
-            ClientCrossingTest.NOBODY)) {
+        try (ScriptedPeer clients = new ScriptedPeer();
+             ServerHarness bench = ServerHarness.resp(null, ClientCrossingTest.NOBODY)) {
             for (int cut = 1; cut < PING.length(); cut++) {
                 ScriptedPeer.Line client = clients.connect(bench.address);
                 assertEquals(PONG, client.send(PING).receive(7));
@@ -84,8 +85,8 @@
 
     /** Bytes one by one show life, but no command may take for good. */
     @Test void aCommandThatDripsEndsAfterTenSeconds() throws Exception {
-        try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness bench = ServerHarness.resp(null,
-            ClientCrossingTest.NOBODY)) {
+        try (ScriptedPeer clients = new ScriptedPeer();
+             ServerHarness bench = ServerHarness.resp(null, ClientCrossingTest.NOBODY)) {
             ScriptedPeer.Line client = clients.connect(bench.address);
             for (int i = 0; i < 6; i++) {
                 send(bench, client, ClientCrossingTest.get("drip").substring(i, i + 1));
--- a/src/test/java/kelphollow/program/StandInServer.java
+++ b/src/test/java/kelphollow/program/StandInServer.java
@@ -154,7 +154,8 @@
         Matcher id = Pattern.compile("uploadId=([^&]+)").matcher(words[1]);
         String upload = id.find() ? id.group(1) : null;
         Matcher number = Pattern.compile("partNumber=(\\d+)").matcher(words[1]);
-        String status = "200 OK", extra = "";
+        String status = "200 OK";
+        String extra = "";
         byte[] answer = new byte[0];
         if (words[0].equals("POST") && upload == null) {
             String name = "u" + (uploads.size() + 1);
--- a/src/test/java/kelphollow/program/StartTest.java
+++ b/src/test/java/kelphollow/program/StartTest.java
@@ -24,8 +24,8 @@
     Path folder;
 
     @Test void aStartWaitsForTheFirstWordOfDiscoveryBeItAListOrARefusal() throws Exception {
-        try (ScriptedPeer discovery = new ScriptedPeer(); ServerHarness bench = ServerHarness.respWith("automatic", discovery
-            .address())) {
+        try (ScriptedPeer discovery = new ScriptedPeer();
+             ServerHarness bench = ServerHarness.respWith("automatic", discovery.address())) {
             ScriptedPeer.Line call = discovery.accept();
             call.until("\r\n\r\n");
             assertFalse(bench.awaitList(0));
@@ -94,8 +94,9 @@
             } else {
                 ServerHarness.part(settings, fault.get(0)).put(fault.get(1), -1.0);
             }
-            Config.Bad bad = assertThrows(Config.Bad.class, () -> Config.settings(settings), fault.toString());
-            assertTrue(bad.getMessage().contains(fault.get(1)), bad.getMessage());
+            ConfigurationException thrown = assertThrows(ConfigurationException.class, () -> SettingsConfig.read(settings),
+                fault.toString());
+            assertTrue(thrown.getMessage().contains(fault.get(1)), thrown.getMessage());
         }
     }
 
@@ -103,14 +104,15 @@
         Map<String, Object> settings = ServerHarness.part(ServerHarness.example(), "settings");
         settings.put("request_classes", List.of(Map.of("name", "k", "aim", 100.0, "deadline", 100.0, "effect", "token",
             "dedup_scope", "all")));
-        assertTrue(assertThrows(Config.Bad.class, () -> Config.settings(settings)).getMessage().contains("window"));
+        ConfigurationException thrown = assertThrows(ConfigurationException.class, () -> SettingsConfig.read(settings));
+        assertTrue(thrown.getMessage().contains("window"));
     }
 
     @Test void oneClassWithoutLimitsOrZonesIsEnough() throws Exception {
-        Object settings = Json.parse(
-            "{\"discovery\":\"subscribe\",\"fleet_size\":1,\"tick\":2,\"ceilings\":{\"most_tries\":1},"
-                + "\"contract\":{\"drain_grace\":0},\"extra\":{},\"grades\":[{\"name\":\"g\",\"rate\":1}],"
-                + "\"request_classes\":[{\"name\":\"c\",\"aim\":100,\"deadline\":100}]}");
-        assertEquals(1, Config.settings((Map<?, ?>) settings).classes().size());
+        Object settings = Json.parse("{\"discovery\":\"subscribe\",\"fleet_size\":1,\"tick\":2,"
+            + "\"ceilings\":{\"most_tries\":1},"
+            + "\"contract\":{\"drain_grace\":0},\"extra\":{},\"grades\":[{\"name\":\"g\",\"rate\":1}],"
+            + "\"request_classes\":[{\"name\":\"c\",\"aim\":100,\"deadline\":100}]}");
+        assertEquals(1, SettingsConfig.read((Map<?, ?>) settings).classes().size());
     }
 }
--- a/src/test/java/kelphollow/program/StoreCommandTest.java
+++ b/src/test/java/kelphollow/program/StoreCommandTest.java
@@ -24,8 +24,10 @@
 class StoreCommandTest {
     @TempDir
     Path folder;
-    private Path a, b;
-    private String out, err;
+    private Path a;
+    private Path b;
+    private String out;
+    private String err;
 
     @BeforeEach void fill() throws Exception {
         a = folder.resolve("a");
@@ -106,7 +108,7 @@
     @Test void damageOfOneCopyIsToldAndThenRepaired() throws Exception {
         flip(segment(b), 200);
         byte[] damaged = Files.readAllBytes(segment(b));
-        assertEquals(StoreCommand.DIFFERS, tool("verify"));
+        assertEquals(StoreTool.DIFFERS, tool("verify"));
         assertTrue(out.startsWith("differs " + segment(b)), out);
         assertArrayEquals(damaged, Files.readAllBytes(segment(b)), "verify changes nothing");
         assertEquals(0, tool("repair"));
@@ -118,10 +120,10 @@
     @Test void damageOfBothCopiesNeedsTheOperatorsWord() throws Exception {
         flip(segment(a), 200);
         flip(segment(b), 200);
-        assertEquals(StoreCommand.DAMAGED, tool("verify"));
+        assertEquals(StoreTool.DAMAGED, tool("verify"));
         assertTrue(out.startsWith("damaged " + segment(a) + " offset="), out);
-        assertEquals(StoreCommand.DAMAGED, tool("repair"));
-        assertEquals(StoreCommand.DAMAGED, tool("dump"));
+        assertEquals(StoreTool.DAMAGED, tool("repair"));
+        assertEquals(StoreTool.DAMAGED, tool("dump"));
         assertTrue(err.contains("damaged " + segment(a) + " offset="), err);
         assertEquals(0, tool("repair", "--accept-loss"));
         assertTrue(out.contains("damaged ") && out.contains("state=repaired_with_loss"), out);
@@ -133,7 +135,7 @@
     @Test void aStoreThatIsHeldIsLeftAlone() throws Exception {
         try (Store held = open()) {
             for (String name : List.of("inspect", "verify", "dump", "compact", "repair")) {
-                assertEquals(StoreCommand.HELD, tool(name), name);
+                assertEquals(StoreTool.HELD, tool(name), name);
                 assertTrue(err.contains("is held by a running program"), err);
             }
             assertNull(held.fault());
@@ -144,7 +146,7 @@
         Path other = Files.createDirectories(folder.resolve("other"));
         Files.writeString(other.resolve("mine.db"), "somebody's");
         for (String name : List.of("inspect", "verify", "dump", "compact", "repair")) {
-            assertEquals(StoreCommand.UNUSABLE, run(name, other.toString(), other.resolve("none").toString()), name);
+            assertEquals(StoreTool.UNUSABLE, run(name, other.toString(), other.resolve("none").toString()), name);
         }
         assertEquals("somebody's", Files.readString(other.resolve("mine.db")));
         try (var files = Files.list(other)) {
@@ -163,7 +165,7 @@
         crc.update(bytes, 0, bytes.length - 4);
         java.nio.ByteBuffer.wrap(bytes).putInt(bytes.length - 4, (int) crc.getValue());
         Files.write(a.resolve("MANIFEST"), bytes);
-        assertEquals(StoreCommand.UNUSABLE, tool("verify"));
+        assertEquals(StoreTool.UNUSABLE, tool("verify"));
         assertTrue(err.contains(a.resolve("MANIFEST") + " has a format version other than 1"), err);
     }
 
--- a/src/test/java/kelphollow/program/StoreRestartTest.java
+++ b/src/test/java/kelphollow/program/StoreRestartTest.java
@@ -82,8 +82,8 @@
     }
 
     private String upload() throws Exception {
-        String id = client.call("POST /symbols/m?uploads", "", null).text().replaceAll(".*<UploadId>(.*)</UploadId>.*",
-            "$1");
+        String answer = client.call("POST /symbols/m?uploads", "", null).text();
+        String id = answer.replaceAll(".*<UploadId>(.*)</UploadId>.*", "$1");
         server.seen.clear();
         return id;
     }
@@ -230,10 +230,10 @@
     }
 
     @Test void aSecondProgramOnTheFoldersIsRefusedAndTheKeyNamed() {
-        Config.Bad bad = assertThrows(Config.Bad.class,
+        ConfigurationException thrown = assertThrows(ConfigurationException.class,
             () -> ServerHarness.objects(Map.of("store", store()), server.address()));
-        assertTrue(bad.getMessage().startsWith("store.folders: "), bad.getMessage());
-        assertTrue(bad.getMessage().endsWith("is held by a running program"), bad.getMessage());
+        assertTrue(thrown.getMessage().startsWith("store.folders: "), thrown.getMessage());
+        assertTrue(thrown.getMessage().endsWith("is held by a running program"), thrown.getMessage());
     }
 
     @Test void faultyKeysAreNamed() throws Exception {
@@ -251,9 +251,9 @@
             {Map.of("folders", List.of(a, folder.resolve("file").toString())), "store.folders: "},
             {Map.of("folders", List.of(a, folder.resolve("full").toString())), "store.folders: "}};
         for (Object[] fault : faults) {
-            Config.Bad bad = assertThrows(Config.Bad.class,
+            ConfigurationException thrown = assertThrows(ConfigurationException.class,
                 () -> ServerHarness.objects(Map.of("store", fault[0]), server.address()), (String) fault[1]);
-            assertTrue(bad.getMessage().startsWith((String) fault[1]), bad.getMessage());
+            assertTrue(thrown.getMessage().startsWith((String) fault[1]), thrown.getMessage());
         }
         assertEquals("somebody's", Files.readString(folder.resolve("full/other.db")));
         try (var files = Files.list(folder.resolve("full"))) {
@@ -280,7 +280,8 @@
         xds.createContext("/", exchange -> {
             boolean clusters = exchange.getRequestURI().getPath().endsWith("clusters");
             byte[] body = ("{\"version_info\":\"1\",\"resources\":[" + (clusters
-                ? "{\"@type\":\"type.googleapis.com/envoy.config.cluster.v3.Cluster\",\"name\":\"dump-store\",\"type\":\"EDS\","
+                ? "{\"@type\":\"type.googleapis.com/envoy.config.cluster.v3.Cluster\",\"name\":\"dump-store\","
+                    + "\"type\":\"EDS\","
                     + "\"eds_cluster_config\":{\"service_name\":\"dump-store-endpoints\"}}"
                 : ServerHarness.assignment("HEALTHY", server.address())) + "]}").getBytes();
             exchange.sendResponseHeaders(200, body.length);
--- a/src/test/java/kelphollow/program/LongValueTest.java
+++ b/src/test/java/kelphollow/program/StreamedValueTest.java
@@ -21,7 +21,7 @@
 
 /** Values that are longer than what may be held, with clients and nodes that are slow over them. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class LongValueTest {
+class StreamedValueTest {
     private static final int LENGTH = 4 * 1024 * 1024;
 
     private static byte[] get(String id) {
--- a/src/test/java/kelphollow/protocol/mgmt/MgmtLineTest.java
+++ b/src/test/java/kelphollow/protocol/mgmt/MgmtLineTest.java
@@ -1,11 +1,13 @@
 package kelphollow.protocol.mgmt;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/** Lines of the management protocol: which are calls, and which are rejected. */
 class MgmtLineTest {
     private static MgmtLine parse(String text) {
         return MgmtLine.parse(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -13,16 +15,17 @@
 
     @Test void readsTheThreeCalls() {
         assertEquals(new MgmtLine.Call(MgmtLine.Verb.STATUS, null), parse("status"));
-        assertEquals(new MgmtLine.Call(MgmtLine.Verb.MAINT_ON, "s-1"), parse("maint-on s-1"));
-        assertEquals(new MgmtLine.Call(MgmtLine.Verb.MAINT_OFF, "s-1"), parse(" maint-off  s-1 "));
+        assertEquals(new MgmtLine.Call(MgmtLine.Verb.MAINTENANCE_ON, "s-1"), parse("maint-on s-1"));
+        assertEquals(new MgmtLine.Call(MgmtLine.Verb.MAINTENANCE_OFF, "s-1"), parse(" maint-off  s-1 "));
     }
 
-    @Test void turnsAwayEveryBadLineWithAReason() {
-        for (String bad : new String[] {"", "   ", "stat", "STATUS", "status now", "maint-on", "maint-off",
+    @Test void everyInvalidLineIsRejectedWithAReason() {
+        for (String invalid : new String[] {"", "   ", "stat", "STATUS", "status now", "maint-on", "maint-off",
             "maint-on a b", "maint-on end", "maint-on \u00e9", "status\u0000", "\u00ff\u00fe", "maint-on s\t1"}) {
-            MgmtLine line = parse(bad);
-            assertInstanceOf(MgmtLine.Bad.class, line, bad);
-            assertEquals(false, ((MgmtLine.Bad) line).reason().isEmpty());
+            MgmtLine line = parse(invalid);
+
+            assertInstanceOf(MgmtLine.Invalid.class, line, invalid);
+            assertFalse(((MgmtLine.Invalid) line).reason().isEmpty(), invalid);
         }
     }
 }
--- a/src/test/java/kelphollow/protocol/mgmt/MgmtServerTest.java
+++ b/src/test/java/kelphollow/protocol/mgmt/MgmtServerTest.java
@@ -15,6 +15,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -33,7 +34,7 @@
 
     @AfterEach void stop() {
         server.stop();
-        group.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.MILLISECONDS);
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
     private String call(byte[] line) throws Exception {
@@ -53,14 +54,14 @@
         return call(line.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    @Test void answersEachCallAndTurnsAwayBadLines() throws Exception {
+    @Test void eachCallIsAnsweredAndInvalidLinesAreRejected() throws Exception {
         assertEquals("ACK ready", call("status\n"));
         assertEquals("ACK s-1", call("maint-on s-1\r\n"));
         assertTrue(call("reboot\n").startsWith("NAK unknown call"));
         assertTrue(call("maint-off\n").startsWith("NAK maint-off takes one"));
         assertTrue(call("status \u0001\n").startsWith("NAK the line holds bytes"));
         assertTrue(call("x".repeat(10_000)).startsWith("NAK the line is longer"));
-        assertEquals(2, calls.size(), "bad lines carry nothing out");
+        assertEquals(2, calls.size(), "invalid lines carry nothing out");
     }
 
     @Test void whatComesBehindTheLineDoesNotResetItsAnswer() throws Exception {
@@ -75,32 +76,32 @@
         List<Socket> silent = new ArrayList<>();
         try {
             for (int i = 0; i < 20; i++) {
-                Socket s = new Socket(at.getAddress(), at.getPort());
-                s.getOutputStream().write("stat".getBytes(StandardCharsets.US_ASCII));
-                silent.add(s);
+                Socket socket = new Socket(at.getAddress(), at.getPort());
+                socket.getOutputStream().write("stat".getBytes(StandardCharsets.US_ASCII));
+                silent.add(socket);
             }
             long start = System.nanoTime();
             assertEquals("ACK ready", call("status\n"));
             assertTrue(System.nanoTime() - start < 1_000_000_000L, "answered within a second");
         } finally {
-            for (Socket s : silent) {
-                s.close();
+            for (Socket socket : silent) {
+                socket.close();
             }
         }
     }
 
-    @Test void whenAllPlacesAreTakenTheOldestGoes() throws Exception {
+    @Test void oneConnectionTooManyClosesTheOldest() throws Exception {
         List<Socket> silent = new ArrayList<>();
         try {
-            for (int i = 0; i < MgmtServer.MOST_CONNECTIONS + 5; i++) {
+            for (int i = 0; i < MgmtServer.MAX_CONNECTIONS + 5; i++) {
                 silent.add(new Socket(at.getAddress(), at.getPort()));
             }
             assertEquals("ACK ready", call("status\n"));
             silent.get(0).setSoTimeout(3_000);
             assertEquals(-1, silent.get(0).getInputStream().read(), "the oldest silent caller was closed");
         } finally {
-            for (Socket s : silent) {
-                s.close();
+            for (Socket socket : silent) {
+                socket.close();
             }
         }
     }
--- a/src/test/java/kelphollow/protocol/object/MarkedRetryTest.java
+++ b/src/test/java/kelphollow/protocol/object/MarkedRetryTest.java
@@ -7,20 +7,27 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
+import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How clients say that they have tried before, as the SDKs of S3 do. */
+/** How clients mark a request as a retry of their own, as the SDKs of S3 do. */
 class MarkedRetryTest {
+    private static HttpRequest request() {
+        return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/bucket/key");
+    }
+
     @ParameterizedTest @CsvSource({"'attempt=1; max=3',false", "'attempt=2; max=3',true", "'max=3;attempt=10',true",
         "'ttl=20260101T000000Z; attempt=3; max=3',true", "'attempt=0',false", "'attempt=',false", "'attempt=2x',false",
         "'attempt=-2',false", "'noattempt=2',false", "'attempt=999999999999',false",
-        "'',false"}) void whatCannotBeReadCountsAsAFirstTry(
-            String said, boolean again) throws Exception {
-        HttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/bucket/key");
-        request.headers().set("amz-sdk-request", said);
-        assertEquals(again, ObjectCall.read(request, 1).isMarkedRetry());
-        request.headers().remove("amz-sdk-request");
-        assertFalse(ObjectCall.read(request, 1).isMarkedRetry());
+        "'',false"}) void headerThatCannotBeReadCountsAsAFirstAttempt(String header, boolean isRetry) throws Exception {
+        HttpRequest request = request();
+        request.headers().set("amz-sdk-request", header);
+
+        assertEquals(isRetry, ObjectCall.read(request, 1).isMarkedRetry());
+    }
+
+    @Test void missingHeaderCountsAsAFirstAttempt() throws Exception {
+        assertFalse(ObjectCall.read(request(), 1).isMarkedRetry());
     }
 }
