--- a/src/main/java/kelphollow/lab/History.java
+++ b/src/main/java/kelphollow/lab/History.java
@@ -1,6 +1,7 @@
 package kelphollow.lab;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.io.Writer;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -11,7 +12,10 @@
 import java.util.function.Predicate;
 import kelphollow.protocol.json.Json;
 
-/** What all parties did, one JSON object a line, with one monotonic clock: milliseconds since the run began. */
+/**
+ * What all parties did, one JSON object a line, on one monotonic clock: milliseconds since the run began. Safe from any
+ * thread.
+ */
 final class History implements AutoCloseable {
     private final long began = System.nanoTime();
     private final List<Map<String, Object>> lines = new ArrayList<>();
@@ -22,6 +26,7 @@
         this.file = file == null ? null : Files.newBufferedWriter(file);
     }
 
+    /** In milliseconds since the run began. */
     double now() {
         return (System.nanoTime() - began) / 1e6;
     }
@@ -40,7 +45,7 @@
             try {
                 file.write(json(line) + "\n");
             } catch (IOException e) {
-                throw new IllegalStateException(e);
+                throw new UncheckedIOException(e);
             }
         }
     }
@@ -49,10 +54,15 @@
         return new ArrayList<>(lines);
     }
 
-    synchronized long count(double from, Predicate<Map<String, Object>> which) {
+    /** How many lines since that time fit. */
+    synchronized long count(double from, Predicate<HistoryLine> fits) {
         long count = 0;
-        for (int i = lines.size() - 1; i >= 0 && (double) lines.get(i).get("at") >= from; i--) {
-            count += which.test(lines.get(i)) ? 1 : 0;
+        for (int i = lines.size() - 1; i >= 0; i--) {
+            HistoryLine line = new HistoryLine(lines.get(i));
+            if (line.at() < from) {
+                break;
+            }
+            count += fits.test(line) ? 1 : 0;
         }
         return count;
     }
--- a/src/main/java/kelphollow/lab/Plots.java
+++ b/src/main/java/kelphollow/lab/Plots.java
@@ -3,65 +3,94 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 import org.knowm.xchart.BitmapEncoder;
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Pictures of a run: service over time, and how many of the others each instance sees as there. */
+/** Plots of a run: service over time, and how many of the others each instance sees as alive. */
 final class Plots {
+    private static final int WIDTH = 900;
+    private static final int HEIGHT = 420;
+    private static final double MILLIS_PER_SECOND = 1_000;
+
+    /** How many of the others an instance sees as alive, over the seconds of the run. */
+    private record Curve(List<Double> times, List<Double> counts) {
+        Curve() {
+            this(new ArrayList<>(List.of(0.0)), new ArrayList<>(List.of(0.0)));
+        }
+
+        void add(double time, double count) {
+            times.add(time);
+            counts.add(count);
+        }
+
+        double last() {
+            return counts.get(counts.size() - 1);
+        }
+    }
+
     private Plots() {}
 
-    static void write(Scenario scenario, List<Map<String, Object>> lines, Path folder) throws IOException {
-        XYChart service = chart(scenario.name() + ": requests a second", "requests");
-        List<double[]> seconds = new Figures(lines).service();
-        List<Double> at = new ArrayList<>(), served = new ArrayList<>(), lost = new ArrayList<>();
+    /** Writes the plots of a run that has something to show into the folder. */
+    static void write(Scenario scenario, List<HistoryLine> lines, Path folder) throws IOException {
+        writeService(scenario, lines, folder.resolve("service.png"));
+        writeMembers(scenario, lines, folder.resolve("members.png"));
+    }
+
+    private static void writeService(Scenario scenario, List<HistoryLine> lines, Path file) throws IOException {
+        XYChart chart = chart(scenario.name() + ": requests a second", "requests");
+        List<RunStatistics.Second> seconds = new RunStatistics(lines).seconds();
+        List<Double> times = new ArrayList<>();
+        List<Double> served = new ArrayList<>();
+        List<Double> notServed = new ArrayList<>();
         for (int i = 0; i < seconds.size(); i++) {
-            at.add((double) i);
-            served.add(seconds.get(i)[0]);
-            lost.add(seconds.get(i)[1]);
+            times.add((double) i);
+            served.add((double) seconds.get(i).served());
+            notServed.add((double) seconds.get(i).notServed());
         }
-        if (!at.isEmpty()) {
-            service.addSeries("served", at, served).setMarker(SeriesMarkers.NONE);
-            service.addSeries("not served", at, lost).setMarker(SeriesMarkers.NONE);
-            BitmapEncoder.saveBitmap(service, folder.resolve("service.png").toString(), BitmapEncoder.BitmapFormat.PNG);
+        if (!times.isEmpty()) {
+            chart.addSeries("served", times, served).setMarker(SeriesMarkers.NONE);
+            chart.addSeries("not served", times, notServed).setMarker(SeriesMarkers.NONE);
+            BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
         }
-        XYChart members = chart(scenario.name() + ": others seen as there", "instances");
-        members.getStyler().setDefaultSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Step);
-        Map<String, List<Double>> times = new HashMap<>(), counts = new HashMap<>();
-        for (Map<String, Object> l : lines) {
-            String party = (String) l.get("party");
-            if (!l.get("what").equals("event") || !party.matches("i[0-9]+")) {
-                continue;
-            }
-            int change = switch (String.valueOf(l.get("event"))) {
-                case "joined" -> 1;
-                case "failed", "left" -> party.equals(l.get("of")) ? 0 : -1;
-                default -> 0;
-            };
-            List<Double> t = times.computeIfAbsent(party, p -> new ArrayList<>(List.of(0.0)));
-            List<Double> c = counts.computeIfAbsent(party, p -> new ArrayList<>(List.of(0.0)));
-            if ("started".equals(l.get("event"))) {
-                t.add(((Number) l.get("at")).doubleValue() / 1_000);
-                c.add(0.0);
-            } else if (change != 0) {
-                t.add(((Number) l.get("at")).doubleValue() / 1_000);
-                c.add(Math.max(0, Math.min(scenario.instances() - 1, c.get(c.size() - 1) + change)));
+    }
+
+    private static void writeMembers(Scenario scenario, List<HistoryLine> lines, Path file) throws IOException {
+        XYChart chart = chart(scenario.name() + ": others seen as there", "instances");
+        chart.getStyler().setDefaultSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Step);
+        Map<String, Curve> curves = new TreeMap<>();
+        for (HistoryLine line : lines) {
+            if (line.is("event") && line.party().matches("i[0-9]+")) {
+                add(line, curves.computeIfAbsent(line.party(), party -> new Curve()), scenario.instances() - 1);
             }
         }
-        times.keySet().stream().sorted()
-            .forEach(p -> members.addSeries(p, times.get(p), counts.get(p)).setMarker(SeriesMarkers.NONE));
-        if (!times.isEmpty()) {
-            BitmapEncoder.saveBitmap(members, folder.resolve("members.png").toString(), BitmapEncoder.BitmapFormat.PNG);
+        curves.forEach((party, curve) -> chart.addSeries(party, curve.times, curve.counts).setMarker(SeriesMarkers.NONE));
+        if (!curves.isEmpty()) {
+            BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
+        }
+    }
+
+    private static void add(HistoryLine line, Curve curve, int others) {
+        double time = line.at() / MILLIS_PER_SECOND;
+        int change = switch (String.valueOf(line.text("event"))) {
+            case "joined" -> 1;
+            case "failed", "left" -> line.party().equals(line.text("of")) ? 0 : -1;
+            default -> 0;
+        };
+        if (line.isEvent("started")) {
+            curve.add(time, 0);
+        } else if (change != 0) {
+            curve.add(time, Math.max(0, Math.min(others, curve.last() + change)));
         }
     }
 
     private static XYChart chart(String title, String axis) {
         System.setProperty("java.awt.headless", "true");
-        return new XYChartBuilder().width(900).height(420).title(title).xAxisTitle("seconds").yAxisTitle(axis).build();
+        return new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle("seconds").yAxisTitle(axis).build();
     }
 }
--- a/src/main/java/kelphollow/lab/Ports.java
+++ b/src/main/java/kelphollow/lab/Ports.java
@@ -15,17 +15,17 @@
 public final class Ports {
     private static final int FIRST = 15_000;
     private static final int LAST = 32_000;
-    private static final int TRIES = 1_000;
+    private static final int ATTEMPTS = 1_000;
     private final Set<Integer> taken = new HashSet<>();
 
     /** A port that is free for TCP and UDP and was not given out by this object before. */
     public synchronized int free() throws IOException {
-        InetAddress here = InetAddress.getByName("127.0.0.1");
-        for (int tries = 0; tries < TRIES; tries++) {
+        InetAddress loopback = InetAddress.getByName("127.0.0.1");
+        for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
             int port = ThreadLocalRandom.current().nextInt(FIRST, LAST);
             if (taken.add(port)) {
-                try (ServerSocket tcp = new ServerSocket(port, 1, here);
-                     DatagramSocket udp = new DatagramSocket(port, here)) {
+                try (ServerSocket tcp = new ServerSocket(port, 1, loopback);
+                     DatagramSocket udp = new DatagramSocket(port, loopback)) {
                     return port;
                 } catch (IOException e) {
                     continue;              // somebody has it
--- a/src/main/java/kelphollow/lab/soak/RespClient.java
+++ b/src/main/java/kelphollow/lab/soak/RespClient.java
@@ -11,24 +11,25 @@
 
 /** A blocking client of the platform's protocol on one connection. */
 public final class RespClient implements AutoCloseable {
-    private static final int GUARD_MILLIS = 20_000;   // only so that a failure ends
+    private static final int TIMEOUT_MS = 20_000;   // only so that a failure ends
     private final Socket socket;
     private final InputStream in;
 
     /** Connects. */
     public RespClient(InetSocketAddress to) throws IOException {
         socket = new Socket();
-        socket.connect(to, GUARD_MILLIS);
+        socket.connect(to, TIMEOUT_MS);
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(GUARD_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MS);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
     /** The bytes of a request for one piece of data; {@code wait} in milliseconds. */
-    public static String get(String id, String kind, int wait, int shard) {
-        String values = "c=" + kind + ",t=padrao,d=" + wait + ",volume=v" + shard + ",units=1,shard=" + shard + ",hosts=1";
-        return "*4\r\n$7\r\nOBJ.GET\r\n$1\r\np\r\n$" + id.length() + "\r\n" + id + "\r\n$" + values.length() + "\r\n"
-            + values + "\r\n";
+    public static String get(String id, String requestClass, int wait, int cell) {
+        String fields = "c=" + requestClass + ",t=padrao,d=" + wait + ",volume=v" + cell + ",units=1,shard=" + cell
+            + ",hosts=1";
+        return "*4\r\n$7\r\nOBJ.GET\r\n$1\r\np\r\n$" + id.length() + "\r\n" + id + "\r\n$" + fields.length() + "\r\n"
+            + fields + "\r\n";
     }
 
     /** Writes this text, a byte a character. */
@@ -44,12 +45,12 @@
     /** The next line without its end. */
     public String line() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int c; (c = in.read()) != '\n';) {
-            if (c < 0) {
+        for (int next; (next = in.read()) != '\n';) {
+            if (next < 0) {
                 throw new EOFException("ended after '" + line + "'");
             }
-            if (c != '\r') {
-                line.write(c);
+            if (next != '\r') {
+                line.write(next);
             }
         }
         return line.toString(StandardCharsets.ISO_8859_1);
--- a/src/main/java/kelphollow/lab/soak/ServeProcess.java
+++ b/src/main/java/kelphollow/lab/soak/ServeProcess.java
@@ -11,14 +11,15 @@
 
 /**
  * The program as a process of its own on the platform's protocol: {@code serve} with a file written here. It can be killed,
- * stopped, told to end or to read its file again, and started anew under the same address.
+ * stopped, signalled to end or to reload its file, and started anew under the same address.
  */
 public final class ServeProcess implements AutoCloseable {
     private static final String MAIN = "kelphollow.program.Main";
     /** A process that is not ready after this time, in seconds, has failed to start. */
-    private static final int READY_WITHIN = 60;
+    private static final int READY_TIMEOUT_SECONDS = 60;
     /** After SIGTERM the platform kills no sooner than this, in milliseconds: the longest deadline counted, and 0.7 s. */
-    private static final long KILLED_AFTER = 3_700;
+    private static final long KILLED_AFTER_MS = 3_700;
+    private static final int POLL_MS = 20;
     private static final String CLASSES = "[{\"name\":\"dump-read\",\"aim\":250,\"deadline\":1200,\"effect\":\"pure\","
         + "\"worth\":2,\"late_share\":0.2},{\"name\":\"dump-write\",\"aim\":500,\"deadline\":3000,"
         + "\"effect\":\"side_effect\",\"worth\":2,\"late_share\":0.1},{\"name\":\"dump-export\",\"aim\":1500,"
@@ -34,10 +35,10 @@
     private final SoakHistory history;
     private Process process;
     private int starts;
-    private double from;
+    private double startedAt;
     private double termAt;
     private volatile boolean serving;
-    private boolean noted;
+    private boolean endNoted;
 
     /** Keeps no history. */
     public ServeProcess(Path folder, int instance, String settings) throws IOException {
@@ -54,7 +55,7 @@
         this.listen = new InetSocketAddress("127.0.0.1", PORTS.free());
     }
 
-    /** Settings of one of so many instances; {@code pushed}: lists come to an agent, else they are asked for. */
+    /** Settings of one of so many instances; {@code pushed}: lists come to an agent, else they are polled. */
     public static String settings(int instances, boolean pushed) {
         return "{\"me\":0,\"fleet_size\":" + instances + ",\"my_zone\":\"a\",\"tick\":2,\"discovery\":\""
             + (pushed ? "automatic" : "subscribe") + "\",\"ceilings\":{\"cancel\":true,\"most_tries\":3,\"open_cap\":20000,"
@@ -64,7 +65,7 @@
             + "\"reserve\":320,\"proportion\":1,\"value_factor\":0.9}],\"request_classes\":" + CLASSES + "}";
     }
 
-    /** Where clients connect, the same in all its lives. */
+    /** Where clients connect, the same in all its incarnations. */
     public InetSocketAddress address() {
         return listen;
     }
@@ -73,14 +74,14 @@
         return folder.resolve(name + ".log");
     }
 
-    /** Writes the file that the program reads at its start and at SIGHUP, whole at once. */
+    /** Writes the file that the program reads at its start and at SIGHUP, complete at once. */
     public void configure(InetSocketAddress discovery, String known, long seed) throws IOException {
         String limits = "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024}";
-        Path whole = Files.writeString(folder.resolve(name + ".json.part"), "{\"name\":\"" + name
+        Path complete = Files.writeString(folder.resolve(name + ".json.part"), "{\"name\":\"" + name
             + "\",\"listen\":\"127.0.0.1:" + listen.getPort() + "\",\"discovery\":\"127.0.0.1:" + discovery.getPort()
             + "\",\"seed\":\"" + Long.toHexString(seed) + "\",\"limits\":" + limits + ",\"known\":" + known
             + ",\"settings\":" + settings + "}");
-        Files.move(whole, folder.resolve(name + ".json"), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(complete, folder.resolve(name + ".json"), StandardCopyOption.ATOMIC_MOVE);
     }
 
     /** Starts it; assertions are on, so that a broken invariant shows. */
@@ -92,14 +93,14 @@
         Map<String, String> environment = builder.environment();
         environment.put("GW_CONFIG", folder.resolve(name + ".json").toString());
         environment.put("TMPDIR", Files.createDirectories(folder.resolve(name + ".tmp" + starts)).toString());
-        noted = false;
-        from = history.now();
+        endNoted = false;
+        startedAt = history.now();
         termAt = Double.POSITIVE_INFINITY;
         Process started = builder.start();
         process = started;
         SoakThreads.start(name + " readiness", () -> {
             while (process == started && started.isAlive() && !answersPing()) {
-                Thread.sleep(20);
+                Thread.sleep(POLL_MS);
             }
             serving = process == started && started.isAlive();
         });
@@ -116,16 +117,16 @@
 
     /** Waits until it has answered a client's PING; throws if it ends or takes longer than a minute. */
     public void awaitReady() throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_WITHIN);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_SECONDS);
         while (!serving) {
             if (System.nanoTime() > until || !process.isAlive()) {
                 throw new IllegalStateException(name + " is not ready: " + Files.readString(log()));
             }
-            Thread.sleep(20);
+            Thread.sleep(POLL_MS);
         }
     }
 
-    /** It has answered a PING in this life, and has not been told to end. */
+    /** It has answered a PING in this incarnation, and has not had SIGTERM. */
     boolean isServing() {
         return serving && process.isAlive();
     }
@@ -134,14 +135,15 @@
     public void kill() throws InterruptedException {
         serving = false;
         process.destroyForcibly().waitFor();
-        note(true);
+        noteEnd(true);
     }
 
-    /** Notes the end of this life, once. */
-    private void note(boolean killed) {
-        if (!noted) {
-            noted = true;
-            history.add(new SoakHistory.Life(instance, from, termAt, history.now(), killed, process.exitValue()));
+    /** Notes the end of this incarnation, once. */
+    private void noteEnd(boolean killed) {
+        if (!endNoted) {
+            endNoted = true;
+            history.add(new SoakHistory.Incarnation(instance, startedAt, termAt, history.now(), killed,
+                process.exitValue()));
         }
     }
 
@@ -155,10 +157,10 @@
     /** Whether it has ended since SIGTERM; it is killed once the platform would kill it. */
     boolean hasEnded() throws InterruptedException {
         if (!process.isAlive()) {
-            note(false);
+            noteEnd(false);
             return true;
         }
-        if (history.now() - termAt > KILLED_AFTER) {
+        if (history.now() - termAt > KILLED_AFTER_MS) {
             kill();
             return true;
         }
@@ -180,7 +182,7 @@
     /** Waits for the end; a process that has ended by itself is noted as it ended. */
     void awaitEnd() throws InterruptedException {
         while (!hasEnded()) {
-            Thread.sleep(20);
+            Thread.sleep(POLL_MS);
         }
     }
 
--- a/src/main/java/kelphollow/lab/soak/SoakClients.java
+++ b/src/main/java/kelphollow/lab/soak/SoakClients.java
@@ -6,38 +6,38 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import kelphollow.lab.soak.SoakHistory.Asked;
-import kelphollow.lab.soak.SoakHistory.End;
-import kelphollow.lab.soak.SoakHistory.Ended;
+import kelphollow.lab.soak.SoakHistory.Outcome;
+import kelphollow.lab.soak.SoakHistory.RequestEnded;
+import kelphollow.lab.soak.SoakHistory.RequestSent;
 
 /**
- * Clients of one run, some for each instance, each on one connection at a time. They ask for what lies on all nodes, rest
- * for random times, write some requests in pieces and leave some before the answer. A request whose connection ends unread
+ * Clients of one run, some for each instance, each on one connection at a time. They request what lies on all nodes, pause
+ * for random times, write some requests in segments and leave some before the answer. A request whose connection ends unread
  * is sent once more on a new one, as the platform's clients do.
  */
 final class SoakClients implements AutoCloseable {
-    /** The classes of the example's settings: name, longest wait in milliseconds, and whether it may run only once. */
-    private record Kind(String name, int patience, boolean unsafe) {}
+    /** The classes of the example's settings: name, patience in milliseconds, and whether it must run only once. */
+    private record RequestClass(String name, int patience, boolean mustRunOnce) {}
 
-    private static final List<Kind> KINDS = List.of(new Kind("dump-read", 1_200, false), new Kind("dump-write", 3_000, true),
-        new Kind("dump-export", 5_000, false));
-    private static final int LONGEST_REST = 120;
-    private static final int LONG_REST = 2_500;
-    private static final double LEAVES = 0.04;
-    private static final double IN_PIECES = 0.1;
-    private static final double RESTS_LONG = 0.02;
-    private static final double NEW_CONNECTION = 0.05;
+    private static final List<RequestClass> CLASSES = List.of(new RequestClass("dump-read", 1_200, false),
+        new RequestClass("dump-write", 3_000, true), new RequestClass("dump-export", 5_000, false));
+    private static final int MAX_PAUSE_MS = 120;
+    private static final int MAX_LONG_PAUSE_MS = 2_500;
+    private static final double LEAVE_SHARE = 0.04;
+    private static final double SEGMENTED_SHARE = 0.1;
+    private static final double LONG_PAUSE_SHARE = 0.02;
+    private static final double RECONNECT_SHARE = 0.05;
     /** How much longer than its time a client waits before it counts an answer as missing, in milliseconds. */
-    private static final int PATIENCE = 2_000;
+    private static final int EXTRA_PATIENCE_MS = 2_000;
 
     private final SoakHistory history;
-    private final int shards;
+    private final int cells;
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean ending;
 
-    SoakClients(SoakHistory history, int shards) {
+    SoakClients(SoakHistory history, int cells) {
         this.history = history;
-        this.shards = shards;
+        this.cells = cells;
     }
 
     /** Starts so many clients of an instance. */
@@ -53,7 +53,7 @@
     @Override public void close() throws InterruptedException {
         ending = true;
         for (Thread thread : threads) {
-            thread.join(KINDS.get(KINDS.size() - 1).patience() + 2 * PATIENCE);
+            thread.join(CLASSES.get(CLASSES.size() - 1).patience() + 2 * EXTRA_PATIENCE_MS);
         }
     }
 
@@ -64,7 +64,7 @@
         private final InetSocketAddress address;
         private final Random random;
         private RespClient connection;
-        private int asked;
+        private int sent;
 
         Client(String name, int instance, InetSocketAddress address, Random random) {
             this.name = name;
@@ -75,14 +75,15 @@
 
         void run() throws Exception {
             while (!ending) {
-                Thread.sleep(random.nextDouble() < RESTS_LONG ? random.nextInt(LONG_REST) : random.nextInt(LONGEST_REST));
-                if (connection == null || random.nextDouble() < NEW_CONNECTION) {
+                int maxPause = random.nextDouble() < LONG_PAUSE_SHARE ? MAX_LONG_PAUSE_MS : MAX_PAUSE_MS;
+                Thread.sleep(random.nextInt(maxPause));
+                if (connection == null || random.nextDouble() < RECONNECT_SHARE) {
                     drop();
                     if (!connect()) {
                         continue;
                     }
                 }
-                ask(KINDS.get(random.nextInt(KINDS.size())));
+                request(CLASSES.get(random.nextInt(CLASSES.size())));
             }
             drop();
         }
@@ -103,50 +104,54 @@
             }
         }
 
-        private void ask(Kind kind) throws Exception {
-            String id = name + "q" + asked++;
-            String request = RespClient.get(id, kind.name(), kind.patience(), random.nextInt(shards));
-            for (int tries = 0; tries < 2; tries++) {
-                End end = askOnce(id, kind, request, tries == 0);
-                if (end != End.CONNECTION_ENDED) {
-                    history.add(new Ended(history.now(), id, end));
+        private void request(RequestClass requestClass) throws Exception {
+            String id = name + "q" + sent++;
+            String command = RespClient.get(id, requestClass.name(), requestClass.patience(), random.nextInt(cells));
+            for (int attempt = 0; attempt < 2; attempt++) {
+                Outcome outcome = requestOnce(id, requestClass, command, attempt == 0);
+                if (outcome != Outcome.CONNECTION_ENDED) {
+                    history.add(new RequestEnded(history.now(), id, outcome));
                     return;
                 }
                 drop();
-                if (tries > 0 || !connect()) {
-                    history.add(new Ended(history.now(), id, end));
+                if (attempt > 0 || !connect()) {
+                    history.add(new RequestEnded(history.now(), id, outcome));
                     return;
                 }
             }
         }
 
-        private End askOnce(String id, Kind kind, String request, boolean first) throws Exception {
+        private Outcome requestOnce(String id, RequestClass requestClass, String command, boolean first) throws Exception {
             try {
-                if (random.nextDouble() < IN_PIECES) {
-                    int half = random.nextInt(request.length());
-                    connection.send(request.substring(0, half));
-                    Thread.sleep(random.nextInt(LONGEST_REST));
-                    connection.send(request.substring(half, request.length() - 1));
-                    connection.send(request.substring(request.length() - 1));
+                if (random.nextDouble() < SEGMENTED_SHARE) {
+                    int half = random.nextInt(command.length());
+                    connection.send(command.substring(0, half));
+                    Thread.sleep(random.nextInt(MAX_PAUSE_MS));
+                    connection.send(command.substring(half, command.length() - 1));
+                    connection.send(command.substring(command.length() - 1));
                 } else {
-                    connection.send(request);
+                    connection.send(command);
                 }
                 if (first) {
-                    history.add(new Asked(history.now(), id, instance, kind.unsafe(), kind.patience()));
+                    history.add(new RequestSent(history.now(), id, instance, requestClass.mustRunOnce(),
+                        requestClass.patience()));
                 }
-                if (random.nextDouble() < LEAVES) {
-                    Thread.sleep(random.nextInt(kind.patience() / 4));
+                if (random.nextDouble() < LEAVE_SHARE) {
+                    Thread.sleep(random.nextInt(requestClass.patience() / 4));
                     drop();
-                    return End.CLIENT_LEFT;
+                    return Outcome.CLIENT_LEFT;
                 }
-                connection.waitAtMost(kind.patience() + PATIENCE);
+                connection.waitAtMost(requestClass.patience() + EXTRA_PATIENCE_MS);
                 String answer = connection.answer();
-                return answer.equals("ok") ? End.SERVED : answer.startsWith("-BUSY") ? End.REFUSED : End.FAILED;
+                if (answer.equals("ok")) {
+                    return Outcome.SERVED;
+                }
+                return answer.startsWith("-BUSY") ? Outcome.REJECTED : Outcome.FAILED;
             } catch (SocketTimeoutException e) {
                 drop();
-                return End.NO_ANSWER;
+                return Outcome.NO_ANSWER;
             } catch (IOException e) {
-                return End.CONNECTION_ENDED;
+                return Outcome.CONNECTION_ENDED;
             }
         }
     }
--- a/src/main/java/kelphollow/lab/soak/SoakDiscovery.java
+++ b/src/main/java/kelphollow/lab/soak/SoakDiscovery.java
@@ -22,38 +22,79 @@
 import java.util.stream.Collectors;
 
 /**
- * A stand-in discovery service for all instances of a run, from the platform's description: the whole list, changes since a
- * version, and calls that wait for news. Each instance has addresses of its own, so that its calls are known; behind them is
- * one service that works through calls that begin a watch in turn, turns them away while its queue is full, and can be down.
+ * A fake discovery service for all instances of a run, from the platform's description: the complete list, changes since a
+ * version, and calls that wait for changes. Each instance has addresses of its own, so that its calls are known; behind them
+ * is one service that works through calls that begin a watch in turn, rejects them while its queue is full, and can be down.
  * Where lists are pushed it plays the instances' agents: each call is served at once, and all are silent while it is down.
+ * Safe from any thread.
  */
 final class SoakDiscovery implements AutoCloseable {
-    /** A row of the list; {@code health} is ready, draining or gone. */
-    record Row(String host, InetSocketAddress dial, int block, String health, long born) {
+    /** Whether a node may get new requests, with its word in the list. */
+    enum Health {
+        READY("ready"), DRAINING("draining"), REMOVED("gone");
+
+        private final String word;
+
+        Health(String word) {
+            this.word = word;
+        }
+    }
+
+    /** A node of the list; {@code startedAt} in Unix milliseconds, 0 if it is long ago. */
+    record ListedNode(String name, InetSocketAddress address, int cell, Health health, long startedAt) {
+        static ListedNode of(SoakNode node, Health health, long startedAt) {
+            return new ListedNode(node.name(), node.address(), node.cell(), health, startedAt);
+        }
+
         String json() {
-            return "{\"host\":\"" + host + "\",\"dial\":\"127.0.0.1:" + dial.getPort()
-                + "\",\"site\":\"a\",\"class\":\"m\",\"block\":" + block + ",\"health\":\"" + health
-                + "\",\"share\":1.0,\"born_ms\":" + born + "}";
+            return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + address.getPort()
+                + "\",\"site\":\"a\",\"class\":\"m\",\"block\":" + cell + ",\"health\":\"" + health.word
+                + "\",\"share\":1.0,\"born_ms\":" + startedAt + "}";
+        }
+    }
+
+    /**
+     * A call: changes since this version, or the complete list; answered after {@code patience} milliseconds at the
+     * latest.
+     */
+    private record Call(long sinceVersion, int patience) {
+        static final long COMPLETE = -1;
+
+        boolean isForCompleteList() {
+            return sinceVersion < 0;
+        }
+
+        /** Whether it is one of the calls that begin a watch, which are worked through in turn. */
+        boolean beginsWatch() {
+            return isForCompleteList() || patience <= AT_ONCE_MS;
         }
     }
 
-    /** Calls that wait longer for their turn than this, in milliseconds, are turned away; so is all while it is down. */
-    private static final double TURN = 2_000;
-    private static final int AT_ONCE = 1;
+    /** A list as it goes into a response, and the version up to which it is complete. */
+    private record Response(String list, long version) {}
+
+    /** Calls that wait longer for their turn than this, in milliseconds, are rejected; so are all while it is down. */
+    private static final double MAX_TURN = 2_000;
+    private static final int AT_ONCE_MS = 1;
+    private static final double QUEUE_FULL = -1;
+    private static final double MILLIS_PER_SECOND = 1_000;
+    private static final int RESET_ONE_OF = 3;
+    private static final long FIRST_VERSION = 1;
+    private static final String UNAVAILABLE = "503 Service Unavailable";
     private static final Pattern CALL = Pattern.compile("GET /catalog/members(?:\\?index=(\\d+)&wait=(\\d+))? .*");
 
     private final SoakHistory history;
     private final Random random;
-    private final Map<String, Row> rows = new LinkedHashMap<>();
+    private final Map<String, ListedNode> nodes = new LinkedHashMap<>();
     private final Map<String, Long> changedIn = new LinkedHashMap<>();
     private final List<ServerSocket> listeners = new ArrayList<>();
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private final Set<Integer> cutting = ConcurrentHashMap.newKeySet();
+    private final Set<Integer> truncating = ConcurrentHashMap.newKeySet();
     private final Map<Integer, Set<Socket>> silenced = new ConcurrentHashMap<>();
     private final Map<Integer, Set<Socket>> callsOf = new ConcurrentHashMap<>();
-    /** The whole list of each version, and the newest version that was written to each instance. */
+    /** The complete list of each version, and the newest version that was written to each instance. */
     private final Map<Long, String> lists = new HashMap<>();
-    private final Map<Integer, Long> lastTold = new HashMap<>();
+    private final Map<Integer, Long> lastWritten = new HashMap<>();
     private long version;
     private boolean down;
     private double downFrom;
@@ -82,33 +123,34 @@
 
     // ---------------------------------------------------------------- what the run does to it
 
-    /** Puts these rows into the list, as one version. */
-    synchronized void change(List<Row> news) {
+    /** Puts these nodes into the list, as one version. */
+    synchronized void change(List<ListedNode> changed) {
         version++;
-        for (Row row : news) {
-            rows.put(row.host(), row);
-            changedIn.put(row.host(), version);
-            history.add(new SoakHistory.Change(history.now(), version, row.host(), row.health().equals("ready")));
+        for (ListedNode node : changed) {
+            nodes.put(node.name(), node);
+            changedIn.put(node.name(), version);
+            boolean usable = node.health() == Health.READY;
+            history.add(new SoakHistory.ListChanged(history.now(), version, node.name(), usable));
         }
-        lists.put(version, list());
+        lists.put(version, list(true, presentNodes()));
         notifyAll();
     }
 
-    /** The whole list as this instance last had it: the first one, or what was last written to it. */
+    /** The complete list as this instance last had it: the first one, or what was last written to it. */
     synchronized String lastHad(int instance) {
-        return lists.get(lastTold.getOrDefault(instance, 1L));
+        return lists.get(lastWritten.getOrDefault(instance, FIRST_VERSION));
     }
 
-    private String list() {
-        return list(version, true, rows.values().stream().filter(r -> !r.health().equals("gone")).toList());
+    private List<ListedNode> presentNodes() {
+        return nodes.values().stream().filter(node -> node.health() != Health.REMOVED).toList();
     }
 
-    private static String list(long version, boolean whole, List<Row> rows) {
-        return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":["
-            + rows.stream().map(Row::json).collect(Collectors.joining(",")) + "]}";
+    private String list(boolean complete, List<ListedNode> listed) {
+        return "{\"seq\":" + version + ",\"whole\":" + complete + ",\"hosts\":["
+            + listed.stream().map(ListedNode::json).collect(Collectors.joining(",")) + "]}";
     }
 
-    /** Goes down: watches end, calls are turned away late or reset. */
+    /** Goes down: watches end, calls are rejected late or reset. */
     synchronized void goDown() {
         if (!down) {
             down = true;
@@ -138,31 +180,26 @@
         history.add(new SoakHistory.WatchSilent(history.now(), instance));
     }
 
-    /** Answers to this instance break off half-way, or all of them come whole again. */
-    void cut(int instance, boolean on) {
+    /** Responses to this instance are truncated, or all of them complete again. */
+    void truncate(int instance, boolean on) {
         if (on) {
-            cutting.add(instance);
+            truncating.add(instance);
         } else {
-            cutting.remove(instance);
+            truncating.remove(instance);
         }
     }
 
     // ---------------------------------------------------------------- a call
 
-    private void serve(int instance, Socket socket) throws Exception {
+    private void serve(int instance, Socket socket) throws IOException, InterruptedException {
         Set<Socket> calls = callsOf.computeIfAbsent(instance, i -> ConcurrentHashMap.newKeySet());
         calls.add(socket);
         try (socket) {
             socket.setTcpNoDelay(true);
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (String line; (line = call(in)) != null;) {
+            for (String line; (line = requestLine(in)) != null;) {
                 Matcher call = CALL.matcher(line);
-                if (!call.matches()) {
-                    return;
-                }
-                boolean whole = call.group(1) == null;
-                if (!answer(instance, socket, whole ? -1 : Long.parseLong(call.group(1)),
-                    whole ? 0 : Integer.parseInt(call.group(2)))) {
+                if (!call.matches() || !answer(instance, socket, call(call))) {
                     return;
                 }
             }
@@ -172,90 +209,102 @@
         }
     }
 
-    private static String call(InputStream in) throws IOException {
+    private static Call call(Matcher line) {
+        return line.group(1) == null ? new Call(Call.COMPLETE, 0)
+            : new Call(Long.parseLong(line.group(1)), Integer.parseInt(line.group(2)));
+    }
+
+    /** The first line of the next request, or null at the end of the connection. */
+    private static String requestLine(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
-            int c = in.read();
-            if (c < 0) {
+            int next = in.read();
+            if (next < 0) {
                 return null;
             }
-            head.append((char) c);
+            head.append((char) next);
         }
         return head.substring(0, head.indexOf("\r\n"));
     }
 
     /** Returns whether the connection goes on. */
-    private boolean answer(int instance, Socket socket, long index, int wait) throws Exception {
-        if (!history.pushed && (index < 0 || wait <= AT_ONCE)) {
+    private boolean answer(int instance, Socket socket, Call call) throws IOException, InterruptedException {
+        if (!history.isPushed() && call.beginsWatch()) {
             double turn = turn();
             if (turn > 0) {
-                Thread.sleep((long) Math.min(turn, TURN));
+                Thread.sleep((long) Math.min(turn, MAX_TURN));
             }
-            if (turn > TURN || isDown()) {
-                return refuse(socket);
+            if (turn > MAX_TURN || isDown()) {
+                return reject(socket);
             }
             if (turn < 0) {
-                write(socket, "503 Service Unavailable", "");
+                write(socket, UNAVAILABLE, "");
                 return true;
             }
         }
-        String list;
-        long upTo;
-        synchronized (this) {
-            double until = history.now() + wait;
-            while (!closed && (down ? history.pushed : index == version && history.now() < until)) {
-                wait((long) Math.max(1, until - history.now()));
-            }
-            if (down) {
-                socket.setSoLinger(true, 0);
-                return false;
-            }
-            upTo = version;
-            List<Row> news = rows.values().stream().filter(r -> index < 0 ? !r.health().equals("gone")
-                : changedIn.get(r.host()) > index).toList();
-            list = list(version, index < 0, news);
+        Response response = awaitChange(call);
+        if (response == null) {
+            socket.setSoLinger(true, 0);
+            return false;
         }
         if (silenced.getOrDefault(instance, Set.of()).contains(socket)) {
             return socket.getInputStream().read() >= 0;      // until the instance gives it up
         }
-        if (cutting.contains(instance)) {
+        if (truncating.contains(instance)) {
+            String list = response.list;
             socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n"
                 + list.substring(0, list.length() / 2)).getBytes(StandardCharsets.US_ASCII));
             return false;
         }
-        synchronized (this) {
-            lastTold.merge(instance, upTo, Math::max);
-        }
-        history.add(new SoakHistory.Told(history.now(), instance, upTo));
-        write(socket, "200 OK", list);
+        noteWritten(instance, response.version);
+        history.add(new SoakHistory.ListWritten(history.now(), instance, response.version));
+        write(socket, "200 OK", response.list);
         return true;
     }
 
+    /** Waits until there is something to answer, for as long as the call does; null if the service is down then. */
+    private synchronized Response awaitChange(Call call) throws InterruptedException {
+        double until = history.now() + call.patience;
+        while (!closed && (down ? history.isPushed() : call.sinceVersion == version && history.now() < until)) {
+            wait((long) Math.max(1, until - history.now()));
+        }
+        if (down) {
+            return null;
+        }
+        List<ListedNode> listed = call.isForCompleteList() ? presentNodes()
+            : nodes.values().stream().filter(node -> changedIn.get(node.name()) > call.sinceVersion).toList();
+        return new Response(list(call.isForCompleteList(), listed), version);
+    }
+
+    private synchronized void noteWritten(int instance, long upTo) {
+        lastWritten.merge(instance, upTo, Math::max);
+    }
+
     private synchronized boolean isDown() {
         return down;
     }
 
-    /** How long a call waits for its turn; below 0: the queue is full. */
+    /** How long a call waits for its turn, in milliseconds, or {@link #QUEUE_FULL}. */
     private synchronized double turn() {
         if (down) {
-            return TURN;
+            return MAX_TURN;
         }
         double now = history.now();
         freeAt = Math.max(freeAt, now);
         double waits = freeAt - now;
-        if (waits > 2 * TURN) {
-            return -1;
+        if (waits > 2 * MAX_TURN) {
+            return QUEUE_FULL;
         }
-        freeAt += 1_000 / callsPerSecond;
+        freeAt += MILLIS_PER_SECOND / callsPerSecond;
         return waits;
     }
 
-    private boolean refuse(Socket socket) throws IOException {
-        if (random.nextInt(3) == 0) {
+    private boolean reject(Socket socket) throws IOException {
+        if (random.nextInt(RESET_ONE_OF) == 0) {
             socket.setSoLinger(true, 0);
             return false;
         }
-        write(socket, "503 Service Unavailable", "");
+        write(socket, UNAVAILABLE, "");
         return true;
     }
 
--- a/src/main/java/kelphollow/lab/soak/SoakFaults.java
+++ b/src/main/java/kelphollow/lab/soak/SoakFaults.java
@@ -7,44 +7,63 @@
 import java.util.Random;
 
 /**
- * The faults of one run, drawn by seed: each kind comes again and again at random times, so that they overlap. A step is a
- * time, a kind, what it meets (an instance or a node, by number) and for how long, in milliseconds.
+ * The faults of one run, drawn by seed: each kind comes again and again at random times, so that they overlap. The order of
+ * the kinds and of the draws is part of what a seed means.
  */
 final class SoakFaults {
+    /** What a fault's target number counts. */
+    private enum Target { INSTANCE, NODE }
+
     /** What happens. */
     enum Kind {
         /** SIGKILL; a new start after the time, on a list that is some versions old. */
-        KILL,
+        KILL(Target.INSTANCE),
         /** SIGTERM; a new start once it has ended. */
-        TERM,
+        TERM(Target.INSTANCE),
         /** The process stands still for up to 120 ms. */
-        STALL,
+        STALL(Target.INSTANCE),
         /** SIGHUP with another address of discovery. */
-        MOVE,
+        MOVE(Target.INSTANCE),
         /** Two SIGHUPs right behind each other. */
-        MOVE_TWICE,
+        MOVE_TWICE(Target.INSTANCE),
         /** Discovery cannot be reached. */
-        DISCOVERY_DOWN,
+        DISCOVERY_DOWN(Target.INSTANCE),
         /** Discovery works through few calls a second. */
-        DISCOVERY_SLOW,
+        DISCOVERY_SLOW(Target.INSTANCE),
         /** The open watch of an instance falls silent. */
-        WATCH_SILENT,
-        /** Answers to an instance break off half-way. */
-        ANSWERS_CUT,
-        /** A node drains, goes, and comes back cold. */
-        NODE_DRAINS,
+        WATCH_SILENT(Target.INSTANCE),
+        /** Discovery's responses to an instance are truncated. */
+        RESPONSES_TRUNCATED(Target.INSTANCE),
+        /** A node drains, is removed, and comes back warming up. */
+        NODE_DRAINS(Target.NODE),
         /** A node dies, leaves the list late, and comes back elsewhere. */
-        NODE_DIES,
+        NODE_DIES(Target.NODE),
         /** A third of the nodes dies with a third of the instances; all come back. */
-        ZONE_LOST,
-        NODE_HANGS, NODE_RESETS, NODE_ERRS, NODE_BUSY, NODE_HALVES
+        ZONE_LOST(Target.INSTANCE),
+        /** A node does not respond. */
+        NODE_HANGS(Target.NODE),
+        /** A node resets its connections. */
+        NODE_RESETS(Target.NODE),
+        /** A node replies with errors. */
+        NODE_ERRS(Target.NODE),
+        /** A node rejects all commands. */
+        NODE_BUSY(Target.NODE),
+        /** A node's replies come in two segments. */
+        NODE_SEGMENTS(Target.NODE);
+
+        private final Target target;
+
+        Kind(Target target) {
+            this.target = target;
+        }
     }
 
-    /** One fault. */
+    /** One fault: when, what it meets (an instance or a node, by number) and for how long, in milliseconds. */
     record Step(double at, Kind kind, int target, double lasts) {}
 
-    private static final double FIRST = 1_500;
+    private static final double FIRST_AT = 1_500;
     private static final double QUIET_END = 3_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
     private SoakFaults() {}
 
@@ -58,14 +77,11 @@
         }
         List<Step> steps = new ArrayList<>();
         for (Kind kind : kinds.subList(0, kinds.size() * 2 / 3)) {
-            double mean = switch (kind) {
-                case DISCOVERY_DOWN, DISCOVERY_SLOW, ZONE_LOST -> 14_000;
-                case KILL, TERM, MOVE, MOVE_TWICE -> 4_000 * 10.0 / instances;
-                default -> 2_500;
-            };
-            double at = FIRST + mean * random.nextDouble();
-            while (at < seconds * 1_000 - QUIET_END) {
-                steps.add(new Step(at, kind, random.nextInt(isOfNode(kind) ? nodes : instances), lasts(kind, random)));
+            double mean = meanInterval(kind, instances);
+            double at = FIRST_AT + mean * random.nextDouble();
+            while (at < seconds * MILLIS_PER_SECOND - QUIET_END) {
+                int target = random.nextInt(kind.target == Target.NODE ? nodes : instances);
+                steps.add(new Step(at, kind, target, duration(kind, random)));
                 at += mean * -Math.log(1 - random.nextDouble());
             }
         }
@@ -73,19 +89,23 @@
         return steps;
     }
 
-    private static boolean isOfNode(Kind kind) {
-        return kind.name().startsWith("NODE");
+    private static double meanInterval(Kind kind, int instances) {
+        return switch (kind) {
+            case DISCOVERY_DOWN, DISCOVERY_SLOW, ZONE_LOST -> 14_000;
+            case KILL, TERM, MOVE, MOVE_TWICE -> 4_000 * 10.0 / instances;
+            default -> 2_500;
+        };
     }
 
-    private static double lasts(Kind kind, Random random) {
-        double some = random.nextDouble();
+    private static double duration(Kind kind, Random random) {
+        double part = random.nextDouble();
         return switch (kind) {
-            case KILL -> 100 + 4_000 * some;
-            case STALL -> 120 * some;
-            case DISCOVERY_DOWN, DISCOVERY_SLOW -> 500 + 9_000 * some;
-            case NODE_DRAINS, NODE_DIES -> 1_000 + 7_000 * some;
-            case ZONE_LOST -> 3_000 + 4_000 * some;
-            default -> 300 + 4_000 * some;
+            case KILL -> 100 + 4_000 * part;
+            case STALL -> 120 * part;
+            case DISCOVERY_DOWN, DISCOVERY_SLOW -> 500 + 9_000 * part;
+            case NODE_DRAINS, NODE_DIES -> 1_000 + 7_000 * part;
+            case ZONE_LOST -> 3_000 + 4_000 * part;
+            default -> 300 + 4_000 * part;
         };
     }
 }
--- a/src/main/java/kelphollow/lab/soak/SoakHistory.java
+++ b/src/main/java/kelphollow/lab/soak/SoakHistory.java
@@ -5,105 +5,77 @@
 
 /** What all parties of a run did, on one monotonic clock in milliseconds since the run began. Safe from any thread. */
 final class SoakHistory {
-    /** Discovery has a new version, in which this node may have new work or not. */
-    record Change(double at, long version, String node, boolean wanted) {}
+    /** Something that a party did. */
+    sealed interface Event {}
 
-    /** Discovery has written an answer to this instance that is complete up to this version. */
-    record Told(double at, int instance, long version) {}
+    /** Discovery has a new version, in which this node may get new requests or not. */
+    record ListChanged(double at, long version, String node, boolean usable) implements Event {}
+
+    /** Discovery has written a response to this instance that is complete up to this version. */
+    record ListWritten(double at, int instance, long version) implements Event {}
 
     /** Discovery could not be reached in this time. */
-    record Outage(double from, double to) {}
+    record Outage(double from, double to) implements Event {}
 
     /** The open watch of this instance fell silent; its next call is answered. */
-    record WatchSilent(double at, int instance) {}
+    record WatchSilent(double at, int instance) implements Event {}
 
-    /** The instance was told to read its file again, in which discovery has another address. */
-    record Moved(double at, int instance) {}
+    /** The instance was signalled to reload its file, in which discovery has another address. */
+    record DiscoveryMoved(double at, int instance) implements Event {}
 
     /** A process of an instance began; {@code ended} is infinite while it runs. */
-    record Life(int instance, double from, double termAt, double ended, boolean killed, int exitCode) {}
+    record Incarnation(int instance, double from, double termAt, double ended, boolean killed,
+                       int exitCode) implements Event {}
 
-    /** The first byte of a command has reached a node, which was told to work on it for so long and may run it. */
-    record Arrived(double at, String node, String id, double waitTold, boolean mayRun) {}
+    /** The first byte of a command has reached a node, which has so long for it and may run it. */
+    record AttemptArrived(double at, String node, String id, double timeLeft, boolean mayRun) implements Event {}
 
-    /** A client has written a whole request; it waits for so long. */
-    record Asked(double at, String id, int instance, boolean unsafe, double patience) {}
+    /** A client has written a complete request; it waits for so long. */
+    record RequestSent(double at, String id, int instance, boolean mustRunOnce, double patience) implements Event {}
 
     /** How a request ended for its client. */
-    enum End { SERVED, REFUSED, FAILED, CLIENT_LEFT, CONNECTION_ENDED, NO_ANSWER }
+    enum Outcome {
+        SERVED, REJECTED, FAILED, CLIENT_LEFT, CONNECTION_ENDED, NO_ANSWER
+    }
 
     /** The client has its answer, or has ended the connection, or saw it end. */
-    record Ended(double at, String id, End end) {}
+    record RequestEnded(double at, String id, Outcome outcome) implements Event {}
+
+    /** A line of a process's log that tells of a fault of the program itself. */
+    record FaultLogged(String line) implements Event {}
 
     private final long began = System.nanoTime();
-    final List<Change> changes = new ArrayList<>();
-    final List<Told> told = new ArrayList<>();
-    final List<Outage> outages = new ArrayList<>();
-    final List<WatchSilent> silences = new ArrayList<>();
-    final List<Moved> moves = new ArrayList<>();
-    final List<Life> lives = new ArrayList<>();
-    final List<Arrived> arrivals = new ArrayList<>();
-    final List<Asked> asked = new ArrayList<>();
-    final List<Ended> ends = new ArrayList<>();
-    /** Lines of the processes' logs that tell of a fault of the program itself. */
-    final List<String> faultLines = new ArrayList<>();
-    /** Lists are pushed to an agent of each instance, not asked for. */
-    boolean pushed;
+    private final List<Event> events = new ArrayList<>();
+    private volatile boolean pushed;
 
+    /** In milliseconds since the run began. */
     double now() {
         return (System.nanoTime() - began) / 1e6;
     }
 
-    /** The history up to now; what comes later is not in it. */
-    synchronized SoakHistory snapshot() {
-        SoakHistory copy = new SoakHistory();
-        copy.changes.addAll(changes);
-        copy.told.addAll(told);
-        copy.outages.addAll(outages);
-        copy.silences.addAll(silences);
-        copy.moves.addAll(moves);
-        copy.lives.addAll(lives);
-        copy.arrivals.addAll(arrivals);
-        copy.asked.addAll(asked);
-        copy.ends.addAll(ends);
-        copy.faultLines.addAll(faultLines);
-        copy.pushed = pushed;
-        return copy;
-    }
-
-    synchronized void add(Change event) {
-        changes.add(event);
-    }
-
-    synchronized void add(Told event) {
-        told.add(event);
+    /** Whether lists are pushed to an agent of each instance, rather than polled. */
+    boolean isPushed() {
+        return pushed;
     }
 
-    synchronized void add(Outage event) {
-        outages.add(event);
+    void setPushed(boolean isPushed) {
+        pushed = isPushed;
     }
 
-    synchronized void add(WatchSilent event) {
-        silences.add(event);
+    synchronized void add(Event event) {
+        events.add(event);
     }
 
-    synchronized void add(Moved event) {
-        moves.add(event);
-    }
-
-    synchronized void add(Life event) {
-        lives.add(event);
-    }
-
-    synchronized void add(Arrived event) {
-        arrivals.add(event);
-    }
-
-    synchronized void add(Asked event) {
-        asked.add(event);
+    /** The history up to now; what comes later is not in it. */
+    synchronized SoakHistory snapshot() {
+        SoakHistory copy = new SoakHistory();
+        copy.events.addAll(events);
+        copy.pushed = pushed;
+        return copy;
     }
 
-    synchronized void add(Ended event) {
-        ends.add(event);
+    /** All events of a type, in the order in which they were added. */
+    synchronized <T extends Event> List<T> all(Class<T> type) {
+        return events.stream().filter(type::isInstance).map(type::cast).toList();
     }
 }
--- a/src/main/java/kelphollow/lab/soak/SoakNode.java
+++ b/src/main/java/kelphollow/lab/soak/SoakNode.java
@@ -15,28 +15,46 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A stand-in storage node on the platform's protocol, which notes each command's first byte and can be made to fail. */
+/**
+ * A fake storage node on the platform's protocol, which notes each command's first byte and can be made to fail. Safe from
+ * any thread.
+ */
 final class SoakNode implements AutoCloseable {
     /** What becomes of the commands that come. */
     enum Mode {
-        SERVES, HANGS, RESETS, ANSWERS_ERRORS, TURNS_AWAY, ANSWERS_IN_HALVES
+        /** They are served. */
+        SERVES,
+        /** Nothing: the connection stays open. */
+        HANGS,
+        /** Their connection is reset. */
+        RESETS,
+        /** They fail. */
+        FAILS,
+        /** They are rejected before they run. */
+        REJECTS,
+        /** They are served, with a pause within each reply. */
+        SERVES_IN_SEGMENTS
     }
 
-    private static final Pattern WAIT = Pattern.compile("(?:^|,)d=([0-9.]+)");
-    private static final int SHORTEST = 3;
-    private static final int SPREAD = 25;
+    private static final Pattern TIME_LEFT = Pattern.compile("(?:^|,)d=([0-9.]+)");
+    /** Places of the id and the fields among a command's words. */
+    private static final int ID = 2;
+    private static final int FIELDS = 3;
+    private static final int BACKLOG = 200;
+    private static final int MIN_SERVICE_MS = 3;
+    private static final int SERVICE_SPREAD_MS = 25;
 
-    final String name;
-    final int block;
+    private final String name;
+    private final int cell;
     private final SoakHistory history;
     private final Random random;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private ServerSocket listener;
     private volatile Mode mode = Mode.SERVES;
 
-    SoakNode(String name, int block, SoakHistory history, Random random) throws IOException {
+    SoakNode(String name, int cell, SoakHistory history, Random random) throws IOException {
         this.name = name;
-        this.block = block;
+        this.cell = cell;
         this.history = history;
         this.random = random;
         start();
@@ -44,7 +62,7 @@
 
     /** Listens, at a new address each time. */
     void start() throws IOException {
-        ServerSocket own = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
+        ServerSocket own = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
         listener = own;
         SoakThreads.start(name, () -> {
             while (true) {
@@ -55,6 +73,15 @@
         });
     }
 
+    String name() {
+        return name;
+    }
+
+    /** The cell that it holds. */
+    int cell() {
+        return cell;
+    }
+
     InetSocketAddress address() {
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
@@ -63,7 +90,7 @@
         mode = next;
     }
 
-    private void serve(Socket socket) throws Exception {
+    private void serve(Socket socket) throws IOException, InterruptedException {
         try (socket) {
             socket.setTcpNoDelay(true);
             InputStream in = new BufferedInputStream(socket.getInputStream());
@@ -71,9 +98,9 @@
                 double at = history.now();
                 String[] words = command(first, in);
                 Mode now = mode;
-                Matcher wait = WAIT.matcher(words.length > 3 ? words[3] : "");
-                history.add(new SoakHistory.Arrived(at, name, words[2], wait.find() ? Double.parseDouble(wait.group(1)) : 0,
-                    now != Mode.TURNS_AWAY));
+                Matcher timeLeft = TIME_LEFT.matcher(words.length > FIELDS ? words[FIELDS] : "");
+                history.add(new SoakHistory.AttemptArrived(at, name, words[ID],
+                    timeLeft.find() ? Double.parseDouble(timeLeft.group(1)) : 0, now != Mode.REJECTS));
                 if (!answer(socket, in, now)) {
                     return;
                 }
@@ -84,8 +111,8 @@
     }
 
     /** Returns whether the connection goes on. */
-    private boolean answer(Socket socket, InputStream in, Mode now) throws Exception {
-        Thread.sleep(SHORTEST + random.nextInt(SPREAD));
+    private boolean answer(Socket socket, InputStream in, Mode now) throws IOException, InterruptedException {
+        Thread.sleep(MIN_SERVICE_MS + random.nextInt(SERVICE_SPREAD_MS));
         switch (now) {
             case HANGS -> {
                 in.read();                 // until the attempt is given up
@@ -95,14 +122,14 @@
                 socket.setSoLinger(true, 0);
                 return false;
             }
-            case ANSWERS_ERRORS -> write(socket, "-ERR failed\r\n");
-            case TURNS_AWAY -> write(socket, "-BUSY\r\n");
-            case ANSWERS_IN_HALVES -> {
+            case FAILS -> write(socket, "-ERR failed\r\n");
+            case REJECTS -> write(socket, "-BUSY\r\n");
+            case SERVES_IN_SEGMENTS -> {
                 write(socket, "*3\r\n$2\r\no");
-                Thread.sleep(SPREAD);
+                Thread.sleep(SERVICE_SPREAD_MS);
                 write(socket, "k\r\n$-1\r\n$-1\r\n");
             }
-            default -> write(socket, "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
+            case SERVES -> write(socket, "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
         }
         return true;
     }
@@ -122,7 +149,7 @@
             int length = Integer.parseInt(line(in));
             byte[] word = in.readNBytes(length);
             if (word.length < length) {
-                throw new EOFException("half a command");
+                throw new EOFException("a truncated command");
             }
             words[i] = new String(word, StandardCharsets.ISO_8859_1);
             in.skipNBytes(2);
@@ -132,12 +159,12 @@
 
     private static String line(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int c; (c = in.read()) != '\n';) {
-            if (c < 0) {
-                throw new EOFException("half a line");
+        for (int next; (next = in.read()) != '\n';) {
+            if (next < 0) {
+                throw new EOFException("a truncated line");
             }
-            if (c != '\r') {
-                line.append((char) c);
+            if (next != '\r') {
+                line.append((char) next);
             }
         }
         return line.toString();
--- a/src/main/java/kelphollow/lab/soak/SoakThreads.java
+++ b/src/main/java/kelphollow/lab/soak/SoakThreads.java
@@ -2,13 +2,15 @@
 
 import java.io.IOException;
 
-/** Threads of the stand-ins: each ends with the connection or listener that it serves. */
+/** Threads of the fake parties: each ends with the connection or listener that it serves. */
 final class SoakThreads {
     /** What such a thread does. */
     interface Task {
         void run() throws Exception;
     }
 
+    private static final int STACK_BYTES = 256 * 1024;
+
     private SoakThreads() {}
 
     /** Starts a daemon thread; an end of its connection ends it quietly, any other fault is shown. */
@@ -23,7 +25,7 @@
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
-        }, name, 256 * 1024);
+        }, name, STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
         return thread;
--- a/src/test/java/kelphollow/lab/CheckerTest.java
+++ b/src/test/java/kelphollow/lab/CheckerTest.java
@@ -129,7 +129,7 @@
 
     private void finds(String... checks) {
         end();
-        List<String> found = Checker.check(lines).stream().map(Checker.Finding::check).distinct().toList();
+        List<String> found = Checker.check(lines).stream().map(Finding::check).distinct().toList();
         assertEquals(List.of(checks), found, () -> Checker.check(lines).toString());
         Checker.check(lines).forEach(f -> assertFalse(f.proof().isEmpty()));
     }
--- a/src/test/java/kelphollow/lab/LabTest.java
+++ b/src/test/java/kelphollow/lab/LabTest.java
@@ -22,8 +22,7 @@
 class LabTest {
     private static final Path SCENARIOS = Path.of("src/lab/scenarios");
     private static final List<String> SHORT = List.of("crash.json", "drain.json", "failing-nodes.json", "halves.json",
-        "silent-node.json", "stopped.json",
-        "uneven-broken.json");
+        "silent-node.json", "stopped.json", "uneven-broken.json");
     @TempDir
     Path folder;
 
@@ -54,7 +53,7 @@
             assertTrue(good.contains(fault[0]), fault[0]);
             Path file = Files.writeString(folder.resolve("crash-bad.json"), good.replace(fault[0], fault[1]));
             ByteArrayOutputStream told = new ByteArrayOutputStream();
-            assertEquals(Lab.BAD, Lab.run(file, 1, null, System.out, new PrintStream(told)), fault[2]);
+            assertEquals(Lab.INVALID, Lab.run(file, 1, null, System.out, new PrintStream(told)), fault[2]);
             assertTrue(told.toString().contains(fault[2]), told.toString());
         }
     }
--- a/src/test/java/kelphollow/lab/soak/FaultSoakTest.java
+++ b/src/test/java/kelphollow/lab/soak/FaultSoakTest.java
@@ -20,7 +20,9 @@
  */
 @Timeout(120)
 class FaultSoakTest {
-    private static final int INSTANCES = 5, NODES = 6, SECONDS = 9;
+    private static final int INSTANCES = 5;
+    private static final int NODES = 6;
+    private static final int SECONDS = 9;
     @TempDir
     Path folder;
 
--- a/src/test/java/kelphollow/lab/soak/SoakCheckerTest.java
+++ b/src/test/java/kelphollow/lab/soak/SoakCheckerTest.java
@@ -3,15 +3,16 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import kelphollow.lab.soak.SoakHistory.Arrived;
-import kelphollow.lab.soak.SoakHistory.Asked;
-import kelphollow.lab.soak.SoakHistory.Change;
-import kelphollow.lab.soak.SoakHistory.End;
-import kelphollow.lab.soak.SoakHistory.Ended;
-import kelphollow.lab.soak.SoakHistory.Life;
-import kelphollow.lab.soak.SoakHistory.Moved;
+import kelphollow.lab.soak.SoakHistory.AttemptArrived;
+import kelphollow.lab.soak.SoakHistory.DiscoveryMoved;
+import kelphollow.lab.soak.SoakHistory.FaultLogged;
+import kelphollow.lab.soak.SoakHistory.Incarnation;
+import kelphollow.lab.soak.SoakHistory.ListChanged;
+import kelphollow.lab.soak.SoakHistory.ListWritten;
 import kelphollow.lab.soak.SoakHistory.Outage;
-import kelphollow.lab.soak.SoakHistory.Told;
+import kelphollow.lab.soak.SoakHistory.Outcome;
+import kelphollow.lab.soak.SoakHistory.RequestEnded;
+import kelphollow.lab.soak.SoakHistory.RequestSent;
 import org.junit.jupiter.api.Test;
 
 /** The checker finds each breach that is planted in a history, and none in the same history without it. */
@@ -20,16 +21,16 @@
     private final SoakHistory history = new SoakHistory();
 
     SoakCheckerTest() {
-        history.add(new Life(0, 0, 90_000, 92_000, false, 0));
-        history.add(new Change(0, 1, "a", true));
-        history.add(new Change(10_000, 2, "a", false));
+        history.add(new Incarnation(0, 0, 90_000, 92_000, false, 0));
+        history.add(new ListChanged(0, 1, "a", true));
+        history.add(new ListChanged(10_000, 2, "a", false));
     }
 
     /** A safe read that comes to instance 0 and reaches node a at that time, and is served. */
     private void request(String id, double at) {
-        history.add(new Asked(at - 5, id, 0, false, 1_200));
-        history.add(new Arrived(at, "a", id, 1_190, true));
-        history.add(new Ended(at + 20, id, End.SERVED));
+        history.add(new RequestSent(at - 5, id, 0, false, 1_200));
+        history.add(new AttemptArrived(at, "a", id, 1_190, true));
+        history.add(new RequestEnded(at + 20, id, Outcome.SERVED));
     }
 
     private List<String> broken() {
@@ -41,22 +42,22 @@
         assertEquals(List.of(), broken(), "within the grace after the term of 6 s");
         request("late", 16_300);
         assertEquals(List.of("drain"), broken());
-        history.add(new Told(12_000, 0, 2));
+        history.add(new ListWritten(12_000, 0, 2));
         request("written", 12_300);
         assertEquals(List.of("drain", "drain", "drain"), broken(), "written at 12 s, it counts from there for all");
     }
 
     @Test void aNodeThatIsBackInAWrittenListMayBeUsed() {
-        history.add(new Change(11_000, 3, "a", true));
+        history.add(new ListChanged(11_000, 3, "a", true));
         request("unheard", 16_900);
         assertEquals(List.of("drain"), broken(), "the process has heard neither");
-        history.add(new Told(16_800, 0, 3));
+        history.add(new ListWritten(16_800, 0, 3));
         assertEquals(List.of(), broken());
     }
 
     @Test void whatAnEarlierProcessWasWrittenIsNotKnownToTheNextOne() {
-        history.add(new Told(10_100, 0, 2));
-        history.add(new Life(0, 11_000, 90_000, 92_000, false, 0));
+        history.add(new ListWritten(10_100, 0, 2));
+        history.add(new Incarnation(0, 11_000, 90_000, 92_000, false, 0));
         request("new", 12_000);
         assertEquals(List.of(), broken(), "not written to it, and not yet 6 s old");
         request("newer", 16_400);
@@ -69,13 +70,13 @@
         assertEquals(List.of(), broken());
         request("late", 26_400);
         assertEquals(List.of("drain"), broken());
-        history.add(new Moved(20_500, 0));
+        history.add(new DiscoveryMoved(20_500, 0));
         request("moved", 24_900);
         assertEquals(List.of("drain", "drain", "drain"), broken(), "4 s after the move, for the first one too");
     }
 
     @Test void whatAnAgentHasCountsAtOnce() {
-        history.pushed = true;
+        history.setPushed(true);
         request("grace", 10_250);
         assertEquals(List.of(), broken());
         request("late", 10_400);
@@ -84,51 +85,51 @@
 
     @Test void aRequestHasItsAnswerInItsTimeUnlessItsProcessWasKilled() {
         request("fine", 5_000);
-        history.add(new Asked(50_000, "none", 0, false, 1_200));
-        history.add(new Ended(53_200, "none", End.NO_ANSWER));
+        history.add(new RequestSent(50_000, "none", 0, false, 1_200));
+        history.add(new RequestEnded(53_200, "none", Outcome.NO_ANSWER));
         assertEquals(List.of("lost"), broken());
-        history.add(new Asked(60_000, "cut", 0, false, 1_200));
-        history.add(new Ended(60_100, "cut", End.CONNECTION_ENDED));
+        history.add(new RequestSent(60_000, "cut", 0, false, 1_200));
+        history.add(new RequestEnded(60_100, "cut", Outcome.CONNECTION_ENDED));
         assertEquals(List.of("lost"), broken(), "it never reached a node: its client sends it elsewhere");
-        history.add(new Change(55_000, 3, "a", true));
-        history.add(new Told(55_100, 0, 3));
-        history.add(new Arrived(60_050, "a", "cut", 1_100, true));
+        history.add(new ListChanged(55_000, 3, "a", true));
+        history.add(new ListWritten(55_100, 0, 3));
+        history.add(new AttemptArrived(60_050, "a", "cut", 1_100, true));
         assertEquals(List.of("lost", "lost"), broken());
-        history.add(new Life(0, 40_000, NEVER, 60_090, true, 137));
+        history.add(new Incarnation(0, 40_000, NEVER, 60_090, true, 137));
         assertEquals(List.of("lost"), broken(), "the kill explains the second");
     }
 
     @Test void whatMayRunOnceMayNeitherRunTwiceNorBeRefusedAfterIt() {
-        history.add(new Asked(1_000, "w", 0, true, 3_000));
-        history.add(new Arrived(1_010, "a", "w", 2_900, false));
-        history.add(new Arrived(1_100, "a", "w", 2_900, true));
-        history.add(new Ended(1_200, "w", End.SERVED));
+        history.add(new RequestSent(1_000, "w", 0, true, 3_000));
+        history.add(new AttemptArrived(1_010, "a", "w", 2_900, false));
+        history.add(new AttemptArrived(1_100, "a", "w", 2_900, true));
+        history.add(new RequestEnded(1_200, "w", Outcome.SERVED));
         assertEquals(List.of(), broken(), "the first was turned away");
-        history.add(new Arrived(1_150, "a", "w", 2_800, true));
+        history.add(new AttemptArrived(1_150, "a", "w", 2_800, true));
         assertEquals(List.of("duplicate"), broken());
-        history.add(new Asked(2_000, "r", 0, true, 3_000));
-        history.add(new Arrived(2_010, "a", "r", 2_900, true));
-        history.add(new Ended(2_100, "r", End.REFUSED));
+        history.add(new RequestSent(2_000, "r", 0, true, 3_000));
+        history.add(new AttemptArrived(2_010, "a", "r", 2_900, true));
+        history.add(new RequestEnded(2_100, "r", Outcome.REJECTED));
         assertEquals(List.of("duplicate", "duplicate"), broken());
     }
 
     @Test void nothingIsSentForAClientThatHasGoneNorWithMoreTimeThanItHas() {
-        history.add(new Asked(1_000, "g", 0, false, 1_200));
-        history.add(new Ended(1_100, "g", End.CLIENT_LEFT));
-        history.add(new Arrived(1_190, "a", "g", 1_000, true));
+        history.add(new RequestSent(1_000, "g", 0, false, 1_200));
+        history.add(new RequestEnded(1_100, "g", Outcome.CLIENT_LEFT));
+        history.add(new AttemptArrived(1_190, "a", "g", 1_000, true));
         assertEquals(List.of(), broken());
-        history.add(new Arrived(1_201, "a", "g", 990, true));
+        history.add(new AttemptArrived(1_201, "a", "g", 990, true));
         assertEquals(List.of("lost"), broken());
-        history.add(new Asked(3_000, "d", 0, false, 1_200));
-        history.add(new Arrived(3_500, "a", "d", 851, true));
-        history.add(new Ended(3_600, "d", End.SERVED));
+        history.add(new RequestSent(3_000, "d", 0, false, 1_200));
+        history.add(new AttemptArrived(3_500, "a", "d", 851, true));
+        history.add(new RequestEnded(3_600, "d", Outcome.SERVED));
         assertEquals(List.of("lost", "deadline"), broken());
     }
 
     @Test void aProcessEndsOnlyWhenItIsToldToAndInOrder() {
-        history.add(new Life(1, 0, 5_000, 6_000, false, 1));
-        history.add(new Life(2, 0, NEVER, 6_000, false, 0));
-        history.faultLines.add("n1.log: SEVERE: invariant broken");
+        history.add(new Incarnation(1, 0, 5_000, 6_000, false, 1));
+        history.add(new Incarnation(2, 0, NEVER, 6_000, false, 0));
+        history.add(new FaultLogged("n1.log: SEVERE: invariant broken"));
         assertEquals(List.of("crash", "crash", "fault"), broken());
     }
 }
