--- a/src/main/java/kelphollow/program/StoreCommand.java
+++ b/src/main/java/kelphollow/program/StoreCommand.java
@@ -133,7 +133,10 @@
 
     /** {@code repair}: repairs what one copy still holds; if the operator says so, gives up what neither does. */
     public static final class Repair extends StoreTool {
-        @Option(name = "--accept-loss", usage = "give up what is missing: damaged in both copies, or newer than a restored backup")
+        private static final String LOSS_USAGE = "give up what is missing: damaged in both copies, or newer than a restored"
+            + " backup";
+
+        @Option(name = "--accept-loss", usage = LOSS_USAGE)
         private boolean acceptLoss;
 
         @Override int work(PrintStream out, Progress progress) throws IOException, StoreFault {
--- a/src/test/java/kelphollow/program/BetweenAttemptsTest.java
+++ b/src/test/java/kelphollow/program/BetweenAttemptsTest.java
@@ -21,15 +21,16 @@
         "PUT /symbols/a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody");
 
     /** The node has turned the request away, and the program has read that. */
-    private static ScriptedPeer.Line turnedAway(ServerHarness bench, ScriptedPeer node, ScriptedPeer clients, String request)
+    private static ScriptedPeer.Line turnedAway(ServerHarness harness, ScriptedPeer node, ScriptedPeer clients,
+        String request)
         throws Exception {
-        ScriptedPeer.Line client = clients.connect(bench.address);
+        ScriptedPeer.Line client = clients.connect(harness.address);
         client.send(request);
         ScriptedPeer.Line attempt = node.accept();
         attempt.until(HEAD_END);
         attempt.send(REJECTED);
-        ServerHarness.turn(bench.loop);
-        assertEquals(1, bench.openRequests(), "it is tried again after a pause");
+        ServerHarness.turn(harness.loop);
+        assertEquals(1, harness.openRequests(), "it is tried again after a pause");
         return client;
     }
 
@@ -37,9 +38,9 @@
     @Test void aClientThatStaysSeesASecondAttempt() throws Exception {
         for (String request : REQUESTS) {
             try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-                 ServerHarness bench = EndBehindTest.objects(node)) {
-                turnedAway(bench, node, clients, request);
-                bench.ticker.advance(500);
+                 ServerHarness harness = EndBehindTest.objects(node)) {
+                turnedAway(harness, node, clients, request);
+                harness.ticker.advance(500);
                 assertTrue(node.accept().until(HEAD_END).startsWith(request.substring(0, 20)));
             }
         }
@@ -48,11 +49,11 @@
     @Test void aClientThatGoesDuringThePauseEndsTheRequest() throws Exception {
         for (String request : REQUESTS) {
             try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-                 ServerHarness bench = EndBehindTest.objects(node)) {
-                turnedAway(bench, node, clients, request).socket.close();
-                ServerHarness.turn(bench.loop);
-                assertEquals(0, bench.openRequests(), request);
-                bench.pass(3_000);
+                 ServerHarness harness = EndBehindTest.objects(node)) {
+                turnedAway(harness, node, clients, request).socket.close();
+                ServerHarness.turn(harness.loop);
+                assertEquals(0, harness.openRequests(), request);
+                harness.pass(3_000);
                 assertNull(node.acceptIfAny(), request);
             }
         }
@@ -62,16 +63,16 @@
     @Test void aClientThatGoesAsThePauseEndsIsSentNothingFor() throws Exception {
         for (String request : REQUESTS) {
             try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-                 ServerHarness bench = EndBehindTest.objects(node)) {
-                ScriptedPeer.Line client = turnedAway(bench, node, clients, request);
-                CountDownLatch go = ClientCrossingTest.hold(bench);
-                bench.loop.execute(() -> bench.ticker.advance(500));     // comes before the reading
+                 ServerHarness harness = EndBehindTest.objects(node)) {
+                ScriptedPeer.Line client = turnedAway(harness, node, clients, request);
+                CountDownLatch go = ClientCrossingTest.hold(harness);
+                harness.loop.execute(() -> harness.ticker.advance(500));     // comes before the reading
                 client.socket.close();
                 go.countDown();
-                ServerHarness.turn(bench.loop);
-                assertEquals(0, bench.openRequests(), request);
+                ServerHarness.turn(harness.loop);
+                assertEquals(0, harness.openRequests(), request);
                 assertEquals("", node.accept().until(HEAD_END), request);
-                bench.pass(3_000);
+                harness.pass(3_000);
                 assertNull(node.acceptIfAny(), request);
             }
         }
--- a/src/test/java/kelphollow/program/ClientCrossingTest.java
+++ b/src/test/java/kelphollow/program/ClientCrossingTest.java
@@ -21,9 +21,9 @@
     }
 
     /** While the loop waits, nothing is read; what was done meanwhile then comes in one turn. */
-    static CountDownLatch hold(ServerHarness bench) throws InterruptedException {
+    static CountDownLatch hold(ServerHarness harness) throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1), go = new CountDownLatch(1);
-        bench.loop.execute(() -> {
+        harness.loop.execute(() -> {
             held.countDown();
             try {
                 go.await();
@@ -35,16 +35,16 @@
         return go;
     }
 
-    private static ScriptedPeer.Line greeted(ScriptedPeer clients, ServerHarness bench) throws Exception {
-        ScriptedPeer.Line client = clients.connect(bench.address);
+    private static ScriptedPeer.Line greeted(ScriptedPeer clients, ServerHarness harness) throws Exception {
+        ScriptedPeer.Line client = clients.connect(harness.address);
         assertEquals("+PONG\r\n", client.send(PING).receive(7));
         return client;
     }
 
     @Test void aClientThatAsksMoreThanIsHeldOpenAndGoesIsSeenToGo() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.resp(null, node.address())) {
-            ScriptedPeer.Line client = greeted(clients, bench);
+             ServerHarness harness = ServerHarness.resp(null, node.address())) {
+            ScriptedPeer.Line client = greeted(clients, harness);
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 400; i++) {
                 all.append(get("q" + i));
@@ -58,9 +58,9 @@
     }
 
     @Test void whatIsAskedBeyondTheOpenOnesIsRefusedInItsTurn() throws Exception {
-        try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness bench = ServerHarness.resp(null, NOBODY)) {
-            ScriptedPeer.Line client = greeted(clients, bench);
-            CountDownLatch go = hold(bench);
+        try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness harness = ServerHarness.resp(null, NOBODY)) {
+            ScriptedPeer.Line client = greeted(clients, harness);
+            CountDownLatch go = hold(harness);
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 300; i++) {
                 all.append(get("q" + i));
@@ -70,7 +70,7 @@
             for (int i = 0; i < 300; i++) {
                 for (int passed = 0; client.socket.getInputStream().available() == 0; passed += 100) {
                     assertTrue(passed < 20_000, "answer " + i);
-                    bench.pass(100);
+                    harness.pass(100);
                 }
                 String answer = client.until("\r\n");
                 assertTrue(answer.startsWith("-BUSY"), "answer " + i + ": " + answer);
@@ -81,12 +81,12 @@
 
     @Test void aCommandWithItsClientsEndRightBehindIsNotSentOn() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.resp(null, node.address())) {
-            ScriptedPeer.Line client = greeted(clients, bench), other = greeted(clients, bench);
-            CountDownLatch go = hold(bench);
+             ServerHarness harness = ServerHarness.resp(null, node.address())) {
+            ScriptedPeer.Line client = greeted(clients, harness), other = greeted(clients, harness);
+            CountDownLatch go = hold(harness);
             client.send(get("left")).socket.close();
             go.countDown();
-            ServerHarness.turn(bench.loop);
+            ServerHarness.turn(harness.loop);
             other.send(get("stays"));
             assertEquals(get("stays").substring(0, 48), node.accept().until("hosts=1\r\n").substring(0, 48));
         }
@@ -94,22 +94,23 @@
 
     @Test void aRequestThatCrossesTheCloseOfItsRestingConnectionIsNeitherSentOnNorReset() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.resp(null, node.address())) {
-            ScriptedPeer.Line client = greeted(clients, bench);
-            CountDownLatch go = hold(bench);
-            bench.loop.execute(() -> bench.ticker.advance(10_200));   // comes before the reading: the connection has rested
+             ServerHarness harness = ServerHarness.resp(null, node.address())) {
+            ScriptedPeer.Line client = greeted(clients, harness);
+            CountDownLatch go = hold(harness);
+            // Comes before the reading: the connection has been idle.
+            harness.loop.execute(() -> harness.ticker.advance(10_200));
             client.send(get("late"));
             go.countDown();
             assertEquals("", client.until("\n"), "a clean end, by which its client knows that it was not taken");
-            ScriptedPeer.Line next = clients.connect(bench.address);
+            ScriptedPeer.Line next = clients.connect(harness.address);
             next.send(get("again"));
             assertTrue(node.accept().until("hosts=1\r\n").contains("\r\nagain\r\n"));
         }
     }
 
     @Test void whatComesBehindAnUnreadableCommandNeitherResetsNorDelaysItsError() throws Exception {
-        try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness bench = ServerHarness.resp(null, NOBODY)) {
-            ScriptedPeer.Line client = greeted(clients, bench);
+        try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness harness = ServerHarness.resp(null, NOBODY)) {
+            ScriptedPeer.Line client = greeted(clients, harness);
             client.send(PING + "*1\r\n$99999999\r\n" + "x".repeat(300_000));
             assertEquals("+PONG\r\n-ERR Protocol error\r\n", client.until("error\r\n"));
             client.send("y".repeat(100_000));
@@ -121,16 +122,16 @@
     @Test void idleClientsKeepNeitherDiscoveryNorNodesNorTheNextClientOut() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ScriptedPeer discovery = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.resp(discovery.address(), node.address())) {
+             ServerHarness harness = ServerHarness.resp(discovery.address(), node.address())) {
             ScriptedPeer.Line silent = discovery.accept();
             for (int i = 0; i < ServerHarness.SOCKETS; i++) {
-                greeted(clients, bench);                      // evicts the one that has been idle longest
-                bench.ticker.advance(60);
+                greeted(clients, harness);                      // evicts the one that has been idle longest
+                harness.ticker.advance(60);
             }
             ScriptedPeer.Line watch = null;
             for (int i = 0; watch == null; i++) {
                 assertTrue(i < 60, "discovery is asked again though the house is full");
-                bench.ticker.advance(100);
+                harness.ticker.advance(100);
                 watch = discovery.acceptIfAny();
             }
             String list = "{\"seq\":9,\"whole\":true,\"hosts\":[{\"host\":\"n0\",\"dial\":\"127.0.0.1:"
@@ -138,7 +139,7 @@
             watch.until("\r\n\r\n");
             watch.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
             assertTrue(discovery.accept().until("\r\n\r\n").contains("index=9"));
-            ScriptedPeer.Line client = greeted(clients, bench);
+            ScriptedPeer.Line client = greeted(clients, harness);
             client.send(get("q"));
             node.accept().until("hosts=1\r\n");
             silent.until("\r\n\r\n");
--- a/src/test/java/kelphollow/program/DiscoveryOverloadTest.java
+++ b/src/test/java/kelphollow/program/DiscoveryOverloadTest.java
@@ -13,15 +13,15 @@
 /** Clients that hold connections and say nothing must not keep others out. */
 @Timeout(20)
 class DiscoveryOverloadTest {
-    private static void crowd(ServerHarness bench, String request, String answer) throws Exception {
+    private static void crowd(ServerHarness harness, String request, String answer) throws Exception {
         List<Socket> sockets = new ArrayList<>();
         try {
             for (int i = 0; i < ServerHarness.SOCKETS / 2; i++) {
-                sockets.add(new Socket(bench.address.getAddress(), bench.address.getPort()));
+                sockets.add(new Socket(harness.address.getAddress(), harness.address.getPort()));
             }
             assertEquals(answer, ask(sockets.get(sockets.size() - 1), request, answer.length()), "all have been accepted");
-            bench.ticker.advance(300);   // a connection that has just come is spared
-            Socket usual = new Socket(bench.address.getAddress(), bench.address.getPort());
+            harness.ticker.advance(300);   // a connection that has just come is spared
+            Socket usual = new Socket(harness.address.getAddress(), harness.address.getPort());
             sockets.add(usual);
             assertEquals(answer, ask(usual, request, answer.length()));
         } finally {
@@ -38,16 +38,16 @@
     }
 
     @Test void aNewClientOfThePlatformGetsTheRoomOfASilentOne() throws Exception {
-        try (ServerHarness bench = ServerHarness.resp(null, new InetSocketAddress("127.0.0.1", 1))) {
-            crowd(bench, "*1\r\n$4\r\nPING\r\n", "+PONG\r\n");
+        try (ServerHarness harness = ServerHarness.resp(null, new InetSocketAddress("127.0.0.1", 1))) {
+            crowd(harness, "*1\r\n$4\r\nPING\r\n", "+PONG\r\n");
         }
     }
 
     @Test void aNewClientOfTheObjectApiGetsTheRoomOfASilentOne() throws Exception {
-        try (ServerHarness bench = ServerHarness.objects(java.util.Map.of("sockets", (double) ServerHarness.SOCKETS),
+        try (ServerHarness harness = ServerHarness.objects(java.util.Map.of("sockets", (double) ServerHarness.SOCKETS),
             new InetSocketAddress("127.0.0.1", 1),
             new InetSocketAddress("127.0.0.1", 2))) {
-            crowd(bench, "GET /nobody/a HTTP/1.1\r\nHost: h\r\n\r\n", "HTTP/1.1 404 Not Found\r\n");
+            crowd(harness, "GET /nobody/a HTTP/1.1\r\nHost: h\r\n\r\n", "HTTP/1.1 404 Not Found\r\n");
         }
     }
 }
--- a/src/test/java/kelphollow/program/EndBehindTest.java
+++ b/src/test/java/kelphollow/program/EndBehindTest.java
@@ -38,16 +38,16 @@
     }
 
     /** {@code known}: the connection was accepted before the loop was held. */
-    private static void leave(ServerHarness bench, ScriptedPeer clients, String asked, End end, boolean known)
+    private static void leave(ServerHarness harness, ScriptedPeer clients, String asked, End end, boolean known)
         throws Exception {
-        ScriptedPeer.Line client = known ? clients.connect(bench.address) : null;
-        ServerHarness.turn(bench.loop);
-        CountDownLatch go = ClientCrossingTest.hold(bench);
-        client = known ? client : clients.connect(bench.address);
+        ScriptedPeer.Line client = known ? clients.connect(harness.address) : null;
+        ServerHarness.turn(harness.loop);
+        CountDownLatch go = ClientCrossingTest.hold(harness);
+        client = known ? client : clients.connect(harness.address);
         end.of(client.send(asked));
         go.countDown();
         for (int turns = 0; turns < 3; turns++) {      // accepts, reads, begins
-            ServerHarness.turn(bench.loop);
+            ServerHarness.turn(harness.loop);
         }
     }
 
@@ -55,11 +55,11 @@
         for (boolean known : List.of(true, false)) {
             for (Map.Entry<String, End> end : ENDS.entrySet()) {
                 try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-                     ServerHarness bench = ServerHarness.resp(null, node.address())) {
-                    leave(bench, clients, ClientCrossingTest.get("left"), end.getValue(), known);
-                    clients.connect(bench.address).send(ClientCrossingTest.get("stays"));
+                     ServerHarness harness = ServerHarness.resp(null, node.address())) {
+                    leave(harness, clients, ClientCrossingTest.get("left"), end.getValue(), known);
+                    clients.connect(harness.address).send(ClientCrossingTest.get("stays"));
                     assertTrue(node.accept().until("hosts=1\r\n").contains("\r\nstays\r\n"), end.getKey() + ", " + known);
-                    assertEquals(1, bench.openRequests());
+                    assertEquals(1, harness.openRequests());
                 }
             }
         }
@@ -72,12 +72,12 @@
             for (boolean known : List.of(true, false)) {
                 for (Map.Entry<String, End> end : ENDS.entrySet()) {
                     try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-                         ServerHarness bench = objects(node)) {
-                        leave(bench, clients, asked, end.getValue(), known);
-                        clients.connect(bench.address).send(request("GET", "stays", ""));
+                         ServerHarness harness = objects(node)) {
+                        leave(harness, clients, asked, end.getValue(), known);
+                        clients.connect(harness.address).send(request("GET", "stays", ""));
                         assertTrue(node.accept().until(HEAD_END).startsWith("GET /symbols/stays "),
                             end.getKey() + ", " + known + ": " + asked);
-                        assertEquals(1, bench.openRequests());
+                        assertEquals(1, harness.openRequests());
                     }
                 }
             }
@@ -87,24 +87,24 @@
     /** A request that was sent ahead must not hide that its client has gone. */
     @Test void aClientThatSentItsNextObjectRequestAheadIsSeenToGo() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = objects(node)) {
-            ScriptedPeer.Line client = clients.connect(bench.address);
+             ServerHarness harness = objects(node)) {
+            ScriptedPeer.Line client = clients.connect(harness.address);
             client.send(request("GET", "first", ""));
             ScriptedPeer.Line attempt = node.accept();
             attempt.until(HEAD_END);
             client.send(request("GET", "ahead", ""));
-            ServerHarness.turn(bench.loop);
-            ServerHarness.turn(bench.loop);
+            ServerHarness.turn(harness.loop);
+            ServerHarness.turn(harness.loop);
             client.socket.close();
             assertTrue(attempt.hasEnded(), "the clock stands: only the client's end can have ended it");
-            assertEquals(0, bench.openRequests());
+            assertEquals(0, harness.openRequests());
         }
     }
 
     @Test void objectRequestsSentAheadAreServedInTheirOrder() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = objects(node)) {
-            ScriptedPeer.Line client = clients.connect(bench.address);
+             ServerHarness harness = objects(node)) {
+            ScriptedPeer.Line client = clients.connect(harness.address);
             client.send(request("GET", "a", "") + request("PUT", "b", "body") + request("GET", "c", ""));
             for (String expected : List.of("GET /symbols/a ", "PUT /symbols/b ", "GET /symbols/c ")) {
                 ScriptedPeer.Line attempt = node.accept();   // the clock stands: the one before still rests
@@ -122,15 +122,16 @@
     /** A request that crosses the close of its resting connection: a clean end, and the node hears nothing of it. */
     @Test void anObjectRequestThatCrossesTheCloseOfItsRestingConnectionIsNotSentOn() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = objects(node)) {
-            ScriptedPeer.Line client = clients.connect(bench.address);
-            ServerHarness.turn(bench.loop);
-            CountDownLatch go = ClientCrossingTest.hold(bench);
-            bench.loop.execute(() -> bench.ticker.advance(10_200));   // comes before the reading: the connection has rested
+             ServerHarness harness = objects(node)) {
+            ScriptedPeer.Line client = clients.connect(harness.address);
+            ServerHarness.turn(harness.loop);
+            CountDownLatch go = ClientCrossingTest.hold(harness);
+            // Comes before the reading: the connection has been idle.
+            harness.loop.execute(() -> harness.ticker.advance(10_200));
             client.send(request("GET", "late", ""));
             go.countDown();
             assertEquals("", client.until("\n"), "a clean end, by which its client knows that it was not taken");
-            clients.connect(bench.address).send(request("GET", "again", ""));
+            clients.connect(harness.address).send(request("GET", "again", ""));
             assertTrue(node.accept().until(HEAD_END).startsWith("GET /symbols/again "));
         }
     }
--- a/src/test/java/kelphollow/program/EndOfTimeTest.java
+++ b/src/test/java/kelphollow/program/EndOfTimeTest.java
@@ -40,9 +40,9 @@
         for (Map.Entry<String, Integer> kind : deadlines.entrySet()) {
             for (int answered = 0; answered < ANSWER.length(); answered += 5) {
                 try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-                     ServerHarness bench = ServerHarness.resp(null, node.address())) {
+                     ServerHarness harness = ServerHarness.resp(null, node.address())) {
                     String state = kind.getKey() + ", " + answered + " bytes of the answer";
-                    ScriptedPeer.Line sent = clients.connect(bench.address), held = clients.connect(bench.address);
+                    ScriptedPeer.Line sent = clients.connect(harness.address), held = clients.connect(harness.address);
                     sent.send(get("sent", kind.getKey(), kind.getValue(), 0));
                     ScriptedPeer.Line attempt = node.accept();
                     attempt.until("hosts=1");
@@ -50,14 +50,14 @@
                     for (int i = 0; i < 6; i++) {      // behind it, or for a shard that nobody holds
                         held.send(get("h" + i, kind.getKey(), kind.getValue(), i % 2 * 7));
                     }
-                    ServerHarness.turn(bench.loop);
-                    ServerHarness.turn(bench.loop);
-                    bench.pass(kind.getValue());
+                    ServerHarness.turn(harness.loop);
+                    ServerHarness.turn(harness.loop);
+                    harness.pass(kind.getValue());
                     assertAnswered(sent, "sent, " + state);
                     for (int i = 0; i < 6; i++) {
                         assertAnswered(held, "held, " + state);
                     }
-                    assertEquals(0, bench.openRequests(), state);
+                    assertEquals(0, harness.openRequests(), state);
                 }
             }
         }
@@ -65,16 +65,16 @@
 
     @Test void whatComesWithNextToNoTimeHasItsAnswerInIt() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.resp(null, node.address())) {
+             ServerHarness harness = ServerHarness.resp(null, node.address())) {
             for (String kind : List.of("dump-read", "dump-write", "dump-export", "keyed")) {
                 for (int wait : new int[] {0, 1, 2, 10, 40}) {
-                    ScriptedPeer.Line client = clients.connect(bench.address);
+                    ScriptedPeer.Line client = clients.connect(harness.address);
                     client.send(get("q", kind, wait, 0));
-                    ServerHarness.turn(bench.loop);
-                    ServerHarness.turn(bench.loop);
-                    bench.pass(wait);
+                    ServerHarness.turn(harness.loop);
+                    ServerHarness.turn(harness.loop);
+                    harness.pass(wait);
                     assertAnswered(client, kind + ", " + wait + " ms");
-                    assertEquals(0, bench.openRequests());
+                    assertEquals(0, harness.openRequests());
                     client.socket.close();
                 }
             }
@@ -94,18 +94,18 @@
                 one.connect(at);
             }
             for (int wait : new int[] {900, 1_200}) {
-                try (ServerHarness bench = ServerHarness.resp(null, at)) {
-                    ScriptedPeer.Line client = clients.connect(bench.address);
+                try (ServerHarness harness = ServerHarness.resp(null, at)) {
+                    ScriptedPeer.Line client = clients.connect(harness.address);
                     for (int i = 0; i < 4; i++) {
                         client.send(get("q" + i, "dump-read", wait, 0));
                     }
-                    ServerHarness.turn(bench.loop);
-                    ServerHarness.turn(bench.loop);
-                    bench.pass(wait);
+                    ServerHarness.turn(harness.loop);
+                    ServerHarness.turn(harness.loop);
+                    harness.pass(wait);
                     for (int i = 0; i < 4; i++) {
                         assertAnswered(client, "dialling, " + wait + " ms");
                     }
-                    assertEquals(0, bench.openRequests());
+                    assertEquals(0, harness.openRequests());
                 }
             }
         } finally {
@@ -119,17 +119,17 @@
     @Test void whatWaitsForItsTurnBehindAnotherLeavesWithIt() throws Exception {
         try (ScriptedPeer silent = new ScriptedPeer(); ScriptedPeer node = new ScriptedPeer();
              ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.resp(null, silent.address(), node.address())) {
-            ScriptedPeer.Line client = clients.connect(bench.address);
+             ServerHarness harness = ServerHarness.resp(null, silent.address(), node.address())) {
+            ScriptedPeer.Line client = clients.connect(harness.address);
             client.send(get("first", "dump-write", 3_000, 0) + get("second", "dump-read", 1_200, 1));
             silent.accept().until("hosts=1\r\n");
             ScriptedPeer.Line attempt = node.accept();
             attempt.until("hosts=1\r\n");
             attempt.send(ANSWER);
-            ServerHarness.turn(bench.loop);
-            bench.pass(2_900);
+            ServerHarness.turn(harness.loop);
+            harness.pass(2_900);
             assertEquals(0, client.socket.getInputStream().available(), "in their order");
-            bench.pass(100);
+            harness.pass(100);
             assertAnswered(client, "first");
             assertEquals("$2\r\nok\r\n", client.receive(8));
         }
@@ -138,16 +138,16 @@
     @Test void anObjectRequestHasItsAnswerInItsTimeHoweverMuchOfAHeadHasCome() throws Exception {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r";
         for (int answered = 0; answered <= head.length(); answered += 4) {
-            try (ScriptedPeer node = new ScriptedPeer(); ServerHarness bench = EndBehindTest.objects(node);
-                 StandInClient client = new StandInClient(bench.address)) {
+            try (ScriptedPeer node = new ScriptedPeer(); ServerHarness harness = EndBehindTest.objects(node);
+                 HttpTestClient client = new HttpTestClient(harness.address)) {
                 client.send("GET /symbols/a", "", null);
                 ScriptedPeer.Line attempt = node.accept();
                 attempt.until("\r\n\r\n");
                 attempt.send(head.substring(0, answered));
-                ServerHarness.turn(bench.loop);
-                bench.pass(1_200);
+                ServerHarness.turn(harness.loop);
+                harness.pass(1_200);
                 assertEquals(504, client.answer().status(), answered + " bytes of the head");
-                assertEquals(0, bench.openRequests());
+                assertEquals(0, harness.openRequests());
             }
         }
     }
--- a/src/test/java/kelphollow/program/ExchangeTest.java
+++ b/src/test/java/kelphollow/program/ExchangeTest.java
@@ -56,7 +56,7 @@
             node.setSoTimeout(GUARD_MILLIS);
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", node.getLocalPort());
             Map<String, Peer> sockets = new HashMap<>();
-            try (ServerHarness bench = platform ? ServerHarness.resp(null, at) : ServerHarness.objects(oneShard(), at)) {
+            try (ServerHarness harness = platform ? ServerHarness.resp(null, at) : ServerHarness.objects(oneShard(), at)) {
                 int number = 0;
                 List<String> steps = steps(file);
                 for (String step : steps) {
@@ -64,17 +64,17 @@
                     String where = file.getFileName() + " step " + number + ": " + step;
                     String[] words = step.split(" ", 2);
                     if (words[0].equals("T")) {
-                        bench.pass(Integer.parseInt(words[1].strip()));
+                        harness.pass(Integer.parseInt(words[1].strip()));
                         continue;
                     }
                     if (words[0].equals("W")) {
-                        wait(bench, sockets.get(who(steps.get(number))), Integer.parseInt(words[1].strip()));
+                        wait(harness, sockets.get(who(steps.get(number))), Integer.parseInt(words[1].strip()));
                         continue;
                     }
                     String who = who(step);
                     if (!sockets.containsKey(who)) {
                         Socket socket = who.startsWith("N") ? node.accept()
-                            : new Socket(bench.address.getAddress(), bench.address.getPort());
+                            : new Socket(harness.address.getAddress(), harness.address.getPort());
                         socket.setSoTimeout(GUARD_MILLIS);
                         socket.setTcpNoDelay(true);
                         sockets.put(who, new Peer(socket, new PushbackInputStream(socket.getInputStream())));
@@ -96,7 +96,7 @@
     }
 
     /** The clock must not outrun the sockets: it moves a little at a time, and stops when there is something to read. */
-    private static void wait(ServerHarness bench, Peer peer, int most) throws IOException {
+    private static void wait(ServerHarness harness, Peer peer, int most) throws IOException {
         peer.socket.setSoTimeout(1);
         for (int i = 0; i <= most; i++) {
             try {
@@ -106,7 +106,7 @@
                 }
                 break;
             } catch (SocketTimeoutException e) {
-                bench.ticker.advance(1);
+                harness.ticker.advance(1);
             } catch (java.net.SocketException reset) {
                 break;
             }
--- a/src/test/java/kelphollow/program/StandInDiscovery.java
+++ b/src/test/java/kelphollow/program/FakeDiscovery.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /** A discovery, or an agent of it, that notes how it is asked and answers each call when the test says so. */
-final class StandInDiscovery implements AutoCloseable {
+final class FakeDiscovery implements AutoCloseable {
     /** An answer that is none: the connection ends. */
     static final String CLOSE = "";
 
@@ -19,7 +19,7 @@
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
 
-    StandInDiscovery() throws IOException {
+    FakeDiscovery() throws IOException {
         server.createContext("/catalog/members", exchange -> {
             asked.add(exchange.getRequestURI().toString());
             try {
--- a/src/test/java/kelphollow/program/GracefulShutdownTest.java
+++ b/src/test/java/kelphollow/program/GracefulShutdownTest.java
@@ -19,20 +19,20 @@
     }
 
     @Test void aConnectionIsServedUntilHalfASecondBeforeTheKillAndThenCloses() throws Exception {
-        try (ServerHarness bench = ServerHarness.resp(null, new InetSocketAddress("127.0.0.1", 1));
-             Socket client = new Socket(bench.address.getAddress(), bench.address.getPort())) {
+        try (ServerHarness harness = ServerHarness.resp(null, new InetSocketAddress("127.0.0.1", 1));
+             Socket client = new Socket(harness.address.getAddress(), harness.address.getPort())) {
             client.setSoTimeout(10_000);
             CountDownLatch left = new CountDownLatch(1);
-            bench.term(left::countDown);
+            harness.term(left::countDown);
             // The longest deadline counts as 3 s, so SIGKILL comes 3.7 s after SIGTERM at the soonest.
             for (int i = 0; i < 31; i++) {
-                bench.ticker.advance(100);
+                harness.ticker.advance(100);
                 assertEquals("+PONG\r\n", ping(client), i + " tenths of a second after SIGTERM");
             }
             assertEquals(1, left.getCount());
-            bench.ticker.advance(150);
+            harness.ticker.advance(150);
             assertEquals(-1, client.getInputStream().read());
-            bench.ticker.advance(250);                        // the client does not close; it is not waited for longer
+            harness.ticker.advance(250);                        // the client does not close; it is not waited for longer
             assertTrue(left.await(10, TimeUnit.SECONDS));
         }
     }
@@ -40,25 +40,25 @@
     /** Held for its turn, out at a node that hangs, or come after SIGTERM: each has its answer 350 ms before the kill. */
     @Test void whatWaitsWhenNodesHangIsAnsweredInTime() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.resp(null, node.address())) {
-            ScriptedPeer.Line client = clients.connect(bench.address), late = clients.connect(bench.address);
+             ServerHarness harness = ServerHarness.resp(null, node.address())) {
+            ScriptedPeer.Line client = clients.connect(harness.address), late = clients.connect(harness.address);
             for (int i = 0; i < 12; i++) {
                 client.send(ClientCrossingTest.get("q" + i));
             }
             node.accept().until("hosts=1\r\n");              // it never answers; the others wait behind it
             CountDownLatch left = new CountDownLatch(1);
-            bench.term(left::countDown);
-            bench.pass(1_000);
+            harness.term(left::countDown);
+            harness.pass(1_000);
             late.send(ClientCrossingTest.get("late"));
-            bench.pass(2_360);
+            harness.pass(2_360);
             for (int i = 0; i < 12; i++) {
                 assertTrue(client.until("\r\n").startsWith("-"), "answer " + i);
             }
             assertTrue(late.until("\r\n").startsWith("-"));
             assertTrue(client.hasEnded() && late.hasEnded());
-            bench.pass(250);
+            harness.pass(250);
             assertTrue(left.await(10, TimeUnit.SECONDS));
-            assertEquals(0, bench.openRequests());
+            assertEquals(0, harness.openRequests());
         }
     }
 }
--- a/src/test/java/kelphollow/program/StandInClient.java
+++ b/src/test/java/kelphollow/program/HttpTestClient.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 
 /** A client of the object API on one connection, plain enough to see an answer that is cut short. */
-final class StandInClient implements AutoCloseable {
+final class HttpTestClient implements AutoCloseable {
     record Answer(int status, Map<String, String> headers, byte[] body, boolean whole) {
         String text() {
             return new String(body, StandardCharsets.ISO_8859_1);
@@ -19,12 +19,12 @@
 
     final Socket socket;
 
-    StandInClient(InetSocketAddress gateway) throws IOException {
+    HttpTestClient(InetSocketAddress gateway) throws IOException {
         socket = new Socket(gateway.getAddress(), gateway.getPort());
         socket.setSoTimeout(3_000);   // only so that a failure ends
     }
 
-    StandInClient send(String line, String headers, byte[] body) throws IOException {
+    HttpTestClient send(String line, String headers, byte[] body) throws IOException {
         head(line, headers, body == null ? -1 : body.length);
         if (body != null) {
             socket.getOutputStream().write(body);
--- a/src/test/java/kelphollow/program/LateStallTest.java
+++ b/src/test/java/kelphollow/program/LateStallTest.java
@@ -14,7 +14,7 @@
     private static final int STEP = 20;
 
     private static void answer(ScriptedPeer.Line call, int version) throws Exception {
-        String list = StandInDiscovery.list(version, false);
+        String list = FakeDiscovery.list(version, false);
         call.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
     }
 
@@ -22,12 +22,12 @@
         for (String mode : List.of("automatic", "subscribe")) {
             double most = EndpointUpdateBudget.longest(mode.equals("automatic")) - EndpointUpdateBudget.TURN;
             try (ScriptedPeer discovery = new ScriptedPeer();
-                 ServerHarness bench = ServerHarness.respWith(mode, discovery.address())) {
+                 ServerHarness harness = ServerHarness.respWith(mode, discovery.address())) {
                 int version = 1;
                 for (int passed = 0; passed < ANSWERED_FOR; passed += 500) {
                     ScriptedPeer.Line call = discovery.accept();
                     assertTrue(call.until("\r\n\r\n").contains("?index=" + version + "&wait="), mode);
-                    bench.ticker.advance(500);
+                    harness.ticker.advance(500);
                     answer(call, ++version);
                 }
                 ScriptedPeer.Line silent = discovery.accept();
@@ -35,7 +35,7 @@
                 ScriptedPeer.Line again = null;
                 for (int passed = 0; again == null; passed += STEP) {
                     assertTrue(passed < most, mode + ": " + passed + " ms of silence");
-                    bench.ticker.advance(STEP);
+                    harness.ticker.advance(STEP);
                     again = discovery.acceptIfAny();
                 }
                 assertTrue(again.until("\r\n\r\n").contains("?index=" + version + "&wait="), mode);
--- a/src/test/java/kelphollow/program/LayersTest.java
+++ b/src/test/java/kelphollow/program/LayersTest.java
@@ -2,14 +2,22 @@
 
 import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 
+import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.library.Architectures.LayeredArchitecture;
 import org.junit.jupiter.api.Test;
 
 /** Imports go downward only. */
 class LayersTest {
     @Test void eachLayerKnowsOnlyThoseBelow() {
-        layeredArchitecture().consideringOnlyDependenciesInLayers()
+        JavaClasses classes = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("kelphollow");
+        rules(layers()).check(classes);
+    }
+
+    private static LayeredArchitecture layers() {
+        return layeredArchitecture().consideringOnlyDependenciesInLayers()
             .layer("program").definedBy("kelphollow.program..")
             .layer("protocol").definedBy("kelphollow.protocol.resp..", "kelphollow.protocol.object..",
                 "kelphollow.protocol.discovery..", "kelphollow.protocol.xds..", "kelphollow.protocol.mgmt..")
@@ -31,7 +39,11 @@
             .layer("overload").definedBy("kelphollow.overload..")
             .layer("decision").definedBy("kelphollow.decision..")
             .layer("maintenance").definedBy("kelphollow.maintenance..")
-            .layer("retune").definedBy("kelphollow.retune..")
+            .layer("retune").definedBy("kelphollow.retune..");
+    }
+
+    private static LayeredArchitecture rules(LayeredArchitecture layers) {
+        return layers
             .whereLayer("program").mayNotBeAccessedByAnyLayer()
             .whereLayer("protocol").mayOnlyBeAccessedByLayers("program")
             .whereLayer("transport").mayOnlyBeAccessedByLayers("program", "protocol", "scale")
@@ -59,8 +71,6 @@
             .whereLayer("overload").mayOnlyBeAccessedByLayers("fleet")
             .whereLayer("decision").mayNotAccessAnyLayer()
             .whereLayer("maintenance").mayNotAccessAnyLayer()
-            .whereLayer("retune").mayOnlyAccessLayers("decision")
-            .check(new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
-                .importPackages("kelphollow"));
+            .whereLayer("retune").mayOnlyAccessLayers("decision");
     }
 }
--- a/src/test/java/kelphollow/program/NodeResetTest.java
+++ b/src/test/java/kelphollow/program/NodeResetTest.java
@@ -26,7 +26,7 @@
     }
 
     private interface Plays {
-        void play(ScriptedPeer node, ScriptedPeer.Line client, ServerHarness bench) throws Exception;
+        void play(ScriptedPeer node, ScriptedPeer.Line client, ServerHarness harness) throws Exception;
     }
 
     /** Each shard has a node of its own, all of them the one peer: what one did says nothing of the next. */
@@ -34,16 +34,16 @@
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer()) {
             InetSocketAddress[] nodes = new InetSocketAddress[shards];
             Arrays.fill(nodes, node.address());
-            try (ServerHarness bench = ServerHarness.resp(null, nodes)) {
-                plays.play(node, clients.connect(bench.address), bench);
-                assertEquals(0, bench.openRequests());
+            try (ServerHarness harness = ServerHarness.resp(null, nodes)) {
+                plays.play(node, clients.connect(harness.address), harness);
+                assertEquals(0, harness.openRequests());
                 assertNull(node.acceptIfAny(), "nothing was sent again");
             }
         }
     }
 
     @Test void aWriteIsAnsweredOnceAndNeverSentAgainWhereverItsAnswerBreaksOff() throws Exception {
-        with(ANSWER.length(), (node, client, bench) -> {
+        with(ANSWER.length(), (node, client, harness) -> {
             for (int bytes = 0; bytes < ANSWER.length(); bytes++) {
                 client.send(put(bytes));
                 ScriptedPeer.Line attempt = node.accept();
@@ -56,11 +56,11 @@
     }
 
     @Test void anAnswerWholeInTheReadThatBringsItsResetIsServed() throws Exception {
-        with(1, (node, client, bench) -> {
+        with(1, (node, client, harness) -> {
             client.send(put(0));
             ScriptedPeer.Line attempt = node.accept();
             attempt.until("\r\nb\r\n");
-            bench.loop.submit(() -> {
+            harness.loop.submit(() -> {
                 attempt.send(ANSWER).reset();      // both are there before the loop reads
                 return null;
             }).sync();
@@ -71,13 +71,13 @@
 
     /** The deadline's timer runs in the turn that would read the answer; whichever is first, the other changes nothing. */
     @Test void anAnswerInTheTurnInWhichItsTimeEndsIsTheSecondWord() throws Exception {
-        with(1, (node, client, bench) -> {
+        with(1, (node, client, harness) -> {
             client.send(put(0));
             ScriptedPeer.Line attempt = node.accept();
             attempt.until("\r\nb\r\n");
-            bench.loop.submit(() -> {
+            harness.loop.submit(() -> {
                 attempt.send(ANSWER);
-                bench.ticker.advance(3_100);
+                harness.ticker.advance(3_100);
                 return null;
             }).sync();
             assertEquals("-ERR timed out\r\n", client.until("\r\n"));
@@ -87,7 +87,7 @@
     }
 
     @Test void aSecondAnswerBehindTheFirstIsNobodys() throws Exception {
-        with(2, (node, client, bench) -> {
+        with(2, (node, client, harness) -> {
             client.send(put(0));
             ScriptedPeer.Line attempt = node.accept();
             attempt.until("\r\nb\r\n");
--- a/src/test/java/kelphollow/program/ObjectFrontTest.java
+++ b/src/test/java/kelphollow/program/ObjectFrontTest.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import kelphollow.program.StandInServer.Fault;
-import kelphollow.program.StandInServer.Fault.Kind;
-import kelphollow.program.StandInServer.Stored;
+import kelphollow.program.FakeObjectServer.Fault;
+import kelphollow.program.FakeObjectServer.Fault.Kind;
+import kelphollow.program.FakeObjectStore.Stored;
 import kelphollow.routing.Invariant;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -25,14 +25,14 @@
 class ObjectFrontTest {
     private static final byte[] CONTENT = "0123456789abcdefghijklmnopqrstuvwxyz".getBytes();
     private static final int SETTLED = 3_100;   // the write class's deadline, after which no attempt is out
-    private StandInServer server;
-    private ServerHarness bench;
-    private StandInClient client;
+    private FakeObjectServer server;
+    private ServerHarness harness;
+    private HttpTestClient client;
 
     @BeforeEach void start() throws Exception {
-        server = new StandInServer();
-        bench = gateway();
-        client = new StandInClient(bench.address);
+        server = new FakeObjectServer();
+        harness = gateway();
+        client = new HttpTestClient(harness.address);
         server.objects.put("/symbols/a", new Stored(CONTENT, "\"e1\""));
     }
 
@@ -44,7 +44,7 @@
 
     @AfterEach void stop() throws Exception {
         client.close();
-        bench.close();
+        harness.close();
         server.close();
         assertEquals(0, Invariant.broken());
     }
@@ -56,14 +56,14 @@
             if (line != null) {
                 return line;
             }
-            bench.ticker.advance(1);
+            harness.ticker.advance(1);
         }
         return fail("no request came");
     }
 
     /** Makes a call that needs pauses to pass: moves the clock until it is answered. */
-    private StandInClient.Answer callInTime(String line, byte[] body) throws Exception {
-        try (StandInClient other = new StandInClient(bench.address)) {
+    private HttpTestClient.Answer callInTime(String line, byte[] body) throws Exception {
+        try (HttpTestClient other = new HttpTestClient(harness.address)) {
             var answer = java.util.concurrent.CompletableFuture.supplyAsync(() -> {
                 try {
                     return other.call(line, "", body);
@@ -72,7 +72,7 @@
                 }
             });
             for (int i = 0; i < 1_500 && !answer.isDone(); i++) {
-                bench.ticker.advance(1);
+                harness.ticker.advance(1);
                 try {
                     answer.get(2, TimeUnit.MILLISECONDS);   // the clock must not outrun the sockets
                 } catch (java.util.concurrent.TimeoutException e) {
@@ -105,7 +105,7 @@
         new java.util.Random(1).nextBytes(large);
         assertEquals(200, client.call("PUT /symbols/large", "Expect: 100-continue\r\n", large).status());
         client.send("GET /symbols/large", "", null);
-        ServerHarness.turn(bench.loop);
+        ServerHarness.turn(harness.loop);
         assertArrayEquals(large, client.answer().body());
         long held = io.netty.buffer.PooledByteBufAllocator.class.cast(allocator()).metric().usedDirectMemory();
         assertTrue(held < 4 << 20, held + " bytes of buffers for a body of " + large.length);
@@ -121,10 +121,10 @@
     @Test void aHeadInPiecesIsPutTogetherAndOneWithoutEndIsRefused() throws Exception {
         for (String piece : new String[] {"GET /symb", "ols/a HTTP/1.1\r\nHo", "st: h\r\n\r\n"}) {
             client.socket.getOutputStream().write(piece.getBytes());
-            ServerHarness.turn(bench.loop);
+            ServerHarness.turn(harness.loop);
         }
         assertArrayEquals(CONTENT, client.answer().body());
-        try (StandInClient other = new StandInClient(bench.address)) {
+        try (HttpTestClient other = new HttpTestClient(harness.address)) {
             other.socket.getOutputStream().write(("GET /symbols/a HTTP/1.1\r\nX: " + "x".repeat(16 * 1024 + 1)).getBytes());
             assertEquals(400, other.answer().status());
         }
@@ -132,10 +132,10 @@
 
     @Test void aClientThatSendsHalfAHeadIsClosedInTime() throws Exception {
         client.socket.getOutputStream().write("GET /symb".getBytes());
-        try (StandInClient other = new StandInClient(bench.address)) {
+        try (HttpTestClient other = new HttpTestClient(harness.address)) {
             assertEquals(200, other.call("GET /symbols/a", "", null).status());   // by now both are accepted
         }
-        bench.ticker.advance(10_001);
+        harness.ticker.advance(10_001);
         assertEquals(0, client.answer().status(), "closed without an answer");
     }
 
@@ -145,8 +145,8 @@
             {"PUT /symbols/a", "Transfer-Encoding: chunked\r\n", "411"}, {"PUT /symbols/a", "", "411"},
             {"PUT /symbols/a?uploadId=u&partNumber=0", "Content-Length: 1\r\n", "400"},
             {"PUT /symbols/a", "Content-Length: 9000000000\r\n", "400"}}) {
-            try (StandInClient other = new StandInClient(bench.address)) {
-                StandInClient.Answer answer = assertDoesNotThrow(() -> other.call(bad[0], bad[1], null), bad[0] + bad[1]);
+            try (HttpTestClient other = new HttpTestClient(harness.address)) {
+                HttpTestClient.Answer answer = assertDoesNotThrow(() -> other.call(bad[0], bad[1], null), bad[0] + bad[1]);
                 assertEquals(Integer.parseInt(bad[2]), answer.status(), bad[0]);
                 assertTrue(answer.text().startsWith("<?xml") && answer.text().contains("<Code>"), answer.text());
             }
@@ -162,7 +162,7 @@
         client.send("GET /symbols/a", "Range: bytes=10-19\r\n", null);
         assertEquals("GET /symbols/a HTTP/1.1 bytes=10-19", server.seen.take());
         assertEquals("GET /symbols/a HTTP/1.1 bytes=14-19 \"e1\"", nextSeen());
-        StandInClient.Answer answer = client.answer();
+        HttpTestClient.Answer answer = client.answer();
         assertEquals(206, answer.status());
         assertEquals("abcdefghij", answer.text());
     }
@@ -184,7 +184,7 @@
         client.send("GET /symbols/a", "Range: bytes=10-19\r\n", null);
         server.seen.take();
         assertEquals("GET /symbols/a HTTP/1.1 bytes=14-19 \"e1\"", nextSeen());
-        StandInClient.Answer answer = client.answer();
+        HttpTestClient.Answer answer = client.answer();
         assertEquals(206, answer.status());
         assertFalse(answer.whole());
         assertEquals("abcd", answer.text());
@@ -198,7 +198,7 @@
         for (int i = 0; i < 3; i++) {
             nextSeen();
         }
-        StandInClient.Answer answer = client.answer();
+        HttpTestClient.Answer answer = client.answer();
         assertFalse(answer.whole());
         assertEquals("012", answer.text());
         assertTrue(server.seen.isEmpty());
@@ -232,10 +232,10 @@
         server.faults.add(hold);
         client.send("PUT /symbols/m?partNumber=1&uploadId=" + id, "", CONTENT);
         server.seen.take();
-        try (StandInClient second = new StandInClient(bench.address)) {
+        try (HttpTestClient second = new HttpTestClient(harness.address)) {
             second.send("PUT /symbols/m?partNumber=1&uploadId=" + id, "", CONTENT);
             hold.gate().countDown();
-            StandInClient.Answer first = client.answer(), again = second.answer();
+            HttpTestClient.Answer first = client.answer(), again = second.answer();
             assertEquals(200, first.status());
             assertEquals(200, again.status());
             assertEquals(first.headers().get("ETag"), again.headers().get("ETag"));
@@ -246,7 +246,7 @@
     @Test void thePartSentAgainLaterGetsTheRecordedAnswerOrAConflict() throws Exception {
         String id = begin("/symbols/m"), line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
         String etag = client.call(line, "", CONTENT).headers().get("ETag");
-        StandInClient.Answer again = client.call(line, "", CONTENT);
+        HttpTestClient.Answer again = client.call(line, "", CONTENT);
         assertEquals(200, again.status());
         assertEquals(etag, again.headers().get("ETag"));
         assertEquals(409, client.call(line, "", "other".getBytes()).status());
@@ -259,7 +259,7 @@
         server.faults.add(Fault.of("PUT", Kind.CRASH_AFTER));
         assertEquals(502, client.call(line, "", CONTENT).status());
         assertEquals(409, callInTime(line, "other".getBytes()).status());
-        StandInClient.Answer again = client.call(line, "", CONTENT);
+        HttpTestClient.Answer again = client.call(line, "", CONTENT);
         assertEquals(200, again.status());
         assertEquals(server.uploads.get(id).get(1).etag(), again.headers().get("ETag"));
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
@@ -270,11 +270,11 @@
         String id = begin("/symbols/m"), line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
         server.faults.add(Fault.of("PUT", Kind.CRASH_BEFORE));
         assertEquals(502, callInTime(line, CONTENT).status());
-        StandInClient.Answer early = callInTime(line, CONTENT);
+        HttpTestClient.Answer early = callInTime(line, CONTENT);
         assertEquals(503, early.status());
         assertTrue(Integer.parseInt(early.headers().get("Retry-After")) >= 1);
         assertEquals(Map.of(), server.partWrites);
-        bench.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED);
         assertEquals(200, callInTime(line, CONTENT).status());
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
@@ -283,10 +283,10 @@
         String id = begin("/symbols/m"), line = "PUT /symbols/m?partNumber=";
         assertEquals(200, client.call(line + "1&uploadId=" + id, "", CONTENT).status());
         client.close();
-        bench.close();
-        bench = gateway();
-        client = new StandInClient(bench.address);
-        bench.ticker.advance(SETTLED);
+        harness.close();
+        harness = gateway();
+        client = new HttpTestClient(harness.address);
+        harness.ticker.advance(SETTLED);
         assertEquals(200, client.call(line + "1&uploadId=" + id, "", CONTENT).status());
         assertEquals(200, client.call(line + "2&uploadId=" + id, "", CONTENT).status());
         assertEquals(404, client.call(line + "1&uploadId=none", "", CONTENT).status());
@@ -300,7 +300,7 @@
         server.faults.add(hold);
         client.send("GET /symbols/a", "", null);
         server.seen.take();
-        bench.ticker.advance(1_200);
+        harness.ticker.advance(1_200);
         assertEquals(504, client.answer().status());
         hold.gate().countDown();
     }
@@ -310,7 +310,7 @@
         assertEquals(502, client.call("PUT /symbols/b", "", CONTENT).status());
         assertEquals(1, server.seen.size(), "a write that may have run is not sent again");
         server.close();
-        StandInClient.Answer answer = callInTime("GET /symbols/a", null);
+        HttpTestClient.Answer answer = callInTime("GET /symbols/a", null);
         assertEquals(503, answer.status());
         assertTrue(Integer.parseInt(answer.headers().get("Retry-After")) >= 1);
     }
@@ -331,7 +331,7 @@
         client.send("GET /symbols/a", "", null);
         server.seen.take();
         CountDownLatch left = new CountDownLatch(1);
-        bench.leave(left::countDown);
+        harness.leave(left::countDown);
         assertEquals(1, left.getCount(), "it waits for what it has taken");
         hold.gate().countDown();
         assertArrayEquals(CONTENT, client.answer().body());
--- a/src/test/java/kelphollow/program/ReloadCrossingTest.java
+++ b/src/test/java/kelphollow/program/ReloadCrossingTest.java
@@ -56,12 +56,12 @@
             try (ScriptedPeer old = new ScriptedPeer(); ScriptedPeer next = new ScriptedPeer();
                  ScriptedPeer first = new ScriptedPeer(); ScriptedPeer second = new ScriptedPeer();
                  ScriptedPeer clients = new ScriptedPeer();
-                 ServerHarness bench = ServerHarness.respWith(mode, old.address(), first.address())) {
+                 ServerHarness harness = ServerHarness.respWith(mode, old.address(), first.address())) {
                 call(old, "?index=1&wait=");
-                ScriptedPeer.Line client = clients.connect(bench.address);
-                bench.reload(next.address());
+                ScriptedPeer.Line client = clients.connect(harness.address);
+                harness.reload(next.address());
                 ScriptedPeer.Line whole = call(next, " HTTP");
-                CountDownLatch go = ClientCrossingTest.hold(bench);
+                CountDownLatch go = ClientCrossingTest.hold(harness);
                 client.send(ClientCrossingTest.get("q"));
                 tell(whole, 7, true, host("n0", first, "draining"), host("n9", second, "ready"));
                 go.countDown();
@@ -75,21 +75,21 @@
     @Test void aRequestThatIsBeingDialledWhenTheDrainIsToldGoesElsewhere() throws Exception {
         try (ScriptedPeer old = new ScriptedPeer(); ScriptedPeer first = new ScriptedPeer();
              ScriptedPeer second = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.resp(old.address(), first.address())) {
+             ServerHarness harness = ServerHarness.resp(old.address(), first.address())) {
             confirm(old);
-            ScriptedPeer.Line client = clients.connect(bench.address);
-            ServerHarness.turn(bench.loop);
-            CountDownLatch go = ClientCrossingTest.hold(bench);
+            ScriptedPeer.Line client = clients.connect(harness.address);
+            ServerHarness.turn(harness.loop);
+            CountDownLatch go = ClientCrossingTest.hold(harness);
             client.send(ClientCrossingTest.get("q"));
             // The turn after this one reads the command and dials; its end comes before the connection can be seen to be up.
             List<ResolvedEndpoint> list = List.of(member("n0", first.address(), EndpointState.DRAINING),
                 member("n9", second.address(), EndpointState.HEALTHY));
-            bench.loop.execute(() -> bench.atNextTurnsEnd(() -> bench.learn(list)));
+            harness.loop.execute(() -> harness.atNextTurnsEnd(() -> harness.learn(list)));
             go.countDown();
             ScriptedPeer.Line dialled = first.accept(), elsewhere = null;
             for (int passed = 0; elsewhere == null; passed += 10) {
                 assertTrue(passed < 500, "an attempt that was not written is made again soon");
-                bench.pass(10);
+                harness.pass(10);
                 elsewhere = second.acceptIfAny();
             }
             assertTrue(elsewhere.until(COMMAND_END).contains("\r\nq\r\n"));
@@ -106,18 +106,18 @@
             try (ScriptedPeer old = new ScriptedPeer(); ScriptedPeer next = new ScriptedPeer();
                  ScriptedPeer first = new ScriptedPeer(); ScriptedPeer second = new ScriptedPeer();
                  ScriptedPeer clients = new ScriptedPeer();
-                 ServerHarness bench = ServerHarness.respWith(mode, old.address(), first.address())) {
+                 ServerHarness harness = ServerHarness.respWith(mode, old.address(), first.address())) {
                 ScriptedPeer.Line watch = confirm(old);
-                CountDownLatch go = ClientCrossingTest.hold(bench);
+                CountDownLatch go = ClientCrossingTest.hold(harness);
                 tell(watch, 90, true, host("n0", second, "ready"));       // there before the reload, read after it
-                bench.hangUp(next.address());                              // runs before the loop reads again
+                harness.hangUp(next.address());                              // runs before the loop reads again
                 go.countDown();
                 ScriptedPeer.Line whole = call(next, " HTTP");
-                clients.connect(bench.address).send(ClientCrossingTest.get("before"));
+                clients.connect(harness.address).send(ClientCrossingTest.get("before"));
                 assertAsked(first, "before");
                 tell(whole, 7, true, host("n0", first, "draining"), host("n9", second, "ready"));
                 call(next, "?index=7&wait=");
-                clients.connect(bench.address).send(ClientCrossingTest.get("after"));
+                clients.connect(harness.address).send(ClientCrossingTest.get("after"));
                 assertAsked(second, "after");
                 assertNull(first.acceptIfAny(), mode);
             }
@@ -130,19 +130,19 @@
             try (ScriptedPeer old = new ScriptedPeer(); ScriptedPeer next = new ScriptedPeer();
                  ScriptedPeer first = new ScriptedPeer(); ScriptedPeer second = new ScriptedPeer();
                  ScriptedPeer clients = new ScriptedPeer();
-                 ServerHarness bench = ServerHarness.respWith(mode, old.address(), first.address())) {
+                 ServerHarness harness = ServerHarness.respWith(mode, old.address(), first.address())) {
                 ScriptedPeer.Line watch = call(old, "?index=1&wait=");
-                CountDownLatch go = ClientCrossingTest.hold(bench);
+                CountDownLatch go = ClientCrossingTest.hold(harness);
                 tell(watch, 2, false, host("n0", first, "draining"), host("n9", second, "ready"));
-                bench.loop.execute(() -> bench.atNextTurnsEnd(() -> bench.hangUp(next.address())));
+                harness.loop.execute(() -> harness.atNextTurnsEnd(() -> harness.hangUp(next.address())));
                 go.countDown();
                 ScriptedPeer.Line whole = call(next, " HTTP");
-                clients.connect(bench.address).send(ClientCrossingTest.get("between"));
+                clients.connect(harness.address).send(ClientCrossingTest.get("between"));
                 assertAsked(second, "between");
                 assertNull(first.acceptIfAny(), mode);
                 tell(whole, 1, true, host("n0", first, "ready"));
                 call(next, "?index=1&wait=");
-                clients.connect(bench.address).send(ClientCrossingTest.get("after"));
+                clients.connect(harness.address).send(ClientCrossingTest.get("after"));
                 assertAsked(first, "after");
             }
         }
--- a/src/test/java/kelphollow/program/ReloadTest.java
+++ b/src/test/java/kelphollow/program/ReloadTest.java
@@ -21,19 +21,19 @@
 @Timeout(20)
 class ReloadTest {
     @Test void aNewDiscoveryThatSaysNothingIsAskedAgainSoon() throws Exception {
-        try (StandInDiscovery old = new StandInDiscovery();
-             StandInDiscovery next = new StandInDiscovery();
-             ServerHarness bench = ServerHarness.resp(old.address())) {
-            bench.reload(next.address());
+        try (FakeDiscovery old = new FakeDiscovery();
+             FakeDiscovery next = new FakeDiscovery();
+             ServerHarness harness = ServerHarness.resp(old.address())) {
+            harness.reload(next.address());
             assertEquals("/catalog/members", next.asked.poll(10, TimeUnit.SECONDS));
-            bench.ticker.advance(3_200);   // its news counts as told after 4 s
+            harness.ticker.advance(3_200);   // its news counts as told after 4 s
             assertEquals("/catalog/members", next.asked.poll(10, TimeUnit.SECONDS));
         }
     }
 
     @Test void interimAnswersOfDiscoveryArePassedOver() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
-             ServerHarness bench = ServerHarness.resp((InetSocketAddress) discovery.getLocalSocketAddress());
+             ServerHarness harness = ServerHarness.resp((InetSocketAddress) discovery.getLocalSocketAddress());
              Socket watch = discovery.accept()) {
             BufferedReader in = new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.US_ASCII));
             while (!in.readLine().isEmpty()) {}
@@ -50,22 +50,22 @@
     @Test void theObjectApiFollowsANewFile() throws Exception {
         Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
-        try (StandInServer old = new StandInServer(); StandInServer next = new StandInServer();
-             ServerHarness bench = ServerHarness.objects(Map.of("objects", objects), old.address());
-             StandInClient client = new StandInClient(bench.address)) {
-            old.objects.put("/symbols/a", new StandInServer.Stored("old".getBytes(), "\"e\""));
-            next.objects.put("/symbols/a", new StandInServer.Stored("next".getBytes(), "\"e\""));
+        try (FakeObjectServer old = new FakeObjectServer(); FakeObjectServer next = new FakeObjectServer();
+             ServerHarness harness = ServerHarness.objects(Map.of("objects", objects), old.address());
+             HttpTestClient client = new HttpTestClient(harness.address)) {
+            old.objects.put("/symbols/a", new FakeObjectStore.Stored("old".getBytes(), "\"e\""));
+            next.objects.put("/symbols/a", new FakeObjectStore.Stored("next".getBytes(), "\"e\""));
             assertEquals("old", client.call("GET /symbols/a", "", null).text());
-            bench.reload(Map.of("objects", objects), next.address());
+            harness.reload(Map.of("objects", objects), next.address());
             assertEquals("next", client.call("GET /symbols/a", "", null).text());
         }
     }
 
     @Test void theNewDiscoveryIsAskedForTheWholeListAndTheOldOneNoMore() throws Exception {
-        try (StandInDiscovery old = new StandInDiscovery(); StandInDiscovery next = new StandInDiscovery()) {
-            try (ServerHarness bench = ServerHarness.resp(old.address())) {
+        try (FakeDiscovery old = new FakeDiscovery(); FakeDiscovery next = new FakeDiscovery()) {
+            try (ServerHarness harness = ServerHarness.resp(old.address())) {
                 assertTrue(old.asked.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=1&wait="));
-                bench.reload(next.address());
+                harness.reload(next.address());
                 assertEquals("/catalog/members", next.asked.poll(10, TimeUnit.SECONDS),
                     "versions of the old one mean nothing");
                 next.answers.add("{\"seq\":7,\"whole\":true,\"hosts\":[]}");
@@ -74,8 +74,8 @@
                 next.answers.add("{\"seq\":8,\"whole\":false,\"hosts\":[]}");
                 assertTrue(next.asked.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=8&wait="));
                 assertTrue(old.asked.isEmpty());
-                bench.reload(next.address());
-                bench.ticker.advance((int) (EndpointUpdateBudget.WAIT / 2));
+                harness.reload(next.address());
+                harness.ticker.advance((int) (EndpointUpdateBudget.WAIT / 2));
                 assertTrue(next.asked.isEmpty(), "the watch goes on if its address is the same");
             }
         }
--- a/src/test/java/kelphollow/program/SecondTermTest.java
+++ b/src/test/java/kelphollow/program/SecondTermTest.java
@@ -55,7 +55,7 @@
             try (BufferedReader log = program.inputReader()) {
                 ScriptedPeer.Line call = discovery.accept();
                 call.until("\r\n\r\n");
-                String list = StandInDiscovery.list(1, false);
+                String list = FakeDiscovery.list(1, false);
                 call.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
                 InetSocketAddress management = address(log, "management");
                 ScriptedPeer.Line client = clients.connect(address(log, "serves"));
--- a/src/test/java/kelphollow/program/ServerHarness.java
+++ b/src/test/java/kelphollow/program/ServerHarness.java
@@ -62,7 +62,7 @@
 
     /** The same; {@code lists} is the mode in which the node list comes. */
     static ServerHarness respWith(String lists, InetSocketAddress discovery, InetSocketAddress... nodes) throws Exception {
-        ServerHarness bench = new ServerHarness();
+        ServerHarness harness = new ServerHarness();
         Map<String, Object> settings = part(example(), "settings");
         List<ResolvedEndpoint> members = new ArrayList<>();
         for (InetSocketAddress node : nodes) {
@@ -74,10 +74,10 @@
         classes.add(Map.of("name", "keyed", "aim", 500.0, "deadline", 3000.0, "effect", "token", "dedup_scope", "cell",
             "window", 4000.0, "worth", 2.0, "late_share", 0.1));
         settings.put("request_classes", classes);
-        bench.config = platformConfig(discovery == null ? new InetSocketAddress("127.0.0.1", 1) : discovery,
+        harness.config = platformConfig(discovery == null ? new InetSocketAddress("127.0.0.1", 1) : discovery,
             new DiscoveryListParser(1, true, members), SettingsConfig.read(settings));
-        bench.start(PlatformScheduler.start(bench.config, bench.loop, bench.ticker));
-        return bench;
+        harness.start(PlatformScheduler.start(harness.config, harness.loop, harness.ticker));
+        return harness;
     }
 
     private static PlatformConfig platformConfig(InetSocketAddress discovery, DiscoveryListParser known,
@@ -109,9 +109,9 @@
 
     /** The gateway of the object API over these object servers. */
     static ServerHarness objects(Map<String, Object> changes, InetSocketAddress... servers) throws Exception {
-        ServerHarness bench = new ServerHarness();
-        bench.start(ObjectScheduler.start(objectConfig(changes, servers), bench.loop, bench.ticker));
-        return bench;
+        ServerHarness harness = new ServerHarness();
+        harness.start(ObjectScheduler.start(objectConfig(changes, servers), harness.loop, harness.ticker));
+        return harness;
     }
 
     private static ObjectConfig objectConfig(Map<String, Object> changes, InetSocketAddress... servers) throws Exception {
--- a/src/test/java/kelphollow/program/SlowWriterTest.java
+++ b/src/test/java/kelphollow/program/SlowWriterTest.java
@@ -21,27 +21,27 @@
     private static final String ANSWER = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n";
 
     /** Sends a piece and sees to it that it has been read. */
-    private static void send(ServerHarness bench, ScriptedPeer.Line client, String piece) throws Exception {
+    private static void send(ServerHarness harness, ScriptedPeer.Line client, String piece) throws Exception {
         client.send(piece);
-        ServerHarness.turn(bench.loop);
+        ServerHarness.turn(harness.loop);
     }
 
     @Test void aCommandCutAtAnyByteIsServedThoughItsWriterRestsBetween() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.resp(null, node.address())) {
-            ScriptedPeer.Line client = clients.connect(bench.address);
+             ServerHarness harness = ServerHarness.resp(null, node.address())) {
+            ScriptedPeer.Line client = clients.connect(harness.address);
             int length = ClientCrossingTest.get("q100").length();
             ScriptedPeer.Line attempt = null;
             for (int cut = 1; cut < length; cut++) {
                 String id = "q" + (100 + cut), command = ClientCrossingTest.get(id);
-                send(bench, client, command.substring(0, cut));
-                bench.ticker.advance(SLOWEST);
-                send(bench, client, command.substring(cut));
+                send(harness, client, command.substring(0, cut));
+                harness.ticker.advance(SLOWEST);
+                send(harness, client, command.substring(cut));
                 attempt = attempt == null ? node.accept() : attempt;
                 assertTrue(attempt.until("hosts=1\r\n").contains("\r\n" + id + "\r\n"), "cut at " + cut);
                 attempt.send(ANSWER);
                 assertEquals("$2\r\nok\r\n", client.receive(8), "cut at " + cut);
-                bench.pass(30);            // after these an answered connection to a node is used again
+                harness.pass(30);            // after these an answered connection to a node is used again
             }
             assertEquals(PONG, client.send(PING).receive(7));
         }
@@ -50,14 +50,14 @@
     /** A rest is none of the command's time, wherever the first piece ends. */
     @Test void aClientThatHasRestedIsGivenAsLongForItsNextCommand() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.resp(null, ClientCrossingTest.NOBODY)) {
+             ServerHarness harness = ServerHarness.resp(null, ClientCrossingTest.NOBODY)) {
             for (int cut = 1; cut < PING.length(); cut++) {
-                ScriptedPeer.Line client = clients.connect(bench.address);
+                ScriptedPeer.Line client = clients.connect(harness.address);
                 assertEquals(PONG, client.send(PING).receive(7));
-                bench.ticker.advance(9_500);
-                send(bench, client, PING.substring(0, cut));
-                bench.ticker.advance(SLOWEST);
-                send(bench, client, PING.substring(cut));
+                harness.ticker.advance(9_500);
+                send(harness, client, PING.substring(0, cut));
+                harness.ticker.advance(SLOWEST);
+                send(harness, client, PING.substring(cut));
                 assertEquals(PONG, client.receive(7), "cut at " + cut);
                 client.socket.close();
             }
@@ -67,17 +67,17 @@
     /** Nothing was taken: the client sees a clean end, and what it still sends is neither sent on nor reset. */
     @Test void halfACommandThatStandsStillForLongerEndsCleanlyAndIsNotSentOn() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.resp(null, node.address())) {
+             ServerHarness harness = ServerHarness.resp(null, node.address())) {
             String command = ClientCrossingTest.get("half");
             for (int cut = 1; cut < command.length(); cut += 12) {
-                ScriptedPeer.Line client = clients.connect(bench.address);
-                send(bench, client, command.substring(0, cut));
-                bench.pass(2_400);
+                ScriptedPeer.Line client = clients.connect(harness.address);
+                send(harness, client, command.substring(0, cut));
+                harness.pass(2_400);
                 client.send(command.substring(cut));
                 assertEquals("", client.until("\n"), "cut at " + cut);
                 client.socket.close();
             }
-            ScriptedPeer.Line client = clients.connect(bench.address);
+            ScriptedPeer.Line client = clients.connect(harness.address);
             client.send(ClientCrossingTest.get("whole"));
             assertTrue(node.accept().until("hosts=1\r\n").contains("\r\nwhole\r\n"), "the first that came to the node");
         }
@@ -86,11 +86,11 @@
     /** Bytes one by one show life, but no command may take for good. */
     @Test void aCommandThatDripsEndsAfterTenSeconds() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.resp(null, ClientCrossingTest.NOBODY)) {
-            ScriptedPeer.Line client = clients.connect(bench.address);
+             ServerHarness harness = ServerHarness.resp(null, ClientCrossingTest.NOBODY)) {
+            ScriptedPeer.Line client = clients.connect(harness.address);
             for (int i = 0; i < 6; i++) {
-                send(bench, client, ClientCrossingTest.get("drip").substring(i, i + 1));
-                bench.ticker.advance(SLOWEST);
+                send(harness, client, ClientCrossingTest.get("drip").substring(i, i + 1));
+                harness.ticker.advance(SLOWEST);
             }
             assertEquals("", client.until("\n"));
         }
@@ -98,7 +98,7 @@
 
     // ---------------------------------------------------------------- the object API
 
-    private static ServerHarness objects(StandInServer server, double stall) throws Exception {
+    private static ServerHarness objects(FakeObjectServer server, double stall) throws Exception {
         Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
         return ServerHarness.objects(Map.of("objects", objects, "stall_ms", stall), server.address());
@@ -107,16 +107,16 @@
     @Test void anObjectRequestCutAtAnyByteOfItsHeadOrBodyIsServed() throws Exception {
         String put = "PUT /symbols/a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody";
         String get = "GET /symbols/a HTTP/1.1\r\nHost: h\r\n\r\n";
-        try (StandInServer server = new StandInServer(); ServerHarness bench = objects(server, 2_500);
-             StandInClient client = new StandInClient(bench.address)) {
+        try (FakeObjectServer server = new FakeObjectServer(); ServerHarness harness = objects(server, 2_500);
+             HttpTestClient client = new HttpTestClient(harness.address)) {
             client.socket.setTcpNoDelay(true);
             for (String request : new String[] {put, get}) {
                 for (int cut = 1; cut < request.length(); cut++) {
                     client.socket.getOutputStream().write(request.substring(0, cut).getBytes());
-                    ServerHarness.turn(bench.loop);
-                    bench.ticker.advance(SLOWEST);
+                    ServerHarness.turn(harness.loop);
+                    harness.ticker.advance(SLOWEST);
                     client.socket.getOutputStream().write(request.substring(cut).getBytes());
-                    StandInClient.Answer answer = client.answer();
+                    HttpTestClient.Answer answer = client.answer();
                     assertEquals(200, answer.status(), "cut at " + cut + " of " + request);
                     assertEquals(request == get ? "body" : "", answer.text(), "cut at " + cut + " of " + request);
                 }
@@ -127,16 +127,16 @@
 
     @Test void anObjectClientThatHasRestedIsGivenAsLongForItsNextHead() throws Exception {
         String get = "GET /symbols/none HTTP/1.1\r\nHost: h\r\n\r\n";
-        try (StandInServer server = new StandInServer(); ServerHarness bench = objects(server, 10_000)) {
+        try (FakeObjectServer server = new FakeObjectServer(); ServerHarness harness = objects(server, 10_000)) {
             for (int rested = 8_500; rested < 10_000; rested += 300) {
-                try (StandInClient client = new StandInClient(bench.address)) {
+                try (HttpTestClient client = new HttpTestClient(harness.address)) {
                     client.socket.setTcpNoDelay(true);
-                    bench.ticker.advance(9_500);
+                    harness.ticker.advance(9_500);
                     assertEquals(404, client.call("GET /symbols/none", "", null).status());
-                    bench.ticker.advance(rested);
+                    harness.ticker.advance(rested);
                     client.socket.getOutputStream().write(get.substring(0, 9).getBytes());
-                    ServerHarness.turn(bench.loop);
-                    bench.ticker.advance(SLOWEST);
+                    ServerHarness.turn(harness.loop);
+                    harness.ticker.advance(SLOWEST);
                     client.socket.getOutputStream().write(get.substring(9).getBytes());
                     assertEquals(404, client.answer().status(), "rested for " + rested);
                 }
@@ -146,13 +146,13 @@
 
     @Test void halfAHeadOfTheObjectApiEndsCleanlyAndIsNotSentOn() throws Exception {
         String get = "GET /symbols/none HTTP/1.1\r\nHost: h\r\n\r\n";
-        try (StandInServer server = new StandInServer(); ServerHarness bench = objects(server, 2_500)) {
+        try (FakeObjectServer server = new FakeObjectServer(); ServerHarness harness = objects(server, 2_500)) {
             for (int cut = 1; cut < get.length(); cut++) {
-                try (StandInClient client = new StandInClient(bench.address)) {
+                try (HttpTestClient client = new HttpTestClient(harness.address)) {
                     client.socket.setTcpNoDelay(true);
                     client.socket.getOutputStream().write(get.substring(0, cut).getBytes());
-                    ServerHarness.turn(bench.loop);
-                    bench.pass(2_600);
+                    ServerHarness.turn(harness.loop);
+                    harness.pass(2_600);
                     client.socket.getOutputStream().write(get.substring(cut).getBytes());
                     assertEquals(0, client.answer().status(), "cut at " + cut);
                 }
--- a/src/test/java/kelphollow/program/StartTest.java
+++ b/src/test/java/kelphollow/program/StartTest.java
@@ -25,16 +25,16 @@
 
     @Test void aStartWaitsForTheFirstWordOfDiscoveryBeItAListOrARefusal() throws Exception {
         try (ScriptedPeer discovery = new ScriptedPeer();
-             ServerHarness bench = ServerHarness.respWith("automatic", discovery.address())) {
+             ServerHarness harness = ServerHarness.respWith("automatic", discovery.address())) {
             ScriptedPeer.Line call = discovery.accept();
             call.until("\r\n\r\n");
-            assertFalse(bench.awaitList(0));
-            String list = StandInDiscovery.list(4, false);
+            assertFalse(harness.awaitList(0));
+            String list = FakeDiscovery.list(4, false);
             call.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
-            assertTrue(bench.awaitList(10_000));
+            assertTrue(harness.awaitList(10_000));
         }
-        try (ServerHarness bench = ServerHarness.respWith("subscribe", new InetSocketAddress("127.0.0.1", 1))) {
-            assertTrue(bench.awaitList(10_000));
+        try (ServerHarness harness = ServerHarness.respWith("subscribe", new InetSocketAddress("127.0.0.1", 1))) {
+            assertTrue(harness.awaitList(10_000));
         }
     }
 
--- a/src/test/java/kelphollow/program/StoreRestartTest.java
+++ b/src/test/java/kelphollow/program/StoreRestartTest.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import kelphollow.program.StandInServer.Fault;
-import kelphollow.program.StandInServer.Fault.Kind;
-import kelphollow.program.StandInServer.Stored;
+import kelphollow.program.FakeObjectServer.Fault;
+import kelphollow.program.FakeObjectServer.Fault.Kind;
+import kelphollow.program.FakeObjectStore.Stored;
 import kelphollow.routing.Invariant;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -31,12 +31,12 @@
     @TempDir
     Path folder;
     private int lives;
-    private StandInServer server;
-    private ServerHarness bench;
-    private StandInClient client;
+    private FakeObjectServer server;
+    private ServerHarness harness;
+    private HttpTestClient client;
 
     @BeforeEach void start() throws Exception {
-        server = new StandInServer();
+        server = new FakeObjectServer();
         begin();
     }
 
@@ -47,13 +47,13 @@
     private void begin() throws Exception {
         Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
-        bench = ServerHarness.objects(Map.of("objects", objects, "store", store()), server.address());
-        client = new StandInClient(bench.address);
+        harness = ServerHarness.objects(Map.of("objects", objects, "store", store()), server.address());
+        client = new HttpTestClient(harness.address);
     }
 
     /** A kill once the writer has written what it was given: outcomes are not waited for before an answer. */
     private void kill() throws Exception {
-        bench.written();
+        harness.written();
         killNow();
     }
 
@@ -70,13 +70,13 @@
             }
         }
         lives++;
-        bench.close();
+        harness.close();
         begin();
     }
 
     @AfterEach void stop() throws Exception {
         client.close();
-        bench.close();
+        harness.close();
         server.close();
         assertEquals(0, Invariant.broken());
     }
@@ -101,18 +101,18 @@
     }
 
     /** A connection of its own: one whose body was not read is closed behind its answer. */
-    private StandInClient.Answer callAnew(String line, byte[] body) throws IOException {
-        try (StandInClient other = new StandInClient(bench.address)) {
+    private HttpTestClient.Answer callAnew(String line, byte[] body) throws IOException {
+        try (HttpTestClient other = new HttpTestClient(harness.address)) {
             return other.call(line, "", body);
         }
     }
 
     @Test void aPartSentTwiceOverAKillIsAnsweredFromTheStore() throws Exception {
         String id = upload();
-        StandInClient.Answer first = client.call(part(id, 1), "", CONTENT);
+        HttpTestClient.Answer first = client.call(part(id, 1), "", CONTENT);
         kill();
         server.seen.clear();
-        StandInClient.Answer again = client.call(part(id, 1), "", CONTENT);
+        HttpTestClient.Answer again = client.call(part(id, 1), "", CONTENT);
         assertEquals(200, again.status());
         assertEquals(first.headers().get("ETag"), again.headers().get("ETag"));
         assertEquals(409, client.call(part(id, 1), "", "other".getBytes()).status());
@@ -149,9 +149,9 @@
         assertEquals(503, client.call(part(id, 1), "", CONTENT).status(), "it may still be at work");
         assertEquals("GET", server.seen.take().substring(0, 3));
         hold.gate().countDown();
-        bench.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED);
         await(() -> server.partWrites.containsKey(id + "#1"));
-        StandInClient.Answer again = callAnew(part(id, 1), CONTENT);
+        HttpTestClient.Answer again = callAnew(part(id, 1), CONTENT);
         assertEquals(200, again.status());
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
@@ -164,7 +164,7 @@
         server.held.take();
         server.seen.clear();
         kill();
-        bench.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED);
         assertEquals(200, client.call(part(id, 1), "", CONTENT).status());
         assertEquals("GET", server.seen.take().substring(0, 3));
         assertEquals("PUT", server.seen.take().substring(0, 3));
@@ -175,11 +175,11 @@
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         String line = "POST /symbols/m?uploadId=" + id;
-        StandInClient.Answer first = client.call(line, "", LIST);
+        HttpTestClient.Answer first = client.call(line, "", LIST);
         assertEquals(200, first.status());
         kill();
         server.seen.clear();
-        StandInClient.Answer again = client.call(line, "", LIST);
+        HttpTestClient.Answer again = client.call(line, "", LIST);
         assertEquals(200, again.status());
         assertEquals(first.text(), again.text());
         assertEquals(404, client.call(line, "", "<other/>".getBytes()).status());
@@ -200,7 +200,7 @@
         assertEquals(503, client.call(line, "", LIST).status(), "it may still be at work");
         hold.gate().countDown();
         server.seen.clear();
-        bench.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED);
         await(() -> server.objects.containsKey("/symbols/m"));
         assertEquals(404, client.call(line, "", LIST).status(), "the upload is gone: it was completed");
         assertTrue(server.seen.stream().noneMatch(l -> l.startsWith("POST")), server.seen.toString());
@@ -213,7 +213,7 @@
         String line = "POST /symbols/m?uploadId=" + id;
         server.faults.add(Fault.of("POST", Kind.CRASH_BEFORE));
         assertEquals(502, client.call(line, "", LIST).status());
-        bench.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED);
         server.seen.clear();
         assertEquals(200, client.call(line, "", LIST).status());
         assertEquals("GET", server.seen.take().substring(0, 3));
@@ -223,7 +223,7 @@
     @Test void anAbortedUploadLeavesNothingBehind() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
-        bench.written();
+        harness.written();
         assertEquals(204, client.call("DELETE /symbols/m?uploadId=" + id, "", null).status());
         killNow();
         assertEquals(404, client.call(part(id, 1), "", CONTENT).status());
@@ -272,7 +272,7 @@
 
     @Test void aStartWithoutItsListServesFromTheLastOne() throws Exception {
         client.close();
-        bench.close();
+        harness.close();
         lives++;
         server.objects.put("/symbols/a", new Stored(CONTENT, "\"e\""));
         com.sun.net.httpserver.HttpServer xds = com.sun.net.httpserver.HttpServer.create(
@@ -289,18 +289,18 @@
             exchange.close();
         });
         xds.start();
-        bench = followingXds(xds.getAddress());
-        client = new StandInClient(bench.address);
+        harness = followingXds(xds.getAddress());
+        client = new HttpTestClient(harness.address);
         for (int i = 0; i < 500 && client.call("GET /symbols/a", "", null).status() != 200; i++) {
-            bench.ticker.advance(10);
+            harness.ticker.advance(10);
         }
         InetSocketAddress nobody = xds.getAddress();
         xds.stop(0);
-        bench.end();
-        bench.close();
+        harness.end();
+        harness.close();
         client.close();
-        bench = followingXds(nobody);
-        client = new StandInClient(bench.address);
+        harness = followingXds(nobody);
+        client = new HttpTestClient(harness.address);
         assertArrayEquals(CONTENT, client.call("GET /symbols/a", "", null).body());
     }
 }
--- a/src/test/java/kelphollow/program/StreamedValueTest.java
+++ b/src/test/java/kelphollow/program/StreamedValueTest.java
@@ -29,11 +29,11 @@
             + "c=dump-read,t=padrao,d=1200,volume=v,units=2,shard=0,hosts=1\r\n").getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static Socket client(ServerHarness bench) throws Exception {
+    private static Socket client(ServerHarness harness) throws Exception {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(16 * 1024);
         socket.setSoTimeout(10_000);           // only so that a failure ends
-        socket.connect(bench.address);
+        socket.connect(harness.address);
         return socket;
     }
 
@@ -69,8 +69,8 @@
 
     @Test void aClientThatDoesNotReadHoldsNodesBackAndCostsNoMemory() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-             ServerHarness bench = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
-             Socket slow = client(bench)) {
+             ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
+             Socket slow = client(harness)) {
             long before = PlatformDependent.usedDirectMemory();
             int values = 3;                    // more than the kernel's buffers hold, as many as may be out at once
             List<AtomicLong> written = new ArrayList<>();
@@ -84,14 +84,14 @@
                 written.add(sent);
                 node(node, answer(), sent);
             }
-            still(written, bench);
+            still(written, harness);
             long direct = PlatformDependent.usedDirectMemory() - before;
             assertTrue(direct < 3 * 1024 * 1024, direct + " bytes of direct memory for " + values + " values of 4 MiB");
-            try (Socket other = client(bench)) {
+            try (Socket other = client(harness)) {
                 other.getOutputStream().write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
                 assertEquals("+PONG\r\n", new String(other.getInputStream().readNBytes(7), StandardCharsets.US_ASCII));
             }
-            bench.ticker.advance(9_000);       // it may take seconds over it
+            harness.ticker.advance(9_000);       // it may take seconds over it
             for (int i = 0; i < values; i++) {
                 InputStream in = slow.getInputStream();
                 assertEquals("$" + LENGTH + "\r\n", new String(in.readNBytes(10), StandardCharsets.US_ASCII));
@@ -107,11 +107,11 @@
      * Returns when all buffers on the way are full: nothing has moved for 100 looks of 5 ms, though the loop has run in each
      * of them, and each node has written four times what must come before a value begins to flow.
      */
-    private static void still(List<AtomicLong> written, ServerHarness bench) throws InterruptedException {
+    private static void still(List<AtomicLong> written, ServerHarness harness) throws InterruptedException {
         long last = -1;
         for (int same = 0; same < 100;) {
             long now = written.stream().mapToLong(AtomicLong::get).sum();
-            ServerHarness.turn(bench.loop);
+            ServerHarness.turn(harness.loop);
             boolean flows = written.stream().allMatch(bytes -> bytes.get() > LENGTH / 16);
             same = flows && now == last ? same + 1 : 0;
             last = now;
@@ -121,8 +121,8 @@
 
     @Test void whatBreaksOffBeforeAnythingWasPassedOnIsAskedForAnew() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-             ServerHarness bench = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
-             Socket client = client(bench)) {
+             ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
+             Socket client = client(harness)) {
             client.getOutputStream().write(get("i"));
             try (Socket node = listener.accept()) {
                 node.getInputStream().readNBytes(get("i").length);
@@ -134,7 +134,7 @@
                 try {
                     again = listener.accept();
                 } catch (java.net.SocketTimeoutException e) {
-                    bench.ticker.advance(1);
+                    harness.ticker.advance(1);
                 }
             }
             try (Socket node = again) {
@@ -147,13 +147,13 @@
 
     @Test void aClientThatTakesNothingForTenSecondsIsLetGoAndTheNodeWithIt() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-             ServerHarness bench = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
-             Socket slow = client(bench)) {
+             ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
+             Socket slow = client(harness)) {
             AtomicLong written = new AtomicLong();
             slow.getOutputStream().write(get("i"));
             node(listener.accept(), answer(), written);
-            still(List.of(written), bench);
-            bench.ticker.advance(13_000);
+            still(List.of(written), harness);
+            harness.ticker.advance(13_000);
             while (written.get() >= 0) {
                 Thread.sleep(5);
             }
@@ -164,10 +164,10 @@
 
     @Test void aClientThatGoesAwayInTheMiddleLeavesNothingBehind() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-             ServerHarness bench = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress())) {
+             ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress())) {
             long before = PlatformDependent.usedDirectMemory();
             AtomicLong written = new AtomicLong();
-            try (Socket client = client(bench)) {
+            try (Socket client = client(harness)) {
                 client.getOutputStream().write(get("i"));
                 node(listener.accept(), answer(), written);
                 client.getInputStream().readNBytes(70_000);
--- a/src/test/java/kelphollow/program/XdsTest.java
+++ b/src/test/java/kelphollow/program/XdsTest.java
@@ -4,7 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.List;
@@ -13,7 +15,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import kelphollow.decision.ControlEvent.EndpointState;
-import kelphollow.program.StandInServer.Stored;
+import kelphollow.program.FakeObjectStore.Stored;
 import kelphollow.protocol.json.Json;
 import kelphollow.protocol.xds.XdsClusters;
 import org.junit.jupiter.api.Test;
@@ -57,73 +59,88 @@
         }
     }
 
-    /** A control plane whose endpoints the test sets; its queue holds how it was asked. */
-    @Test void aDrainingServerGetsNothingNewAndAFaultyAnswerChangesNothing() throws Exception {
-        String[] endpoints = new String[1];
-        int[] version = {1};
-        BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-        HttpServer plane = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
-        plane.createContext("/v3/", exchange -> {
+    /** A control plane whose endpoints the test sets. */
+    private static final class FakeControlPlane implements AutoCloseable {
+        /** The bodies of its requests, each once it has been answered. */
+        final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+        private final HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
+        private String endpoints;
+        private int version;
+
+        FakeControlPlane() throws IOException {
+            server.createContext("/v3/", this::answer);
+            server.start();
+        }
+
+        String address() {
+            return "127.0.0.1:" + server.getAddress().getPort();
+        }
+
+        /** The resource that holds the endpoints from now on, under a new version. */
+        synchronized void endpoints(String resource) {
+            endpoints = resource;
+            version++;
+        }
+
+        private void answer(HttpExchange exchange) throws IOException {
             String body = new String(exchange.getRequestBody().readAllBytes());
-            boolean clusters = exchange.getRequestURI().getPath().endsWith(":clusters");
-            synchronized (endpoints) {
-                byte[] answer = ("{\"version_info\":\"" + (clusters ? "c" : "e" + version[0]) + "\",\"resources\":["
-                    + (clusters
-                        ? "{\"name\":\"dump-store\",\"eds_cluster_config\":{\"service_name\":\"dump-store-endpoints\"}}"
-                        : endpoints[0])
-                    + "]}").getBytes();
-                exchange.sendResponseHeaders(200, answer.length);
-                exchange.getResponseBody().write(answer);
-            }
+            byte[] answer = resources(exchange.getRequestURI().getPath().endsWith(":clusters")).getBytes();
+            exchange.sendResponseHeaders(200, answer.length);
+            exchange.getResponseBody().write(answer);
             exchange.close();
-            asked.add(body);
-        });
-        plane.start();
-        try (StandInServer server = new StandInServer()) {
+            requests.add(body);
+        }
+
+        private synchronized String resources(boolean clusters) {
+            String resource = clusters
+                ? "{\"name\":\"dump-store\",\"eds_cluster_config\":{\"service_name\":\"dump-store-endpoints\"}}"
+                : endpoints;
+            return "{\"version_info\":\"" + (clusters ? "c" : "e" + version) + "\",\"resources\":[" + resource + "]}";
+        }
+
+        @Override public void close() {
+            server.stop(0);
+        }
+    }
+
+    @Test void aDrainingServerGetsNothingNewAndAFaultyAnswerChangesNothing() throws Exception {
+        try (FakeControlPlane plane = new FakeControlPlane(); FakeObjectServer server = new FakeObjectServer()) {
             server.objects.put("/symbols/a", new Stored("x".getBytes(), "\"e\""));
-            endpoints[0] = ServerHarness.assignment("HEALTHY", server.address());
+            plane.endpoints(ServerHarness.assignment("HEALTHY", server.address()));
             Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
             objects.put("shards", 1.0);
-            Map<String, Object> xds = Map.of("cluster", "dump-store", "server", "127.0.0.1:" + plane.getAddress().getPort());
-            try (ServerHarness bench = ServerHarness.objects(Map.of("objects", objects, "xds", xds), server.address());
-                 StandInClient client = new StandInClient(bench.address)) {
-                assertTrue(asked.take().contains("\"resource_names\":[\"dump-store\"]"));
-                assertTrue(asked.take().contains("dump-store-endpoints"));
-                rounds(bench, asked, 1);
+            Map<String, Object> xds = Map.of("cluster", "dump-store", "server", plane.address());
+            try (ServerHarness harness = ServerHarness.objects(Map.of("objects", objects, "xds", xds), server.address());
+                 HttpTestClient client = new HttpTestClient(harness.address)) {
+                assertTrue(plane.requests.take().contains("\"resource_names\":[\"dump-store\"]"));
+                assertTrue(plane.requests.take().contains("dump-store-endpoints"));
+                rounds(harness, plane.requests, 1);
                 assertEquals(200, client.call("GET /symbols/a", "", null).status());
 
-                synchronized (endpoints) {
-                    endpoints[0] = "{\"cluster_name\":7}";
-                    version[0]++;
-                }
-                rounds(bench, asked, 1);
+                plane.endpoints("{\"cluster_name\":7}");
+                rounds(harness, plane.requests, 1);
                 assertEquals(200, client.call("GET /symbols/a", "", null).status(), "the last good list stands");
 
-                synchronized (endpoints) {
-                    endpoints[0] = ServerHarness.assignment("DRAINING", server.address());
-                    version[0]++;
-                }
-                rounds(bench, asked, 2);
+                plane.endpoints(ServerHarness.assignment("DRAINING", server.address()));
+                rounds(harness, plane.requests, 2);
                 int before = server.seen.size();
                 client.send("GET /symbols/a", "", null);
-                ServerHarness.turn(bench.loop);        // the request has been read
-                ServerHarness.turn(bench.loop);        // and taken, since its client's end did not come right behind
-                bench.ticker.advance(300);
+                ServerHarness.turn(harness.loop);        // the request has been read
+                ServerHarness.turn(harness.loop);        // and taken, since its client's end did not come right behind
+                harness.ticker.advance(300);
                 assertEquals(503, client.answer().status());
                 assertEquals(before, server.seen.size(), "nothing new went to the draining server");
             }
-        } finally {
-            plane.stop(0);
         }
     }
 
     /** Moves the clock until the endpoints were asked for so many times more, and the answer to the last was read. */
-    private static void rounds(ServerHarness bench, BlockingQueue<String> asked, int rounds) throws Exception {
+    private static void rounds(ServerHarness harness, BlockingQueue<String> asked, int rounds) throws Exception {
         asked.clear();
         for (int seen = 0; seen <= rounds;) {
             String body = asked.poll(5, TimeUnit.MILLISECONDS);
             if (body == null) {
-                bench.ticker.advance(10);
+                harness.ticker.advance(10);
             } else if (body.contains("dump-store-endpoints")) {
                 seen++;
             }
