--- a/src/bench/java/kelphollow/program/SchedulerProcess.java
+++ b/src/bench/java/kelphollow/program/SchedulerProcess.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
-import kelphollow.protocol.discovery.DiscoveryListParser;
+import kelphollow.protocol.discovery.DiscoveryList;
 import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.transport.WheelTicker;
 
@@ -43,7 +43,7 @@
         PlatformConfig config = new PlatformConfig("capacity", null, new InetSocketAddress("127.0.0.1", 1), 1, Integer
             .parseInt(args[2]),
             DIAL_TIMEOUT,
-            IDLE_TIME, new DiscoveryListParser(1, true, members), SettingsConfig.read(settings),
+            IDLE_TIME, new DiscoveryList(1, true, members), SettingsConfig.read(settings),
             PlatformConfig.Operations.NONE);
         Scheduler scheduler = PlatformScheduler.start(config, loop, new WheelTicker(loop, TICK));
         System.out.println(scheduler.listen(new InetSocketAddress("127.0.0.1", 0)).getPort());
--- a/src/main/java/kelphollow/program/ClassArchiveTraining.java
+++ b/src/main/java/kelphollow/program/ClassArchiveTraining.java
@@ -16,7 +16,7 @@
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
 import kelphollow.decision.ControlSettings;
-import kelphollow.protocol.discovery.DiscoveryListParser;
+import kelphollow.protocol.discovery.DiscoveryList;
 import kelphollow.protocol.resp.RespWarmup;
 import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.transport.WheelTicker;
@@ -62,7 +62,7 @@
     private static PlatformConfig config(ControlSettings settings, InetSocketAddress self) {
         ResolvedEndpoint node = new ResolvedEndpoint(new Endpoint("self", "", 0, EndpointState.HEALTHY, 0), self);
         return new PlatformConfig("train", self, self, 0, SOCKETS, DIAL_TIMEOUT_MS, IDLE_TIME_MS,
-            new DiscoveryListParser(1, true, List.of(node)), settings, PlatformConfig.Operations.NONE);
+            new DiscoveryList(1, true, List.of(node)), settings, PlatformConfig.Operations.NONE);
     }
 
     /** Sends two commands and reads as many bytes as their replies should have. */
--- a/src/main/java/kelphollow/program/ConfigSection.java
+++ b/src/main/java/kelphollow/program/ConfigSection.java
@@ -155,7 +155,7 @@
     /** An address from its text. */
     static InetSocketAddress parseAddress(String text, String key) throws ConfigurationException {
         try {
-            return DiscoveryListParser.address(text, key);
+            return DiscoveryListParser.parseAddress(text, key);
         } catch (IllegalArgumentException e) {
             throw new ConfigurationException(e.getMessage());
         }
--- a/src/main/java/kelphollow/program/MaintenanceFile.java
+++ b/src/main/java/kelphollow/program/MaintenanceFile.java
@@ -39,7 +39,7 @@
 
     /** Writes all, then renames: a reader sees the old text or the new one, never a part. */
     void write(Set<String> nodes) throws IOException {
-        String text = MaintenanceSet.text(nodes);
+        String text = MaintenanceSet.format(nodes);
         Path unfinished = file.resolveSibling(file.getFileName() + ".part");
         Files.writeString(unfinished, text, StandardCharsets.US_ASCII);
         Files.move(unfinished, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
@@ -58,7 +58,7 @@
             return null;
         }
         try {
-            Set<String> nodes = MaintenanceSet.read(text);
+            Set<String> nodes = MaintenanceSet.parse(text);
             lastText = text;
             return nodes;
         } catch (IllegalArgumentException e) {
--- a/src/main/java/kelphollow/program/Management.java
+++ b/src/main/java/kelphollow/program/Management.java
@@ -63,9 +63,11 @@
             case STATUS -> CompletableFuture.completedFuture(status());
             case FLEET_STATUS -> scheduler.onLoop(router -> scheduler.fleetStatus())
                 .thenApply(text -> text == null ? "NAK this instance is in no fleet" : "ACK " + text);
-            case MAINTENANCE_ON -> scheduler.onLoop(router -> router.ban(call.node()) ? router.bans() : null)
+            case MAINTENANCE_ON -> scheduler.onLoop(router -> router.startMaintenance(call.node()) ? router
+                .nodesInMaintenance() : null)
                 .thenApplyAsync(nodes -> acknowledge(call.node(), nodes, " is out"), loop);
-            case MAINTENANCE_OFF -> scheduler.onLoop(router -> router.lift(call.node()) ? router.bans() : null)
+            case MAINTENANCE_OFF -> scheduler.onLoop(router -> router.endMaintenance(call.node()) ? router
+                .nodesInMaintenance() : null)
                 .thenApplyAsync(nodes -> acknowledge(call.node(), nodes, " may serve"), loop);
         };
     }
@@ -103,7 +105,7 @@
         Set<String> nodes = file.readChange();
         if (nodes != null) {
             scheduler.onLoop(router -> {
-                router.adoptBans(nodes);
+                router.adoptMaintenance(nodes);
                 return null;
             });
         }
--- a/src/main/java/kelphollow/program/ObjectScheduler.java
+++ b/src/main/java/kelphollow/program/ObjectScheduler.java
@@ -12,7 +12,7 @@
 import kelphollow.fleet.Events;
 import kelphollow.fleet.Fleet;
 import kelphollow.ledger.Ledger;
-import kelphollow.ledger.NodeRecords;
+import kelphollow.ledger.EndpointRecords;
 import kelphollow.protocol.object.ObjectBackend;
 import kelphollow.protocol.object.ObjectFront;
 import kelphollow.protocol.xds.XdsPoll;
@@ -22,7 +22,7 @@
 import kelphollow.routing.ResolvedEndpoint;
 import kelphollow.routing.Ticker;
 import kelphollow.store.StoreFault;
-import kelphollow.transport.Pools;
+import kelphollow.transport.ConnectionPools;
 import kelphollow.transport.HttpCall;
 
 /** The gateway of the object API, with its store and its place in a fleet if it has them. */
@@ -33,7 +33,7 @@
 
     /** Null if nothing outlives the process. */
     private Ledger ledger;
-    private NodeRecords endpointRecords;
+    private EndpointRecords endpointRecords;
     /** Null if the instance is in no fleet. */
     private Fleet fleet;
 
@@ -67,7 +67,7 @@
     }
 
     private void start(ObjectConfig config) throws ConfigurationException, IOException, StoreFault, InterruptedException {
-        endpointRecords = ledger == null ? null : ledger.nodes();
+        endpointRecords = ledger == null ? null : ledger.endpoints();
         List<ResolvedEndpoint> cached = endpointRecords == null ? List.of() : cachedEndpoints(config);
         Map<String, Double> limits = ledger == null ? Map.of() : recoveredLimits(config);
         loop().submit(() -> {
@@ -82,11 +82,11 @@
     /** The endpoint list that an earlier incarnation stored, as far as its age allows. */
     private List<ResolvedEndpoint> cachedEndpoints(ObjectConfig config) throws IOException, StoreFault {
         double now = ticker().now();
-        NodeRecords.Saved saved = endpointRecords.read();
+        EndpointRecords.Saved saved = endpointRecords.read();
         if (saved == null || config.cluster() instanceof ClusterConfig.Inline) {
             return List.of();
         }
-        List<ResolvedEndpoint> usable = NodeRecords.usable(saved, now, config.store().endpointsExpire());
+        List<ResolvedEndpoint> usable = EndpointRecords.usable(saved, now, config.store().endpointsExpire());
         LOG.info(() -> "starts from a node list " + (long) ((now - saved.at()) / 1000) + " s old: " + usable.size()
             + " of its " + saved.members().size() + " nodes are used");
         return usable;
@@ -98,23 +98,24 @@
         Map<String, Double> tokens = new HashMap<>();
         config.options().buckets().forEach((name, bucket) -> config.settings().plans().stream()
             .filter(plan -> plan.name().equals(bucket.plan()) && plan.limitRate() > 0)
-            .forEach(plan -> tokens.put(name, LimitRecovery.level(saved.get(name), 1.0 / bucket.gateways(),
+            .forEach(plan -> tokens.put(name, LimitRecovery.initialTokens(saved.get(name), 1.0 / bucket.gateways(),
                 plan.limitRate(), plan.limitBurst(), plan.limitSlack(), now))));
         return tokens;
     }
 
     private void wire(ObjectConfig config, List<ResolvedEndpoint> cached, Map<String, Double> limits)
         throws IOException, StoreFault {
-        Pools pools = new Pools(loop(), ticker(),
-            new Pools.Limits(config.dialTimeout(), config.idleTime(), nodeSockets(config.sockets())), ObjectBackend::codec);
+        ConnectionPools pools = new ConnectionPools(loop(), ticker(),
+            new ConnectionPools.Limits(config.dialTimeout(), config.idleTime(), nodeSockets(config.sockets())),
+            ObjectBackend::codec);
         RequestRouter router = new RequestRouter(new Control(config.settings(), config.seed(), ticker().now()), ticker(),
             new ObjectBackend(pools, ticker(), config.stallTimeout()));
         EndpointSource source = () -> {};
         if (config.cluster() instanceof ClusterConfig.Polled polled) {
-            router.learn(cached, true, true);
+            router.restoreEndpoints(cached);
             source = poll(config, polled, router);
         } else if (config.cluster() instanceof ClusterConfig.Inline inline) {
-            router.learn(inline.endpoints(), true, false);
+            router.updateEndpoints(inline.endpoints(), true);
         }
         router.start(source, false);   // xDS by REST must be polled, whatever the settings say of the platform's list
         router.restoreLimits(limits);
@@ -129,7 +130,7 @@
 
     private void store(List<ResolvedEndpoint> endpoints) {
         if (endpointRecords != null) {
-            endpointRecords.told(endpoints, ticker().now());
+            endpointRecords.received(endpoints, ticker().now());
         }
     }
 
@@ -153,10 +154,10 @@
     void reload(ObjectConfig config) {
         loop().execute(() -> {
             if (config.cluster() instanceof ClusterConfig.Inline inline) {
-                router().follow(() -> {}, false);
-                router().learn(inline.endpoints(), true, false);
+                router().changeEndpointSource(() -> {}, false);
+                router().updateEndpoints(inline.endpoints(), true);
             } else if (config.cluster() instanceof ClusterConfig.Polled polled) {
-                router().follow(poll(config, polled, router()), false);
+                router().changeEndpointSource(poll(config, polled, router()), false);
             }
         });
     }
--- a/src/main/java/kelphollow/program/PlatformConfig.java
+++ b/src/main/java/kelphollow/program/PlatformConfig.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import kelphollow.decision.ControlSettings;
+import kelphollow.protocol.discovery.DiscoveryList;
 import kelphollow.protocol.discovery.DiscoveryListParser;
 
 /**
@@ -15,7 +16,7 @@
  * @param known endpoints to start from
  */
 record PlatformConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-                      int dialTimeout, double idleTime, DiscoveryListParser known, ControlSettings settings,
+                      int dialTimeout, double idleTime, DiscoveryList known, ControlSettings settings,
                       Operations operations) {
     /**
      * What the operators reach and what the platform hands down.
@@ -68,12 +69,12 @@
         return new Operations(isManaged ? ConfigSection.parseAddress(management, "mgmt") : null, descriptor != null);
     }
 
-    private static DiscoveryListParser known(ConfigSection json) throws ConfigurationException {
+    private static DiscoveryList known(ConfigSection json) throws ConfigurationException {
         if (!json.has("known")) {
-            return new DiscoveryListParser(-1, true, List.of());
+            return new DiscoveryList(-1, true, List.of());
         }
         try {
-            return DiscoveryListParser.read(json.value("known"));
+            return DiscoveryListParser.parse(json.value("known"));
         } catch (IllegalArgumentException e) {
             throw ConfigurationException.failed("known", e.getMessage());
         }
--- a/src/main/java/kelphollow/program/PlatformScheduler.java
+++ b/src/main/java/kelphollow/program/PlatformScheduler.java
@@ -17,7 +17,7 @@
 import kelphollow.routing.RequestRouter;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.HttpCall;
-import kelphollow.transport.Pools;
+import kelphollow.transport.ConnectionPools;
 
 /** The scheduler of the platform; whoever had its name before has ended by now. */
 final class PlatformScheduler extends Scheduler {
@@ -48,11 +48,12 @@
 
     private void wire(PlatformConfig config) {
         ControlSettings settings = config.settings();
-        Pools pools = new Pools(loop(), ticker(),
-            new Pools.Limits(config.dialTimeout(), config.idleTime(), nodeSockets(config.sockets())), RespBackend::codec);
+        ConnectionPools pools = new ConnectionPools(loop(), ticker(),
+            new ConnectionPools.Limits(config.dialTimeout(), config.idleTime(), nodeSockets(config.sockets())),
+            RespBackend::codec);
         RequestRouter router = new RequestRouter(new Control(settings, config.seed(), ticker().now()), ticker(),
             new RespBackend(pools, ticker()), lease(settings));
-        router.learn(config.known().members(), true, true);
+        router.restoreEndpoints(config.known().endpoints());
         router.onFirstResponse(firstResponse::countDown);
         discovery = config.discovery();
         pushed = !settings.endpointsPolled();
@@ -65,8 +66,9 @@
     /** On the platform the endpoint list binds by the terms of {@link EndpointUpdateBudget}. */
     private static EndpointListLease lease(ControlSettings settings) {
         return settings.endpointsPolled()
-            ? EndpointListLease.asked(EndpointUpdateBudget.TOLD_AFTER, EndpointUpdateBudget.OWN_LATENESS, settings.hosts())
-            : EndpointListLease.pushed(EndpointUpdateBudget.TOLD_AFTER, EndpointUpdateBudget.OWN_LATENESS);
+            ? EndpointListLease.asked(EndpointUpdateBudget.NOTIFIED_AFTER, EndpointUpdateBudget.LOCAL_DELAY, settings
+                .hosts())
+            : EndpointListLease.pushed(EndpointUpdateBudget.NOTIFIED_AFTER, EndpointUpdateBudget.LOCAL_DELAY);
     }
 
     private DiscoveryWatch watch(RequestRouter router, long version) {
@@ -93,7 +95,7 @@
             if (!config.discovery().equals(discovery) || nowPushed != pushed) {
                 discovery = config.discovery();
                 pushed = nowPushed;
-                router().follow(watch(router(), NO_VERSION), pushed);
+                router().changeEndpointSource(watch(router(), NO_VERSION), pushed);
             }
             reloadSettings(tuning(config.settings()));
         });
@@ -107,12 +109,12 @@
         List<SettingsReload.Step> steps = SettingsReload.plan(tuning, next, ticker().now());
         SettingsReload.Step blend = steps.get(0);
         SettingsReload.Step settled = steps.get(1);
-        router().retune(blend.classes(), blend.maxAttempts());
+        router().changeSettings(blend.classes(), blend.maxAttempts());
         front.addClasses(blend.classes());
         tuning = new SettingsReload.Tuning(settled.classes(), settled.maxAttempts());
         settling = ticker().after(settled.at() - ticker().now(), () -> {
             settling = null;
-            router().retune(settled.classes(), settled.maxAttempts());
+            router().changeSettings(settled.classes(), settled.maxAttempts());
         });
     }
 }
--- a/src/main/java/kelphollow/program/Scheduler.java
+++ b/src/main/java/kelphollow/program/Scheduler.java
@@ -126,11 +126,11 @@
         loop.execute(() -> {
             shutdownStarted();
             if (shutdown.answerWithin() < Double.POSITIVE_INFINITY) {
-                router.leave(ticker.now() + shutdown.answerWithin());
+                router.startShutdown(ticker.now() + shutdown.answerWithin());
             }
             ticker.after(shutdown.acceptFor(), () -> {
                 server.stop();
-                front.leave(whenLeft);
+                front.shutDown(whenLeft);
             });
         });
     }
--- a/src/main/java/kelphollow/program/StoreCommand.java
+++ b/src/main/java/kelphollow/program/StoreCommand.java
@@ -13,7 +13,8 @@
 import java.util.List;
 import kelphollow.ledger.Ledger;
 import kelphollow.store.Inspection;
-import kelphollow.store.Progress;
+import kelphollow.store.IntegrityReport;
+import kelphollow.store.ProgressListener;
 import kelphollow.store.Snapshot;
 import kelphollow.store.Store;
 import kelphollow.store.StoreFault;
@@ -40,7 +41,7 @@
 
     /** {@code inspect}: what is in it. */
     public static final class Inspect extends StoreTool {
-        @Override int work(PrintStream out, Progress progress) throws IOException, StoreFault {
+        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             Inspection store = Store.inspect(first(), second(), options(), progress);
             out.println("store id=" + store.store() + " generation=" + store.generation() + " sequence="
                 + store.lastSequence() + " time=" + store.time() + " bytes=" + store.length() + " live=" + store.live());
@@ -56,7 +57,7 @@
 
     /** {@code verify}: reads every byte of both copies and changes nothing. */
     public static final class Verify extends StoreTool {
-        @Override int work(PrintStream out, Progress progress) throws IOException, StoreFault {
+        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             Inspection store = Store.inspect(first(), second(), options(), progress);
             print(out, store.report());
             String state = "sound";
@@ -64,7 +65,7 @@
             if (store.report().isDamaged()) {
                 state = "damaged";
                 code = DAMAGED;
-            } else if (store.report().lines().stream().anyMatch(line -> line.what().equals("differs"))) {
+            } else if (store.report().contains(IntegrityReport.Kind.DIFFERS)) {
                 state = "differs";
                 code = DIFFERS;
             }
@@ -80,7 +81,7 @@
         @Option(name = "--table", metaVar = "NAME", usage = "only this table")
         private String only;
 
-        @Override int work(PrintStream out, Progress progress) throws IOException, StoreFault {
+        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             try (Store store = open(progress); Snapshot snapshot = store.snapshot()) {
                 List<String> tables = new ArrayList<>(store.tableNames());
                 tables.removeIf(table -> only != null && !only.equals(table));
@@ -119,7 +120,7 @@
 
     /** {@code compact}: frees what is dead. */
     public static final class Compact extends StoreTool {
-        @Override int work(PrintStream out, Progress progress) throws IOException, StoreFault {
+        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             try (Store store = open(progress)) {
                 Store.Stats before = store.stats();
                 store.compactAll();
@@ -139,7 +140,7 @@
         @Option(name = "--accept-loss", usage = LOSS_USAGE)
         private boolean acceptLoss;
 
-        @Override int work(PrintStream out, Progress progress) throws IOException, StoreFault {
+        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             checkAll();
             try (Store store = acceptLoss ? openAcceptingLoss(progress) : open(progress)) {
                 print(out, store.report());
@@ -152,7 +153,7 @@
             }
         }
 
-        private Store openAcceptingLoss(Progress progress) throws IOException, StoreFault {
+        private Store openAcceptingLoss(ProgressListener progress) throws IOException, StoreFault {
             return Store.openAcceptingLoss(first(), second(), options().withInline(true), System::currentTimeMillis,
                 progress);
         }
--- a/src/main/java/kelphollow/program/StoreConfig.java
+++ b/src/main/java/kelphollow/program/StoreConfig.java
@@ -10,7 +10,7 @@
 import kelphollow.ledger.Ledger;
 import kelphollow.routing.Ticker;
 import kelphollow.store.FolderDisk;
-import kelphollow.store.Report;
+import kelphollow.store.IntegrityReport;
 import kelphollow.store.Store;
 import kelphollow.store.StoreFault;
 import kelphollow.store.StoreOptions;
@@ -57,7 +57,7 @@
     }
 
     private static StoreOptions options(ConfigSection store, boolean checkAll) throws ConfigurationException {
-        StoreOptions usual = StoreOptions.USUAL;
+        StoreOptions usual = StoreOptions.DEFAULTS;
         long largestBatch = store.integer("largest_batch", usual.largestBatch(), MIN_BATCH_BYTES, MAX_BATCH_BYTES);
         return new StoreOptions(
             store.integer("segment_bytes", usual.segmentBytes(), MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES), (int) largestBatch,
@@ -81,8 +81,8 @@
         try {
             Store store = Store.open(new FolderDisk(first), new FolderDisk(second), options,
                 () -> (long) ticker.now());
-            for (Report.Line line : store.report().lines()) {
-                LOG.log(line.what().equals("created") ? Level.INFO : Level.WARNING, "store: {0}", line);
+            for (IntegrityReport.Finding finding : store.report().findings()) {
+                LOG.log(finding.kind() == IntegrityReport.Kind.CREATED ? Level.INFO : Level.WARNING, "store: {0}", finding);
             }
             return Ledger.open(store, loop);
         } catch (StoreFault e) {
--- a/src/main/java/kelphollow/program/StoreTool.java
+++ b/src/main/java/kelphollow/program/StoreTool.java
@@ -5,8 +5,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import kelphollow.store.FolderDisk;
-import kelphollow.store.Progress;
-import kelphollow.store.Report;
+import kelphollow.store.ProgressListener;
+import kelphollow.store.IntegrityReport;
 import kelphollow.store.Store;
 import kelphollow.store.StoreFault;
 import kelphollow.store.StoreOptions;
@@ -34,7 +34,7 @@
     @Argument(index = 1, metaVar = "FOLDER", usage = "the second folder")
     private String secondFolder;
 
-    private StoreOptions options = StoreOptions.USUAL;
+    private StoreOptions options = StoreOptions.DEFAULTS;
     private FolderDisk first;
     private FolderDisk second;
 
@@ -56,7 +56,7 @@
     }
 
     /** Does the tool's work; gives the exit code. */
-    abstract int work(PrintStream out, Progress progress) throws IOException, StoreFault;
+    abstract int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault;
 
     private void findFolders() throws ConfigurationException {
         Path firstPath;
@@ -84,7 +84,7 @@
     }
 
     /** A line a second at most, on the side of the output that scripts do not read. */
-    private static Progress progress(PrintStream err) {
+    private static ProgressListener progress(PrintStream err) {
         long[] lastAt = {System.nanoTime()};
         return (done, total) -> {
             if (System.nanoTime() - lastAt[0] > PROGRESS_INTERVAL_NANOS) {
@@ -111,11 +111,11 @@
     }
 
     /** Opens the store and recovers it, as a start does. */
-    final Store open(Progress progress) throws IOException, StoreFault {
+    final Store open(ProgressListener progress) throws IOException, StoreFault {
         return Store.open(first, second, options.withInline(true), System::currentTimeMillis, progress);
     }
 
-    static void print(PrintStream out, Report report) {
-        report.lines().forEach(out::println);
+    static void print(PrintStream out, IntegrityReport report) {
+        report.findings().forEach(out::println);
     }
 }
--- a/src/main/java/kelphollow/protocol/mgmt/MgmtLine.java
+++ b/src/main/java/kelphollow/protocol/mgmt/MgmtLine.java
@@ -70,7 +70,7 @@
         if (words.length != 2) {
             return new Invalid(verb.word + " takes one storage node's id");
         }
-        return MaintenanceSet.validId(words[1]) ? new Call(verb, words[1])
+        return MaintenanceSet.isValidId(words[1]) ? new Call(verb, words[1])
             : new Invalid("'" + shortened(words[1]) + "' is no id");
     }
 
--- a/src/main/java/kelphollow/protocol/object/NodeExchange.java
+++ b/src/main/java/kelphollow/protocol/object/NodeExchange.java
@@ -74,7 +74,7 @@
         connection = leased;
     }
 
-    @Override public void up(PooledConnection up) {
+    @Override public void connected(PooledConnection up) {
         connection = up;
         if (!attempt.maySend() || transfer.streamsBody() && transfer.isBodyConsumed()) {
             up.release();
@@ -94,7 +94,7 @@
     // ------------------------------------------------------------ the body goes up
 
     private void startBody() {
-        if (uploadState != UploadState.NOT_STARTED || !attempt.isOut()) {
+        if (uploadState != UploadState.NOT_STARTED || !attempt.isInFlight()) {
             return;
         }
         cancelTimer();
@@ -105,7 +105,7 @@
 
     @Override public void piece(ByteBuf piece, boolean last) {
         uploadState = UploadState.PIECE_WRITTEN;
-        if (!attempt.isOut() || responseState != ResponseState.AWAITED) {
+        if (!attempt.isInFlight() || responseState != ResponseState.AWAITED) {
             piece.release();
             return;
         }
@@ -115,7 +115,7 @@
         if (last) {
             requestWritten = write;
             transfer.bodyForwarded();
-            attempt.sentWhole();
+            attempt.requestSent();
         } else {
             requestPiece();
         }
@@ -143,7 +143,7 @@
             if (message instanceof HttpResponse response) {
                 response(response);
             }
-            if (message instanceof HttpContent content && attempt.isOut()) {
+            if (message instanceof HttpContent content && attempt.isInFlight()) {
                 content(content);
             }
         } finally {
@@ -180,7 +180,7 @@
         }
         lastProgressAt = ticker.now();
         watchForStall();
-        attempt.began();
+        attempt.responseStarted();
     }
 
     private boolean startsOrContinues(HttpResponse response) {
@@ -200,7 +200,7 @@
             return;                // the end of an interim response
         }
         if (content.decoderResult().isFailure()) {
-            broken(connection, content.decoderResult().cause());
+            connectionFailed(connection, content.decoderResult().cause());
         } else if (responseState == ResponseState.STREAMING) {
             stream(content);
         } else {
@@ -280,7 +280,7 @@
     }
 
     /** A request whose last byte was not written never ran; a body that is consumed can't be sent again. */
-    @Override public void broken(PooledConnection on, Throwable cause) {
+    @Override public void connectionFailed(PooledConnection on, Throwable cause) {
         cancelTimer();
         boolean neverRan = requestWritten == null || !requestWritten.isSuccess();
         boolean consumed = transfer.isBodyConsumed()
@@ -294,7 +294,7 @@
 
     private void watchForStall() {
         timer = ticker.after(stallTimeout / 2, () -> {
-            if (!attempt.isOut()) {
+            if (!attempt.isInFlight()) {
                 return;
             }
             if (ticker.now() - lastProgressAt < stallTimeout) {
--- a/src/main/java/kelphollow/protocol/object/ObjectBackend.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectBackend.java
@@ -5,19 +5,19 @@
 import kelphollow.routing.Attempt;
 import kelphollow.routing.Backend;
 import kelphollow.routing.Ticker;
-import kelphollow.transport.Pools;
+import kelphollow.transport.ConnectionPools;
 
 /** Carries attempts to object servers over HTTP, each by a {@link NodeExchange}. For the event loop alone. */
 public final class ObjectBackend implements Backend {
     private static final int MAX_HEAD_BYTES = 16 * 1024;
     private static final int MAX_PIECE_BYTES = 16 * 1024;
 
-    private final Pools pools;
+    private final ConnectionPools pools;
     private final Ticker ticker;
     private final double stallTimeout;
 
     /** {@code stallTimeout} is how long a body may make no progress before its attempt is given up, in milliseconds. */
-    public ObjectBackend(Pools pools, Ticker ticker, double stallTimeout) {
+    public ObjectBackend(ConnectionPools pools, Ticker ticker, double stallTimeout) {
         this.pools = pools;
         this.ticker = ticker;
         this.stallTimeout = stallTimeout;
@@ -30,17 +30,17 @@
 
     @Override public void start(Attempt attempt) {
         NodeExchange exchange = new NodeExchange(attempt, ticker, stallTimeout);
-        attempt.carrier = exchange;
-        exchange.connection(pools.lease(attempt.target().endpoint().node(), attempt.target().address(), exchange));
+        attempt.transportHandle = exchange;
+        exchange.connection(pools.acquire(attempt.target().endpoint().node(), attempt.target().address(), exchange));
     }
 
-    @Override public void abandon(Attempt attempt) {
-        if (attempt.carrier instanceof NodeExchange exchange) {
+    @Override public void cancel(Attempt attempt) {
+        if (attempt.transportHandle instanceof NodeExchange exchange) {
             exchange.close();
         }
     }
 
-    @Override public void retire(String node) {
-        pools.retire(node);
+    @Override public void closeIdleConnections(String node) {
+        pools.closeIdle(node);
     }
 }
--- a/src/main/java/kelphollow/protocol/object/ObjectExchange.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectExchange.java
@@ -124,7 +124,7 @@
             answer(e);
             return;
         }
-        Request taken = services.router().take(arrival, transfer, this);
+        Request taken = services.router().submit(arrival, transfer, this);
         routed = finished ? null : taken;
     }
 
@@ -321,7 +321,7 @@
             abortIntent.cancel();
         }
         if (routed != null) {
-            services.router().gone(routed);
+            services.router().clientDisconnected(routed);
             routed = null;
         }
         if (forwarding != null) {
--- a/src/main/java/kelphollow/protocol/object/ObjectFront.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectFront.java
@@ -79,8 +79,8 @@
             .min(Comparator.comparingDouble(ObjectConnection::idleSince)).ifPresent(ObjectConnection::close);
     }
 
-    @Override public void leave(Runnable whenLeft) {
-        whenShutDown = whenLeft;
+    @Override public void shutDown(Runnable whenClosed) {
+        whenShutDown = whenClosed;
         List.copyOf(connections).forEach(ObjectConnection::closeIfIdle);
         checkShutdown();
     }
--- a/src/main/java/kelphollow/protocol/object/UploadQuery.java
+++ b/src/main/java/kelphollow/protocol/object/UploadQuery.java
@@ -39,7 +39,7 @@
             fail(e);
             return;
         }
-        Request taken = router.take(arrival, new Transfer(list, null, client), this);
+        Request taken = router.submit(arrival, new Transfer(list, null, client), this);
         request = pending ? taken : null;
     }
 
@@ -51,7 +51,7 @@
     void cancel() {
         if (pending) {
             pending = false;
-            router.gone(request);
+            router.clientDisconnected(request);
         }
     }
 
--- a/src/main/java/kelphollow/protocol/resp/ReplySlot.java
+++ b/src/main/java/kelphollow/protocol/resp/ReplySlot.java
@@ -36,7 +36,7 @@
     void submit(RequestArrived arrival, RespCommand command) {
         counted = true;
         connection.requestOpened();
-        Request submitted = router.take(arrival, new RespCall(command, this), this);
+        Request submitted = router.submit(arrival, new RespCall(command, this), this);
         request = reply == null ? submitted : null;
     }
 
@@ -116,7 +116,7 @@
     void disconnected() {
         intake.release(id);
         if (request != null) {
-            router.gone(request);
+            router.clientDisconnected(request);
             request = null;
         }
         if (value != null) {
--- a/src/main/java/kelphollow/protocol/resp/RespBackend.java
+++ b/src/main/java/kelphollow/protocol/resp/RespBackend.java
@@ -4,15 +4,15 @@
 import kelphollow.routing.Attempt;
 import kelphollow.routing.Backend;
 import kelphollow.routing.Ticker;
-import kelphollow.transport.Pools;
+import kelphollow.transport.ConnectionPools;
 
 /** Carries attempts to the platform's storage nodes, each by a {@link RespExchange}. For the event loop alone. */
 public final class RespBackend implements Backend {
-    private final Pools pools;
+    private final ConnectionPools pools;
     private final Ticker ticker;
 
     /** A backend over these connections, whose codec must be that of {@link #codec}. */
-    public RespBackend(Pools pools, Ticker ticker) {
+    public RespBackend(ConnectionPools pools, Ticker ticker) {
         this.pools = pools;
         this.ticker = ticker;
     }
@@ -24,17 +24,17 @@
 
     @Override public void start(Attempt attempt) {
         RespExchange exchange = new RespExchange(attempt, ticker);
-        attempt.carrier = exchange;
-        exchange.connection(pools.lease(attempt.target().endpoint().node(), attempt.target().address(), exchange));
+        attempt.transportHandle = exchange;
+        exchange.connection(pools.acquire(attempt.target().endpoint().node(), attempt.target().address(), exchange));
     }
 
-    @Override public void abandon(Attempt attempt) {
-        if (attempt.carrier instanceof RespExchange exchange) {
+    @Override public void cancel(Attempt attempt) {
+        if (attempt.transportHandle instanceof RespExchange exchange) {
             exchange.close();
         }
     }
 
-    @Override public void retire(String node) {
-        pools.retire(node);
+    @Override public void closeIdleConnections(String node) {
+        pools.closeIdle(node);
     }
 }
--- a/src/main/java/kelphollow/protocol/resp/RespExchange.java
+++ b/src/main/java/kelphollow/protocol/resp/RespExchange.java
@@ -43,7 +43,7 @@
         connection = leased;
     }
 
-    @Override public void up(PooledConnection up) {
+    @Override public void connected(PooledConnection up) {
         connection = up;
         if (!attempt.maySend()) {
             up.release();
@@ -60,12 +60,12 @@
     @Override public void received(PooledConnection on, Object message) {
         if (message instanceof StreamedValueSplitter.Head head) {
             value = new StreamedValue(head.length(), on.channel(), ticker);
-            partly(on);
+            partialMessage(on);
         } else if (message instanceof ByteBuf bytes) {
             attempt.progressed();
-            partly(on);
+            partialMessage(on);
             if (value.take(bytes) && !value.isAnnounced()) {
-                attempt.began();
+                attempt.responseStarted();
                 value.announce(call().receiver());
             }
         } else {
@@ -109,7 +109,7 @@
     }
 
     /** Guards against a reply that begins and never ends, such as a length that announces too much. */
-    @Override public void partly(PooledConnection on) {
+    @Override public void partialMessage(PooledConnection on) {
         incompleteSince = ticker.now();
         if (stallTimer == null) {
             stallTimer = ticker.after(REPLY_STALL, this::checkStall);
@@ -143,7 +143,7 @@
      * A connection that ends before the last byte was written proves that the attempt never ran. Noise in place of a reply
      * is an error, no sign of a dead node.
      */
-    @Override public void broken(PooledConnection on, Throwable cause) {
+    @Override public void connectionFailed(PooledConnection on, Throwable cause) {
         cancelTimer();
         boolean neverRan = commandWritten == null || !commandWritten.isSuccess();
         discardUnannounced();
--- a/src/main/java/kelphollow/protocol/resp/RespFront.java
+++ b/src/main/java/kelphollow/protocol/resp/RespFront.java
@@ -88,8 +88,8 @@
         }
     }
 
-    @Override public void leave(Runnable whenLeft) {
-        whenShutDown = whenLeft;
+    @Override public void shutDown(Runnable whenClosed) {
+        whenShutDown = whenClosed;
         List.copyOf(connections).forEach(RespConnection::flushReplies);
         checkShutdown();
     }
--- a/src/main/java/kelphollow/protocol/resp/RespWarmup.java
+++ b/src/main/java/kelphollow/protocol/resp/RespWarmup.java
@@ -38,8 +38,8 @@
         long end = System.nanoTime() + MAX_NANOS;
         SimulatedWorld world = new SimulatedWorld();
         RequestRouter router = new RequestRouter(new Control(settings, seed, world.now()), world, world);
-        router.mute();
-        router.learn(endpoints(), true, true);
+        router.disableLogging();
+        router.restoreEndpoints(endpoints());
         router.start(() -> {}, false);
         EmbeddedChannel client = new EmbeddedChannel();
         new RespFront(router, world, settings, 1).accept(client);
@@ -121,11 +121,11 @@
             pending.add(attempt);
         }
 
-        @Override public void abandon(Attempt attempt) {
+        @Override public void cancel(Attempt attempt) {
             pending.remove(attempt);
         }
 
-        @Override public void retire(String name) {}
+        @Override public void closeIdleConnections(String name) {}
 
         void advance(double millis) {
             now += millis;
--- a/src/test/java/kelphollow/program/ServerHarness.java
+++ b/src/test/java/kelphollow/program/ServerHarness.java
@@ -20,7 +20,7 @@
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
 import kelphollow.decision.ControlSettings;
-import kelphollow.protocol.discovery.DiscoveryListParser;
+import kelphollow.protocol.discovery.DiscoveryList;
 import kelphollow.protocol.json.Json;
 import kelphollow.routing.RequestRouter;
 import kelphollow.routing.ResolvedEndpoint;
@@ -75,12 +75,12 @@
             "window", 4000.0, "worth", 2.0, "late_share", 0.1));
         settings.put("request_classes", classes);
         harness.config = platformConfig(discovery == null ? new InetSocketAddress("127.0.0.1", 1) : discovery,
-            new DiscoveryListParser(1, true, members), SettingsConfig.read(settings));
+            new DiscoveryList(1, true, members), SettingsConfig.read(settings));
         harness.start(PlatformScheduler.start(harness.config, harness.loop, harness.ticker));
         return harness;
     }
 
-    private static PlatformConfig platformConfig(InetSocketAddress discovery, DiscoveryListParser known,
+    private static PlatformConfig platformConfig(InetSocketAddress discovery, DiscoveryList known,
         ControlSettings settings) {
         return new PlatformConfig("test", null, discovery, 1, SOCKETS, DIAL_TIMEOUT_MS, IDLE_TIME_MS, known, settings,
             PlatformConfig.Operations.NONE);
@@ -97,8 +97,8 @@
     }
 
     /** A whole list, as if discovery told it; on the loop. */
-    void learn(List<ResolvedEndpoint> whole) {
-        router.learn(whole, true, false);
+    void learn(List<ResolvedEndpoint> complete) {
+        router.updateEndpoints(complete, true);
     }
 
     /** The task runs when all that the loop's next turn reads has been dealt with, before it reads again; on the loop. */
