--- a/src/main/java/kelphollow/protocol/object/ObjectBackend.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectBackend.java
@@ -30,12 +30,12 @@
 
     @Override public void start(Attempt attempt) {
         NodeExchange exchange = new NodeExchange(attempt, ticker, stallTimeout);
-        attempt.transportHandle = exchange;
+        attempt.attach(exchange);
         exchange.connection(pools.acquire(attempt.target().endpoint().node(), attempt.target().address(), exchange));
     }
 
     @Override public void cancel(Attempt attempt) {
-        if (attempt.transportHandle instanceof NodeExchange exchange) {
+        if (attempt.transportHandle() instanceof NodeExchange exchange) {
             exchange.close();
         }
     }
--- a/src/main/java/kelphollow/protocol/resp/RespBackend.java
+++ b/src/main/java/kelphollow/protocol/resp/RespBackend.java
@@ -24,12 +24,12 @@
 
     @Override public void start(Attempt attempt) {
         RespExchange exchange = new RespExchange(attempt, ticker);
-        attempt.transportHandle = exchange;
+        attempt.attach(exchange);
         exchange.connection(pools.acquire(attempt.target().endpoint().node(), attempt.target().address(), exchange));
     }
 
     @Override public void cancel(Attempt attempt) {
-        if (attempt.transportHandle instanceof RespExchange exchange) {
+        if (attempt.transportHandle() instanceof RespExchange exchange) {
             exchange.close();
         }
     }
