--- a/src/main/java/kelphollow/program/MaintenanceFile.java
+++ b/src/main/java/kelphollow/program/MaintenanceFile.java
@@ -62,7 +62,7 @@
             lastText = text;
             return nodes;
         } catch (IllegalArgumentException e) {
-            LOG.fine(() -> "maintenance file not complete yet: " + e.getMessage());
+            LOG.fine(() -> "bans file not taken yet: " + e.getMessage());
             return null;
         }
     }
--- a/src/test/java/kelphollow/program/ClientCrossingTest.java
+++ b/src/test/java/kelphollow/program/ClientCrossingTest.java
@@ -41,7 +41,7 @@
         return client;
     }
 
-    @Test void aClientThatAsksMoreThanIsHeldOpenAndGoesIsSeenToGo() throws Exception {
+    @Test void aClientThatSendsMoreThanMayBeOpenAndDisconnectsIsSeenToGo() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             ScriptedPeer.Line client = greeted(clients, harness);
@@ -57,7 +57,7 @@
         }
     }
 
-    @Test void whatIsAskedBeyondTheOpenOnesIsRefusedInItsTurn() throws Exception {
+    @Test void requestsBeyondTheOpenOnesAreRejectedInTheirTurn() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness harness = ServerHarness.resp(null, NOBODY)) {
             ScriptedPeer.Line client = greeted(clients, harness);
             CountDownLatch go = hold(harness);
@@ -79,7 +79,7 @@
         }
     }
 
-    @Test void aCommandWithItsClientsEndRightBehindIsNotSentOn() throws Exception {
+    @Test void aCommandWithItsClientsEndRightBehindIsNotForwarded() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             ScriptedPeer.Line client = greeted(clients, harness), other = greeted(clients, harness);
@@ -92,7 +92,7 @@
         }
     }
 
-    @Test void aRequestThatCrossesTheCloseOfItsRestingConnectionIsNeitherSentOnNorReset() throws Exception {
+    @Test void aRequestThatCrossesTheCloseOfItsIdleConnectionIsNeitherForwardedNorReset() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             ScriptedPeer.Line client = greeted(clients, harness);
--- a/src/test/java/kelphollow/program/EndBehindTest.java
+++ b/src/test/java/kelphollow/program/EndBehindTest.java
@@ -51,7 +51,7 @@
         }
     }
 
-    @Test void aCommandOfAClientThatHasGoneIsNotSentOn() throws Exception {
+    @Test void aCommandOfAClientThatHasGoneIsNotForwarded() throws Exception {
         for (boolean known : List.of(true, false)) {
             for (Map.Entry<String, End> end : ENDS.entrySet()) {
                 try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
@@ -65,7 +65,7 @@
         }
     }
 
-    @Test void anObjectRequestOfAClientThatHasGoneIsNotSentOn() throws Exception {
+    @Test void anObjectRequestOfAClientThatHasGoneIsNotForwarded() throws Exception {
         List<String> requests = List.of(request("GET", "left", ""), request("PUT", "left", "body"),
             request("DELETE", "left", ""));
         for (String asked : requests) {
@@ -120,7 +120,7 @@
     }
 
     /** A request that crosses the close of its resting connection: a clean end, and the node hears nothing of it. */
-    @Test void anObjectRequestThatCrossesTheCloseOfItsRestingConnectionIsNotSentOn() throws Exception {
+    @Test void anObjectRequestThatCrossesTheCloseOfItsIdleConnectionIsNotForwarded() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = objects(node)) {
             ScriptedPeer.Line client = clients.connect(harness.address);
--- a/src/test/java/kelphollow/program/EndOfTimeTest.java
+++ b/src/test/java/kelphollow/program/EndOfTimeTest.java
@@ -34,7 +34,7 @@
         assertTrue(client.until("\r\n").startsWith("-"), state);
     }
 
-    @Test void whatIsHeldSentOrAnsweredHalfHasItsAnswerInItsTime() throws Exception {
+    @Test void whatIsQueuedSentOrAnsweredInPartHasItsAnswerInItsTime() throws Exception {
         Map<String, Integer> deadlines = Map.of("dump-read", 1_200, "dump-write", 3_000, "dump-export", 5_000,
             "keyed", 3_000);
         for (Map.Entry<String, Integer> kind : deadlines.entrySet()) {
--- a/src/test/java/kelphollow/program/LimitHandoverFileTest.java
+++ b/src/test/java/kelphollow/program/LimitHandoverFileTest.java
@@ -6,15 +6,23 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** The text by which limits' tokens are handed over. */
 class LimitHandoverFileTest {
-    @Test void levelsSurviveAndACutTextIsRefused() {
-        Map<String, Double> levels = Map.of("00000003b4d60021", 12.5, "00000003b4d60022", -3.0);
-        String text = LimitHandoverFile.text(levels);
-        assertEquals(levels, LimitHandoverFile.read(text));
-        for (int cut = 0; cut < text.length(); cut++) {
-            String part = text.substring(0, cut);
-            assertThrows(IllegalArgumentException.class, () -> LimitHandoverFile.read(part), part);
+    private static final Map<String, Double> TOKENS = Map.of("00000003b4d60021", 12.5, "00000003b4d60022", -3.0);
+
+    @Test void tokensAreReadAsTheyWereWritten() {
+        assertEquals(TOKENS, LimitHandoverFile.read(LimitHandoverFile.text(TOKENS)));
+    }
+
+    @Test void aTextThatIsTruncatedAnywhereIsRejected() {
+        String text = LimitHandoverFile.text(TOKENS);
+        for (int length = 0; length < text.length(); length++) {
+            String truncated = text.substring(0, length);
+            assertThrows(IllegalArgumentException.class, () -> LimitHandoverFile.read(truncated), truncated);
         }
+    }
+
+    @Test void aLineWithoutANumberIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> LimitHandoverFile.read("v\nend\n"));
     }
 }
--- a/src/test/java/kelphollow/program/NodeResetTest.java
+++ b/src/test/java/kelphollow/program/NodeResetTest.java
@@ -42,7 +42,7 @@
         }
     }
 
-    @Test void aWriteIsAnsweredOnceAndNeverSentAgainWhereverItsAnswerBreaksOff() throws Exception {
+    @Test void aWriteIsAnsweredOnceAndNeverSentAgainWhereverItsAnswerIsTruncated() throws Exception {
         with(ANSWER.length(), (node, client, harness) -> {
             for (int bytes = 0; bytes < ANSWER.length(); bytes++) {
                 client.send(put(bytes));
@@ -55,7 +55,7 @@
         });
     }
 
-    @Test void anAnswerWholeInTheReadThatBringsItsResetIsServed() throws Exception {
+    @Test void anAnswerCompleteInTheReadThatBringsItsResetIsServed() throws Exception {
         with(1, (node, client, harness) -> {
             client.send(put(0));
             ScriptedPeer.Line attempt = node.accept();
--- a/src/test/java/kelphollow/program/ObjectFrontTest.java
+++ b/src/test/java/kelphollow/program/ObjectFrontTest.java
@@ -118,7 +118,7 @@
     }
 
     /** Guards against a head of which only a part has come: the connection stood still for good. */
-    @Test void aHeadInPiecesIsPutTogetherAndOneWithoutEndIsRefused() throws Exception {
+    @Test void aHeadInSegmentsIsPutTogetherAndOneWithoutEndIsRejected() throws Exception {
         for (String piece : new String[] {"GET /symb", "ols/a HTTP/1.1\r\nHo", "st: h\r\n\r\n"}) {
             client.socket.getOutputStream().write(piece.getBytes());
             ServerHarness.turn(harness.loop);
@@ -139,7 +139,7 @@
         assertEquals(0, client.answer().status(), "closed without an answer");
     }
 
-    @Test void badInputGetsAnErrorOnItsConnectionOnly() throws Exception {
+    @Test void invalidInputGetsAnErrorOnItsConnectionOnly() throws Exception {
         for (String[] bad : new String[][] {{"GET /nowhere/a", "", "404"}, {"PATCH /symbols/a", "", "405"},
             {"GET /symbols", "", "501"}, {"GET /symbols/a?acl", "", "501"},
             {"PUT /symbols/a", "Transfer-Encoding: chunked\r\n", "411"}, {"PUT /symbols/a", "", "411"},
@@ -157,7 +157,7 @@
 
     // ---------------------------------------------------------------- a range that is cut mid-body
 
-    @Test void aCutRangeGoesOnAtItsOffsetAndTheClientSeesNothing() throws Exception {
+    @Test void aTruncatedRangeGoesOnAtItsOffsetAndTheClientSeesNothing() throws Exception {
         server.faults.add(new Fault("GET", Kind.CUT, 4, null));
         client.send("GET /symbols/a", "Range: bytes=10-19\r\n", null);
         assertEquals("GET /symbols/a HTTP/1.1 bytes=10-19", server.seen.take());
@@ -167,7 +167,7 @@
         assertEquals("abcdefghij", answer.text());
     }
 
-    @Test void aWholeObjectThatIsCutTwiceGoesOnBothTimes() throws Exception {
+    @Test void aCompleteObjectThatIsTruncatedTwiceGoesOnBothTimes() throws Exception {
         server.faults.add(new Fault("GET", Kind.CUT, 5, null));
         server.faults.add(new Fault("GET", Kind.CUT, 6, null));
         client.send("GET /symbols/a", "", null);
@@ -178,7 +178,7 @@
     }
 
     /** Guards against gluing two versions of an object together. */
-    @Test void aCutRangeOfAnObjectThatHasChangedEndsShort() throws Exception {
+    @Test void aTruncatedRangeOfAnObjectThatHasChangedEndsShort() throws Exception {
         server.afterCut = () -> server.objects.put("/symbols/a", new Stored("other".repeat(10).getBytes(), "\"e2\""));
         server.faults.add(new Fault("GET", Kind.CUT, 4, null));
         client.send("GET /symbols/a", "Range: bytes=10-19\r\n", null);
@@ -190,7 +190,7 @@
         assertEquals("abcd", answer.text());
     }
 
-    @Test void aCutRangeEndsShortOnceTheModuleGrantsNoMore() throws Exception {
+    @Test void aTruncatedRangeEndsShortOnceTheModuleGrantsNoMore() throws Exception {
         for (int i = 0; i < 3; i++) {
             server.faults.add(new Fault("GET", Kind.CUT, 1, null));
         }
@@ -254,7 +254,7 @@
         assertEquals(1, server.seen.size(), "the server was asked once");
     }
 
-    @Test void aPartOfUnknownOutcomeIsAskedForBeforeItIsSentAgain() throws Exception {
+    @Test void aPartOfUnknownOutcomeIsQueriedBeforeItIsSentAgain() throws Exception {
         String id = begin("/symbols/m"), line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
         server.faults.add(Fault.of("PUT", Kind.CRASH_AFTER));
         assertEquals(502, client.call(line, "", CONTENT).status());
@@ -266,7 +266,7 @@
     }
 
     /** Guards against an attempt that is still at work when its absence is seen. */
-    @Test void aPartThatMayStillBeAtWorkIsRefusedUntilItCannotBe() throws Exception {
+    @Test void aPartThatMayStillBeAtWorkIsRejectedUntilItCannotBe() throws Exception {
         String id = begin("/symbols/m"), line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
         server.faults.add(Fault.of("PUT", Kind.CRASH_BEFORE));
         assertEquals(502, callInTime(line, CONTENT).status());
@@ -279,7 +279,7 @@
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
 
-    @Test void afterARestartPartsAreAskedForBeforeTheyAreSent() throws Exception {
+    @Test void afterARestartPartsAreQueriedBeforeTheyAreSent() throws Exception {
         String id = begin("/symbols/m"), line = "PUT /symbols/m?partNumber=";
         assertEquals(200, client.call(line + "1&uploadId=" + id, "", CONTENT).status());
         client.close();
@@ -305,7 +305,7 @@
         hold.gate().countDown();
     }
 
-    @Test void aServerThatCrashesFailsAWriteAndAReadIsRefusedWithAdvice() throws Exception {
+    @Test void aServerThatCrashesFailsAWriteAndAReadIsRejectedWithAdvice() throws Exception {
         server.faults.add(Fault.of("PUT", Kind.CRASH_BEFORE));
         assertEquals(502, client.call("PUT /symbols/b", "", CONTENT).status());
         assertEquals(1, server.seen.size(), "a write that may have run is not sent again");
@@ -316,7 +316,7 @@
     }
 
     /** Guards against sending a body again of which a part is gone. */
-    @Test void aWriteThatIsTurnedAwayBeforeItsBodyIsTriedAgain() throws Exception {
+    @Test void aWriteThatIsRejectedBeforeItsBodyIsRetried() throws Exception {
         server.faults.add(Fault.of("PUT", Kind.REFUSE));
         client.send("PUT /symbols/b", "", CONTENT);
         nextSeen();
--- /dev/null
+++ b/src/test/java/kelphollow/program/ProcessHandoverTest.java
@@ -0,0 +1,54 @@
+package kelphollow.program;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.attribute.FileTime;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Two processes of an upgrade, as two sides in one test, sharing one folder. */
+@Timeout(20)
+class ProcessHandoverTest {
+    private static final long OLD_PID = 100;
+    private static final long NEXT_PID = 200;
+    @TempDir
+    Path folder;
+
+    private ProcessHandover process(long pid) {
+        return new ProcessHandover(folder, pid);
+    }
+
+    @Test void theNextProcessFindsTheOldOneAndTakesItsTokens() throws Exception {
+        ProcessHandover old = process(OLD_PID);
+        ProcessHandover next = process(NEXT_PID);
+
+        old.showAlive();
+        assertEquals(OLD_PID, next.otherProcess(), "the old one shows that it lives");
+        assertEquals(-1, old.otherProcess(), "and sees none but itself");
+
+        old.handOver(Map.of("v1", 3.5, "v2", 0.0));
+        assertEquals(Map.of("v1", 3.5, "v2", 0.0), next.await(OLD_PID, 5_000));
+    }
+
+    @Test void aProcessThatShowsNoLifeIsNotWaitedFor() throws Exception {
+        ProcessHandover next = process(NEXT_PID);
+        process(OLD_PID).showAlive();
+        Files.setLastModifiedTime(folder.resolve("kelphollow-alive-" + OLD_PID),
+            FileTime.fromMillis(System.currentTimeMillis() - 5_000));
+
+        assertEquals(-1, next.otherProcess(), "killed long ago");
+        assertEquals(Map.of(), next.await(OLD_PID, 5_000), "it hands nothing over, and nothing is waited for");
+    }
+
+    @Test void aTruncatedHandoverIsNotTaken() throws Exception {
+        ProcessHandover next = process(NEXT_PID);
+        process(OLD_PID).showAlive();
+        Files.writeString(folder.resolve("kelphollow-handover-" + OLD_PID), "v1 3.5\n");
+
+        assertEquals(Map.of(), next.await(OLD_PID, 100), "truncated: waited for until the time is up");
+    }
+}
--- a/src/test/java/kelphollow/program/ReloadCrossingTest.java
+++ b/src/test/java/kelphollow/program/ReloadCrossingTest.java
@@ -72,7 +72,7 @@
     }
 
     /** The drain comes between the dial and the connection's coming up; the first byte is looked at again. */
-    @Test void aRequestThatIsBeingDialledWhenTheDrainIsToldGoesElsewhere() throws Exception {
+    @Test void aRequestThatIsBeingDialledWhenItsDrainIsReportedGoesElsewhere() throws Exception {
         try (ScriptedPeer old = new ScriptedPeer(); ScriptedPeer first = new ScriptedPeer();
              ScriptedPeer second = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(old.address(), first.address())) {
@@ -125,7 +125,7 @@
     }
 
     /** What was read before the reload binds until the new list says otherwise; that one is whole and stands alone. */
-    @Test void aDrainInTheOldServicesLastWordsBindsUntilTheNewListComes() throws Exception {
+    @Test void aDrainInTheOldServicesLastResponseBindsUntilTheNewListComes() throws Exception {
         for (String mode : MODES) {
             try (ScriptedPeer old = new ScriptedPeer(); ScriptedPeer next = new ScriptedPeer();
                  ScriptedPeer first = new ScriptedPeer(); ScriptedPeer second = new ScriptedPeer();
--- a/src/test/java/kelphollow/program/SecondTermTest.java
+++ b/src/test/java/kelphollow/program/SecondTermTest.java
@@ -85,11 +85,11 @@
         ProcessHandover old = new ProcessHandover(folder, 100);
         ProcessHandover next = new ProcessHandover(folder, 200);
         old.showAlive();
-        String whole = LimitHandoverFile.text(Map.of("v1", 3.5, "v2", 0.0));
+        String complete = LimitHandoverFile.text(Map.of("v1", 3.5, "v2", 0.0));
         Files.setLastModifiedTime(folder.resolve("kelphollow-alive-100"),
             FileTime.fromMillis(System.currentTimeMillis() - 5_000));
-        for (int bytes = 0; bytes <= whole.length(); bytes++) {
-            Files.writeString(folder.resolve("kelphollow-handover.part"), whole.substring(0, bytes));
+        for (int bytes = 0; bytes <= complete.length(); bytes++) {
+            Files.writeString(folder.resolve("kelphollow-handover.part"), complete.substring(0, bytes));
             assertEquals(Map.of(), next.await(100, 60_000), bytes + " bytes");
         }
         old.handOver(Map.of("v1", 3.5));                      // over what another left there
--- a/src/test/java/kelphollow/program/SlowWriterTest.java
+++ b/src/test/java/kelphollow/program/SlowWriterTest.java
@@ -26,7 +26,7 @@
         ServerHarness.turn(harness.loop);
     }
 
-    @Test void aCommandCutAtAnyByteIsServedThoughItsWriterRestsBetween() throws Exception {
+    @Test void aCommandCutAtAnyByteIsServedThoughItsWriterPausesBetween() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             ScriptedPeer.Line client = clients.connect(harness.address);
@@ -48,7 +48,7 @@
     }
 
     /** A rest is none of the command's time, wherever the first piece ends. */
-    @Test void aClientThatHasRestedIsGivenAsLongForItsNextCommand() throws Exception {
+    @Test void aClientThatHasBeenIdleIsGivenAsLongForItsNextCommand() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, ClientCrossingTest.NOBODY)) {
             for (int cut = 1; cut < PING.length(); cut++) {
@@ -65,7 +65,7 @@
     }
 
     /** Nothing was taken: the client sees a clean end, and what it still sends is neither sent on nor reset. */
-    @Test void halfACommandThatStandsStillForLongerEndsCleanlyAndIsNotSentOn() throws Exception {
+    @Test void halfACommandThatStandsStillForLongerEndsCleanlyAndIsNotForwarded() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             String command = ClientCrossingTest.get("half");
@@ -125,7 +125,7 @@
         }
     }
 
-    @Test void anObjectClientThatHasRestedIsGivenAsLongForItsNextHead() throws Exception {
+    @Test void anObjectClientThatHasBeenIdleIsGivenAsLongForItsNextHead() throws Exception {
         String get = "GET /symbols/none HTTP/1.1\r\nHost: h\r\n\r\n";
         try (FakeObjectServer server = new FakeObjectServer(); ServerHarness harness = objects(server, 10_000)) {
             for (int rested = 8_500; rested < 10_000; rested += 300) {
@@ -144,7 +144,7 @@
         }
     }
 
-    @Test void halfAHeadOfTheObjectApiEndsCleanlyAndIsNotSentOn() throws Exception {
+    @Test void halfAHeadOfTheObjectApiEndsCleanlyAndIsNotForwarded() throws Exception {
         String get = "GET /symbols/none HTTP/1.1\r\nHost: h\r\n\r\n";
         try (FakeObjectServer server = new FakeObjectServer(); ServerHarness harness = objects(server, 2_500)) {
             for (int cut = 1; cut < get.length(); cut++) {
--- a/src/test/java/kelphollow/program/StartTest.java
+++ b/src/test/java/kelphollow/program/StartTest.java
@@ -23,7 +23,7 @@
     @TempDir
     Path folder;
 
-    @Test void aStartWaitsForTheFirstWordOfDiscoveryBeItAListOrARefusal() throws Exception {
+    @Test void aStartWaitsForTheFirstResponseOfDiscoveryBeItAListOrARejection() throws Exception {
         try (ScriptedPeer discovery = new ScriptedPeer();
              ServerHarness harness = ServerHarness.respWith("automatic", discovery.address())) {
             ScriptedPeer.Line call = discovery.accept();
@@ -82,7 +82,7 @@
         return text.substring(text.indexOf('{', at), text.lastIndexOf('}'));
     }
 
-    @Test void aMalformedFigureOfTheSettingsIsNamed() throws Exception {
+    @Test void aMalformedNumberOfTheSettingsIsNamed() throws Exception {
         for (List<String> fault : List.of(List.of("request_classes", "window"), List.of("request_classes", "worth"),
             List.of("grades", "ceiling_rate"), List.of("contract", "fall"), List.of("extra", "young_limit"),
             List.of("ceilings", "open_cap"))) {
--- a/src/test/java/kelphollow/program/StoreRestartTest.java
+++ b/src/test/java/kelphollow/program/StoreRestartTest.java
@@ -138,7 +138,7 @@
         assertEquals(List.of(part(id, 2) + " HTTP/1.1"), List.copyOf(server.seen));
     }
 
-    @Test void aPartThatWasOutWhenTheGatewayDiedIsAskedForAndNeverSentBlind() throws Exception {
+    @Test void aPartThatWasInFlightWhenTheGatewayDiedIsQueriedAndNeverSentBlind() throws Exception {
         String id = upload();
         Fault hold = Fault.of("PUT", Kind.HOLD);
         server.faults.add(hold);
@@ -186,7 +186,7 @@
         assertTrue(server.seen.isEmpty(), "nobody was asked");
     }
 
-    @Test void aCompletionThatWasOutWhenTheGatewayDiedIsLookedForFirst() throws Exception {
+    @Test void aCompletionThatWasInFlightWhenTheGatewayDiedIsQueriedFirst() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         String line = "POST /symbols/m?uploadId=" + id;
@@ -207,7 +207,7 @@
         assertArrayEquals(CONTENT, server.objects.get("/symbols/m").bytes());
     }
 
-    @Test void aCompletionOfUnknownOutcomeIsAskedForBeforeItIsSentAgain() throws Exception {
+    @Test void aCompletionOfUnknownOutcomeIsQueriedBeforeItIsSentAgain() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         String line = "POST /symbols/m?uploadId=" + id;
@@ -229,7 +229,7 @@
         assertEquals(404, client.call(part(id, 1), "", CONTENT).status());
     }
 
-    @Test void aSecondProgramOnTheFoldersIsRefusedAndTheKeyNamed() {
+    @Test void aSecondProgramOnTheFoldersIsRejectedAndTheKeyNamed() {
         ConfigurationException thrown = assertThrows(ConfigurationException.class,
             () -> ServerHarness.objects(Map.of("store", store()), server.address()));
         assertTrue(thrown.getMessage().startsWith("store.folders: "), thrown.getMessage());
--- a/src/test/java/kelphollow/program/StreamedValueTest.java
+++ b/src/test/java/kelphollow/program/StreamedValueTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Values that are longer than what may be held, with clients and nodes that are slow over them. */
+/** Values that are too long to be buffered, with clients and nodes that are slow over them. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class StreamedValueTest {
     private static final int LENGTH = 4 * 1024 * 1024;
@@ -67,24 +67,24 @@
         return all;
     }
 
-    @Test void aClientThatDoesNotReadHoldsNodesBackAndCostsNoMemory() throws Exception {
+    @Test void aClientThatDoesNotReadStallsNodesAndCostsNoMemory() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
              ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
              Socket slow = client(harness)) {
             long before = PlatformDependent.usedDirectMemory();
             int values = 3;                    // more than the kernel's buffers hold, as many as may be out at once
             List<AtomicLong> written = new ArrayList<>();
-            List<Socket> asked = new ArrayList<>();
+            List<Socket> nodes = new ArrayList<>();
             for (int i = 0; i < values; i++) {
                 slow.getOutputStream().write(get("" + i));
-                asked.add(listener.accept());  // before any value flows: a client that does not read is not read either
+                nodes.add(listener.accept());  // before any value streams: a client that does not read is not read either
             }
-            for (Socket node : asked) {
+            for (Socket node : nodes) {
                 AtomicLong sent = new AtomicLong();
                 written.add(sent);
                 node(node, answer(), sent);
             }
-            still(written, harness);
+            awaitStandstill(written, harness);
             long direct = PlatformDependent.usedDirectMemory() - before;
             assertTrue(direct < 3 * 1024 * 1024, direct + " bytes of direct memory for " + values + " values of 4 MiB");
             try (Socket other = client(harness)) {
@@ -104,22 +104,22 @@
     }
 
     /**
-     * Returns when all buffers on the way are full: nothing has moved for 100 looks of 5 ms, though the loop has run in each
-     * of them, and each node has written four times what must come before a value begins to flow.
+     * Returns when all buffers on the way are full: nothing has moved for 100 polls of 5 ms, though the loop has run in each
+     * of them, and each node has written four times what must come before a value begins to stream.
      */
-    private static void still(List<AtomicLong> written, ServerHarness harness) throws InterruptedException {
+    private static void awaitStandstill(List<AtomicLong> written, ServerHarness harness) throws InterruptedException {
         long last = -1;
         for (int same = 0; same < 100;) {
             long now = written.stream().mapToLong(AtomicLong::get).sum();
             ServerHarness.turn(harness.loop);
-            boolean flows = written.stream().allMatch(bytes -> bytes.get() > LENGTH / 16);
-            same = flows && now == last ? same + 1 : 0;
+            boolean streams = written.stream().allMatch(bytes -> bytes.get() > LENGTH / 16);
+            same = streams && now == last ? same + 1 : 0;
             last = now;
             Thread.sleep(5);
         }
     }
 
-    @Test void whatBreaksOffBeforeAnythingWasPassedOnIsAskedForAnew() throws Exception {
+    @Test void whatBreaksOffBeforeAnythingWasForwardedIsRequestedAnew() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
              ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
              Socket client = client(harness)) {
@@ -129,15 +129,15 @@
                 node.getOutputStream().write(("*3\r\n$" + LENGTH + "\r\nvvvv").getBytes(StandardCharsets.US_ASCII));
             }
             listener.setSoTimeout(1);
-            Socket again = null;
-            while (again == null) {            // the clock moves until it is asked for again
+            Socket second = null;
+            while (second == null) {           // the clock moves until it is requested again
                 try {
-                    again = listener.accept();
+                    second = listener.accept();
                 } catch (java.net.SocketTimeoutException e) {
                     harness.ticker.advance(1);
                 }
             }
-            try (Socket node = again) {
+            try (Socket node = second) {
                 node.getInputStream().readNBytes(get("i").length - 5);
                 node.getOutputStream().write("*3\r\n$3\r\nnew\r\n$-1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII));
                 assertEquals("$3\r\nnew\r\n", new String(client.getInputStream().readNBytes(9), StandardCharsets.US_ASCII));
@@ -145,14 +145,14 @@
         }
     }
 
-    @Test void aClientThatTakesNothingForTenSecondsIsLetGoAndTheNodeWithIt() throws Exception {
+    @Test void aClientThatTakesNothingForTenSecondsIsClosedAndTheNodeWithIt() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
              ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
              Socket slow = client(harness)) {
             AtomicLong written = new AtomicLong();
             slow.getOutputStream().write(get("i"));
             node(listener.accept(), answer(), written);
-            still(List.of(written), harness);
+            awaitStandstill(List.of(written), harness);
             harness.ticker.advance(13_000);
             while (written.get() >= 0) {
                 Thread.sleep(5);
@@ -162,7 +162,7 @@
         }
     }
 
-    @Test void aClientThatGoesAwayInTheMiddleLeavesNothingBehind() throws Exception {
+    @Test void aClientThatDisconnectsInTheMiddleLeavesNothingBehind() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
              ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress())) {
             long before = PlatformDependent.usedDirectMemory();
@@ -173,7 +173,7 @@
                 client.getInputStream().readNBytes(70_000);
             }
             while (written.get() >= 0) {
-                Thread.sleep(5);               // the node sees that it is given up
+                Thread.sleep(5);               // the node sees that it is abandoned
             }
             assertTrue(PlatformDependent.usedDirectMemory() - before < 1024 * 1024, "direct memory");
         }
