--- a/src/test/java/kelphollow/lab/LabNamesTest.java
+++ b/src/test/java/kelphollow/lab/LabNamesTest.java
@@ -34,8 +34,8 @@
 
     private static Scenario read(Map<?, ?> json) throws KeyProbe.Refused {
         try {
-            return Scenario.read(json);
-        } catch (Scenario.Bad e) {
+            return ScenarioReader.read(json);
+        } catch (InvalidScenarioException e) {
             throw new KeyProbe.Refused(e.getMessage());
         }
     }
@@ -63,7 +63,7 @@
         for (String line : RecordedNames.read("lab-words.txt")) {
             String[] words = line.split(" ");
             Scenario.Step step = step(words[0], words[1]);
-            meanings.add(words[0].equals("do") ? step.deed() : step.until());
+            meanings.add(words[0].equals("do") ? step.action() : step.until());
             if (words[0].equals("wait")) {
                 assertEquals(words[1].toUpperCase(Locale.ROOT), step.until().name());
             }
--- a/src/test/java/kelphollow/program/DiscoveryWatchTest.java
+++ b/src/test/java/kelphollow/program/DiscoveryWatchTest.java
@@ -1,7 +1,7 @@
 package kelphollow.program;
 
-import static kelphollow.program.StandInDiscovery.CLOSE;
-import static kelphollow.program.StandInDiscovery.list;
+import static kelphollow.program.FakeDiscovery.CLOSE;
+import static kelphollow.program.FakeDiscovery.list;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -18,7 +18,7 @@
     private static final int STEP = 20;
 
     /** The next poll; a wait, which is drawn, is checked against its bounds and left out. */
-    private static String nextPoll(StandInDiscovery discovery) throws InterruptedException {
+    private static String nextPoll(FakeDiscovery discovery) throws InterruptedException {
         return withoutWait(discovery.requests.poll(10, TimeUnit.SECONDS));
     }
 
@@ -34,7 +34,7 @@
     }
 
     /** The next poll, for which the clock moves in steps of so many milliseconds; null if there is none in 100 steps. */
-    private static String nextPollInSteps(StandInDiscovery discovery, ServerHarness server, int step, int guardMillis)
+    private static String nextPollInSteps(FakeDiscovery discovery, ServerHarness server, int step, int guardMillis)
         throws InterruptedException {
         String poll = null;
         for (int i = 0; i < 100 && poll == null; i++) {
@@ -46,7 +46,7 @@
 
     @Test void aListIsWatchedFromTheStartInEitherMode() throws Exception {
         for (String mode : MODES) {
-            try (StandInDiscovery discovery = new StandInDiscovery();
+            try (FakeDiscovery discovery = new FakeDiscovery();
                  ServerHarness server = ServerHarness.respWith(mode, discovery.address())) {
                 assertEquals("/catalog/members?index=1&now", nextPoll(discovery), mode);
 
@@ -59,7 +59,7 @@
     }
 
     @Test void anAgentThatStallsOrEndsItsConnectionIsPolledAgainWithoutTheModule() throws Exception {
-        try (StandInDiscovery agent = new StandInDiscovery();
+        try (FakeDiscovery agent = new FakeDiscovery();
              ServerHarness server = ServerHarness.respWith("automatic", agent.address())) {
             nextPoll(agent);
             server.ticker.advance(2_600);                     // its wait, the margin and the first delay
@@ -76,8 +76,8 @@
     }
 
     @Test void aNewAgentIsAskedForTheCompleteListAtOnceAndAgainWhileItIsSilent() throws Exception {
-        try (StandInDiscovery old = new StandInDiscovery();
-             StandInDiscovery agent = new StandInDiscovery();
+        try (FakeDiscovery old = new FakeDiscovery();
+             FakeDiscovery agent = new FakeDiscovery();
              ServerHarness server = ServerHarness.respWith("automatic", old.address())) {
             nextPoll(old);
 
@@ -92,7 +92,7 @@
     }
 
     @Test void anOlderVersionIsDroppedUnlessTheCompleteListHasItTwice() throws Exception {
-        try (StandInDiscovery agent = new StandInDiscovery();
+        try (FakeDiscovery agent = new FakeDiscovery();
              ServerHarness server = ServerHarness.respWith("automatic", agent.address())) {
             nextPoll(agent);
             agent.responses.add(list(41, true));
--- a/src/test/java/kelphollow/program/StandInDiscovery.java
+++ b/src/test/java/kelphollow/program/FakeDiscovery.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /** A discovery, or an agent of it, that notes each poll and responds to it when the test says so. */
-final class StandInDiscovery implements AutoCloseable {
+final class FakeDiscovery implements AutoCloseable {
     /** A response that is none: the connection ends. */
     static final String CLOSE = "";
 
@@ -22,7 +22,7 @@
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
 
-    StandInDiscovery() throws IOException {
+    FakeDiscovery() throws IOException {
         server.createContext("/catalog/members", this::respond);
         server.setExecutor(threads);
         server.start();
--- a/src/test/java/kelphollow/program/OutsideNamesTest.java
+++ b/src/test/java/kelphollow/program/OutsideNamesTest.java
@@ -55,8 +55,8 @@
         environment.put(CONFIG_VARIABLE, folder.resolve("platform.json").toString());
         try {
             Files.writeString(folder.resolve("platform.json"), Json.text(json));
-            return Config.platform(environment);
-        } catch (Config.Bad e) {
+            return PlatformConfig.read(environment);
+        } catch (ConfigurationException e) {
             throw new KeyProbe.Refused(e.getMessage());
         } catch (java.io.IOException e) {
             throw new IllegalStateException(e);
@@ -65,8 +65,8 @@
 
     private static Object readObject(Map<?, ?> json) throws KeyProbe.Refused {
         try {
-            return ObjectConfig.read(json);
-        } catch (Config.Bad e) {
+            return ObjectConfig.read(new ConfigSection(json, ""));
+        } catch (ConfigurationException e) {
             throw new KeyProbe.Refused(e.getMessage());
         }
     }
@@ -168,9 +168,9 @@
 
     private static String configFault(Map<String, String> environment) {
         try {
-            Config.platform(environment);
+            PlatformConfig.read(environment);
             return "";
-        } catch (Config.Bad e) {
+        } catch (ConfigurationException e) {
             return e.getMessage();
         }
     }
--- a/src/test/java/kelphollow/program/ReloadTest.java
+++ b/src/test/java/kelphollow/program/ReloadTest.java
@@ -21,7 +21,7 @@
 @Timeout(20)
 class ReloadTest {
     @Test void aNewDiscoveryThatIsSilentIsPolledAgainSoon() throws Exception {
-        try (StandInDiscovery old = new StandInDiscovery(); StandInDiscovery next = new StandInDiscovery();
+        try (FakeDiscovery old = new FakeDiscovery(); FakeDiscovery next = new FakeDiscovery();
              ServerHarness server = ServerHarness.resp(old.address())) {
             server.reload(next.address());
             assertEquals("/catalog/members", next.requests.poll(10, TimeUnit.SECONDS));
@@ -52,11 +52,11 @@
     @Test void theObjectApiFollowsANewFile() throws Exception {
         Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
-        try (StandInServer old = new StandInServer(); StandInServer next = new StandInServer();
+        try (FakeObjectServer old = new FakeObjectServer(); FakeObjectServer next = new FakeObjectServer();
              ServerHarness server = ServerHarness.objects(Map.of("objects", objects), old.address());
-             StandInClient client = new StandInClient(server.address)) {
-            old.objects.put("/symbols/a", new StandInServer.Stored("old".getBytes(), "\"e\""));
-            next.objects.put("/symbols/a", new StandInServer.Stored("next".getBytes(), "\"e\""));
+             HttpTestClient client = new HttpTestClient(server.address)) {
+            old.objects.put("/symbols/a", new FakeObjectStore.Stored("old".getBytes(), "\"e\""));
+            next.objects.put("/symbols/a", new FakeObjectStore.Stored("next".getBytes(), "\"e\""));
             assertEquals("old", client.call("GET /symbols/a", "", null).text());
 
             server.reload(Map.of("objects", objects), next.address());
@@ -66,18 +66,18 @@
     }
 
     @Test void theNewDiscoveryIsAskedForTheCompleteListAndTheOldOneNoMore() throws Exception {
-        try (StandInDiscovery old = new StandInDiscovery(); StandInDiscovery next = new StandInDiscovery()) {
+        try (FakeDiscovery old = new FakeDiscovery(); FakeDiscovery next = new FakeDiscovery()) {
             try (ServerHarness server = ServerHarness.resp(old.address())) {
                 assertTrue(old.requests.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=1&wait="));
 
                 server.reload(next.address());
                 assertEquals("/catalog/members", next.requests.poll(10, TimeUnit.SECONDS),
                     "versions of the old one mean nothing");
-                next.responses.add(StandInDiscovery.list(7, true));
+                next.responses.add(FakeDiscovery.list(7, true));
                 assertTrue(next.requests.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=7&wait="));
 
-                old.responses.add(StandInDiscovery.list(90, true));   // a late response of the old watch
-                next.responses.add(StandInDiscovery.list(8, false));
+                old.responses.add(FakeDiscovery.list(90, true));   // a late response of the old watch
+                next.responses.add(FakeDiscovery.list(8, false));
                 assertTrue(next.requests.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=8&wait="));
                 assertTrue(old.requests.isEmpty());
 
--- a/src/test/java/kelphollow/program/ServerHarness.java
+++ b/src/test/java/kelphollow/program/ServerHarness.java
@@ -19,6 +19,7 @@
 import java.util.concurrent.CountDownLatch;
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.decision.ControlSettings;
 import kelphollow.protocol.discovery.DiscoveryList;
 import kelphollow.protocol.json.Json;
 import kelphollow.routing.RequestRouter;
@@ -33,9 +34,11 @@
     final EventLoop loop = group.next();
     final ManualTicker ticker = new ManualTicker(loop);
     static final int SOCKETS = 48;
+    private static final int DIAL_TIMEOUT_MS = 250;
+    private static final double IDLE_TIME_MS = 12_000;
     private Scheduler scheduler;
     private RequestRouter router;
-    private Config config;
+    private PlatformConfig config;
     InetSocketAddress address;
 
     static Map<String, Object> example() throws IOException {
@@ -59,23 +62,28 @@
 
     /** The same; {@code lists} is the mode in which the node list comes. */
     static ServerHarness respWith(String lists, InetSocketAddress discovery, InetSocketAddress... nodes) throws Exception {
-        ServerHarness bench = new ServerHarness();
+        ServerHarness harness = new ServerHarness();
         Map<String, Object> settings = part(example(), "settings");
         List<ResolvedEndpoint> members = new ArrayList<>();
         for (InetSocketAddress node : nodes) {
-            members.add(new ResolvedEndpoint(new Endpoint("n" + members.size(), "a", members.size(), EndpointState.HEALTHY,
-                0), node));
+            int cell = members.size();
+            members.add(new ResolvedEndpoint(new Endpoint("n" + cell, "a", cell, EndpointState.HEALTHY, 0), node));
         }
         settings.put("discovery", lists);
         List<Object> classes = new ArrayList<>((List<?>) settings.get("request_classes"));
         classes.add(Map.of("name", "keyed", "aim", 500.0, "deadline", 3000.0, "effect", "token", "dedup_scope", "cell",
             "window", 4000.0, "worth", 2.0, "late_share", 0.1));
         settings.put("request_classes", classes);
-        bench.config = new Config("test", null, discovery == null ? new InetSocketAddress("127.0.0.1", 1) : discovery, 1,
-            SOCKETS, 250, 12_000, new DiscoveryList(1, true, members), Config.settings(settings),
-            Config.Operations.NONE);
-        bench.start(Scheduler.of(bench.config, bench.loop, bench.ticker));
-        return bench;
+        harness.config = platformConfig(discovery == null ? new InetSocketAddress("127.0.0.1", 1) : discovery,
+            new DiscoveryList(1, true, members), SettingsConfig.read(settings));
+        harness.start(PlatformScheduler.start(harness.config, harness.loop, harness.ticker));
+        return harness;
+    }
+
+    private static PlatformConfig platformConfig(InetSocketAddress discovery, DiscoveryList known,
+        ControlSettings settings) {
+        return new PlatformConfig("test", null, discovery, 1, SOCKETS, DIAL_TIMEOUT_MS, IDLE_TIME_MS, known, settings,
+            PlatformConfig.Operations.NONE);
     }
 
     void reload(InetSocketAddress discovery) throws InterruptedException {
@@ -85,13 +93,12 @@
 
     /** As at SIGHUP with discovery moved there; the loop follows when it comes to it. */
     void hangUp(InetSocketAddress discovery) {
-        scheduler.reload(new Config("test", null, discovery, 1, SOCKETS, 250, 12_000, config.known(), config.settings(),
-            Config.Operations.NONE));
+        ((PlatformScheduler) scheduler).reload(platformConfig(discovery, config.known(), config.settings()));
     }
 
     /** A whole list, as if discovery told it; on the loop. */
-    void learn(List<ResolvedEndpoint> whole) {
-        router.updateEndpoints(whole, true);
+    void learn(List<ResolvedEndpoint> complete) {
+        router.updateEndpoints(complete, true);
     }
 
     /** The task runs when all that the loop's next turn reads has been dealt with, before it reads again; on the loop. */
@@ -102,9 +109,9 @@
 
     /** The gateway of the object API over these object servers. */
     static ServerHarness objects(Map<String, Object> changes, InetSocketAddress... servers) throws Exception {
-        ServerHarness bench = new ServerHarness();
-        bench.start(Scheduler.of(objectConfig(changes, servers), bench.loop, bench.ticker));
-        return bench;
+        ServerHarness harness = new ServerHarness();
+        harness.start(ObjectScheduler.start(objectConfig(changes, servers), harness.loop, harness.ticker));
+        return harness;
     }
 
     private static ObjectConfig objectConfig(Map<String, Object> changes, InetSocketAddress... servers) throws Exception {
@@ -113,11 +120,11 @@
         xds.put("endpoints", List.of(Json.parse(assignment("HEALTHY", servers))));
         config.put("xds", xds);
         config.putAll(changes);
-        return ObjectConfig.read(config);
+        return ObjectConfig.read(new ConfigSection(config, ""));
     }
 
     void reload(Map<String, Object> changes, InetSocketAddress... servers) throws Exception {
-        scheduler.reload(objectConfig(changes, servers));
+        ((ObjectScheduler) scheduler).reload(objectConfig(changes, servers));
         loop.submit(() -> {}).sync();
     }
 
@@ -141,7 +148,7 @@
 
     void leave(Runnable whenLeft) throws InterruptedException {
         term(whenLeft);
-        ticker.advance((int) scheduler.serveOn() + 1);
+        ticker.advance((int) scheduler.acceptsFor() + 1);
     }
 
     int openRequests() throws Exception {
@@ -149,7 +156,7 @@
     }
 
     boolean awaitList(long most) throws InterruptedException {
-        return scheduler.awaitList(most);
+        return ((PlatformScheduler) scheduler).awaitFirstResponse(most);
     }
 
     /** The clock moves on while the loop goes round, reading what comes, as it does when nothing holds it up. */
@@ -177,7 +184,8 @@
     /** Returns when the store's writer has written all that it was given so far. */
     void written() throws Exception {
         CompletableFuture<StoreFault> done = new CompletableFuture<>();
-        scheduler.ledger().store().write(new Batch(), Durability.BUFFERED, Runnable::run, done::complete);
+        ((ObjectScheduler) scheduler).ledger().store().write(new Batch(), Durability.BUFFERED, Runnable::run,
+            done::complete);
         assertNull(done.get());
     }
 
--- a/src/test/java/kelphollow/program/StalledWatchTest.java
+++ b/src/test/java/kelphollow/program/StalledWatchTest.java
@@ -15,7 +15,7 @@
     private static final List<String> MODES = List.of("automatic", "subscribe");
 
     private static void respond(ScriptedPeer.Line poll, int version) throws Exception {
-        String list = StandInDiscovery.list(version, false);
+        String list = FakeDiscovery.list(version, false);
         poll.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
     }
 
--- a/src/test/java/kelphollow/program/StoreRestartTest.java
+++ b/src/test/java/kelphollow/program/StoreRestartTest.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import kelphollow.program.StandInServer.Fault;
-import kelphollow.program.StandInServer.Fault.Kind;
-import kelphollow.program.StandInServer.Stored;
+import kelphollow.program.FakeObjectServer.Fault;
+import kelphollow.program.FakeObjectServer.Fault.Kind;
+import kelphollow.program.FakeObjectStore.Stored;
 import kelphollow.routing.Invariant;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -31,12 +31,12 @@
     @TempDir
     Path folder;
     private int lives;
-    private StandInServer server;
-    private ServerHarness bench;
-    private StandInClient client;
+    private FakeObjectServer server;
+    private ServerHarness harness;
+    private HttpTestClient client;
 
     @BeforeEach void start() throws Exception {
-        server = new StandInServer();
+        server = new FakeObjectServer();
         begin();
     }
 
@@ -47,13 +47,13 @@
     private void begin() throws Exception {
         Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
-        bench = ServerHarness.objects(Map.of("objects", objects, "store", store()), server.address());
-        client = new StandInClient(bench.address);
+        harness = ServerHarness.objects(Map.of("objects", objects, "store", store()), server.address());
+        client = new HttpTestClient(harness.address);
     }
 
     /** A kill once the writer has written what it was given: outcomes are not waited for before an answer. */
     private void kill() throws Exception {
-        bench.written();
+        harness.written();
         killNow();
     }
 
@@ -70,20 +70,20 @@
             }
         }
         lives++;
-        bench.close();
+        harness.close();
         begin();
     }
 
     @AfterEach void stop() throws Exception {
         client.close();
-        bench.close();
+        harness.close();
         server.close();
         assertEquals(0, Invariant.broken());
     }
 
     private String upload() throws Exception {
-        String id = client.call("POST /symbols/m?uploads", "", null).text().replaceAll(".*<UploadId>(.*)</UploadId>.*",
-            "$1");
+        String answer = client.call("POST /symbols/m?uploads", "", null).text();
+        String id = answer.replaceAll(".*<UploadId>(.*)</UploadId>.*", "$1");
         server.seen.clear();
         return id;
     }
@@ -101,18 +101,18 @@
     }
 
     /** A connection of its own: one whose body was not read is closed behind its answer. */
-    private StandInClient.Answer callAnew(String line, byte[] body) throws IOException {
-        try (StandInClient other = new StandInClient(bench.address)) {
+    private HttpTestClient.Answer callAnew(String line, byte[] body) throws IOException {
+        try (HttpTestClient other = new HttpTestClient(harness.address)) {
             return other.call(line, "", body);
         }
     }
 
     @Test void aPartSentTwiceOverAKillIsAnsweredFromTheStore() throws Exception {
         String id = upload();
-        StandInClient.Answer first = client.call(part(id, 1), "", CONTENT);
+        HttpTestClient.Answer first = client.call(part(id, 1), "", CONTENT);
         kill();
         server.seen.clear();
-        StandInClient.Answer again = client.call(part(id, 1), "", CONTENT);
+        HttpTestClient.Answer again = client.call(part(id, 1), "", CONTENT);
         assertEquals(200, again.status());
         assertEquals(first.headers().get("ETag"), again.headers().get("ETag"));
         assertEquals(409, client.call(part(id, 1), "", "other".getBytes()).status());
@@ -138,7 +138,7 @@
         assertEquals(List.of(part(id, 2) + " HTTP/1.1"), List.copyOf(server.seen));
     }
 
-    @Test void aPartThatWasOutWhenTheGatewayDiedIsAskedForAndNeverSentBlind() throws Exception {
+    @Test void aPartThatWasInFlightWhenTheGatewayDiedIsQueriedAndNeverSentBlind() throws Exception {
         String id = upload();
         Fault hold = Fault.of("PUT", Kind.HOLD);
         server.faults.add(hold);
@@ -149,9 +149,9 @@
         assertEquals(503, client.call(part(id, 1), "", CONTENT).status(), "it may still be at work");
         assertEquals("GET", server.seen.take().substring(0, 3));
         hold.gate().countDown();
-        bench.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED);
         await(() -> server.partWrites.containsKey(id + "#1"));
-        StandInClient.Answer again = callAnew(part(id, 1), CONTENT);
+        HttpTestClient.Answer again = callAnew(part(id, 1), CONTENT);
         assertEquals(200, again.status());
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
@@ -164,7 +164,7 @@
         server.held.take();
         server.seen.clear();
         kill();
-        bench.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED);
         assertEquals(200, client.call(part(id, 1), "", CONTENT).status());
         assertEquals("GET", server.seen.take().substring(0, 3));
         assertEquals("PUT", server.seen.take().substring(0, 3));
@@ -175,18 +175,18 @@
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         String line = "POST /symbols/m?uploadId=" + id;
-        StandInClient.Answer first = client.call(line, "", LIST);
+        HttpTestClient.Answer first = client.call(line, "", LIST);
         assertEquals(200, first.status());
         kill();
         server.seen.clear();
-        StandInClient.Answer again = client.call(line, "", LIST);
+        HttpTestClient.Answer again = client.call(line, "", LIST);
         assertEquals(200, again.status());
         assertEquals(first.text(), again.text());
         assertEquals(404, client.call(line, "", "<other/>".getBytes()).status());
         assertTrue(server.seen.isEmpty(), "nobody was asked");
     }
 
-    @Test void aCompletionThatWasOutWhenTheGatewayDiedIsLookedForFirst() throws Exception {
+    @Test void aCompletionThatWasInFlightWhenTheGatewayDiedIsQueriedFirst() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         String line = "POST /symbols/m?uploadId=" + id;
@@ -200,20 +200,20 @@
         assertEquals(503, client.call(line, "", LIST).status(), "it may still be at work");
         hold.gate().countDown();
         server.seen.clear();
-        bench.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED);
         await(() -> server.objects.containsKey("/symbols/m"));
         assertEquals(404, client.call(line, "", LIST).status(), "the upload is gone: it was completed");
         assertTrue(server.seen.stream().noneMatch(l -> l.startsWith("POST")), server.seen.toString());
         assertArrayEquals(CONTENT, server.objects.get("/symbols/m").bytes());
     }
 
-    @Test void aCompletionOfUnknownOutcomeIsAskedForBeforeItIsSentAgain() throws Exception {
+    @Test void aCompletionOfUnknownOutcomeIsQueriedBeforeItIsSentAgain() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         String line = "POST /symbols/m?uploadId=" + id;
         server.faults.add(Fault.of("POST", Kind.CRASH_BEFORE));
         assertEquals(502, client.call(line, "", LIST).status());
-        bench.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED);
         server.seen.clear();
         assertEquals(200, client.call(line, "", LIST).status());
         assertEquals("GET", server.seen.take().substring(0, 3));
@@ -223,17 +223,17 @@
     @Test void anAbortedUploadLeavesNothingBehind() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
-        bench.written();
+        harness.written();
         assertEquals(204, client.call("DELETE /symbols/m?uploadId=" + id, "", null).status());
         killNow();
         assertEquals(404, client.call(part(id, 1), "", CONTENT).status());
     }
 
-    @Test void aSecondProgramOnTheFoldersIsRefusedAndTheKeyNamed() {
-        Config.Bad bad = assertThrows(Config.Bad.class,
+    @Test void aSecondProgramOnTheFoldersIsRejectedAndTheKeyNamed() {
+        ConfigurationException thrown = assertThrows(ConfigurationException.class,
             () -> ServerHarness.objects(Map.of("store", store()), server.address()));
-        assertTrue(bad.getMessage().startsWith("store.folders: "), bad.getMessage());
-        assertTrue(bad.getMessage().endsWith("is held by a running program"), bad.getMessage());
+        assertTrue(thrown.getMessage().startsWith("store.folders: "), thrown.getMessage());
+        assertTrue(thrown.getMessage().endsWith("is held by a running program"), thrown.getMessage());
     }
 
     @Test void faultyKeysAreNamed() throws Exception {
@@ -251,9 +251,9 @@
             {Map.of("folders", List.of(a, folder.resolve("file").toString())), "store.folders: "},
             {Map.of("folders", List.of(a, folder.resolve("full").toString())), "store.folders: "}};
         for (Object[] fault : faults) {
-            Config.Bad bad = assertThrows(Config.Bad.class,
+            ConfigurationException thrown = assertThrows(ConfigurationException.class,
                 () -> ServerHarness.objects(Map.of("store", fault[0]), server.address()), (String) fault[1]);
-            assertTrue(bad.getMessage().startsWith((String) fault[1]), bad.getMessage());
+            assertTrue(thrown.getMessage().startsWith((String) fault[1]), thrown.getMessage());
         }
         assertEquals("somebody's", Files.readString(folder.resolve("full/other.db")));
         try (var files = Files.list(folder.resolve("full"))) {
@@ -272,7 +272,7 @@
 
     @Test void aStartWithoutItsListServesFromTheLastOne() throws Exception {
         client.close();
-        bench.close();
+        harness.close();
         lives++;
         server.objects.put("/symbols/a", new Stored(CONTENT, "\"e\""));
         com.sun.net.httpserver.HttpServer xds = com.sun.net.httpserver.HttpServer.create(
@@ -280,7 +280,8 @@
         xds.createContext("/", exchange -> {
             boolean clusters = exchange.getRequestURI().getPath().endsWith("clusters");
             byte[] body = ("{\"version_info\":\"1\",\"resources\":[" + (clusters
-                ? "{\"@type\":\"type.googleapis.com/envoy.config.cluster.v3.Cluster\",\"name\":\"dump-store\",\"type\":\"EDS\","
+                ? "{\"@type\":\"type.googleapis.com/envoy.config.cluster.v3.Cluster\",\"name\":\"dump-store\","
+                    + "\"type\":\"EDS\","
                     + "\"eds_cluster_config\":{\"service_name\":\"dump-store-endpoints\"}}"
                 : ServerHarness.assignment("HEALTHY", server.address())) + "]}").getBytes();
             exchange.sendResponseHeaders(200, body.length);
@@ -288,18 +289,18 @@
             exchange.close();
         });
         xds.start();
-        bench = followingXds(xds.getAddress());
-        client = new StandInClient(bench.address);
+        harness = followingXds(xds.getAddress());
+        client = new HttpTestClient(harness.address);
         for (int i = 0; i < 500 && client.call("GET /symbols/a", "", null).status() != 200; i++) {
-            bench.ticker.advance(10);
+            harness.ticker.advance(10);
         }
         InetSocketAddress nobody = xds.getAddress();
         xds.stop(0);
-        bench.end();
-        bench.close();
+        harness.end();
+        harness.close();
         client.close();
-        bench = followingXds(nobody);
-        client = new StandInClient(bench.address);
+        harness = followingXds(nobody);
+        client = new HttpTestClient(harness.address);
         assertArrayEquals(CONTENT, client.call("GET /symbols/a", "", null).body());
     }
 }
--- a/src/test/java/kelphollow/program/XdsTest.java
+++ b/src/test/java/kelphollow/program/XdsTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
-import kelphollow.program.StandInServer.Stored;
+import kelphollow.program.FakeObjectStore.Stored;
 import kelphollow.protocol.json.Json;
 import kelphollow.protocol.xds.XdsClusters;
 import kelphollow.routing.ResolvedEndpoint;
@@ -70,10 +70,10 @@
     }
 
     @Test void aDrainingServerGetsNothingNewAndAnInvalidResponseChangesNothing() throws Exception {
-        try (StandInServer server = new StandInServer();
+        try (FakeObjectServer server = new FakeObjectServer();
              ControlPlane plane = new ControlPlane(ServerHarness.assignment("HEALTHY", server.address()));
              ServerHarness gateway = ServerHarness.objects(plane.config(), server.address());
-             StandInClient client = new StandInClient(gateway.address)) {
+             HttpTestClient client = new HttpTestClient(gateway.address)) {
             server.objects.put("/symbols/a", new Stored("x".getBytes(), "\"e\""));
             assertTrue(plane.requests.take().contains("\"resource_names\":[\"dump-store\"]"));
             assertTrue(plane.requests.take().contains(SERVICE));
