--- /dev/null
+++ b/src/test/java/kelphollow/program/ShutdownScheduleTest.java
@@ -0,0 +1,43 @@
+package kelphollow.program;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import java.util.Map;
+import kelphollow.decision.ControlSettings;
+import org.junit.jupiter.api.Test;
+
+/** What happens when after SIGTERM, against the platform's kill: the longest deadline, 3 s at most, and 0.7 s after it. */
+class ShutdownScheduleTest {
+    private static ControlSettings settings(double deadline) throws Exception {
+        Map<String, Object> settings = ServerHarness.part(ServerHarness.example(), "settings");
+        settings.put("request_classes", List.of(Map.of("name", "c", "aim", 50.0, "deadline", deadline)));
+        return SettingsConfig.read(settings);
+    }
+
+    @Test void answersEndBeforeTheKillAndConnectionsBeforeThem() throws Exception {
+        ShutdownSchedule schedule = ShutdownSchedule.platform(settings(1_000));
+
+        assertEquals(1_700 - 350, schedule.answerWithin());
+        assertEquals(1_700 - 500, schedule.acceptFor());
+    }
+
+    @Test void aLongDeadlineCountsAsThreeSeconds() throws Exception {
+        ShutdownSchedule schedule = ShutdownSchedule.platform(settings(60_000));
+
+        assertEquals(3_700 - 350, schedule.answerWithin());
+        assertEquals(3_700 - 500, schedule.acceptFor());
+    }
+
+    @Test void newConnectionsAreAcceptedForALeastTimeUnlessTheSocketIsShared() throws Exception {
+        ShutdownSchedule schedule = ShutdownSchedule.platform(settings(100));
+
+        assertEquals(450, schedule.acceptFor());
+        assertEquals(0, schedule.acceptingNothing().acceptFor());
+        assertEquals(schedule.answerWithin(), schedule.acceptingNothing().answerWithin());
+    }
+
+    @Test void nothingKillsTheGateway() {
+        assertEquals(Double.POSITIVE_INFINITY, ShutdownSchedule.GATEWAY.answerWithin());
+    }
+}
