--- a/src/bench/java/kelphollow/fleet/DisseminationFigures.java
+++ b/src/bench/java/kelphollow/fleet/DisseminationFigures.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * The cost and the delay of dissemination by size, before and after, on one clock by seed: a line a run. Arguments: the sizes,
- * separated by commas; {@code before}, {@code after} or {@code both}; keys a part; seconds between an instance's changes (0: none);
- * loss; seconds of warming up; seconds measured; the seed.
+ * The cost and the delay of dissemination by size, before and after, on one clock by seed: a line a run. Arguments: the
+ * sizes, separated by commas; {@code before}, {@code after} or {@code both}; keys a part; seconds between an instance's
+ * changes (0: none); loss; seconds of warming up; seconds measured; the seed.
  */
 public final class DisseminationFigures {
     private static final int DRAINS = 10;
--- a/src/bench/java/kelphollow/fleet/FaultFigures.java
+++ b/src/bench/java/kelphollow/fleet/FaultFigures.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * What a fault costs and how long it is seen, a line a second, on one clock by seed. Arguments: {@code cold}, {@code zone},
- * {@code rack} or {@code cut}; the size; {@code before} or {@code after}; seconds before the fault, seconds of it (a cut), seconds
- * after; the seed. In a cut each of three regions is told of a drain of its own.
+ * What a fault costs and how long it is seen, a line a second, on one clock by seed. Arguments: {@code cold}, {@code
+ * zone}, {@code rack} or {@code cut}; the size; {@code before} or {@code after}; seconds before the fault, seconds of
+ * it (a cut), seconds after; the seed. In a cut each of three regions is told of a drain of its own.
  */
 public final class FaultFigures {
     private static final int RACK = 20;
@@ -23,7 +23,8 @@
         DisseminationWorld world = new DisseminationWorld(Long.parseLong(args[6]),
             DisseminationWorld.Setup.of(size, args[2].equals("before")));
         System.out.println(
-            "| second | fresh | right views | membership B/s | parts | compare | exchange | all: mean | max | drains kept |");
+            "| second | fresh | right views | membership B/s | parts | compare | exchange | all: mean | max "
+                + "| drains kept |");
         world.fleet();
         if (args[0].equals("cold")) {
             play(world, after, "cold");
--- a/src/bench/java/kelphollow/membership/MembershipFigures.java
+++ b/src/bench/java/kelphollow/membership/MembershipFigures.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.DoubleSummaryStatistics;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
@@ -22,58 +23,75 @@
 
     private MembershipFigures() {}
 
+    /** Means over the seeds; times in protocol periods. */
+    private static final class Row {
+        private double firstDetection;
+        private double lastDetection;
+        private double falseSuspicions;
+        private double falseFailures;
+        private double datagrams;
+    }
+
     /** Prints the table and writes the chart. */
     public static void main(String[] args) throws IOException {
         System.out.println("| size | loss | first sees death, rounds | all see it, rounds | suspicions of living a minute "
             + "and instance | deaths of living | datagrams a second and instance |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
-        Map<Double, List<Double>> all = new HashMap<>();
+        Map<Double, List<Double>> lastDetections = new HashMap<>();
         for (int size : SIZES) {
             for (double loss : LOSSES) {
                 if (size >= LARGE && loss > 0) {
                     continue;              // minutes each: its suspicions are many
                 }
-                double first = 0, last = 0, wrong = 0, dead = 0, sent = 0;
-                int seeds = size >= LARGE ? 1 : 5;
-                for (int seed = 1; seed <= seeds; seed++) {
-                    FleetWorld w = new FleetWorld(seed, MembershipSettings.DEFAULTS);
-                    w.fleet(size);
-                    w.run(20_000);
-                    w.loss = loss;
-                    w.events.clear();
-                    long before = w.messages;
-                    w.run(w.now + 30_000);
-                    sent += (w.messages - before) / 30.0 / size / seeds;
-                    wrong += w.events(Kind.SUSPECTED, 0).stream()
-                        .filter(s -> s.observer().equals("i3")).count() * 2.0 / seeds;
-                    dead += w.events(Kind.FAILED, 0).stream()
-                        .map(FleetWorld.ObservedEvent::subject).distinct().count() / (double) seeds;
-                    w.events.clear();
-                    double from = w.now;
-                    w.kill("i4");
-                    w.run(from + 60_000);
-                    List<FleetWorld.ObservedEvent> found = w.events(Kind.FAILED, from).stream()
-                        .filter(s -> s.subject().equals("i4")).toList();
-                    first += (found.stream().mapToDouble(FleetWorld.ObservedEvent::at).min().orElse(Double.NaN) - from)
-                        / 500 / seeds;
-                    last += (found.stream().mapToDouble(FleetWorld.ObservedEvent::at).max().orElse(Double.NaN) - from)
-                        / 500 / seeds;
-                }
-                System.out.printf(Locale.ROOT, "| %d | %.1f | %.1f | %.1f | %.2f | %.1f | %.1f |%n", size, loss, first, last,
-                    wrong, dead, sent);
-                all.computeIfAbsent(loss, l -> new ArrayList<>()).add(last);
+                Row row = measure(size, loss);
+                System.out.printf(Locale.ROOT, "| %d | %.1f | %.1f | %.1f | %.2f | %.1f | %.1f |%n", size, loss,
+                    row.firstDetection, row.lastDetection, row.falseSuspicions, row.falseFailures, row.datagrams);
+                lastDetections.computeIfAbsent(loss, l -> new ArrayList<>()).add(row.lastDetection);
             }
         }
+        writeChart(lastDetections);
+    }
+
+    private static Row measure(int size, double loss) {
+        Row row = new Row();
+        int seeds = size >= LARGE ? 1 : 5;
+        for (int seed = 1; seed <= seeds; seed++) {
+            FleetWorld world = new FleetWorld(seed, MembershipSettings.DEFAULTS);
+            world.fleet(size);
+            world.run(20_000);
+            world.loss = loss;
+            world.events.clear();
+            long before = world.messages;
+            world.run(world.now + 30_000);
+            row.datagrams += (world.messages - before) / 30.0 / size / seeds;
+            row.falseSuspicions += world.events(Kind.SUSPECTED, 0).stream()
+                .filter(e -> e.observer().equals("i3")).count() * 2.0 / seeds;
+            row.falseFailures += world.events(Kind.FAILED, 0).stream()
+                .map(FleetWorld.ObservedEvent::subject).distinct().count() / (double) seeds;
+            world.events.clear();
+            double from = world.now;
+            world.kill("i4");
+            world.run(from + 60_000);
+            List<FleetWorld.ObservedEvent> found = world.events(Kind.FAILED, from).stream()
+                .filter(e -> e.subject().equals("i4")).toList();
+            DoubleSummaryStatistics times = found.stream().mapToDouble(FleetWorld.ObservedEvent::at).summaryStatistics();
+            row.firstDetection += found.isEmpty() ? Double.NaN : (times.getMin() - from) / 500 / seeds;
+            row.lastDetection += found.isEmpty() ? Double.NaN : (times.getMax() - from) / 500 / seeds;
+        }
+        return row;
+    }
+
+    private static void writeChart(Map<Double, List<Double>> lastDetections) throws IOException {
         XYChart chart = new XYChartBuilder().width(800).height(420).title("Rounds until all see a death")
-            .xAxisTitle("instances")
-            .yAxisTitle("rounds").build();
+            .xAxisTitle("instances").yAxisTitle("rounds").build();
         chart.getStyler().setXAxisLogarithmic(true);
         List<Double> sizes = new ArrayList<>();
         for (int size : SIZES) {
             sizes.add((double) size);
         }
         for (double loss : LOSSES) {
-            chart.addSeries("loss " + loss, sizes.subList(0, all.get(loss).size()), all.get(loss));
+            List<Double> detections = lastDetections.get(loss);
+            chart.addSeries("loss " + loss, sizes.subList(0, detections.size()), detections);
         }
         BitmapEncoder.saveBitmap(chart, "docs/measurements/membership-detection.png", BitmapEncoder.BitmapFormat.PNG);
     }
