--- a/src/main/java/kelphollow/decision/Control.java
+++ b/src/main/java/kelphollow/decision/Control.java
@@ -1,947 +1,104 @@
 package kelphollow.decision;
 
-import java.util.*;
-import kelphollow.decision.ControlApi.*;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import kelphollow.decision.ControlAction.PollEndpoints;
 
 /**
- * All decisions of one host's instance. Its interface is in {@code ControlApi.java}.
+ * All decisions of one instance: takes an event and gives the actions that it leads to. The interface is
+ * {@code ControlSettings.java}, {@code ControlEvent.java} and {@code ControlAction.java}. It does no I/O and
+ * has no thread and no clock of its own: the same settings, seed and events give the same actions. For one
+ * thread.
  *
- * <p>Reading order: the constants; {@link #on}, which takes every event; {@link #arrive} and {@link Tags}
- * (arrival-curve tags after pClock); {@link #pump} and {@link #pick} (what leaves next, and where to);
- * {@link Gate} (limits); {@link Node} (window, health, cold start); {@link #done} (outcomes, repeats);
- * {@link #expire} (answers before the deadline); {@link #learnList} (the node list).
+ * <p>Reading order: {@link #on}; {@link EventHandler}, which takes every event; {@link SchedulerState}, which
+ * owns the state; {@link RequestArrivals} and {@link ArrivalCurveTagger} (the tags of pClock);
+ * {@link Dispatcher} (what leaves next, and where to); {@link RateLimiter} (limits); {@link Node} (health,
+ * concurrency window, slow start); {@link AttemptCompletions} and {@link RetryPolicy} (outcomes, retries);
+ * {@link DeadlineMonitor} (answers before the deadline).
  */
 public final class Control {
-    // The design's window: ceiling (binding), and a start of a few requests: two fill a node with few cores.
-    static final int WINDOW_CEILING = 32;
-    static final double WINDOW_START = 3;
-    // Below one, a window is a pace: many hosts with one request each can already drown a node.
-    static final double WINDOW_FLOOR = 0.25;
-    // Latency within this multiple of the node's best is "near best": about one request waits per one served.
-    static final double NEAR_BEST = 2.0;
-    // Waiting at a node may take this part of the shortest aim; the rest is for chance and for waiting here.
-    static final double AIM_PART = 0.5;
-    // A request past its aim leaves only after so many latencies without a send: it must cost others nothing.
-    static final double LATE_PACE = 12;
-    // From this part of the shortest aim on, requests beyond the curve yield: one in so many latencies.
-    static final double YIELD = 0.4;
-    static final double YIELD_PACE = 2;
-    // Multiplicative narrowing, at most once in a latency; mild, since one slow answer is mostly chance.
-    static final double NARROW = 0.8;
-    // Weight of a new latency: some ten answers, so that one long pause does not decide.
-    static final double LEARN = 0.12;
-    // What is known of a node's latency now fades over this time: queues turn within seconds.
-    static final double AGE = 2_000;
-    // The best latency is forgotten with this time constant: a node slowed for good gets a new best.
-    static final double BEST_MEMORY = 30_000;
-    // An answer counts as lost after so many times what it should take; it may still come.
-    static final double CALM = 5;
-    // Part of what a cold node bears that random admission gives out; the rest is for surges and for chance.
-    static final double ADMISSION_CHANCE = 0.6;
-    // Below so many mean requests sent to a cold node in a span, one more may go when none is out there.
-    static final double SECOND = 1.5;
-    // Time between two requests risked on a node that does not progress; also the longest back-off from it.
-    static final double TRICKLE = 1_000;
-    // First pause after a failed attempt, doubled for each further one in a row.
-    static final double BACKOFF = 40;
-    // How often held requests are looked at when nothing else happens.
-    static final double SWEEP = 10;
-    // Final answers leave this many ticks before the deadline, so that a late batch still holds the promise.
-    static final double ANSWER_TICKS = 4;
-    // A request that no node was given is given up by this part of its time: its client may come again.
-    static final double HOLD_PART = 0.45;
-    // From so many volumes on, those that have rested for so long are forgotten.
-    static final int MANY_VOLUMES = 1_000;
-    static final double VOLUME_MEMORY = 60_000;
+    private final SchedulerState state;
+    private final EndpointPollSchedule pollSchedule;
+    private final WakeTimer wakeTimer;
+    private final DeadlineMonitor deadlines;
+    private final Dispatcher dispatcher;
+    private final EventHandler handler;
 
-    private final Settings settings;
-    private final Rules rules;
-    private final Random random;
-    private final double startedAt, shortestAim;
-    private final Map<String, RequestClass> classes = new LinkedHashMap<>();
-    private final Map<String, Plan> plans = new LinkedHashMap<>();
-    private final Map<String, Node> nodes = new LinkedHashMap<>();
-    private final Map<String, Volume> volumes = new LinkedHashMap<>();
-    private final Map<String, Request> open = new LinkedHashMap<>();
-    private final Map<String, Attempt> attempts = new LinkedHashMap<>();
-    private final Map<String, KeyOrder> keyOrders = new LinkedHashMap<>();
-    /** Requests held, by the cell that holds their data; -1 holds new objects that any node may take. */
-    private final Map<Integer, HeldQueue> held = new LinkedHashMap<>();
-    private final PriorityQueue<Due> dues = new PriorityQueue<>(
-        Comparator.comparingDouble(Due::at).thenComparingLong(d -> d.request.order));
-    /** Levels of limits that an earlier life left, until their volume is seen. */
-    private final Map<String, Double> limitsLeft = new HashMap<>();
-    /** Further attempts against requests taken, as the rules count them; and each node's bound, if any. */
-    private final RepeatBudget budget;
-    private RepeatsBounded repeats = new RepeatsBounded(0, 0);
-    private final Tags tags = new Tags();
-    private List<Action> out = new ArrayList<>();
-    private double now, wakeAt = Double.POSITIVE_INFINITY;
-    private final ListPace listPace;
-    private double leaveBy = Double.POSITIVE_INFINITY, listLeasedUntil = Double.POSITIVE_INFINITY;
-    private double largest, around, aroundAt, mostTries;
-    private long orders, planStamp;
-
-    /** An instance that knows nothing but its settings; limits fill from now on. Call {@link #start} next. */
-    public Control(Settings settings, long seed, double now) {
-        this.settings = settings;
-        this.rules = settings.rules();
-        this.random = new Random(seed * 0x9E3779B97F4A7C15L);   // hosts with near seeds must not draw alike
-        this.startedAt = now;
-        this.listPace = new ListPace(settings.hosts(), rules.askEvery(), new SplittableRandom(seed));
-        this.budget = new RepeatBudget(rules.budgetWindow(), rules.budgetFree(), rules.budgetShare(),
-            settings.tick());
-        this.now = now;
-        this.mostTries = settings.maxAttempts();
-        require(settings.hosts() > 0, "hosts must be at least 1");
-        require(settings.maxAttempts() > 0, "maxAttempts must be at least 1");
-        require(!settings.classes().isEmpty(), "classes is empty");
-        require(!settings.plans().isEmpty(), "plans is empty");
-        double aim = Double.POSITIVE_INFINITY;
-        for (RequestClass c : settings.classes()) {
-            require(c.aim() > 0, "aim of class " + c.name() + " must be above 0");
-            classes.put(c.name(), c);
-            aim = Math.min(aim, c.aim());
-        }
-        for (Plan p : settings.plans()) {
-            require(p.rate() > 0, "rate of plan " + p.name() + " must be above 0");
-            require(p.limitRate() >= 0 && p.limitBurst() >= 0, "limit of plan " + p.name() + " is negative");
-            plans.put(p.name(), p);
-        }
-        this.shortestAim = aim;
-        this.around = aim / 3;
-        this.aroundAt = now;
+    /**
+     * An instance that knows nothing but its settings; limits fill from now on. Call {@link #start} next.
+     *
+     * @param settings what it is configured with
+     * @param seed of all random draws
+     * @param now clock time in milliseconds
+     * @throws IllegalArgumentException naming the first setting that cannot be used
+     */
+    public Control(ControlSettings settings, long seed, double now) {
+        state = new SchedulerState(settings, seed, now);
+        pollSchedule = new EndpointPollSchedule(settings.hosts(), settings.rules().pollInterval(),
+            new SplittableRandom(seed));
+        wakeTimer = new WakeTimer(state);
+        FinalAnswers answers = new FinalAnswers(state);
+        QueueShedder shedder = new QueueShedder(state, answers);
+        deadlines = new DeadlineMonitor(state, answers, shedder);
+        dispatcher = new Dispatcher(state, shedder);
+        handler = new EventHandler(state, pollSchedule, wakeTimer, answers, deadlines);
     }
 
-    private static void require(boolean holds, String fault) {
-        if (!holds) throw new IllegalArgumentException("settings: " + fault);
+    /**
+     * Whether the endpoint list comes only when it is polled; {@link #start} then says when to poll first.
+     */
+    public boolean pollsEndpoints() {
+        return state.context.settings().endpointsPolled();
     }
 
-    /** Whether the list comes only when asked for; {@link #start} then says when to ask first. */
-    public boolean asksForList() { return settings.listMustBeAsked(); }
-
     /** The first actions of the instance. */
-    public List<Action> start() {
-        if (settings.listMustBeAsked()) listPace.started(now);
-        askIfDue();
-        planWake();
-        return flush();
-    }
-
-    /** Takes one event at time {@code now} and answers with the actions it leads to, in order. */
-    public List<Action> on(double now, Event event) {
-        this.now = Math.max(this.now, now);
-        if (event instanceof Arrival a) {
-            arrive(a);
-        } else if (event instanceof AttemptDone d) {
-            done(d);
-        } else if (event instanceof NodeList l) {
-            learnList(l);
-        } else if (event instanceof ListFailed f) {
-            listPace.failed(this.now, f.failure() == ListFailure.TURNED_AWAY);
-        } else if (event instanceof Leaving l) {
-            leaveBy = l.by();
-            for (Request r : open.values()) {
-                r.answerAt = r.streaming ? leaveBy : Math.min(r.answerAt, leaveBy);
-                dues.add(new Due(r.answerAt, r));
-            }
-        } else if (event instanceof Retuned t) {
-            t.classes().forEach(c -> classes.put(c.name(), c));
-            mostTries = Math.max(1, t.maxAttempts());
-        } else if (event instanceof LimitsLeft l) {
-            limitsLeft.putAll(l.levels());
-        } else if (event instanceof Doubted d) {
-            for (Node n : nodes.values()) n.doubt(d.nodes().contains(n.id));
-        } else if (event instanceof RepeatsBounded b) {
-            repeats = b;
-            for (Node n : nodes.values()) n.repeats = boundedRepeats();
-        } else if (event instanceof ListLeased l) {
-            listLeasedUntil = l.until();
-        } else if (event instanceof ListMoved) {
-            listPace.moved(this.now);
-        } else if (event instanceof ClientGone g) {
-            Request r = open.get(g.id());
-            if (r != null) {
-                callOff(r);
-                close(r);
-            }
-        } else if (event instanceof AnswerStarted s) {
-            Request r = open.get(s.id());
-            if (r != null) r.streaming = true;
-            Attempt a = attempts.get(s.id() + '#' + s.attempt());
-            if (a != null) a.node.flying.remove(s.id() + '#' + s.attempt());   // it no longer waits there
-        } else if (event instanceof Progress p) {
-            heard(p.id(), p.attempt());
-        } else if (event instanceof TimerFired && this.now >= wakeAt - settings.tick()) {
-            wakeAt = Double.POSITIVE_INFINITY;   // a clock that rounds may fire it a little early
-        }
-        askIfDue();
-        expire();
-        pump();
-        planWake();
-        return flush();
-    }
-
-    private void askIfDue() {
-        if (listPace.takeDue(now)) out.add(new Subscribe());
-    }
-
-    /** The units left in this host's part of each limited volume's store, less what is owed of its loan. */
-    public Map<String, Double> limitLevels() {
-        Map<String, Double> levels = new TreeMap<>();
-        volumes.forEach((name, v) -> {
-            if (v.plan.limitRate() > 0) levels.put(name, v.gate.fill(now) - v.gate.owed);
-        });
-        return levels;
-    }
-
-    /** Nodes that failed to answer this instance itself, and how often it has tried each since. */
-    public Map<String, Integer> silentNodes() {
-        Map<String, Integer> silent = new TreeMap<>();
-        for (Node n : nodes.values()) if (n.suspect() && !n.doubted) silent.put(n.id, n.tries);
-        return silent;
-    }
-
-    /** How many nodes and volumes it keeps anything of. */
-    int nodesKnown() { return nodes.size(); }
-
-    int volumesKnown() { return volumes.size(); }
-
-    private RepeatBudget boundedRepeats() {
-        return new RepeatBudget(repeats.span(), 0, repeats.share(), settings.tick());
-    }
-
-    private void heard(String id, int number) {
-        Attempt a = attempts.get(id + '#' + number);
-        if (a != null) a.heardAt = now;
-    }
-
-    private List<Action> flush() {
-        List<Action> actions = out;
-        out = new ArrayList<>();
-        return actions;
-    }
-
-    private void planWake() {
-        double next = listPace.dueAt();
-        held.values().removeIf(h -> h.size() == 0);   // shards that clients make up would pile up
-        if (!held.isEmpty()) next = Math.min(next, now + SWEEP);
-        if (!dues.isEmpty()) next = Math.min(next, dues.peek().at);
-        if (next < wakeAt) {
-            wakeAt = Math.max(next, now + settings.tick());
-            out.add(new SetTimer(wakeAt, "wake"));
-        }
-    }
-
-    // ---------------------------------------------------------------- requests
-
-    private record Due(double at, Request request) {}
-
-    private HeldQueue heldFor(Request r) { return held.computeIfAbsent(pinnedCell(r), c -> new HeldQueue()); }
-
-    private static int pinnedCell(Request r) {
-        boolean pinned = r.in.cell() < 0 && r.maybeRanAt != null && r.kind.group() == Group.CELL;
-        return pinned ? r.maybeRanAt.cell : Math.max(-1, r.in.cell());
-    }
-
-    private void arrive(Arrival a) {
-        if (open.containsKey(a.id())) return;
-        budget.add(now, true);
-        RequestClass kind = classes.get(a.requestClass());
-        Plan plan = plans.get(a.plan());
-        if (kind == null || plan == null || !(a.units() >= 0)) {
-            out.add(new Refuse(a.id(), 0, Reason.UNKNOWN_CLASS));   // it never ran
-            return;
-        }
-        largest = Math.max(Math.max(largest, settings.unitMean()), a.units());
-        Request r = new Request();
-        r.in = a;
-        r.kind = kind;
-        r.order = orders++;
-        r.luck = random.nextDouble();
-        r.arrived = now;
-        r.answerAt = Math.min(leaveBy, a.deadline() - ANSWER_TICKS * settings.tick());
-        r.holdUntil = now + HOLD_PART * (a.deadline() - now);
-        // What lacks from the class's deadline was spent on earlier tries; the aim counts from the first.
-        double spent = Math.max(0, kind.deadline() - (a.deadline() - now));
-        r.aimAt = Math.min(now + kind.aim() - spent, r.answerAt);
-        String name = a.volume() == null ? "" : a.volume();
-        if (volumes.size() >= MANY_VOLUMES && !volumes.containsKey(name)) {
-            // Guards memory against names that clients make up; a store that rested so long is full again.
-            volumes.values().removeIf(v -> v.busy.isEmpty() && now - v.lastArrival > VOLUME_MEMORY);
-        }
-        r.volume = volumes.computeIfAbsent(name, n -> new Volume(plan, Math.max(1, a.hosts())));
-        r.volume.gate.share(Math.max(1, a.hosts()), now);
-        if (!limitsLeft.isEmpty()) r.volume.gate.left(limitsLeft.remove(name), now);
-        open.put(a.id(), r);
-        if (r.volume.gate.fillsLate(a.units(), r.aimAt, now)) {
-            answer(r, Reason.LIMIT);
-            return;
-        }
-        if (a.again() && !mayComeAgain(a)) {
-            answer(r, Reason.REPEATS_BOUND);
-            return;
-        }
-        r.late = now >= r.aimAt;
-        // A repeat past its aim is still of some use to an idle node; if none is, it is given up at once.
-        if (r.late) r.holdUntil = now + settings.tick();
-        if (!r.late) {
-            tags.tag(r);
-            dues.add(new Due(r.aimAt, r));
-        }
-        dues.add(new Due(r.answerAt, r));
-        dues.add(new Due(r.holdUntil, r));
-        if (kind.ordered() && a.key() != null) {
-            if (keyOrders.size() > 2 * open.size() + 64) {   // rested keys would pile up over the weeks
-                keyOrders.values().removeIf(t -> t.waiting.isEmpty() && t.flying == 0 && now >= t.restUntil);
-            }
-            keyOrders.computeIfAbsent(a.key(), k -> new KeyOrder()).waiting.add(r);
-        }
-        heldFor(r).add(r);
-    }
-
-    /** A client's own retry takes its place in the node's repeats as it comes, whether it is sent or not. */
-    private boolean mayComeAgain(Arrival a) {
-        List<Node> at = nodes.values().stream().filter(n -> n.cell == a.cell() && n.usable).toList();
-        boolean may = at.stream().allMatch(n -> n.repeats.allows(now));
-        if (may) at.forEach(n -> n.repeats.add(now, false));
-        return may;
-    }
-
-    private boolean hasTurn(Request r) {
-        if (!r.kind.ordered() || r.in.key() == null) return true;
-        KeyOrder order = keyOrders.get(r.in.key());
-        return order.waiting.peek() == r && order.flying == 0 && now >= order.restUntil;
-    }
-
-    // ---------------------------------------------------------------- tags
-
-    /** A flow of the design: a volume at this host. */
-    final class Volume {
-        final Plan plan;
-        final Gate gate;
-        final ArrayDeque<Request> busy = new ArrayDeque<>();
-        final UseShare use = new UseShare(now);
-        double numTokens, maxS, minS, lastArrival = now, reserveLeft;
-        double planLeft;
-        long planStamp;
-        double reserveAt = now;
-
-        Volume(Plan plan, int hosts) {
-            this.plan = plan;
-            this.gate = new Gate(plan, hosts, startedAt);
-            numTokens = sigma();
-            maxS = now;
-            reserveLeft = reserveDepth();
-        }
-
-        /** What share of its worth a held request earns: reserve, then the curve, then what is beyond. */
-        double planned(Request r) {
-            if (planStamp != Control.this.planStamp) {
-                fillReserve();
-                planStamp = Control.this.planStamp;
-                planLeft = reserveLeft;
-            }
-            if (planLeft > 0) {
-                planLeft -= r.in.units();
-                return 1;
-            }
-            return r.startTag <= r.arrived + 1000 ? settings.shareWorth() : settings.beyondWorth();
-        }
-
-        /** Beyond the curve with the reserve spent: worth least, here and against other hosts' requests. */
-        boolean isBeyond(Request r) {
-            fillReserve();
-            return r.startTag > r.arrived + 1000 && reserveLeft <= 0;
-        }
-
-        private void fillReserve() {
-            double gained = (now - reserveAt) / 1000 * plan.reserve() * part();
-            reserveLeft = Math.min(reserveDepth(), reserveLeft + gained);
-            reserveAt = now;
-        }
-
-        void drawReserve(double units) {
-            fillReserve();
-            reserveLeft = Math.max(-units, reserveLeft - units);
-        }
-
-        double part() { return use.part(1.0 / gate.hosts, settings.unitMean()); }
-
-        /** Rate of the arrival curve, units per second; its depth is one second of it. */
-        double rho() { return plan.rate() * part(); }
-
-        /**
-         * Depth of the curve: one second of it, or one largest request. With many hosts a second of a part is
-         * less than any request, tokens would never reach one and every request would count as beyond.
-         */
-        double sigma() { return Math.max(rho(), largest); }
-
-        private double reserveDepth() {
-            return plan.reserve() > 0 ? Math.max(plan.reserve() * part(), largest) : 0;
-        }
-    }
-
-    /** The design's arrival-curve tags: numTokens, MaxS and MinS per flow, and the resync shift. */
-    private final class Tags {
-        void tag(Request r) {
-            Volume v = r.volume;
-            double rho = v.rho();
-            v.numTokens = Math.min(v.sigma(), v.numTokens + (now - v.lastArrival) / 1000 * rho);
-            v.lastArrival = now;
-            shift();
-            if (v.numTokens >= 1) {
-                r.startTag = now;
-            } else {
-                r.startTag = Math.max(v.maxS, now);
-                v.maxS = r.startTag + r.in.units() / rho * 1000;
-            }
-            v.numTokens -= r.in.units();
-            r.tokensSpent = true;
-            r.finishTag = r.startTag + r.kind.aim();
-            if (v.busy.isEmpty()) v.minS = r.startTag;
-            v.busy.add(r);
-        }
-
-        /** When every busy flow runs ahead of the clock, all their tags move back by the smallest gap. */
-        private void shift() {
-            double gap = Double.POSITIVE_INFINITY;
-            for (Volume v : volumes.values()) {
-                if (!v.busy.isEmpty()) gap = Math.min(gap, v.minS - now);
-            }
-            if (gap <= 0 || gap == Double.POSITIVE_INFINITY) return;
-            for (Volume v : volumes.values()) {
-                if (!v.busy.isEmpty()) {
-                    v.minS -= gap;
-                    v.maxS -= gap;
-                    for (Request r : v.busy) {     // all on-time requests move alike, so their order stands
-                        r.startTag -= gap;
-                        r.finishTag -= gap;
-                    }
-                }
-            }
-        }
-
-        void sent(Request r) {
-            if (!r.late) r.volume.minS = r.startTag;
-            r.volume.busy.remove(r);
-        }
-
-        /**
-         * Exception to the design: a request that leaves tag order unserved gives its tokens back and the
-         * later ones of its flow move up. Without it a surge's own dead requests keep its MaxS ahead of the
-         * clock, and the units inside its curve miss their aim too.
-         */
-        void giveBack(Request r) {
-            Volume v = r.volume;
-            v.busy.remove(r);
-            if (!r.tokensSpent) return;
-            r.tokensSpent = false;
-            v.numTokens += r.in.units();
-            double step = r.in.units() / v.rho() * 1000;
-            v.maxS -= step;
-            for (Request q : v.busy) {
-                if (q.order > r.order && q.startTag > q.arrived) {
-                    HeldQueue h = heldFor(q);
-                    h.remove(q);
-                    q.startTag = Math.max(q.arrived, q.startTag - step);
-                    q.finishTag = q.startTag + q.kind.aim();
-                    h.add(q);
-                }
-            }
-            if (!v.busy.isEmpty()) v.minS = Math.min(v.minS, v.busy.peek().startTag);
-        }
-    }
-
-    // ---------------------------------------------------------------- nodes
-
-    /** One storage node as this host sees it. */
-    final class Node {
-        final String id;
-        final String zone;
-        final int cell;
-        boolean usable, listed;
-        double lastStart, toldAt;
-        final Map<String, Attempt> flying = new LinkedHashMap<>();
-        final ArrayDeque<double[]> sentUnits = new ArrayDeque<>();
-        double window = WINDOW_START, latency, recent, perUnit, best = Double.POSITIVE_INFINITY;
-        double bestAt = now, narrowedAt;
-        double servedAt = now, sentAt = now, overtaken, trickleAt, errors;
-        RepeatBudget repeats = boundedRepeats();
-        int failures, tries;
-        boolean missed, named, doubted;
-
-        Node(NodeEntry e) {
-            id = e.node();
-            zone = e.zone();
-            cell = e.cell();
-        }
-
-        /** Expected latency of a request of so many units. */
-        double expected(double units) {
-            return Math.max(perUnit, expected() + (units - settings.unitMean()) * perUnit);
-        }
-
-        /**
-         * What was last seen here, fading into what all nodes show now, and no less than the oldest attempt
-         * is out. Guards against acting on old news: with many hosts each hears of a node every few seconds.
-         */
-        double expected() {
-            for (Attempt a : flying.values()) {
-                if (a.heardAt > overtaken && !lost(a)) return Math.max(usual(), now - a.heardAt);
-            }
-            return usual();
-        }
-
-        private double usual() { return recent > 0 ? fade(recent, servedAt, around()) : around(); }
-
-        /**
-         * Out for longer than answers take, and overtaken or the first of its kind: its answer may be lost.
-         * It tells nothing of the node and holds no place there; a second one does.
-         */
-        private boolean lost(Attempt a) {
-            if (now - a.heardAt <= CALM * usual()) return false;
-            for (Attempt first : flying.values()) {
-                if (first == a || a.heardAt <= overtaken) return true;
-                if (first.heardAt > overtaken) return false;
-            }
-            return false;
-        }
-
-        /** How long to wait for a safe request's answer so that a repeat can meet the aim; 0: no limit. */
-        double patience(Request r) {
-            double took = expected(r.in.units()), spare = r.aimAt - now - took - 2 * settings.tick();
-            return r.kind.effect() == Effect.SAFE && !r.late && spare > CALM * took ? spare : 0;
-        }
-
-        /** Gone, and nothing is out there. Guards memory against nodes that come under ever new ids. */
-        boolean isDone() { return !listed && flying.isEmpty(); }
-
-        boolean suspect() { return failures > 0; }
-
-        /** Another's finding counts as one failure here, at the moment it is first told. */
-        void doubt(boolean isNamed) {
-            if (isNamed && !named && failures == 0) {
-                doubted = true;
-                failures = 1;
-                trickleAt = now + TRICKLE * random.nextDouble();
-            } else if (!isNamed && doubted) {
-                doubted = false;
-                failures = 0;
-                trickleAt = 0;
-            }
-            named = isNamed;
-        }
-
-        double target() { return Math.min(NEAR_BEST * best, shortestAim * AIM_PART); }
-
-        /**
-         * Exception to the design: as a node's latency nears the aim, what is beyond the curve leaves at a
-         * pace only, and past the aim all does. What other hosts hold there inside their curves can't be
-         * seen, only this latency; guards against excess from many hosts making every reserve late.
-         */
-        boolean pressed(Request r) {
-            double part = r.volume.isBeyond(r) ? YIELD : 1;
-            boolean paced = !flying.isEmpty() || now < sentAt + YIELD_PACE * expected();
-            return paced && expected() > part * shortestAim;
-        }
-
-        boolean takes(Request r) { return mayTake() && (!isCold() || coldAdmits(r)); }
-
-        boolean mayTake() {
-            if (!usable || now >= listLeasedUntil || now < trickleAt) return false;
-            double room = suspect() ? Math.min(1, window) : window;
-            double most = Math.max(1, Math.floor(room));
-            if (flying.size() >= most) most += flying.values().stream().filter(this::lost).count();
-            if (flying.size() >= most) return false;
-            return room >= 1 || now >= sentAt + expected() / room;
-        }
-
-        /**
-         * A cold node's rule. Where the host's part is under one request, on-time requests are admitted at
-         * random, one in a span: most of what the rule bears if all that is asked is the node's whole power.
-         * Without this a node that restarts under a hundred hosts would stay idle until it is warm.
-         */
-        private boolean coldAdmits(Request r) {
-            double sent = sentWithin(), part = coldPart();
-            if (sent + r.in.units() <= part) return true;
-            boolean free = sent == 0 || flying.isEmpty() && sent < SECOND * settings.unitMean();
-            // What was held while the node was away leaves over as long as it may be held, not at once.
-            double eased = r.arrived < toldAt ? Math.min(1, (now - toldAt) / (r.holdUntil - r.arrived)) : 1;
-            return part < settings.unitMean() && free && !r.late
-                && r.luck < eased * ADMISSION_CHANCE * ramp() * rules.fallMultiple();
-        }
-
-        private double ramp() {
-            double share = Math.max(0.01, rules.coldShare());
-            return share + (1 - share) * Math.max(0, now - lastStart) / rules.coldTime();
-        }
-
-        boolean isCold() { return lastStart > 0 && now - lastStart < rules.coldTime(); }
-
-        /**
-         * This host's part of what a cold node bears in a span of the rule, as the ramp stands: the cold
-         * units, or more where the other nodes' best latencies tell of more. It counts one mean request at a
-         * time, as if nodes had one core, so that all hosts' parts together leave room for a slower node.
-         */
-        double coldPart() {
-            double[] bests = nodes.values().stream().filter(n -> !n.isCold() && n.latency > 0)
-                .mapToDouble(n -> n.best).sorted().toArray();
-            double known = bests.length == 0 ? 0
-                : rules.fallMultiple() * rules.fallTime() * settings.unitMean() / bests[bests.length / 2];
-            double sure = rules.coldUnits() / Math.max(0.01, rules.coldShare());
-            return Math.max(sure, known) * ramp() / settings.hosts();
-        }
-
-        double sentWithin() {
-            double sum = 0;
-            while (!sentUnits.isEmpty() && sentUnits.peek()[0] < now - rules.fallTime() - settings.tick()) {
-                sentUnits.poll();
-            }
-            for (double[] s : sentUnits) sum += s[1];
-            return sum;
-        }
-
-        /** Learns from served answers only: a fast error must not look like a fast node. */
-        void served(Attempt a, double took) {
-            failures = tries = 0;
-            missed = doubted = false;
-            trickleAt = 0;
-            errors *= 1 - LEARN;
-            double units = Math.max(1, a.request.in.units()), each = took / units;
-            perUnit = perUnit > 0 ? perUnit + (each < perUnit ? LEARN : LEARN / 5) * (each - perUnit) : each;
-            double mean = Math.max(each, took + (settings.unitMean() - units) * perUnit);
-            double before = servedAt;
-            overtaken = Math.max(overtaken, a.sentAt);
-            servedAt = now;
-            latency = latency > 0 ? latency + LEARN * (mean - latency) : mean;
-            recent = recent > 0 ? mean + (1 - LEARN) * (fade(recent, before, mean) - mean) : mean;
-            around = mean + (1 - LEARN) * (fade(around, aroundAt, mean) - mean);
-            aroundAt = now;
-            best += (latency - best) * (1 - Math.exp(-(now - bestAt) / BEST_MEMORY));
-            if (!(best <= latency)) best = latency;
-            bestAt = now;
-            double norm = window <= 1 ? 2 * shortestAim * AIM_PART : target();
-            if (latency <= norm) {
-                if (a.wide) {
-                    window = Math.min(WINDOW_CEILING, window + Math.min(window / 2, 1 / window));
-                }
-            } else if (now - narrowedAt > latency) {
-                narrowedAt = now;
-                window = Math.max(window > 1 ? 1 : WINDOW_FLOOR, window * NARROW);
-            }
-        }
-
-        /** A failed attempt that says something of the node: back off, then go on by a trickle. */
-        void failed(Outcome outcome) {
-            if (outcome == Outcome.ERROR) {
-                errors += LEARN * (1 - errors);
-                return;
-            }
-            if (outcome.mayBeAlone() && !missed && !doubted) {
-                missed = true;   // one answer or connection may be lost; that is not the end of the node
-                return;
-            }
-            failures++;
-            doubted = false;
-            window = Math.max(WINDOW_FLOOR, window / 2);
-            trickleAt = now + Math.min(TRICKLE, BACKOFF * Math.pow(2, Math.min(failures, 10)));
+    public List<ControlAction> start() {
+        if (pollsEndpoints()) {
+            pollSchedule.started(state.now());
         }
+        pollIfDue();
+        wakeTimer.set(pollSchedule.dueAt());
+        return state.actions.drain();
     }
 
-    /** A value seen at some time, fading into another with age. */
-    private double fade(double value, double at, double into) {
-        return into + (value - into) * Math.exp(-(now - at) / AGE);
+    /** Takes one event at time {@code now} and answers with the actions that it leads to, in order. */
+    public List<ControlAction> on(double now, ControlEvent event) {
+        state.context.clock().advanceTo(now);
+        event.accept(handler);
+        pollIfDue();
+        deadlines.expire();
+        dispatcher.dispatch();
+        wakeTimer.set(pollSchedule.dueAt());
+        return state.actions.drain();
     }
 
-    /** Latency over all nodes of late; into a guess when nothing was heard. */
-    private double around() { return fade(around, aroundAt, shortestAim / 3); }
-
-    private void learnList(NodeList list) {
-        if (!list.persisted()) listPace.heard();
-        if (list.whole()) nodes.values().forEach(n -> n.usable = n.listed = false);
-        for (NodeEntry e : list.nodes()) {
-            Node n = nodes.computeIfAbsent(e.node(), k -> new Node(e));
-            n.usable = e.phase() == Phase.HEALTHY;
-            n.listed = e.phase() != Phase.GONE;
-            if (e.born() > n.lastStart) {
-                n.lastStart = e.born();
-                if (n.isCold()) {
-                    n.toldAt = now;
-                    n.window = Math.min(n.window, WINDOW_START);
-                    n.failures = 0;
-                    n.trickleAt = 0;
-                }
-            }
-        }
-        nodes.values().removeIf(Node::isDone);
-    }
-
-    // ---------------------------------------------------------------- sending
-
-    /** Sends what may leave now: each node's smallest finish tag first, new objects where they wait least. */
-    private void pump() {
-        HeldQueue fresh = held.get(-1);
-        for (Node n : nodes.values()) {
-            HeldQueue own = held.get(n.cell);
-            boolean takesFresh = fresh != null && fresh.size() > 0 && welcomesFresh(n);
-            if (own != null && own.onTime.size() > 1 && n.mayTake()) shed(own, n);
-            while (n.usable && (own != null && own.size() > 0 || takesFresh && fresh.size() > 0)) {
-                Request r = own == null ? null : pick(own.onTime, n);
-                if (takesFresh) {
-                    Request f = pick(fresh.onTime, n);
-                    if (f != null && (r == null || f.finishTag < r.finishTag) && bestFor(f) == n) r = f;
-                }
-                if (r == null) {
-                    r = own == null ? null : pick(own.late, n);
-                    if (r == null && takesFresh) r = pick(fresh.late, n);
-                }
-                if (r == null) break;
-                send(r, n);
-            }
+    private void pollIfDue() {
+        if (pollSchedule.takeDue(state.now())) {
+            state.actions.add(new PollEndpoints());
         }
     }
 
-    /** The first request in tag order that nothing holds back at this node. */
-    private Request pick(TreeSet<Request> queue, Node n) {
-        if (!n.mayTake()) return null;
-        for (Request r : queue) {
-            boolean inTime = now + n.expected(r.in.units()) <= r.aimAt;
-            if (n.pressed(r)) continue;
-            boolean idle = n.flying.isEmpty() && now > n.sentAt + LATE_PACE * n.expected();
-            boolean useful = inTime || !r.late && now + n.expected(r.in.units()) <= r.answerAt;
-            if ((useful || idle) && n.takes(r) && mayLeave(r, n)) return r;
-        }
-        return null;
-    }
-
     /**
-     * Exception to the design, acting only where a node cannot meet the aims of all that waits for it here:
-     * in tag order, each that would come too late makes the least worthy so far, itself included, wait behind
-     * the others. Guards against an overload in which the oldest go first and every one comes late.
+     * The units left in this instance's share of each limited volume, by volume, less what is owed of its
+     * loan.
      */
-    private void shed(HeldQueue own, Node n) {
-        double perUnit = n.expected() / (n.window * settings.unitMean());
-        double ready = now;
-        planStamp++;
-        PriorityQueue<Request> kept = new PriorityQueue<>(
-            Comparator.<Request>comparingDouble(r -> r.worth).thenComparingLong(r -> -r.order));
-        List<Request> shed = new ArrayList<>();
-        for (Request r : own.onTime) {
-            r.worth = r.kind.worth() * r.volume.plan.price() * r.volume.planned(r);
-            kept.add(r);
-            if (ready + n.expected(r.in.units()) > r.aimAt) {
-                Request least = kept.poll();
-                shed.add(least);
-                ready -= least == r ? 0 : (least.in.units() - r.in.units()) * perUnit;
-            } else {
-                ready += r.in.units() * perUnit;
-            }
-        }
-        shed.forEach(this::leaveTagOrder);
+    public Map<String, Double> limitTokens() {
+        return state.volumes.limitTokens();
     }
 
-    private void leaveTagOrder(Request r) {
-        HeldQueue h = heldFor(r);
-        h.remove(r);
-        r.late = true;
-        tags.giveBack(r);
-        h.add(r);
-        if (r.tries == 0) answer(r, Reason.OVERLOAD);   // its client may find help elsewhere, or later
+    /** Nodes that failed to answer this instance itself, and how often it has probed each since. */
+    public Map<String, Integer> unresponsiveNodes() {
+        return state.nodes.unresponsive();
     }
 
-    private boolean mayLeave(Request r, Node n) {
-        if (now < r.retryAt || !hasTurn(r) || r.tries == 0 && !r.volume.gate.allows(r.in.units(), now)) {
-            return false;
-        }
-        if (r.tries > 0 && !(budget.allows(now) && n.repeats.allows(now))) return false;
-        return r.maybeRanSince < 0 || r.kind.effect() == Effect.SAFE || inGroup(r, n);
-    }
-
-    /** Until when nodes surely remember a keyed request that may have run; 0: it has not. */
-    private double writeBy(Request r) {
-        boolean mayRepeat = r.kind.effect() == Effect.KEYED && r.maybeRanSince >= 0;
-        return mayRepeat ? r.maybeRanSince + r.kind.window() - settings.tick() : 0;
-    }
-
-    /** A keyed request that may have run goes only to nodes that drop its repeats, while they remember it. */
-    private boolean inGroup(Request r, Node n) {
-        if (now >= writeBy(r)) return false;
-        return switch (r.kind.group()) {
-            case ALL -> true;
-            case ZONE -> n.zone != null && n.zone.equals(r.maybeRanAt.zone);
-            case CELL -> n.cell == r.maybeRanAt.cell;
-        };
-    }
-
-    private boolean welcomesFresh(Node n) {
-        return n.usable && !n.suspect() && !n.isCold() && n.errors < LEARN;
-    }
-
-    /** Where a new object waits least: expected latency times what this host already has there. */
-    private Node bestFor(Request r) {
-        Node choice = null;
-        double least = Double.POSITIVE_INFINITY;
-        for (Node n : nodes.values()) {
-            if (welcomesFresh(n) && n.takes(r)) {
-                HeldQueue own = held.get(n.cell);
-                double wait = n.expected() * (1 + n.flying.size() + (own == null ? 0 : own.onTime.size()));
-                if (wait < least) {
-                    least = wait;
-                    choice = n;
-                }
-            }
-        }
-        return choice;
+    /** The number of nodes of which anything is kept. */
+    int nodesKnown() {
+        return state.nodes.size();
     }
 
-    private void send(Request r, Node n) {
-        heldFor(r).remove(r);
-        tags.sent(r);
-        if (!r.late) r.volume.drawReserve(r.in.units());
-        if (r.tries > 0 || !r.in.again()) n.repeats.add(now, r.tries == 0);
-        if (r.tries == 0) {
-            r.volume.gate.draw(r.in.units());
-        } else {
-            budget.add(now, false);
-        }
-        double patience = n.patience(r);
-        Attempt a = new Attempt();
-        a.request = r;
-        a.node = n;
-        a.sentAt = a.heardAt = now;
-        if (n.suspect()) {
-            n.trickleAt = now + TRICKLE;
-            n.tries++;
-        }
-        r.flying = a;
-        attempts.put(r.in.id() + '#' + r.tries, a);
-        n.flying.put(r.in.id() + '#' + r.tries, a);
-        a.wide = n.flying.size() >= Math.floor(n.window);
-        n.sentUnits.add(new double[] {now, r.in.units()});
-        if (n.sentUnits.size() > 4 * WINDOW_CEILING) n.sentWithin();
-        n.sentAt = now;
-        if (r.kind.ordered() && r.in.key() != null) keyOrders.get(r.in.key()).flying++;
-        r.tries++;
-        out.add(new Send(r.in.id(), n.id, patience, writeBy(r)));
-    }
-
-    // ---------------------------------------------------------------- outcomes and answers
-
-    private void done(AttemptDone d) {
-        Attempt a = attempts.remove(d.id() + '#' + d.attempt());
-        if (a == null) return;
-        Request r = a.request;
-        Node n = a.node;
-        n.flying.remove(d.id() + '#' + d.attempt());
-        if (n.isDone()) nodes.remove(n.id, n);
-        r.volume.use.learn(now, d.elsewhere(), d.usePercent(), r.volume.plan.rate());
-        if (d.outcome() == Outcome.SERVED) {
-            n.served(a, d.took());
-            r.volume.use.served(r.in.units());
-        } else if (d.outcome() != Outcome.CANCELLED && d.outcome() != Outcome.NOT_SENT) {
-            if (!d.outcome().mayBeAlone() || n.servedAt < a.sentAt) n.failed(d.outcome());
-        }
-        if (r.kind.ordered() && r.in.key() != null) {
-            KeyOrder order = keyOrders.get(r.in.key());
-            order.flying--;
-            if (d.outcome() == Outcome.TIMED_OUT || d.outcome() == Outcome.RESET
-                || d.outcome() == Outcome.CANCELLED) {
-                order.restUntil = Math.max(order.restUntil, now + rules.keyRest() + settings.tick());
-            }
-        }
-        r.flying = null;
-        r.reached |= d.outcome() == Outcome.FULL || !d.outcome().neverRan();
-        if (!d.outcome().neverRan() && r.maybeRanSince < 0) {
-            r.maybeRanSince = a.sentAt;
-            r.maybeRanAt = n;
-        }
-        if (open.get(d.id()) != r) {
-            dropTurn(r);
-            return;
-        }
-        if (r.streaming) {                 // cut short: its deadline runs again
-            r.streaming = false;
-            dues.add(new Due(r.answerAt, r));
-        }
-        if (d.ended()) {
-            close(r);
-        } else if (!d.spent() && mayRepeat(r) && n.repeats.allows(now) && (r.reached || now < r.holdUntil)) {
-            r.retryAt = d.outcome() == Outcome.TIMED_OUT ? now : now + BACKOFF * r.tries;
-            r.late |= r.retryAt + n.expected() > r.aimAt;
-            if (!r.late) r.volume.busy.add(r);   // back among the tags that shift together
-            heldFor(r).add(r);
-        } else {
-            answer(r, now >= r.answerAt ? Reason.TIME_OVER : Reason.NO_REPEAT);
-        }
-    }
-
-    private boolean mayRepeat(Request r) {
-        if (r.tries >= mostTries || now >= r.answerAt) return false;
-        return r.kind.effect() == Effect.SAFE || r.maybeRanSince < 0
-            || r.kind.effect() == Effect.KEYED && now + BACKOFF * r.tries - r.maybeRanSince < r.kind.window();
-    }
-
-    /** Gives the final answer: a refusal where a repeat does no harm, a failure otherwise. */
-    private void answer(Request r, Reason reason) {
-        boolean harmless = r.proved() || r.kind.effect() == Effect.SAFE
-            || r.kind.effect() == Effect.KEYED && r.kind.group() == Group.ALL;
-        out.add(harmless ? new Refuse(r.in.id(), comeBack(r), reason) : new Fail(r.in.id(), reason));
-        callOff(r);
-        close(r);
-    }
-
-    /** When coming again may be of use: the limit holds the units, and what waits here may have gone. */
-    private double comeBack(Request r) {
-        // Whatever waits ahead now has left or been given up once an aim is over.
-        double wait = r.kind.aim(), held = heldFor(r).size();
-        for (Node n : nodes.values()) {
-            if (n.cell == r.in.cell()) {
-                double turn = n.expected() * (1 + held / Math.max(1, n.window));
-                double later = Math.max(turn, n.trickleAt - now);
-                wait = n.usable ? Math.max(wait, later) : settings.maxRetryAfter();
-            }
-        }
-        return Math.min(settings.maxRetryAfter(), Math.max(wait, r.volume.gate.wait(r.in.units(), now)));
-    }
-
-    private void callOff(Request r) {
-        if (r.flying != null && settings.mayCancel()) out.add(new Cancel(r.in.id(), r.tries - 1));
-    }
-
-    private void close(Request r) {
-        open.remove(r.in.id());
-        if (r.isHeld) {
-            heldFor(r).remove(r);
-            if (!r.late) tags.giveBack(r);
-        }
-        dropTurn(r);
-    }
-
-    private void dropTurn(Request r) {
-        if (!r.kind.ordered() || r.in.key() == null) return;
-        KeyOrder order = keyOrders.get(r.in.key());
-        if (order != null) {
-            order.waiting.remove(r);
-            if (order.waiting.isEmpty() && order.flying == 0 && now >= order.restUntil) {
-                keyOrders.remove(r.in.key());
-            }
-        }
-    }
-
-    /** What falls due: a missed aim leaves tag order, a deadline gets its answer. */
-    private void expire() {
-        while (!dues.isEmpty() && dues.peek().at <= now) {
-            Request r = dues.poll().request;
-            if (open.get(r.in.id()) != r || r.streaming && now < leaveBy) continue;
-            if (now >= r.answerAt) {
-                answer(r, Reason.TIME_OVER);
-            } else if (now >= r.holdUntil && r.isHeld && !r.reached) {
-                answer(r, Reason.NOT_PLACED);
-            } else if (now >= r.aimAt && !r.late) {
-                if (r.isHeld) leaveTagOrder(r);
-                r.late = true;
-            }
-        }
+    /** The number of volumes of which anything is kept. */
+    int volumesKnown() {
+        return state.volumes.size();
     }
 }
--- a/src/main/java/kelphollow/protocol/object/ObjectBackend.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectBackend.java
@@ -25,13 +25,13 @@
 import java.util.logging.Logger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import kelphollow.decision.ControlApi.Outcome;
+import kelphollow.decision.ControlEvent.AttemptOutcome;
 import kelphollow.routing.Attempt;
 import kelphollow.routing.Backend;
-import kelphollow.routing.Result;
+import kelphollow.routing.AttemptResult;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.PooledConnection;
-import kelphollow.transport.Pools;
+import kelphollow.transport.ConnectionPools;
 
 /** Carries attempts to object servers over HTTP. */
 public final class ObjectBackend implements Backend {
@@ -45,12 +45,12 @@
         "if-modified-since", "if-none-match", "if-unmodified-since", "range", "user-agent");
     private static final Pattern CONTENT_RANGE = Pattern.compile("bytes (\\d{1,18})-(\\d{1,18})/(\\d{1,18}|\\*)");
 
-    private final Pools pools;
+    private final ConnectionPools pools;
     private final Ticker ticker;
     private final double stall;
 
     /** {@code stall} is how long a body may stand still before its attempt is given up. */
-    public ObjectBackend(Pools pools, Ticker ticker, double stall) {
+    public ObjectBackend(ConnectionPools pools, Ticker ticker, double stall) {
         this.pools = pools;
         this.ticker = ticker;
         this.stall = stall;
@@ -63,18 +63,18 @@
 
     @Override public void start(Attempt attempt) {
         Exchange exchange = new Exchange(attempt);
-        attempt.carrier = exchange;
-        exchange.link = pools.lease(attempt.member().entry().node(), attempt.member().address(), exchange);
+        attempt.attach(exchange);
+        exchange.link = pools.acquire(attempt.target().endpoint().node(), attempt.target().address(), exchange);
     }
 
-    @Override public void abandon(Attempt attempt) {
-        if (attempt.carrier instanceof Exchange exchange) {
+    @Override public void cancel(Attempt attempt) {
+        if (attempt.transportHandle() instanceof Exchange exchange) {
             exchange.close();
         }
     }
 
-    @Override public void retire(String node) {
-        pools.retire(node);
+    @Override public void closeIdleConnections(String node) {
+        pools.closeIdle(node);
     }
 
     /** One request and its answer on a connection. */
@@ -94,11 +94,11 @@
             this.transfer = (Transfer) attempt.request().message();
         }
 
-        @Override public void up(PooledConnection up) {
+        @Override public void connected(PooledConnection up) {
             link = up;
-            if (!attempt.mayWrite() || transfer.streamsBody() && transfer.isSpent()) {
+            if (!attempt.maySend() || transfer.streamsBody() && transfer.isSpent()) {
                 up.release();
-                attempt.ended(Result.of(Outcome.NOT_SENT, null, transfer.isSpent()));
+                attempt.ended(AttemptResult.of(AttemptOutcome.NOT_SENT, null, transfer.isSpent()));
                 return;
             }
             ObjectCall call = transfer.call;
@@ -144,7 +144,7 @@
         // ------------------------------------------------------------ the body goes up
 
         private void startBody() {
-            if (bodyStarted || !attempt.isOut()) {
+            if (bodyStarted || !attempt.isInFlight()) {
                 return;
             }
             bodyStarted = true;
@@ -156,7 +156,7 @@
 
         @Override public void piece(ByteBuf piece, boolean last) {
             pieceWanted = false;
-            if (!attempt.isOut() || head != null) {
+            if (!attempt.isInFlight() || head != null) {
                 piece.release();
                 return;
             }
@@ -166,7 +166,7 @@
             if (last) {
                 written = write;
                 transfer.bodyIsWhole();
-                attempt.sentWhole();
+                attempt.requestSent();
             } else {
                 wantPiece();
             }
@@ -193,7 +193,7 @@
                 if (message instanceof HttpResponse response) {
                     response(response);
                 }
-                if (message instanceof HttpContent content && attempt.isOut()) {
+                if (message instanceof HttpContent content && attempt.isInFlight()) {
                     content(content);
                 }
             } finally {
@@ -220,11 +220,11 @@
                 collected = new ByteArrayOutputStream();
             } else if (transfer.isHeadPassed() ? !continues(response) : !begins(response)) {
                 close();
-                attempt.ended(Result.of(Outcome.ERROR, null, transfer.isHeadPassed()));
+                attempt.ended(AttemptResult.of(AttemptOutcome.ERROR, null, transfer.isHeadPassed()));
             } else {
                 movedAt = ticker.now();
                 watchForStall();
-                attempt.began();
+                attempt.responseStarted();
             }
         }
 
@@ -235,7 +235,7 @@
             if (response.status().code() == 206) {
                 if (!range.matches() || length >= 0
                     && Long.parseLong(range.group(2)) - Long.parseLong(range.group(1)) + 1 != length) {
-                    LOG.warning(() -> attempt.member().entry().node() + " gave a range that is none");
+                    LOG.warning(() -> attempt.target().endpoint().node() + " gave a range that is none");
                     return false;
                 }
                 transfer.from = Long.parseLong(range.group(1));
@@ -260,7 +260,7 @@
                 return;            // what ends an interim answer
             }
             if (content.decoderResult().isFailure()) {
-                broken(link, content.decoderResult().cause());
+                connectionFailed(link, content.decoderResult().cause());
                 return;
             }
             boolean last = content instanceof LastHttpContent;
@@ -271,7 +271,7 @@
                     transfer.content(content.content().retain());
                 }
                 if (last) {
-                    finish(Result.of(Outcome.SERVED));
+                    finish(AttemptResult.of(AttemptOutcome.SERVED));
                 } else if (!transfer.waitsForClient()) {
                     link.channel().config().setAutoRead(false);
                     transfer.whenWritable(() -> {
@@ -299,20 +299,21 @@
             boolean never = transfer.call.op().safe || transfer.streamsBody() && !transfer.isBodyWhole();
             if (status == 503 || status == 429) {
                 // Turned away. Once all of a write has come, only the server knows whether that was before it ran.
-                finish(Result.of(never ? Outcome.FULL : Outcome.ERROR, null, transfer.isSpent()));
+                finish(AttemptResult.of(never ? AttemptOutcome.AT_CAPACITY : AttemptOutcome.ERROR, null, transfer
+                    .isSpent()));
             } else if (transfer.isHeadPassed()) {
                 // The rest of a cut answer is not to be had, say since the object has changed (412): another answer
                 // must not be written into the middle of the first.
-                finish(Result.of(Outcome.ERROR, null, true));
+                finish(AttemptResult.of(AttemptOutcome.ERROR, null, true));
             } else if (status >= 500) {
-                finish(Result.of(Outcome.ERROR, null, transfer.isSpent()));
+                finish(AttemptResult.of(AttemptOutcome.ERROR, null, transfer.isSpent()));
             } else {
-                finish(Result.of(Outcome.SERVED,
+                finish(AttemptResult.of(AttemptOutcome.SERVED,
                     new Transfer.Answer(status, head.headers(), collected.toByteArray()), false));
             }
         }
 
-        private void finish(Result result) {
+        private void finish(AttemptResult result) {
             cancelTimer();
             boolean whole = !transfer.streamsBody() || transfer.isBodyWhole();
             if (whole && HttpUtil.isKeepAlive(head)) {
@@ -325,33 +326,33 @@
         }
 
         private void malformed() {
-            LOG.warning(() -> attempt.member().entry().node() + " gave an answer that cannot be read");
+            LOG.warning(() -> attempt.target().endpoint().node() + " gave an answer that cannot be read");
             close();
-            attempt.ended(Result.of(Outcome.ERROR, null, transfer.isSpent() || transfer.isHeadPassed()));
+            attempt.ended(AttemptResult.of(AttemptOutcome.ERROR, null, transfer.isSpent() || transfer.isHeadPassed()));
         }
 
         // ------------------------------------------------------------ ends
 
         /** A request whose last byte was not written never ran; a body that was used up can't be sent again. */
-        @Override public void broken(PooledConnection on, Throwable cause) {
+        @Override public void connectionFailed(PooledConnection on, Throwable cause) {
             cancelTimer();
             boolean never = written == null || !written.isSuccess();
             boolean spent = transfer.isSpent() || transfer.isHeadPassed() && !transfer.isResumable();
             if (on != null && on == link) {
                 on.close();
             }
-            attempt.ended(Result.of(never ? Outcome.NO_CONNECTION : Outcome.RESET, null, spent));
+            attempt.ended(AttemptResult.of(never ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET, null, spent));
         }
 
         private void watchForStall() {
             timer = ticker.after(stall / 2, () -> {
-                if (attempt.isOut() && ticker.now() - movedAt < stall) {
+                if (attempt.isInFlight() && ticker.now() - movedAt < stall) {
                     watchForStall();
-                } else if (attempt.isOut() && transfer.waitsForClient()) {
+                } else if (attempt.isInFlight() && transfer.waitsForClient()) {
                     transfer.clientStalled();
-                } else if (attempt.isOut()) {
+                } else if (attempt.isInFlight()) {
                     close();
-                    attempt.ended(Result.of(Outcome.TIMED_OUT, null, !transfer.isResumable()));
+                    attempt.ended(AttemptResult.of(AttemptOutcome.TIMED_OUT, null, !transfer.isResumable()));
                 }
             });
         }
--- a/src/main/java/kelphollow/protocol/resp/RespBackend.java
+++ b/src/main/java/kelphollow/protocol/resp/RespBackend.java
@@ -14,13 +14,13 @@
 import java.util.logging.Logger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import kelphollow.decision.ControlApi.Outcome;
+import kelphollow.decision.ControlEvent.AttemptOutcome;
 import kelphollow.routing.Attempt;
 import kelphollow.routing.Backend;
-import kelphollow.routing.Result;
+import kelphollow.routing.AttemptResult;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.PooledConnection;
-import kelphollow.transport.Pools;
+import kelphollow.transport.ConnectionPools;
 
 /** Carries attempts to the platform's storage nodes. */
 public final class RespBackend implements Backend {
@@ -34,10 +34,10 @@
     /** A value, the figures on use and the load report. */
     static final int ANSWER_PARTS = 3;
     private static final Pattern FIGURE = Pattern.compile("([a-z]+)=(\\d{1,9}(?:\\.\\d{1,9})?)");
-    private final Pools pools;
+    private final ConnectionPools pools;
     private final Ticker ticker;
 
-    public RespBackend(Pools pools, Ticker ticker) {
+    public RespBackend(ConnectionPools pools, Ticker ticker) {
         this.pools = pools;
         this.ticker = ticker;
     }
@@ -49,19 +49,19 @@
 
     @Override public void start(Attempt attempt) {
         Exchange exchange = new Exchange(attempt);
-        attempt.carrier = exchange;
-        PooledConnection link = pools.lease(attempt.member().entry().node(), attempt.member().address(), exchange);
+        attempt.attach(exchange);
+        PooledConnection link = pools.acquire(attempt.target().endpoint().node(), attempt.target().address(), exchange);
         exchange.link = link;
     }
 
-    @Override public void abandon(Attempt attempt) {
-        if (attempt.carrier instanceof Exchange exchange) {
+    @Override public void cancel(Attempt attempt) {
+        if (attempt.transportHandle() instanceof Exchange exchange) {
             exchange.close();
         }
     }
 
-    @Override public void retire(String node) {
-        pools.retire(node);
+    @Override public void closeIdleConnections(String node) {
+        pools.closeIdle(node);
     }
 
     /** One command and its answer on a connection. */
@@ -77,11 +77,11 @@
             this.attempt = attempt;
         }
 
-        @Override public void up(PooledConnection up) {
+        @Override public void connected(PooledConnection up) {
             link = up;
-            if (!attempt.mayWrite()) {
+            if (!attempt.maySend()) {
                 up.release();
-                attempt.ended(Result.of(Outcome.NOT_SENT));
+                attempt.ended(AttemptResult.of(AttemptOutcome.NOT_SENT));
                 return;
             }
             RespCommand command = call().command();
@@ -95,19 +95,19 @@
         @Override public void received(PooledConnection on, Object message) {
             if (message instanceof LongValueSplitter.Head head) {
                 value = new LongValue(head.length(), on.channel(), ticker);
-                partly(on);
+                partialMessage(on);
                 return;
             }
             if (message instanceof ByteBuf bytes) {
                 attempt.progressed();
-                partly(on);
+                partialMessage(on);
                 if (value.take(bytes) && !value.hasBegun()) {
-                    attempt.began();
+                    attempt.responseStarted();
                     value.begin(call().taker());
                 }
                 return;
             }
-            Result result;
+            AttemptResult result;
             try {
                 result = read((RedisMessage) message, value != null);
             } finally {
@@ -127,18 +127,18 @@
 
         /** An answer that cannot be read: the request has run, and the connection is of no further use. */
         private void spoilt() {
-            LOG.fine(() -> attempt.member().entry().node() + " gave an answer that cannot be read");
+            LOG.fine(() -> attempt.target().endpoint().node() + " gave an answer that cannot be read");
             close();
-            attempt.ended(failed(Outcome.ERROR));
+            attempt.ended(failed(AttemptOutcome.ERROR));
         }
 
         /** What has begun to be passed on cannot be had again. */
-        private Result failed(Outcome outcome) {
-            return Result.of(outcome, null, value != null && value.hasBegun());
+        private AttemptResult failed(AttemptOutcome outcome) {
+            return AttemptResult.of(outcome, null, value != null && value.hasBegun());
         }
 
         /** Guards against an answer that begins and never ends, such as a length that says too much. */
-        @Override public void partly(PooledConnection on) {
+        @Override public void partialMessage(PooledConnection on) {
             partlyAt = ticker.now();
             if (standstill == null) {
                 standstill = ticker.after(STANDSTILL, this::look);
@@ -164,12 +164,12 @@
          * A connection that ends before the last byte was written proves that the attempt never ran. Noise in place
          * of an answer is an error, no sign of a dead node.
          */
-        @Override public void broken(PooledConnection on, Throwable cause) {
+        @Override public void connectionFailed(PooledConnection on, Throwable cause) {
             cancelTimer();
             boolean neverRan = written == null || !written.isSuccess();
             dropUnbegun();
-            attempt.ended(failed(cause instanceof CodecException ? Outcome.ERROR
-                : neverRan ? Outcome.NO_CONNECTION : Outcome.RESET));
+            attempt.ended(failed(cause instanceof CodecException ? AttemptOutcome.ERROR
+                : neverRan ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET));
         }
 
         private void cancelTimer() {
@@ -195,10 +195,10 @@
     }
 
     /** The outcome that an answer tells, or null if it cannot be read; {@code passedOn}: the value has gone ahead of it. */
-    static Result read(RedisMessage message, boolean passedOn) {
+    static AttemptResult read(RedisMessage message, boolean passedOn) {
         if (message instanceof ErrorRedisMessage error) {
             String[] words = error.content().split(" ");
-            Outcome outcome = words[0].equals("BUSY") ? Outcome.FULL : Outcome.ERROR;
+            AttemptOutcome outcome = words[0].equals("BUSY") ? AttemptOutcome.AT_CAPACITY : AttemptOutcome.ERROR;
             if (!words[0].equals("BUSY") && !words[0].equals("ERR")) {
                 LOG.fine(() -> "a node answered -" + error.content());
                 return null;
@@ -209,7 +209,8 @@
             }
             return result(outcome, null, figures);
         }
-        if (!(message instanceof ArrayRedisMessage array) || array.isNull() || array.children().size() != (passedOn ? ANSWER_PARTS - 1 : ANSWER_PARTS)) {
+        if (!(message instanceof ArrayRedisMessage array) || array.isNull() || array.children().size() != (passedOn
+            ? ANSWER_PARTS - 1 : ANSWER_PARTS)) {
             return null;
         }
         List<RedisMessage> parts = array.children();
@@ -224,7 +225,7 @@
                 figures(text, figures);
             }
         }
-        return result(Outcome.SERVED, value, figures);
+        return result(AttemptOutcome.SERVED, value, figures);
     }
 
     /**
@@ -240,9 +241,10 @@
         }
     }
 
-    private static Result result(Outcome outcome, byte[] value, Map<String, Double> figures) {
+    private static AttemptResult result(AttemptOutcome outcome, byte[] value, Map<String, Double> figures) {
         Double inFlight = figures.get("inflight");
-        return new Result(outcome, value, false, figures.getOrDefault("cost", 0.0), figures.getOrDefault("used", -1.0),
+        return new AttemptResult(outcome, value, false, figures.getOrDefault("cost", 0.0), figures.getOrDefault("used",
+            -1.0),
             inFlight == null ? Map.of() : Map.of("inFlight", inFlight));
     }
 }
--- /dev/null
+++ b/src/main/java/kelphollow/routing/EndpointTable.java
@@ -0,0 +1,94 @@
+package kelphollow.routing;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.maintenance.MaintenanceSet;
+
+/**
+ * The endpoint list as it was received last, with addresses, and what is laid over it: nodes in maintenance, and nodes
+ * ejected on the word of other instances. The effective state of either is draining. Confined to the event loop.
+ */
+final class EndpointTable {
+    /**
+     * What follows from an update.
+     *
+     * @param effective the entries received, in their effective state
+     * @param unusable nodes whose idle connections must be closed
+     */
+    record Update(List<Endpoint> effective, List<String> unusable) {}
+
+    private final Map<String, ResolvedEndpoint> endpoints = new HashMap<>();
+    private final MaintenanceSet maintenance = new MaintenanceSet();
+    private Set<String> ejected = Set.of();
+
+    /** The node with its address, or null if the list does not name it. */
+    ResolvedEndpoint find(String node) {
+        return endpoints.get(node);
+    }
+
+    /** The nodes in maintenance, named by the list or not. */
+    MaintenanceSet maintenance() {
+        return maintenance;
+    }
+
+    /** The entry as the decision module is to see it. */
+    Endpoint effective(Endpoint endpoint) {
+        boolean overridden = maintenance.contains(endpoint.node()) || ejected.contains(endpoint.node());
+        if (!overridden || endpoint.state() != EndpointState.HEALTHY) {
+            return endpoint;
+        }
+        return new Endpoint(endpoint.node(), endpoint.zone(), endpoint.cell(), EndpointState.DRAINING, endpoint.startedAt());
+    }
+
+    /** Whether new requests may go to the node. */
+    boolean acceptsWork(String node) {
+        ResolvedEndpoint found = endpoints.get(node);
+        return found != null && effective(found.endpoint()).state() == EndpointState.HEALTHY;
+    }
+
+    /** Applies a list that was received: all of it if {@code complete}, else changes only. */
+    Update update(List<ResolvedEndpoint> received, boolean complete) {
+        List<String> unusable = new ArrayList<>();
+        if (complete) {
+            Map<String, ResolvedEndpoint> before = new HashMap<>(endpoints);
+            endpoints.clear();
+            received.forEach(entry -> before.remove(entry.endpoint().node()));
+            unusable.addAll(before.keySet());
+        }
+        List<Endpoint> entries = new ArrayList<>();
+        for (ResolvedEndpoint entry : received) {
+            String node = entry.endpoint().node();
+            ResolvedEndpoint old = endpoints.put(node, entry);
+            Endpoint effective = effective(entry.endpoint());
+            if (hasRestarted(old, entry) || effective.state() != EndpointState.HEALTHY) {
+                unusable.add(node);
+            }
+            entries.add(effective);
+            if (entry.endpoint().state() == EndpointState.REMOVED) {
+                endpoints.remove(node);
+            }
+        }
+        return new Update(entries, unusable);
+    }
+
+    private static boolean hasRestarted(ResolvedEndpoint old, ResolvedEndpoint entry) {
+        return old != null
+            && (!old.address().equals(entry.address()) || old.endpoint().startedAt() != entry.endpoint().startedAt());
+    }
+
+    /**
+     * From now on just these nodes are ejected. Returns the entries whose ejection has changed, in their effective
+     * state.
+     */
+    List<Endpoint> eject(Set<String> nodes) {
+        Set<String> before = ejected;
+        ejected = Set.copyOf(nodes);
+        return endpoints.values().stream().map(ResolvedEndpoint::endpoint)
+            .filter(e -> before.contains(e.node()) != ejected.contains(e.node())).map(this::effective).toList();
+    }
+}
--- a/src/main/java/kelphollow/routing/RequestCounters.java
+++ b/src/main/java/kelphollow/routing/RequestCounters.java
@@ -2,29 +2,29 @@
 
 import java.util.EnumMap;
 import java.util.Map;
-import kelphollow.decision.ControlApi.Outcome;
-import kelphollow.decision.ControlApi.Reason;
-import kelphollow.decision.ListLease;
+import kelphollow.decision.ControlAction.Reason;
+import kelphollow.decision.ControlEvent.AttemptOutcome;
+import kelphollow.decision.EndpointListLease;
 
 /**
- * What became of requests and attempts since the start, by reason, for the log. Constant memory; for the core's event
+ * Counts what became of requests and attempts since the start, by reason. Constant memory; confined to the event
  * loop.
  */
 final class RequestCounters {
-    private long taken;
+    private long submitted;
     private long served;
-    private long clientsGone;
-    private long repeats;
+    private long clientsDisconnected;
+    private long retries;
     private long overdue;
-    private final Map<Reason, Long> refused = new EnumMap<>(Reason.class);
+    private final Map<Reason, Long> rejected = new EnumMap<>(Reason.class);
     private final Map<Reason, Long> failed = new EnumMap<>(Reason.class);
-    private final Map<Outcome, Long> attempts = new EnumMap<>(Outcome.class);
-    private final Map<WriteVerdict, Long> notWritten = new EnumMap<>(WriteVerdict.class);
-    /** Attempts written, by what the lease on the list rested on. */
-    private final Map<ListLease.State, Long> written = new EnumMap<>(ListLease.State.class);
+    private final Map<AttemptOutcome, Long> attempts = new EnumMap<>(AttemptOutcome.class);
+    private final Map<SendVerdict, Long> notSent = new EnumMap<>(SendVerdict.class);
+    /** Attempts sent, by what the lease on the endpoint list rested on. */
+    private final Map<EndpointListLease.State, Long> sent = new EnumMap<>(EndpointListLease.State.class);
 
-    void taken() {
-        taken++;
+    void submitted() {
+        submitted++;
     }
 
     void served() {
@@ -35,39 +35,38 @@
         overdue++;
     }
 
-    void clientGone() {
-        clientsGone++;
+    void clientDisconnected() {
+        clientsDisconnected++;
     }
 
-    void repeat() {
-        repeats++;
+    void retry() {
+        retries++;
     }
 
-    void refused(Reason reason) {
-        refused.merge(reason, 1L, Long::sum);
+    void rejected(Reason reason) {
+        rejected.merge(reason, 1L, Long::sum);
     }
 
     void failed(Reason reason) {
         failed.merge(reason, 1L, Long::sum);
     }
 
-    void attemptEnded(Outcome outcome) {
+    void attemptEnded(AttemptOutcome outcome) {
         attempts.merge(outcome, 1L, Long::sum);
     }
 
-    void notWritten(WriteVerdict verdict) {
-        notWritten.merge(verdict, 1L, Long::sum);
+    void notSent(SendVerdict verdict) {
+        notSent.merge(verdict, 1L, Long::sum);
     }
 
-    void written(ListLease.State state) {
-        written.merge(state, 1L, Long::sum);
+    void sent(EndpointListLease.State state) {
+        sent.merge(state, 1L, Long::sum);
     }
 
-    /** One line with all that is not zero. */
+    /** All counters as one log line. */
     String summary() {
-        return "requests: taken=" + taken + " served=" + served + " clients gone=" + clientsGone + " overdue=" + overdue
-            + " refused=" + refused
-            + " failed=" + failed + "; attempts: ended=" + attempts + " repeats=" + repeats + " not written=" + notWritten
-            + " written=" + written;
+        return "requests: submitted=" + submitted + " served=" + served + " disconnected=" + clientsDisconnected
+            + " overdue=" + overdue + " rejected=" + rejected + " failed=" + failed + "; attempts: ended=" + attempts
+            + " retries=" + retries + " not sent=" + notSent + " sent=" + sent;
     }
 }
--- a/src/main/java/kelphollow/scale/HollowInstance.java
+++ b/src/main/java/kelphollow/scale/SimulatedInstance.java
@@ -13,9 +13,9 @@
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
 import java.util.stream.IntStream;
-import kelphollow.decision.ControlApi;
-import kelphollow.fleet.Events;
+import kelphollow.decision.ControlSettings;
 import kelphollow.dissemination.Dissemination;
+import kelphollow.fleet.Events;
 import kelphollow.fleet.Fleet;
 import kelphollow.membership.Settings;
 import kelphollow.protocol.json.Json;
@@ -24,21 +24,21 @@
 import kelphollow.routing.Ticker;
 
 /**
- * One instance of the control side without clients and data path: the production fleet over {@link HollowNodes}. A kill
- * ends a life without a word; the next life has a higher epoch at the same address. Called by the thread of the run alone.
+ * One instance of the control plane without clients and data path: the production fleet over {@link SimulatedNodes}. A kill
+ * ends an incarnation without notice; the next one has a higher epoch at the same address. Confined to the run's thread.
  */
-final class HollowInstance {
+final class SimulatedInstance {
     /** The fleet's key in a run. */
     static final byte[] KEY = "the key of one scale run".getBytes(StandardCharsets.US_ASCII);
-    // The share of repeats as an operator's file has it by default.
-    private static final double REPEATS = 0.1;
+    /** The share of retries that an operator's file has by default. */
+    private static final double RETRY_SHARE = 0.1;
 
-    /** Hears what instances find; calls come on their loops. */
+    /** Receives what instances find; called on their loops. */
     interface Observer {
-        /** {@code instance} leaves these nodes alone from now on. */
-        void cordoned(int instance, double now, Set<String> nodes);
+        /** {@code instance} ejects these nodes from now on. */
+        void ejected(int instance, double now, Set<String> nodes);
 
-        /** {@code instance} tells an event of a life of the instance {@code of}, in the words of the fleet's log. */
+        /** {@code instance} logs an event of an incarnation of the instance {@code of}, in the words of the fleet's log. */
         void event(int instance, double now, String kind, String of, long epoch);
     }
 
@@ -49,54 +49,54 @@
     private final Observer observer;
     private final Random random;
     private long epoch;
-    private Gate gate;
-    private HollowNodes nodes;
+    private SuspendableExecutor process;
+    private SimulatedNodes nodes;
     private Fleet fleet;
 
-    HollowInstance(ScaleScenario scenario, int index, FleetHost host, NetworkModel network, Observer observer, long seed) {
+    SimulatedInstance(ScaleScenario scenario, int index, FleetHost host, NetworkModel network, Observer observer,
+        long seed) {
         this.scenario = scenario;
         this.index = index;
         this.host = host;
         this.network = network;
         this.observer = observer;
-        this.random = new Random(seed * ScaleScenario.MOST_INSTANCES + index);
+        this.random = new Random(seed * ScaleScenario.MAX_INSTANCES + index);
     }
 
     int index() {
         return index;
     }
 
-    /** The number of this life. */
+    /** The number of this incarnation. */
     long epoch() {
         return epoch;
     }
 
     boolean isRunning() {
-        return gate != null && gate.isOpen();
+        return process != null && process.isRunning();
     }
 
     boolean isAlive() {
-        return gate != null && !gate.isKilled();
+        return process != null && !process.isKilled();
     }
 
-    /** Begins a life; not on a loop. */
+    /** Begins an incarnation; not on a loop. */
     void start() throws IOException {
         epoch++;
-        Gate life = new Gate();
-        gate = life;
+        SuspendableExecutor newProcess = new SuspendableExecutor();
+        process = newProcess;
         Random drawn = new Random(random.nextLong());
-        host.call(index, () -> {
-            Ticker ticker = host.ticker(index, life);
-            nodes = new HollowNodes(scenario, index, ticker, cordoned -> observer.cordoned(index, ticker.now(), cordoned));
-            fleet = new Fleet(options(), settings(), epoch, host.transports(index, life, KEY, Settings.USUAL.mostMembers()),
-                ticker, nodes, drawn, new Events(new Tap(ticker)), raised -> epoch = raised);
-            return null;
+        host.run(index, () -> {
+            Ticker ticker = host.ticker(index, newProcess);
+            nodes = new SimulatedNodes(scenario, index, ticker, ejected -> observer.ejected(index, ticker.now(), ejected));
+            Fleet.Transports transports = host.transports(index, newProcess, KEY, Settings.USUAL.mostMembers());
+            fleet = new Fleet(options(), settings(), epoch, transports,
+                ticker, nodes, drawn, new Events(new EventReader(ticker)), raised -> epoch = raised);
         });
         host.open(index, fleet);
-        host.call(index, () -> {
+        host.run(index, () -> {
             fleet.start();
             nodes.start();
-            return null;
         });
     }
 
@@ -106,52 +106,50 @@
             seeds.put(ScaleScenario.nameOf(seed), network.addressOf(seed));
         }
         return new Fleet.Options(ScaleScenario.nameOf(index), network.addressOf(index), seeds, KEY,
-            Settings.USUAL.withPeriod(scenario.period()), scenario.fades(), true, true, REPEATS,
+            Settings.USUAL.withPeriod(scenario.period()), scenario.timeToLive(), true, true, RETRY_SHARE,
             Dissemination.Settings.USUAL);
     }
 
-    /** The first instance of each zone: what others are told to look for at their start. */
+    /** The first instance of each zone: what others contact at their start. */
     static List<Integer> seeds(ScaleScenario scenario) {
-        return IntStream.range(0, scenario.hollow())
+        return IntStream.range(0, scenario.simulated())
             .filter(i -> i == 0 || scenario.zoneOf(i) != scenario.zoneOf(i - 1)).boxed().toList();
     }
 
-    private ControlApi.Settings settings() {
-        ControlApi.RequestClass write = new ControlApi.RequestClass(HollowNodes.CLASS, 500, 2_000, 2, 0.1,
-            ControlApi.Effect.UNSAFE, ControlApi.Group.ALL, 0, false, false);
-        ControlApi.Plan usual = new ControlApi.Plan(HollowNodes.PLAN, 1_000, 0, 1, 1, 0, 0, 0);
-        return new ControlApi.Settings(index, scenario.instances(), "z" + scenario.zoneOf(index), 2, 3, 1_000, true, false,
+    private ControlSettings settings() {
+        ControlSettings.RequestClass write = new ControlSettings.RequestClass(SimulatedNodes.CLASS, 500, 2_000, 2, 0.1,
+            ControlSettings.Idempotency.NOT_IDEMPOTENT, ControlSettings.DeduplicationScope.ALL, 0, false, false);
+        ControlSettings.Plan usual = new ControlSettings.Plan(SimulatedNodes.PLAN, 1_000, 0, 1, 1, 0, 0, 0);
+        return new ControlSettings(index, scenario.instances(), "z" + scenario.zoneOf(index), 2, 3, 1_000, true, false,
             1_000, 1, 0.35, 0.05, List.of(write), List.of(usual),
-            new ControlApi.Rules(250, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0));
+            new ControlSettings.Rules(250, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0));
     }
 
-    /** SIGKILL: no word to the others. */
+    /** SIGKILL: the others are not notified. */
     void kill() {
-        host.call(index, () -> {
-            gate.kill();
+        host.run(index, () -> {
+            process.kill();
             fleet.line().close();
-            return null;
         });
     }
 
-    void stop() {
-        host.call(index, () -> {
-            gate.stop();
-            return null;
+    /** SIGSTOP. */
+    void suspend() {
+        host.run(index, () -> {
+            process.suspend();
         });
     }
 
-    void wake() {
-        host.call(index, () -> {
-            gate.wake();
-            return null;
+    /** SIGCONT. */
+    void resume() {
+        host.run(index, () -> {
+            process.resume();
         });
     }
 
     void drain(int node, boolean draining) {
-        host.call(index, () -> {
+        host.run(index, () -> {
             nodes.drain(node, draining);
-            return null;
         });
     }
 
@@ -160,13 +158,12 @@
     }
 
     void eachPart(BiConsumer<String, Double> nameAndAge) {
-        host.call(index, () -> {
+        host.run(index, () -> {
             fleet.eachPart((part, age) -> nameAndAge.accept(part.instance(), age));
-            return null;
         });
     }
 
-    /** What this life sent and received so far, by kind: packets out, bytes out, packets in, bytes in. */
+    /** What this incarnation sent and received so far, by kind: packets out, bytes out, packets in, bytes in. */
     TrafficCount traffic() {
         return host.call(index, () -> {
             Traffic traffic = fleet.line().traffic();
@@ -183,11 +180,11 @@
         return host.call(index, () -> fleet.line().drops().getOrDefault(why, 0L));
     }
 
-    /** Takes the fleet's events out of its log. */
-    private final class Tap extends Handler {
+    /** Reads the fleet's events from its log. */
+    private final class EventReader extends Handler {
         private final Ticker ticker;
 
-        Tap(Ticker ticker) {
+        EventReader(Ticker ticker) {
             this.ticker = ticker;
             setLevel(Level.INFO);
         }
--- /dev/null
+++ b/src/main/java/kelphollow/store/SegmentInspection.java
@@ -0,0 +1,148 @@
+package kelphollow.store;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.stream.Stream;
+
+/**
+ * What an opening reads of one segment before anything is decided or changed: its hint if that suffices, else both copies
+ * and their merge. This is nearly all the work of an opening, so it is done for several segments in parallel on the common
+ * pool, as many as fit into a quarter of the heap. Filled by one thread, then confined to the thread that opens the store.
+ */
+final class SegmentInspection {
+    /** Fewer bytes are read in the caller's thread, in order. */
+    private static final long MIN_PARALLEL_BYTES = 1 << 20;
+    /** Fraction of the heap that may be used: one in this many bytes. */
+    private static final int HEAP_DIVISOR = 4;
+    /** Bytes on the heap per byte of a hint file: both copies, if they differ. */
+    private static final long HINT_FACTOR = 2;
+    /** Bytes on the heap per byte of a segment: both copies, if they differ, and what is made of them. */
+    private static final long SEGMENT_FACTOR = 4;
+
+    private final Manifest.Entry entry;
+    private final boolean[] hintFilesIntact = new boolean[2];
+    private SegmentHint hint;
+    private boolean byHint;
+    private byte[] first;
+    private byte[] second;
+    private SegmentMerge merge;
+    private IOException failure;
+    private StoreFault fault;
+
+    private SegmentInspection(Manifest.Entry entry) {
+        this.entry = entry;
+    }
+
+    /** Reads the segments from this position of the list on, as many as can be held at once; at least one. */
+    static List<SegmentInspection> readFrom(int position, List<Manifest.Entry> all, Disk[] disks, StoreId store,
+        boolean hintsSuffice) {
+        long room = Runtime.getRuntime().maxMemory() / HEAP_DIVISOR;
+        long bytes = 0;
+        List<SegmentInspection> inspections = new ArrayList<>();
+        for (int i = position; i < all.size() && (inspections.isEmpty() || bytes < room); i++) {
+            Manifest.Entry entry = all.get(i);
+            bytes += hintsSuffice && entry.hintLength() > 0 ? HINT_FACTOR * entry.hintLength()
+                : SEGMENT_FACTOR * entry.length();
+            inspections.add(new SegmentInspection(entry));
+        }
+        Stream<SegmentInspection> work = bytes < MIN_PARALLEL_BYTES ? inspections.stream() : inspections.parallelStream();
+        work.forEach(inspection -> inspection.read(disks, store, hintsSuffice));
+        return inspections;
+    }
+
+    private void read(Disk[] disks, StoreId store, boolean hintSuffices) {
+        try {
+            if (!hintSuffices || !entry.isSealed() || !readHint(disks, store)) {
+                readCopies(disks, store);
+            }
+        } catch (IOException e) {
+            failure = e;
+        } catch (StoreFault e) {
+            fault = e;
+        }
+    }
+
+    private boolean readHint(Disk[] disks, StoreId store) throws IOException {
+        if (entry.hintLength() == 0) {
+            return false;
+        }
+        for (int i = 0; i < disks.length; i++) {
+            byte[] expected = hint == null ? new byte[0] : hint.bytes();
+            byte[] bytes = AtomicFile.read(disks[i], Format.hintName(entry.id()), expected);
+            if (hint == null) {
+                hint = SegmentHint.read(bytes, store, entry);
+            }
+            hintFilesIntact[i] = hint != null && Arrays.equals(bytes, hint.bytes());
+        }
+        byHint = hint != null;
+        return byHint;
+    }
+
+    private void readCopies(Disk[] disks, StoreId store) throws IOException, StoreFault {
+        String name = Format.segmentName(entry.id());
+        first = AtomicFile.read(disks[0], name);
+        second = AtomicFile.read(disks[1], name, first);
+        checkVersion(first, disks[0], name);
+        checkVersion(second, disks[1], name);
+        merge = new SegmentMerge(first, second, store, entry);
+        hint = SegmentHint.of(store, merge, entry.id());
+    }
+
+    private static void checkVersion(byte[] copy, Disk disk, String name) throws StoreFault {
+        if (Format.headerState(copy, Format.SEGMENT_MAGIC, null, Format.SEGMENT_HEADER)
+            == Format.HeaderState.OTHER_VERSION) {
+            throw new StoreFault(StoreFault.Kind.UNSUPPORTED_VERSION, disk.place() + "/" + name
+                + " has a format version other than " + Format.VERSION);
+        }
+    }
+
+    /** Reads both copies unless that was done, and throws what went wrong when it was. */
+    void readBoth(Disk[] disks, StoreId store) throws IOException, StoreFault {
+        if (failure != null) {
+            throw failure;
+        }
+        if (fault != null) {
+            throw fault;
+        }
+        if (merge == null) {
+            byHint = false;
+            readCopies(disks, store);
+        }
+    }
+
+    Manifest.Entry entry() {
+        return entry;
+    }
+
+    /** Whether the hint suffices; otherwise both copies were read. */
+    boolean isByHint() {
+        return byHint;
+    }
+
+    /** What the segment holds, from its hint or from its copies. */
+    SegmentHint hint() {
+        return hint;
+    }
+
+    /** Which of the two hint files is as the manifest says. */
+    boolean[] hintFilesIntact() {
+        return hintFilesIntact;
+    }
+
+    /** The bytes of the first copy. */
+    byte[] first() {
+        return first;
+    }
+
+    /** The bytes of the second copy. */
+    byte[] second() {
+        return second;
+    }
+
+    /** What both copies make together; null before they are read. */
+    SegmentMerge merge() {
+        return merge;
+    }
+}
--- a/src/test/java/kelphollow/lab/LabNamesTest.java
+++ b/src/test/java/kelphollow/lab/LabNamesTest.java
@@ -76,17 +76,17 @@
     }
 
     private static Scenario.Step step(String key, String word) throws IOException {
-        String refused = "";
+        String rejected = "";
         for (String who : PARTIES) {
             for (String from : PARTIES) {
                 try {
                     return read(withStep(key, word, who, from)).steps().get(0);
                 } catch (KeyProbe.Refused e) {
-                    refused = e.getMessage();
+                    rejected = e.getMessage();
                 }
             }
         }
-        throw new AssertionError(key + " " + word + ": " + refused);
+        throw new AssertionError(key + " " + word + ": " + rejected);
     }
 
     private static Map<?, ?> withStep(String key, String word, String who, String from) throws IOException {
--- a/src/test/java/kelphollow/program/FleetNamesTest.java
+++ b/src/test/java/kelphollow/program/FleetNamesTest.java
@@ -17,13 +17,13 @@
 import java.util.function.Consumer;
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
-import kelphollow.decision.ControlApi.NodeEntry;
-import kelphollow.decision.ControlApi.Phase;
-import kelphollow.digest.Part;
+import kelphollow.decision.ControlEvent.Endpoint;
+import kelphollow.decision.ControlEvent.EndpointState;
+import kelphollow.digest.InstanceState;
 import kelphollow.fleet.Events;
 import kelphollow.fleet.Fleet;
 import kelphollow.membership.Message;
-import kelphollow.membership.News;
+import kelphollow.membership.MemberUpdate;
 import kelphollow.membership.Output;
 import kelphollow.names.RecordedNames;
 import kelphollow.protocol.json.Json;
@@ -31,8 +31,8 @@
 import kelphollow.protocol.peer.PeerLine;
 import kelphollow.protocol.peer.PeerTransport;
 import kelphollow.protocol.peer.Traffic;
-import kelphollow.routing.Admission;
-import kelphollow.routing.NodeControl;
+import kelphollow.routing.AdmissionFilter;
+import kelphollow.routing.FleetRouting;
 import kelphollow.routing.Ticker;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -64,16 +64,17 @@
     private void hearPeer() {
         Map<String, Double> silent = new TreeMap<>();
         SILENT_NODES.forEach(node -> silent.put(node, 3.0));
-        Part part = new Part(PEER, EPOCH, 1, 0, Map.of(DRAIN, Map.of("n9", 0.0), SILENT, silent, REFUSED, Map.of("7", 6.0)));
-        List<News> news = new ArrayList<>();
-        news.add(new News(PEER, "127.0.0.1:9022", EPOCH, 0, News.State.ALIVE, ""));
-        for (News.State state : News.State.values()) {
+        InstanceState part = new InstanceState(PEER, EPOCH, 1, 0, Map.of(DRAIN, Map.of("n9", 0.0), SILENT, silent, REFUSED,
+            Map.of("7", 6.0)));
+        List<MemberUpdate> news = new ArrayList<>();
+        news.add(new MemberUpdate(PEER, "127.0.0.1:9022", EPOCH, 0, MemberUpdate.State.ALIVE, ""));
+        for (MemberUpdate.State state : MemberUpdate.State.values()) {
             String name = "gateway-" + state.ordinal();
-            news.add(new News(name, "127.0.0.1:9030", EPOCH, 0, News.State.ALIVE, ""));
-            news.add(new News(name, "127.0.0.1:9030", EPOCH, 0, state, PEER));
+            news.add(new MemberUpdate(name, "127.0.0.1:9030", EPOCH, 0, MemberUpdate.State.ALIVE, ""));
+            news.add(new MemberUpdate(name, "127.0.0.1:9030", EPOCH, 0, state, PEER));
         }
         fleet.small(PEER, new Packet.Small(new Message.Gossip(news), List.of(part)));
-        nodes.list.accept(List.of(new NodeEntry("n8", "", 0, Phase.DRAINING, 0)));
+        nodes.list.accept(List.of(new Endpoint("n8", "", 0, EndpointState.DRAINING, 0)));
         for (int i = 0; i < LOOKS; i++) {
             clock.advance(LOOK_MS);
         }
@@ -112,9 +113,9 @@
     /** The reasons that the fleet gives in its events; operators search for them. */
     @Test void aRefutedSuspicionIsToldInTheRecordedWords() throws Exception {
         String self = ObjectConfig.read(FILE).name();
-        List<News> news = new ArrayList<>();
-        news.add(new News(self, "127.0.0.1:9021", EPOCH, 0, News.State.SUSPECT, PEER));
-        news.add(new News(self, "127.0.0.1:9021", EPOCH, 1, News.State.DEAD, PEER));
+        List<MemberUpdate> news = new ArrayList<>();
+        news.add(new MemberUpdate(self, "127.0.0.1:9021", EPOCH, 0, MemberUpdate.State.SUSPECT, PEER));
+        news.add(new MemberUpdate(self, "127.0.0.1:9021", EPOCH, 1, MemberUpdate.State.DEAD, PEER));
 
         fleet.small(PEER, new Packet.Small(new Message.Gossip(news), List.of()));
 
@@ -138,22 +139,22 @@
     }
 
     /** Storage nodes, some of which do not answer. */
-    private static final class Nodes implements NodeControl {
-        Consumer<List<NodeEntry>> list;
+    private static final class Nodes implements FleetRouting {
+        Consumer<List<Endpoint>> list;
 
-        @Override public void boundRepeats(double share, double span) {}
+        @Override public void limitRetries(double share, double span) {}
 
-        @Override public void admit(Admission by) {}
+        @Override public void setAdmissionFilter(AdmissionFilter filter) {}
 
-        @Override public void onList(Consumer<List<NodeEntry>> heard) {
+        @Override public void onEndpointsReceived(Consumer<List<Endpoint>> heard) {
             list = heard;
         }
 
-        @Override public void cordon(Set<String> names) {}
+        @Override public void eject(Set<String> names) {}
 
-        @Override public void doubt(Set<String> names) {}
+        @Override public void suspect(Set<String> names) {}
 
-        @Override public Map<String, Integer> silentNodes() {
+        @Override public Map<String, Integer> unresponsiveNodes() {
             Map<String, Integer> silent = new LinkedHashMap<>();
             SILENT_NODES.forEach(node -> silent.put(node, 3));
             return silent;
