--- a/src/bench/java/kelphollow/capacity/ControlCost.java
+++ b/src/bench/java/kelphollow/capacity/ControlCost.java
@@ -11,7 +11,9 @@
  */
 public final class ControlCost {
     private static final long SEED = 34;
-    private static final int REQUESTS = 4_000, WARM_UPS = 1, RUNS = 3;
+    private static final int REQUESTS = 4_000;
+    private static final int WARM_UPS = 1;
+    private static final int RUNS = 3;
     private static final double[] RATES = {20, 100, 200, 400, 843};
     private static final int[] SECONDS = {1, 2, 4};
     // Beyond so many requests the play with each timer takes minutes.
@@ -20,7 +22,9 @@
     private static final int[] VOLUMES = {100, 200, 510, 1_000, 5_000, 20_000};
     private static final int[] HELD = {0, 100, 200, 500, 1_000, 5_000};
     private static final int[] COLD = {0, 10, 50, 167};
-    private static final int TARGET_NODES = 1_000, USUAL_VOLUMES = 1_000, SOME_NODES = 100;
+    private static final int TARGET_NODES = 1_000;
+    private static final int USUAL_VOLUMES = 1_000;
+    private static final int SOME_NODES = 100;
 
     private ControlCost() {}
 
@@ -64,7 +68,9 @@
         System.out.printf("%n| %s | us a request | bytes allocated a request | events a request | timers a request | KB "
             + "kept |%n"
             + "| --- | --- | --- | --- | --- | --- |%n", name);
-        double[] at = new double[sizes.length], micros = new double[sizes.length], kept = new double[sizes.length];
+        double[] at = new double[sizes.length];
+        double[] micros = new double[sizes.length];
+        double[] kept = new double[sizes.length];
         for (int i = 0; i < sizes.length; i++) {
             ControlPlay play = new ControlPlay(shape.of(sizes[i]), SEED);
             Meter.Cost cost = Meter.median(WARM_UPS, RUNS, () -> play.replay(SEED));
@@ -83,7 +89,8 @@
     private static void findings() {
         System.out.printf("%n| nodes | us a call of silentNodes | share of a core at 20 calls a second |%n| --- | --- | "
             + "--- |%n");
-        double[] at = new double[NODES.length], micros = new double[NODES.length];
+        double[] at = new double[NODES.length];
+        double[] micros = new double[NODES.length];
         int calls = 1_000;
         for (int i = 0; i < NODES.length; i++) {
             Control control = new ControlPlay(new Shape(ControlPlay.TARGET_RATE, NODES[i], 1, 0, 0, 100, Timers.ONE),
--- a/src/bench/java/kelphollow/capacity/ControlPlay.java
+++ b/src/bench/java/kelphollow/capacity/ControlPlay.java
@@ -37,7 +37,8 @@
     static final double START = 1_000_000;
     /** Requests a second of one scheduler at the target size: 430,000 over 510. */
     static final double TARGET_RATE = 843;
-    private static final double ANSWERED_AFTER = 5, TICK = 2;
+    private static final double ANSWERED_AFTER = 5;
+    private static final double TICK = 2;
     private static final RequestClass READ = new RequestClass("read", 300, 2_000, 2, 0.1, Idempotency.IDEMPOTENT,
         DeduplicationScope.ALL, 0,
         false, false);
--- a/src/bench/java/kelphollow/capacity/LineFit.java
+++ b/src/bench/java/kelphollow/capacity/LineFit.java
@@ -10,8 +10,12 @@
     /** At least two different sizes; throws {@link IllegalArgumentException} otherwise. */
     public static LineFit through(double[] sizes, double[] values) {
         int count = sizes.length;
-        double meanSize = mean(sizes), meanValue = mean(values);
-        double covariance = 0, variance = 0, total = 0, residual = 0;
+        double meanSize = mean(sizes);
+        double meanValue = mean(values);
+        double covariance = 0;
+        double variance = 0;
+        double total = 0;
+        double residual = 0;
         for (int i = 0; i < count; i++) {
             covariance += (sizes[i] - meanSize) * (values[i] - meanValue);
             variance += (sizes[i] - meanSize) * (sizes[i] - meanSize);
@@ -20,7 +24,8 @@
         if (!(variance > 0) || values.length != count) {
             throw new IllegalArgumentException("a line needs two different sizes with a value each");
         }
-        double slope = covariance / variance, base = meanValue - slope * meanSize;
+        double slope = covariance / variance;
+        double base = meanValue - slope * meanSize;
         for (int i = 0; i < count; i++) {
             residual += Math.pow(values[i] - slope * sizes[i] - base, 2);
         }
--- a/src/bench/java/kelphollow/capacity/Meter.java
+++ b/src/bench/java/kelphollow/capacity/Meter.java
@@ -34,7 +34,8 @@
 
     private static Cost cost(Runnable task) {
         long thread = Thread.currentThread().getId();
-        long bytes = THREADS.getThreadAllocatedBytes(thread), nanos = THREADS.getCurrentThreadCpuTime();
+        long bytes = THREADS.getThreadAllocatedBytes(thread);
+        long nanos = THREADS.getCurrentThreadCpuTime();
         task.run();
         return new Cost(THREADS.getCurrentThreadCpuTime() - nanos, THREADS.getThreadAllocatedBytes(thread) - bytes);
     }
--- a/src/bench/java/kelphollow/capacity/NodeConnections.java
+++ b/src/bench/java/kelphollow/capacity/NodeConnections.java
@@ -11,7 +11,11 @@
  */
 public final class NodeConnections {
     private static final int[] SCHEDULERS = {20, 50, 100, 200, 510, 1_000};
-    private static final double NODE_RATE = 430, SERVICE = 5, QUARANTINE = 20, IDLE = 12_000, SWEEP_FROM = 7.0 / 8;
+    private static final double NODE_RATE = 430;
+    private static final double SERVICE = 5;
+    private static final double QUARANTINE = 20;
+    private static final double IDLE = 12_000;
+    private static final double SWEEP_FROM = 7.0 / 8;
     private static final double PLAYED = 2_000_000;
     private static final long SEED = 34;
 
@@ -23,7 +27,9 @@
     private static Mean play(double ratePerSecond, double service) {
         Random random = new Random(SEED);
         ArrayDeque<Double> idleSince = new ArrayDeque<>();
-        double now = 0, area = 0, nextSweep = IDLE / 8;
+        double now = 0;
+        double area = 0;
+        double nextSweep = IDLE / 8;
         long dials = 0;
         while (now < PLAYED) {
             double next = now - Math.log(1 - random.nextDouble()) * 1_000 / ratePerSecond;
@@ -58,7 +64,8 @@
             + "with 1,000 nodes | dials a second at a node | dials a request |\n| --- | --- | --- | --- | --- | --- | "
             + "--- | --- |");
         for (double service : new double[] {SERVICE, 50}) {
-            double[] at = new double[SCHEDULERS.length], open = new double[SCHEDULERS.length];
+            double[] at = new double[SCHEDULERS.length];
+            double[] open = new double[SCHEDULERS.length];
             for (int i = 0; i < SCHEDULERS.length; i++) {
                 double rate = NODE_RATE / SCHEDULERS[i];
                 Mean mean = play(rate, service);
--- a/src/bench/java/kelphollow/capacity/NodeListCost.java
+++ b/src/bench/java/kelphollow/capacity/NodeListCost.java
@@ -19,7 +19,9 @@
  */
 public final class NodeListCost {
     private static final int[] NODES = {10, 20, 50, 100, 200, 510, 1_000};
-    private static final int TIMES = 20, WARM_UPS = 5, RUNS = 5;
+    private static final int TIMES = 20;
+    private static final int WARM_UPS = 5;
+    private static final int RUNS = 5;
 
     private NodeListCost() {}
 
@@ -80,8 +82,10 @@
         double[] at = new double[NODES.length];
         for (int i = 0; i < NODES.length; i++) {
             int nodes = at(at, i);
-            String whole = json(0, nodes, true), change = json(0, 1, false);
-            DiscoveryList all = read(whole), one = read(change);
+            String whole = json(0, nodes, true);
+            String change = json(0, 1, false);
+            DiscoveryList all = read(whole);
+            DiscoveryList one = read(change);
             RequestRouter router = router();
             columns[0][i] = whole.getBytes(StandardCharsets.UTF_8).length;
             columns[1][i] = change.getBytes(StandardCharsets.UTF_8).length;
--- a/src/bench/java/kelphollow/capacity/SubUnitShares.java
+++ b/src/bench/java/kelphollow/capacity/SubUnitShares.java
@@ -31,8 +31,14 @@
  */
 public final class SubUnitShares {
     private static final int[] INSTANCES = {1, 3, 10, 20, 50, 100, 200, 510, 1_000};
-    private static final double NODE_RATE = 430, PLAYED = 600_000, START = 1_000_000, SERVICE = 5, FAILING = 0.05;
-    private static final double LIMIT_RATE = 400, LIMIT_BURST = 24, UNITS = 2;
+    private static final double NODE_RATE = 430;
+    private static final double PLAYED = 600_000;
+    private static final double START = 1_000_000;
+    private static final double SERVICE = 5;
+    private static final double FAILING = 0.05;
+    private static final double LIMIT_RATE = 400;
+    private static final double LIMIT_BURST = 24;
+    private static final double UNITS = 2;
     private static final long SEED = 34;
 
     private SubUnitShares() {}
@@ -57,8 +63,12 @@
         control.on(START, new EndpointsReceived(List.of(new Endpoint("n", "a", 0, EndpointState.HEALTHY, 0)), true, false));
         Random random = new Random(SEED);
         Set<String> tried = new HashSet<>();
-        int asked = 0, firsts = 0, repeats = 0, wanted = 0;
-        double next = START, finished = START + PLAYED;
+        int asked = 0;
+        int firsts = 0;
+        int repeats = 0;
+        int wanted = 0;
+        double next = START;
+        double finished = START + PLAYED;
         for (double now = START; now < finished; now += 2) {
             List<ControlAction> did = new ArrayList<>();
             if (now >= next) {
--- a/src/bench/java/kelphollow/decision/ColdNodeFigures.java
+++ b/src/bench/java/kelphollow/decision/ColdNodeFigures.java
@@ -20,7 +20,8 @@
             + "| --- | --- | --- | --- |");
         for (int instances : INSTANCES) {
             for (double demand : DEMANDS) {
-                double worst = 0, served = 0;
+                double worst = 0;
+                double served = 0;
                 for (int seed = 0; seed < SEEDS; seed++) {
                     SlowStartTest.Result result = SlowStartTest.play(instances, demand, seed);
                     worst = Math.max(worst, result.worst());
--- a/src/bench/java/kelphollow/fleet/DisseminationFigures.java
+++ b/src/bench/java/kelphollow/fleet/DisseminationFigures.java
@@ -17,8 +17,10 @@
     /** Prints the figures; see the class. */
     public static void main(String[] args) {
         int keys = Integer.parseInt(args[2]);
-        double change = Double.parseDouble(args[3]) * 1_000, loss = Double.parseDouble(args[4]);
-        double warm = Double.parseDouble(args[5]) * 1_000, measured = Double.parseDouble(args[6]) * 1_000;
+        double change = Double.parseDouble(args[3]) * 1_000;
+        double loss = Double.parseDouble(args[4]);
+        double warm = Double.parseDouble(args[5]) * 1_000;
+        double measured = Double.parseDouble(args[6]) * 1_000;
         long seed = Long.parseLong(args[7]);
         System.out.println("| size | way | fresh | membership B/s | parts | compare | exchange | all: mean | p99 | max"
             + " | drain in region p50 | p99 | across p50 | p99 | not kept | core |");
@@ -52,7 +54,9 @@
         }
         cpu = java.lang.management.ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu;
         Map<DisseminationWorld.Kind, Double> kinds = world.bytesPerSecond(warm);
-        double[] totals = world.totals(warm), in = world.drainDelays(true), across = world.drainDelays(false);
+        double[] totals = world.totals(warm);
+        double[] in = world.drainDelays(true);
+        double[] across = world.drainDelays(false);
         long lost = java.util.stream.DoubleStream.concat(Arrays.stream(in), Arrays.stream(across))
             .filter(Double::isInfinite).count();
         System.out.printf(Locale.ROOT, "| %d | %s | %.4f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f"
--- a/src/bench/java/kelphollow/fleet/FaultFigures.java
+++ b/src/bench/java/kelphollow/fleet/FaultFigures.java
@@ -19,7 +19,9 @@
     /** Prints the figures; see the class. */
     public static void main(String[] args) {
         int size = Integer.parseInt(args[1]);
-        double calm = seconds(args[3]), fault = seconds(args[4]), after = seconds(args[5]);
+        double calm = seconds(args[3]);
+        double fault = seconds(args[4]);
+        double after = seconds(args[5]);
         DisseminationWorld world = new DisseminationWorld(Long.parseLong(args[6]),
             DisseminationWorld.Setup.of(size, args[2].equals("before")));
         System.out.println(
--- a/src/bench/java/kelphollow/membership/MembershipSlopes.java
+++ b/src/bench/java/kelphollow/membership/MembershipSlopes.java
@@ -13,7 +13,9 @@
  */
 public final class MembershipSlopes {
     private static final int[] SIZES = {20, 50, 100, 200, 510};
-    private static final double SETTLES = 8_000, MEASURED = 3_000, DETECTS = 10_000;
+    private static final double SETTLES = 8_000;
+    private static final double MEASURED = 3_000;
+    private static final double DETECTS = 10_000;
     private static final long SEED = 34;
 
     private MembershipSlopes() {}
@@ -23,7 +25,9 @@
         System.out.println("| instances | datagrams a second and instance | share of a core an instance | all see a "
             + "death after ms "
             + "| false deaths |\n| --- | --- | --- | --- | --- |");
-        double[] at = new double[SIZES.length], sent = new double[SIZES.length], router = new double[SIZES.length];
+        double[] at = new double[SIZES.length];
+        double[] sent = new double[SIZES.length];
+        double[] router = new double[SIZES.length];
         double[] found = new double[SIZES.length];
         for (int i = 0; i < SIZES.length; i++) {
             int size = SIZES[i];
--- a/src/bench/java/kelphollow/program/DataPathCost.java
+++ b/src/bench/java/kelphollow/program/DataPathCost.java
@@ -39,16 +39,20 @@
     private static final int[] RESTING = {200, 500, 1_000, 2_000, 3_333};
     private static final int[] RATES = {100, 200, 400, 843};
     private static final int[] NODES = {10, 1_000};
-    private static final int SOCKETS = 16_000, CLIENTS_A_RATE = 4, CONNECTS_AT_ONCE = 100;
-    private static final int SETTLE_MS = 1_500, MEASURED_MS = 4_000;
+    private static final int SOCKETS = 16_000;
+    private static final int CLIENTS_A_RATE = 4;
+    private static final int CONNECTS_AT_ONCE = 100;
+    private static final int SETTLE_MS = 1_500;
+    private static final int MEASURED_MS = 4_000;
     private static final long LONGEST_MICROS = 60_000_000;
     private static final byte[] PING = "*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] ANSWER = "*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private static final EventLoopGroup GROUP = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private static final ConcurrentHistogram LATENCY = new ConcurrentHistogram(LONGEST_MICROS, 3);
-    private static final AtomicInteger SERVED = new AtomicInteger(), REFUSED = new AtomicInteger(),
-        CLOSED = new AtomicInteger();
+    private static final AtomicInteger SERVED = new AtomicInteger();
+    private static final AtomicInteger REFUSED = new AtomicInteger();
+    private static final AtomicInteger CLOSED = new AtomicInteger();
 
     private DataPathCost() {}
 
@@ -142,7 +146,9 @@
         System.out.println("| resting clients | heap KB | direct KB | descriptors | share of a core at rest | closed "
             + "meanwhile |\n"
             + "| --- | --- | --- | --- | --- | --- |");
-        double[] at = new double[RESTING.length], memory = new double[RESTING.length], cpu = new double[RESTING.length];
+        double[] at = new double[RESTING.length];
+        double[] memory = new double[RESTING.length];
+        double[] cpu = new double[RESTING.length];
         for (int i = 0; i < RESTING.length; i++) {
             try (Child child = new Child(standIn, 1_000)) {
                 List<Client> clients = connect(child.port, RESTING[i]);
@@ -178,7 +184,8 @@
             + "| share of a core | p50 ms | p99 ms | descriptors | heap and direct KB |\n"
             + "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         for (int nodes : NODES) {
-            double[] at = new double[RATES.length], cpu = new double[RATES.length];
+            double[] at = new double[RATES.length];
+            double[] cpu = new double[RATES.length];
             for (int i = 0; i < RATES.length; i++) {
                 try (Child child = new Child(standIn, nodes)) {
                     List<Client> clients = connect(child.port, Math.min(RATES[i] * CLIENTS_A_RATE, 3_333));
@@ -208,7 +215,8 @@
 
     /** Asks in turn at this rate; returns the seconds that passed. */
     private static double ask(List<Client> clients, int rate, int nodes, int millis) throws InterruptedException {
-        long from = System.nanoTime(), until = from + millis * 1_000_000L;
+        long from = System.nanoTime();
+        long until = from + millis * 1_000_000L;
         int asked = 0;
         while (System.nanoTime() < until) {
             long due = (System.nanoTime() - from) * rate / 1_000_000_000L;
--- a/src/test/java/kelphollow/adapter/AdapterTest.java
+++ b/src/test/java/kelphollow/adapter/AdapterTest.java
@@ -21,7 +21,8 @@
         + "[\"ENDPOINTS\",0,1,\"Persisted\"]]}]}";
 
     private static String[] run(String... lines) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(), err = new ByteArrayOutputStream();
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        ByteArrayOutputStream err = new ByteArrayOutputStream();
         int code = Loop.run(new BufferedReader(new StringReader(String.join("\n", lines))), out, new PrintStream(err));
         return new String[] {String.valueOf(code), out.toString(), err.toString()};
     }
--- a/src/test/java/kelphollow/adapter/WireNamesTest.java
+++ b/src/test/java/kelphollow/adapter/WireNamesTest.java
@@ -25,7 +25,8 @@
 class WireNamesTest {
     private static final Path FORM = Path.of("deploy/sites/wire.json");
     private static final String UNKNOWN_WORD = "no-such-word";
-    private static final String GOOD = "0", FAULTY = "1";
+    private static final String GOOD = "0";
+    private static final String FAULTY = "1";
     /** The line of the input that starts an instance on its first list. */
     private static final int START = 1;
     private static final Pattern REPLY_NAME = Pattern.compile("\\[\"([A-Z_]+)\"");
--- a/src/test/java/kelphollow/decision/DecisionWorkload.java
+++ b/src/test/java/kelphollow/decision/DecisionWorkload.java
@@ -227,55 +227,58 @@
         return EndpointPollFailure.values()[random.nextInt(EndpointPollFailure.values().length)];
     }
 
+    /** How an attempt ends, and after which time. */
+    private record Ending(AttemptOutcome outcome, double took) {}
+
     private void send(SendAttempt send) {
         int number = attempts.merge(send.id(), 1, Integer::sum) - 1;
         SimulatedNode node = nodesById.get(send.node());
         String attempt = send.id() + '#' + number;
         inFlight.put(attempt, node);
         node.inFlight++;
-        RequestArrived arrival = open.get(send.id());
-        double units = arrival == null ? 1 : arrival.units();
-        double took = (4 + 9 * units) * (0.6 + random.nextDouble()) * (1 + node.inFlight / 4.0);
-        AttemptOutcome outcome = AttemptOutcome.SERVED;
-        switch (node.behaviour) {
-            case SLOW -> took *= 8;
-            case SILENT -> {
-                outcome = AttemptOutcome.TIMED_OUT;
-                took = arrival == null ? 500 : Math.max(1, arrival.deadline() - now);
-            }
-            case ERRORS -> outcome = random.nextBoolean() ? AttemptOutcome.ERROR : AttemptOutcome.SERVED;
-            case AT_CAPACITY -> {
-                outcome = AttemptOutcome.AT_CAPACITY;
-                took = 2;
-            }
-            case RESETS -> outcome = random.nextInt(3) > 0 ? AttemptOutcome.RESET : AttemptOutcome.SERVED;
-            case UNREACHABLE -> {
-                outcome = random.nextInt(5) == 0 ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED;
-                took = 3;
-            }
-            default -> {}
+        Ending ending = ending(node, open.get(send.id()));
+        if (send.timeout() > 0 && ending.took > send.timeout()) {
+            ending = new Ending(AttemptOutcome.TIMED_OUT, send.timeout());
         }
-        if (send.timeout() > 0 && took > send.timeout()) {
-            outcome = AttemptOutcome.TIMED_OUT;
-            took = send.timeout();
+        if (ending.outcome == AttemptOutcome.SERVED) {
+            scheduleProgress(send.id(), number, ending.took);
         }
-        if (outcome == AttemptOutcome.SERVED && random.nextInt(6) == 0) {
+        Ending last = ending;
+        at(last.took, () -> end(attempt, send.id(), number, last.outcome, last.took));
+    }
+
+    private Ending ending(SimulatedNode node, RequestArrived arrival) {
+        double units = arrival == null ? 1 : arrival.units();
+        double took = (4 + 9 * units) * (0.6 + random.nextDouble()) * (1 + node.inFlight / 4.0);
+        return switch (node.behaviour) {
+            case HEALTHY -> new Ending(AttemptOutcome.SERVED, took);
+            case SLOW -> new Ending(AttemptOutcome.SERVED, took * 8);
+            case SILENT -> new Ending(AttemptOutcome.TIMED_OUT,
+                arrival == null ? 500 : Math.max(1, arrival.deadline() - now));
+            case ERRORS -> new Ending(random.nextBoolean() ? AttemptOutcome.ERROR : AttemptOutcome.SERVED, took);
+            case AT_CAPACITY -> new Ending(AttemptOutcome.AT_CAPACITY, 2);
+            case RESETS -> new Ending(random.nextInt(3) > 0 ? AttemptOutcome.RESET : AttemptOutcome.SERVED, took);
+            case UNREACHABLE -> new Ending(
+                random.nextInt(5) == 0 ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, 3);
+        };
+    }
+
+    private void scheduleProgress(String id, int number, double took) {
+        String attempt = id + '#' + number;
+        if (random.nextInt(6) == 0) {
             at(took * 0.4, () -> {
                 if (inFlight.containsKey(attempt)) {
-                    tell("progress " + attempt, new AttemptProgressed(send.id(), number));
+                    tell("progress " + attempt, new AttemptProgressed(id, number));
                 }
             });
         }
-        if (outcome == AttemptOutcome.SERVED && random.nextInt(12) == 0) {
+        if (random.nextInt(12) == 0) {
             at(took * 0.5, () -> {
                 if (inFlight.containsKey(attempt)) {
-                    tell("response-started " + attempt, new ResponseStarted(send.id(), number));
+                    tell("response-started " + attempt, new ResponseStarted(id, number));
                 }
             });
         }
-        AttemptOutcome last = outcome;
-        double time = took;
-        at(took, () -> end(attempt, send.id(), number, last, time));
     }
 
     private void end(String attempt, String id, int number, AttemptOutcome outcome, double took) {
--- a/src/test/java/kelphollow/decision/EndpointListLeaseTest.java
+++ b/src/test/java/kelphollow/decision/EndpointListLeaseTest.java
@@ -119,7 +119,11 @@
         for (long seed = 0; seed < 2_000; seed++) {
             Random random = new Random(seed);
             EndpointListLease lease = EndpointListLease.polled(NOTIFIED_AFTER, LATENESS, 1);
-            double now = 0, upSince = 0, downUntil = -1, receivedAt = -1, unreceivedCounts = Double.POSITIVE_INFINITY;
+            double now = 0;
+            double upSince = 0;
+            double downUntil = -1;
+            double receivedAt = -1;
+            double unreceivedCounts = Double.POSITIVE_INFINITY;
             for (int call = 0; call < 40; call++) {
                 double calledAt = now;
                 boolean down = now < downUntil;
--- a/src/test/java/kelphollow/fleet/DisseminationWorld.java
+++ b/src/test/java/kelphollow/fleet/DisseminationWorld.java
@@ -295,7 +295,8 @@
 
     /** Fraction of current states that running instances have of each other, no older than the time to live. */
     double fresh() {
-        long fresh = 0, all = 0;
+        long fresh = 0;
+        long all = 0;
         for (String owner : running.keySet()) {
             Map.Entry<Double, InstanceState> due = history.getOrDefault(owner, new TreeMap<>()).floorEntry(now
                 - setup.timeToLive);
--- a/src/test/java/kelphollow/lab/CheckerTest.java
+++ b/src/test/java/kelphollow/lab/CheckerTest.java
@@ -40,7 +40,9 @@
         }
         for (String i : List.of("i0", "i1", "i2")) {
             for (String j : List.of("i0", "i1", "i2")) {
-                if (!i.equals(j)) event(100, i, "joined", j, 1);
+                if (!i.equals(j)) {
+                    event(100, i, "joined", j, 1);
+                }
             }
             ask(3_000, "r" + i + "-" + i, false);
             answer(3_010, "r" + i + "-" + i, 200);
--- a/src/test/java/kelphollow/lab/soak/SoakNamesTest.java
+++ b/src/test/java/kelphollow/lab/soak/SoakNamesTest.java
@@ -11,7 +11,8 @@
 /** The soak's report names its plan, and its seeds go on to mean the faults that they meant. */
 class SoakNamesTest {
     private static final double SECONDS = 20;
-    private static final int INSTANCES = 10, NODES = 8;
+    private static final int INSTANCES = 10;
+    private static final int NODES = 8;
 
     @Test void theReportNamesThePlanAsRecorded() throws Exception {
         assertEquals(RecordedNames.lines("soak-plan.txt"), List.of(new Soak.Plan(1, 2, 3, 4, true).toString()));
--- a/src/test/java/kelphollow/program/ClientCrossingTest.java
+++ b/src/test/java/kelphollow/program/ClientCrossingTest.java
@@ -22,7 +22,8 @@
 
     /** While the loop waits, nothing is read; what was done meanwhile then comes in one turn. */
     static CountDownLatch hold(ServerHarness harness) throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1), go = new CountDownLatch(1);
+        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch go = new CountDownLatch(1);
         harness.loop.execute(() -> {
             held.countDown();
             try {
@@ -82,7 +83,8 @@
     @Test void aCommandWithItsClientsEndRightBehindIsNotForwarded() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
-            ScriptedPeer.Line client = greeted(clients, harness), other = greeted(clients, harness);
+            ScriptedPeer.Line client = greeted(clients, harness);
+            ScriptedPeer.Line other = greeted(clients, harness);
             CountDownLatch go = hold(harness);
             client.send(get("left")).socket.close();
             go.countDown();
--- a/src/test/java/kelphollow/program/EndOfTimeTest.java
+++ b/src/test/java/kelphollow/program/EndOfTimeTest.java
@@ -42,7 +42,8 @@
                 try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
                      ServerHarness harness = ServerHarness.resp(null, node.address())) {
                     String state = kind.getKey() + ", " + answered + " bytes of the answer";
-                    ScriptedPeer.Line sent = clients.connect(harness.address), held = clients.connect(harness.address);
+                    ScriptedPeer.Line sent = clients.connect(harness.address);
+                    ScriptedPeer.Line held = clients.connect(harness.address);
                     sent.send(get("sent", kind.getKey(), kind.getValue(), 0));
                     ScriptedPeer.Line attempt = node.accept();
                     attempt.until("hosts=1");
--- a/src/test/java/kelphollow/program/FleetNamesTest.java
+++ b/src/test/java/kelphollow/program/FleetNamesTest.java
@@ -42,7 +42,9 @@
     private static final String FILE = "deploy/fleet-a.json";
     private static final String PEER = "gateway-b";
     /** Subjects of what instances say, as they are on the line between instances. */
-    private static final String DRAIN = "drain", SILENT = "silent", REFUSED = "refused";
+    private static final String DRAIN = "drain";
+    private static final String SILENT = "silent";
+    private static final String REFUSED = "refused";
     private static final List<String> SILENT_NODES = List.of("n1", "n2", "n3", "n4", "n5", "n6");
     private static final long EPOCH = 1;
     private static final int LOOKS = 10;
--- a/src/test/java/kelphollow/program/GracefulShutdownTest.java
+++ b/src/test/java/kelphollow/program/GracefulShutdownTest.java
@@ -41,7 +41,8 @@
     @Test void whatWaitsWhenNodesHangIsAnsweredInTime() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
-            ScriptedPeer.Line client = clients.connect(harness.address), late = clients.connect(harness.address);
+            ScriptedPeer.Line client = clients.connect(harness.address);
+            ScriptedPeer.Line late = clients.connect(harness.address);
             for (int i = 0; i < 12; i++) {
                 client.send(ClientCrossingTest.get("q" + i));
             }
--- a/src/test/java/kelphollow/program/ObjectFrontTest.java
+++ b/src/test/java/kelphollow/program/ObjectFrontTest.java
@@ -235,7 +235,8 @@
         try (HttpTestClient second = new HttpTestClient(harness.address)) {
             second.send("PUT /symbols/m?partNumber=1&uploadId=" + id, "", CONTENT);
             hold.gate().countDown();
-            HttpTestClient.Answer first = client.answer(), again = second.answer();
+            HttpTestClient.Answer first = client.answer();
+            HttpTestClient.Answer again = second.answer();
             assertEquals(200, first.status());
             assertEquals(200, again.status());
             assertEquals(first.headers().get("ETag"), again.headers().get("ETag"));
@@ -244,7 +245,8 @@
     }
 
     @Test void thePartSentAgainLaterGetsTheRecordedAnswerOrAConflict() throws Exception {
-        String id = begin("/symbols/m"), line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
+        String id = begin("/symbols/m");
+        String line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
         String etag = client.call(line, "", CONTENT).headers().get("ETag");
         HttpTestClient.Answer again = client.call(line, "", CONTENT);
         assertEquals(200, again.status());
@@ -255,7 +257,8 @@
     }
 
     @Test void aPartOfUnknownOutcomeIsQueriedBeforeItIsSentAgain() throws Exception {
-        String id = begin("/symbols/m"), line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
+        String id = begin("/symbols/m");
+        String line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
         server.faults.add(Fault.of("PUT", Kind.CRASH_AFTER));
         assertEquals(502, client.call(line, "", CONTENT).status());
         assertEquals(409, callInTime(line, "other".getBytes()).status());
@@ -267,7 +270,8 @@
 
     /** Guards against an attempt that is still at work when its absence is seen. */
     @Test void aPartThatMayStillBeAtWorkIsRejectedUntilItCannotBe() throws Exception {
-        String id = begin("/symbols/m"), line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
+        String id = begin("/symbols/m");
+        String line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
         server.faults.add(Fault.of("PUT", Kind.CRASH_BEFORE));
         assertEquals(502, callInTime(line, CONTENT).status());
         HttpTestClient.Answer early = callInTime(line, CONTENT);
@@ -280,7 +284,8 @@
     }
 
     @Test void afterARestartPartsAreQueriedBeforeTheyAreSent() throws Exception {
-        String id = begin("/symbols/m"), line = "PUT /symbols/m?partNumber=";
+        String id = begin("/symbols/m");
+        String line = "PUT /symbols/m?partNumber=";
         assertEquals(200, client.call(line + "1&uploadId=" + id, "", CONTENT).status());
         client.close();
         harness.close();
--- a/src/test/java/kelphollow/program/OutsideNamesTest.java
+++ b/src/test/java/kelphollow/program/OutsideNamesTest.java
@@ -37,7 +37,10 @@
 
     @TempDir
     Path folder;
-    private KeyProbe platform, object, inlineEndpoints, endpointServer;
+    private KeyProbe platform;
+    private KeyProbe object;
+    private KeyProbe inlineEndpoints;
+    private KeyProbe endpointServer;
 
     @BeforeEach void readExamples() throws Exception {
         platform = new KeyProbe(RecordedNames.example("example-platform.json"), this::readPlatform);
@@ -107,7 +110,8 @@
     @Test void bothSpellingsOfAnXdsFieldAreRead() throws Exception {
         for (String file : List.of("example-object.json", "example-xds-inline.json")) {
             Map<?, ?> json = file.contains("xds") ? withXds(file) : RecordedNames.example(file);
-            String text = Json.text(json), other = text;
+            String text = Json.text(json);
+            String other = text;
             for (String line : RecordedNames.read(SPELLINGS)) {
                 String[] spellings = line.split(" ");
                 other = other.replace('"' + spellings[0] + '"', '"' + spellings[1] + '"');
--- a/src/test/java/kelphollow/program/ReloadCrossingTest.java
+++ b/src/test/java/kelphollow/program/ReloadCrossingTest.java
@@ -86,7 +86,8 @@
                 member("n9", second.address(), EndpointState.HEALTHY));
             harness.loop.execute(() -> harness.atNextTurnsEnd(() -> harness.learn(list)));
             go.countDown();
-            ScriptedPeer.Line dialled = first.accept(), elsewhere = null;
+            ScriptedPeer.Line dialled = first.accept();
+            ScriptedPeer.Line elsewhere = null;
             for (int passed = 0; elsewhere == null; passed += 10) {
                 assertTrue(passed < 500, "an attempt that was not written is made again soon");
                 harness.pass(10);
--- a/src/test/java/kelphollow/program/RequestBreakTest.java
+++ b/src/test/java/kelphollow/program/RequestBreakTest.java
@@ -53,7 +53,8 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ManualTicker ticker = new ManualTicker(loop);
-    private final ScriptedPeer node = new ScriptedPeer(), clients = new ScriptedPeer();
+    private final ScriptedPeer node = new ScriptedPeer();
+    private final ScriptedPeer clients = new ScriptedPeer();
     /** How many bytes the sockets of the next exchanges take; beyond these they take all. */
     private final Queue<Integer> rooms = new ConcurrentLinkedQueue<>();
 
--- a/src/test/java/kelphollow/program/SlowWriterTest.java
+++ b/src/test/java/kelphollow/program/SlowWriterTest.java
@@ -33,7 +33,8 @@
             int length = ClientCrossingTest.get("q100").length();
             ScriptedPeer.Line attempt = null;
             for (int cut = 1; cut < length; cut++) {
-                String id = "q" + (100 + cut), command = ClientCrossingTest.get(id);
+                String id = "q" + (100 + cut);
+                String command = ClientCrossingTest.get(id);
                 send(harness, client, command.substring(0, cut));
                 harness.ticker.advance(SLOWEST);
                 send(harness, client, command.substring(cut));
--- a/src/test/java/kelphollow/program/StoreCommandTest.java
+++ b/src/test/java/kelphollow/program/StoreCommandTest.java
@@ -54,7 +54,8 @@
     }
 
     private int run(String... words) {
-        ByteArrayOutputStream o = new ByteArrayOutputStream(), e = new ByteArrayOutputStream();
+        ByteArrayOutputStream o = new ByteArrayOutputStream();
+        ByteArrayOutputStream e = new ByteArrayOutputStream();
         List<String> line = new ArrayList<>(List.of("store"));
         line.addAll(List.of(words));
         int code = Main.run(line, new PrintStream(o, true), new PrintStream(e, true));
--- a/src/test/java/kelphollow/program/StoreRestartTest.java
+++ b/src/test/java/kelphollow/program/StoreRestartTest.java
@@ -61,7 +61,8 @@
     private void killNow() throws Exception {
         client.close();
         for (String side : new String[] {"a", "b"}) {
-            Path from = folder.resolve(lives + side), to = folder.resolve(lives + 1 + side);
+            Path from = folder.resolve(lives + side);
+            Path to = folder.resolve(lives + 1 + side);
             Files.createDirectories(to);
             try (var files = Files.list(from)) {
                 for (Path file : files.toList()) {
