--- a/src/main/java/kelphollow/membership/FailureDetector.java
+++ b/src/main/java/kelphollow/membership/FailureDetector.java
@@ -179,7 +179,7 @@
         }
 
         @Override public Void pingRequest(Message.PingRequest request) {
-            if (!local.isDisplaced() && members.isPresent(request.target()) && relayed.hasRoom()) {
+            if (!local.isDisplaced() && members.isPresent(request.target()) && relayed.hasCapacity()) {
                 sendPing(request.target(), relayed.start(from, request));
             }
             return null;
--- a/src/main/java/kelphollow/membership/MemberList.java
+++ b/src/main/java/kelphollow/membership/MemberList.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * The last update of each other member, by name. Bounded by {@link MembershipSettings#maxMembers}: absent members make room
- * for new ones, present ones are never forgotten.
+ * The last update of each other member, by name. Bounded by {@link MembershipSettings#maxMembers}: absent members are evicted
+ * for new ones, present ones never.
  */
 final class MemberList {
     private record Entry(MemberUpdate update, double since) {}
@@ -30,8 +30,8 @@
         entries.put(update.name(), new Entry(update, context.now()));
     }
 
-    /** Makes room for one more member, by forgetting the one that has been absent longest if need be. */
-    boolean makeRoom() {
+    /** Whether one more member fits; if the list is full, the one that has been absent longest is evicted. */
+    boolean ensureCapacity() {
         if (entries.size() < context.settings().maxMembers() - 1) {
             return true;
         }
--- a/src/main/java/kelphollow/membership/MemberStates.java
+++ b/src/main/java/kelphollow/membership/MemberStates.java
@@ -24,7 +24,7 @@
         this.local = local;
     }
 
-    /** Updates of instances for which there was no room. */
+    /** Updates of instances that did not fit into the member list. */
     long droppedUpdates() {
         return droppedUpdates;
     }
@@ -53,7 +53,7 @@
         if (!update.isPresent()) {
             return;
         }
-        if (!members.makeRoom()) {
+        if (!members.ensureCapacity()) {
             droppedUpdates++;
             return;
         }
--- a/src/main/java/kelphollow/membership/Membership.java
+++ b/src/main/java/kelphollow/membership/Membership.java
@@ -195,7 +195,7 @@
         return health.score();
     }
 
-    /** Updates of instances for which there was no room. */
+    /** Updates of instances that did not fit into the member list. */
     public long droppedUpdates() {
         return states.droppedUpdates();
     }
--- a/src/main/java/kelphollow/membership/RelayedProbes.java
+++ b/src/main/java/kelphollow/membership/RelayedProbes.java
@@ -31,7 +31,7 @@
         this.gossip = gossip;
     }
 
-    boolean hasRoom() {
+    boolean hasCapacity() {
         return bySequence.size() < context.settings().maxMembers();
     }
 
--- a/src/main/java/kelphollow/protocol/peer/ReplayGuard.java
+++ b/src/main/java/kelphollow/protocol/peer/ReplayGuard.java
@@ -88,7 +88,7 @@
     boolean accept(Seal.Envelope envelope, boolean challenged) {
         Sender sender = senders.get(envelope.name());
         if (sender == null) {
-            makeRoom();
+            ensureCapacity();
             senders.put(envelope.name(), new Sender(envelope));
             return true;
         }
@@ -99,7 +99,7 @@
         return sender.acceptCounter(envelope.counter());
     }
 
-    private void makeRoom() {
+    private void ensureCapacity() {
         if (senders.size() >= maxNames) {
             Iterator<String> names = senders.keySet().iterator();
             names.next();
