--- a/src/main/java/kelphollow/membership/MemberList.java
+++ b/src/main/java/kelphollow/membership/MemberList.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * The last update of each other member, by name. Bounded by {@link MembershipSettings#maxMembers}: absent members are evicted
- * for new ones, present ones never.
+ * The last update of each other member, by name. Bounded by {@link MembershipSettings#maxMembers}: absent members are
+ * evicted for new ones, present ones never.
  */
 final class MemberList {
     private record Entry(MemberUpdate update, double since) {}
--- a/src/main/java/kelphollow/program/Scheduler.java
+++ b/src/main/java/kelphollow/program/Scheduler.java
@@ -116,7 +116,7 @@
 
     /** On the platform the list binds by the terms of {@link EndpointUpdateBudget}. */
     private static EndpointListLease lease(ControlSettings settings) {
-        return settings.endpointsPolled() ? EndpointListLease.asked(EndpointUpdateBudget.NOTIFIED_AFTER,
+        return settings.endpointsPolled() ? EndpointListLease.polled(EndpointUpdateBudget.NOTIFIED_AFTER,
             EndpointUpdateBudget.LOCAL_DELAY, settings.hosts())
             : EndpointListLease.pushed(EndpointUpdateBudget.NOTIFIED_AFTER, EndpointUpdateBudget.LOCAL_DELAY);
     }
--- a/src/main/java/kelphollow/routing/EndpointList.java
+++ b/src/main/java/kelphollow/routing/EndpointList.java
@@ -56,7 +56,7 @@
     /** Changes to the list of another source; a pushed one is polled at once, else the decision module says when. */
     void changeSource(EndpointSource source, boolean pushed) {
         watch.follow(source, pushed);
-        lease.moved(ticker.now());
+        lease.sourceChanged(ticker.now());
         notifyLease();
         if (pushed) {
             watch.poll();
--- a/src/main/java/kelphollow/routing/EndpointUpdateBudget.java
+++ b/src/main/java/kelphollow/routing/EndpointUpdateBudget.java
@@ -44,7 +44,7 @@
      */
     public static double longestDelay(boolean pushed) {
         double longestPoll = Math.max(LONG_POLL_WAIT + POLL_MARGIN, FIRST_POLL_TIMEOUT);
-        double longestBackoff = pushed ? AGENT_RETRY_DELAY : EndpointPollSchedule.LONGEST_PAUSE;
+        double longestBackoff = pushed ? AGENT_RETRY_DELAY : EndpointPollSchedule.BASE_BACKOFF_MS;
         return longestPoll + longestBackoff + QUEUE_WAIT + LOCAL_DELAY;
     }
 }
--- a/src/test/java/kelphollow/routing/SendEligibilityTest.java
+++ b/src/test/java/kelphollow/routing/SendEligibilityTest.java
@@ -19,7 +19,7 @@
 class SendEligibilityTest {
     private static final double TERM = EndpointUpdateBudget.NOTIFIED_AFTER - EndpointUpdateBudget.LOCAL_DELAY;
     private final EndpointListLease lease =
-        EndpointListLease.asked(EndpointUpdateBudget.NOTIFIED_AFTER, EndpointUpdateBudget.LOCAL_DELAY, 1);
+        EndpointListLease.polled(EndpointUpdateBudget.NOTIFIED_AFTER, EndpointUpdateBudget.LOCAL_DELAY, 1);
     private final RouterHarness harness = new RouterHarness(lease);
     private final RequestRouter router = harness.router;
 
@@ -107,7 +107,7 @@
         harness.submit("read", "free", "k");
         Attempt attempt = harness.sent.get(0);
         SendEligibility eligibility = new SendEligibility(harness.ticker, node -> true, test.lease);
-        EndpointListLease neverBegun = EndpointListLease.asked(TERM, 0, 1);
+        EndpointListLease neverBegun = EndpointListLease.polled(TERM, 0, 1);
 
         eligibility.checkDecision(attempt, harness.now);
         eligibility.checkDecision(attempt, harness.now + 1_999);   // decided in time, however late it is now
