--- a/src/main/java/kelphollow/decision/Dispatcher.java
+++ b/src/main/java/kelphollow/decision/Dispatcher.java
@@ -1,6 +1,6 @@
 package kelphollow.decision;
 
-import java.util.TreeSet;
+import java.util.SortedSet;
 import kelphollow.decision.ControlAction.SendAttempt;
 
 /**
@@ -65,7 +65,7 @@
     }
 
     /** The first request in the order of the tags that may leave for a node now; null when there is none. */
-    private PendingRequest first(TreeSet<PendingRequest> queue, Node node) {
+    private PendingRequest first(SortedSet<PendingRequest> queue, Node node) {
         if (!node.hasCapacity()) {
             return null;
         }
--- a/src/main/java/kelphollow/lab/Instances.java
+++ b/src/main/java/kelphollow/lab/Instances.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
+import java.util.SortedSet;
 import java.util.TreeSet;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
@@ -77,7 +78,7 @@
         boolean agree = true;
         for (String name : running) {
             Map<?, ?> status = all.get(name).fleetStatus();
-            TreeSet<String> alive = alive(status);
+            SortedSet<String> alive = alive(status);
             agree &= alive.equals(new TreeSet<>(running));
             if (note) {
                 note(all.get(name), status, alive, running);
@@ -86,8 +87,8 @@
         return agree;
     }
 
-    private static TreeSet<String> alive(Map<?, ?> status) {
-        TreeSet<String> alive = new TreeSet<>();
+    private static SortedSet<String> alive(Map<?, ?> status) {
+        SortedSet<String> alive = new TreeSet<>();
         if (status != null) {
             for (Object member : (List<?>) status.get("members")) {
                 if ("alive".equals(((Map<?, ?>) member).get("state"))) {
@@ -98,7 +99,7 @@
         return alive;
     }
 
-    private void note(InstanceProcess instance, Map<?, ?> status, TreeSet<String> alive, List<String> running) {
+    private void note(InstanceProcess instance, Map<?, ?> status, SortedSet<String> alive, List<String> running) {
         history.add(instance.name(), "view", "alive", alive, "running", running,
             "bytes", status == null ? 0 : status.get("bytes_sent"),
             "datagrams", status == null ? 0 : status.get("datagrams_sent"),
--- a/src/main/java/kelphollow/lab/Ports.java
+++ b/src/main/java/kelphollow/lab/Ports.java
@@ -28,7 +28,7 @@
                      DatagramSocket udp = new DatagramSocket(port, loopback)) {
                     return port;
                 } catch (IOException e) {
-                    continue;              // somebody has it
+                    // The port is in use: the next attempt draws another.
                 }
             }
         }
--- a/src/main/java/kelphollow/lab/soak/ListKnowledge.java
+++ b/src/main/java/kelphollow/lab/soak/ListKnowledge.java
@@ -25,7 +25,7 @@
     static final long NONE = -1;
 
     /** One process of an instance. */
-    private record Process(int instance, double from) {}
+    private record ProcessRun(int instance, double from) {}
 
     private final boolean pushed;
     private final double slack;
@@ -35,7 +35,7 @@
     private final List<WatchSilent> silences;
     private final List<Incarnation> incarnations;
     private final List<Outage> outages;
-    private final Map<Process, double[]> notifiedFrom = new HashMap<>();
+    private final Map<ProcessRun, double[]> notifiedFrom = new HashMap<>();
 
     /** {@code slack} is what the machine that played may have added. */
     ListKnowledge(SoakHistory history, double slack) {
@@ -57,7 +57,7 @@
 
     /** The newest version that the process counts as notified of at that time, by whichever rule, or {@link #NONE}. */
     long notifiedVersion(int instance, double processFrom, double at) {
-        double[] from = notifiedFrom.computeIfAbsent(new Process(instance, processFrom), process -> changes.stream()
+        double[] from = notifiedFrom.computeIfAbsent(new ProcessRun(instance, processFrom), process -> changes.stream()
             .mapToDouble(change -> notifiedFrom(process, change)).toArray());
         long newest = NONE;
         for (int i = 0; i < from.length; i++) {
@@ -92,7 +92,7 @@
     }
 
     /** When a change counts as notified: written to the process, or by the rules on silence, outages and moves. */
-    private double notifiedFrom(Process process, ListChanged change) {
+    private double notifiedFrom(ProcessRun process, ListChanged change) {
         double written = writings.stream()
             .filter(writing -> writing.instance() == process.instance && writing.at() >= process.from
                 && writing.version() >= change.version())
--- a/src/main/java/kelphollow/program/ConfigSection.java
+++ b/src/main/java/kelphollow/program/ConfigSection.java
@@ -114,7 +114,7 @@
 
     /** An integer within bounds; {@code absent} stands in for a missing one. */
     long integer(String key, long absent, long least, long most) throws ConfigurationException {
-        double value = number(key, (double) absent, least);
+        double value = number(key, (double) absent, (double) least);
         if (value > most) {
             throw new ConfigurationException(path + key + " must be at most " + most);
         }
--- a/src/main/java/kelphollow/program/Serve.java
+++ b/src/main/java/kelphollow/program/Serve.java
@@ -59,7 +59,7 @@
         InetSocketAddress open = address;
         LOG.info(() -> "serves at " + Addresses.text(open));
         if (management != null) {
-            management.listening(System.currentTimeMillis());
+            management.listening((double) System.currentTimeMillis());
         }
         reloadSignal.activate(started.reload());
         group.terminationFuture().sync();
@@ -106,7 +106,7 @@
         if (management != null) {
             long predecessor = management.handover().otherProcess();
             if (predecessor != ProcessHandover.NO_PROCESS) {
-                management.listening(System.currentTimeMillis());
+                management.listening((double) System.currentTimeMillis());
                 LOG.info(() -> "waits for process " + predecessor + " to hand over");
                 scheduler.restoreLimits(management.handover().await(predecessor, HANDOVER_TIMEOUT));
             }
--- a/src/main/java/kelphollow/protocol/peer/PeerLine.java
+++ b/src/main/java/kelphollow/protocol/peer/PeerLine.java
@@ -130,7 +130,7 @@
         }
         traffic.sent(Traffic.kind(packet), bytes.length);
         datagramChannel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to));
-        return bytes.length + HEADER_BYTES;
+        return (long) bytes.length + HEADER_BYTES;
     }
 
     private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -148,7 +148,7 @@
                     line.peers.comparisonReceived(name, comparison);
                 }
             });
-            return bytes + PeerLine.HEADER_BYTES;
+            return (long) bytes + PeerLine.HEADER_BYTES;
         }
 
         private void deliver(int target, double delay, Consumer<Line> arrive) {
--- a/src/main/java/kelphollow/store/Compactor.java
+++ b/src/main/java/kelphollow/store/Compactor.java
@@ -62,7 +62,8 @@
         return closing;
     }
 
-    private synchronized void pause() {
+    /** Waits a while; a spurious wake-up only looks for work early. */
+    @SuppressWarnings("WaitNotInLoop") private synchronized void pause() {
         try {
             if (!closing) {
                 wait(PAUSE_MILLIS);
--- a/src/main/java/kelphollow/store/SegmentUsage.java
+++ b/src/main/java/kelphollow/store/SegmentUsage.java
@@ -84,11 +84,12 @@
     List<Long> choose(long segmentBytes) {
         long live = live();
         List<Map.Entry<Long, Usage>> sealed = sealedByAge();
-        if (sealed.isEmpty() || length() <= Math.max(MAX_LENGTH_TO_LIVE * live, 2 * segmentBytes)) {
+        if (sealed.isEmpty() || length() <= Math.max(MAX_LENGTH_TO_LIVE * live, 2.0 * segmentBytes)) {
             return List.of();
         }
         long tombstones = sealed.stream().mapToLong(entry -> entry.getValue().tombstones).sum();
-        if (tombstones > Math.max(MAX_TOMBSTONES_TO_LIVE * live, segmentBytes / 2)) {
+        long halfSegment = segmentBytes / 2;
+        if (tombstones > Math.max(MAX_TOMBSTONES_TO_LIVE * live, (double) halfSegment)) {
             return sealed.stream().map(Map.Entry::getKey).toList();
         }
         List<Long> chosen = chooseByBenefit(sealed, segmentBytes);
