--- a/src/main/java/kelphollow/overload/AdmissionThreshold.java
+++ b/src/main/java/kelphollow/overload/AdmissionThreshold.java
@@ -13,8 +13,9 @@
         return new AdmissionThreshold(weight, admitted, referenceRate, loweredAt, reportedAt);
     }
 
-    AdmissionThreshold reported(double now) {
-        return new AdmissionThreshold(weight, fraction, referenceRate, loweredAt, now);
+    /** The same fraction for the weight of a new overload report. */
+    AdmissionThreshold reported(double now, double reportedWeight) {
+        return new AdmissionThreshold(reportedWeight, fraction, referenceRate, loweredAt, now);
     }
 
     /** The fraction that is admitted of so many requests a second. */
--- a/src/main/java/kelphollow/overload/LoadShedder.java
+++ b/src/main/java/kelphollow/overload/LoadShedder.java
@@ -125,7 +125,7 @@
             thresholds.put(shard,
                 new AdmissionThreshold(weight, Math.max(MIN_FRACTION, fraction * DECREASE_FACTOR), rate, now, now));
         } else if (weight >= threshold.weight()) {
-            thresholds.put(shard, threshold.reported(now));
+            thresholds.put(shard, threshold.reported(now, weight));
         }
     }
 
--- a/src/main/java/kelphollow/program/Serve.java
+++ b/src/main/java/kelphollow/program/Serve.java
@@ -9,6 +9,7 @@
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.file.Path;
+import java.util.function.Supplier;
 import java.util.logging.Logger;
 import kelphollow.protocol.mgmt.MgmtServer;
 import kelphollow.protocol.resp.RespWarmup;
@@ -29,7 +30,7 @@
 
     /** What a configuration has started. */
     private record Started(Scheduler scheduler, InetSocketAddress address, PlatformConfig.Operations operations,
-                           double longestDeadline, Path maintenanceFile, ReloadSignal.Reload reload) {}
+                           double longestDeadline, Supplier<Path> maintenanceFile, ReloadSignal.Reload reload) {}
 
     @Option(name = "--config", metaVar = "FILE", usage = "serve the object API as this file says")
     private String file;
@@ -44,7 +45,7 @@
         Started started = file == null ? startPlatform(loop, ticker) : startGateway(loop, ticker);
         Scheduler scheduler = started.scheduler();
         Management management = started.operations().management() == null ? null
-            : manage(scheduler, started.operations().management(), started.maintenanceFile());
+            : manage(scheduler, started.operations().management(), started.maintenanceFile().get());
         Thread shutdown = new GracefulShutdown(scheduler, management, started.longestDeadline()).register();
         Signal.handle(new Signal("TERM"), defaultTerm);
         InetSocketAddress address = null;
@@ -70,7 +71,7 @@
         ObjectConfig config = ObjectConfig.read(file);
         ObjectScheduler scheduler = ObjectScheduler.start(config, loop, ticker);
         return new Started(scheduler, config.listen(), new PlatformConfig.Operations(config.management(), false),
-            ShutdownSchedule.longestDeadline(config.settings()), MaintenanceFile.path(config.name()),
+            ShutdownSchedule.longestDeadline(config.settings()), () -> MaintenanceFile.path(config.name()),
             () -> scheduler.reload(ObjectConfig.read(file)));
     }
 
@@ -82,7 +83,7 @@
         RespWarmup.run(config.settings(), config.seed());
         scheduler.awaitFirstResponse(DISCOVERY_TIMEOUT);
         return new Started(scheduler, config.listen(), config.operations(),
-            ShutdownSchedule.longestDeadline(config.settings()), MaintenanceFile.path(),
+            ShutdownSchedule.longestDeadline(config.settings()), MaintenanceFile::path,
             () -> scheduler.reload(PlatformConfig.read(System.getenv())));
     }
 
--- a/src/main/java/kelphollow/protocol/discovery/DiscoveryWatch.java
+++ b/src/main/java/kelphollow/protocol/discovery/DiscoveryWatch.java
@@ -197,7 +197,9 @@
         boolean watchBroken = !poll.beginsWatch() && failure != EndpointPollFailure.INVALID_RESPONSE;
         LOG.info(() -> "discovery: poll " + poll.number() + (poll.beginsWatch() ? ", to begin a watch," : " of a watch")
             + " of version " + version + " failed after " + (long) (ticker.now() - poll.sentAt()) + " ms: " + reason);
-        state = State.IDLE;
+        if (state != State.STOPPED) {
+            state = State.IDLE;
+        }
         nextBeginsWatch = true;
         router.endpointPollFailed(watchBroken ? EndpointPollFailure.WATCH_BROKEN : failure, poll.sentAt());
     }
--- a/src/test/java/kelphollow/overload/LoadShedderTest.java
+++ b/src/test/java/kelphollow/overload/LoadShedderTest.java
@@ -1,6 +1,7 @@
 package kelphollow.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -173,4 +174,20 @@
             assertTrue(shedder.admits(now, random.nextInt(3), 3, 1));
         }
     }
+
+    @Test void aReportOfAHigherWeightTakesEffectBeforeTheThresholdHasSettled() {
+        LoadShedder shedder = new LoadShedder();
+        double leastLikely = 0.999;
+        for (int i = 0; i < 100; i++) {
+            shedder.admits(i, 0, 1, leastLikely);
+            shedder.admits(i, 0, 2, leastLikely);
+        }
+
+        shedder.adjust(200, Map.of(0, 2.0));
+        assertTrue(shedder.admits(201, 0, 2, leastLikely), "the weight that is reported is not shed");
+        shedder.adjust(200 + LoadShedder.ADJUSTMENT_INTERVAL, Map.of(0, 3.0));
+
+        assertEquals(3.0, shedder.thresholds().get(0).weight());
+        assertFalse(shedder.admits(402, 0, 2, leastLikely), "a lower weight than the one reported now is shed");
+    }
 }
