--- a/src/bench/java/kelphollow/decision/ColdNodeFigures.java
+++ b/src/bench/java/kelphollow/decision/ColdNodeFigures.java
@@ -3,8 +3,7 @@
 import java.util.Locale;
 
 /**
- * {@link SlowStartTest}'s play of a node that starts cold, at the sizes to come; the test's own bounds and sizes stay as
- * they are:
+ * {@link SlowStartSimulation} of a node in slow start, at the sizes to come; the test's own bounds and sizes stay as they are:
  * {@code mvn -B -q -Pbench test-compile exec:exec@cold}.
  */
 public final class ColdNodeFigures {
@@ -23,7 +22,7 @@
                 double worst = 0;
                 double served = 0;
                 for (int seed = 0; seed < SEEDS; seed++) {
-                    SlowStartTest.Result result = SlowStartTest.play(instances, demand, seed);
+                    SlowStartSimulation.Result result = SlowStartSimulation.play(instances, demand, seed);
                     worst = Math.max(worst, result.worst());
                     served += result.served() / SEEDS;
                 }
