--- a/src/bench/java/kelphollow/decision/ColdNodeFigures.java
+++ b/src/bench/java/kelphollow/decision/ColdNodeFigures.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /**
- * {@link SlowStartSimulation} of a node in slow start, at the sizes to come; the test's own bounds and sizes stay as they are:
+ * {@link SlowStartSimulation} of a node in slow start, at the sizes to come; the bounds of its test stay as they are:
  * {@code mvn -B -q -Pbench test-compile exec:exec@cold}.
  */
 public final class ColdNodeFigures {
