--- a/src/main/java/kelphollow/digest/Digest.java
+++ b/src/main/java/kelphollow/digest/Digest.java
@@ -278,12 +278,12 @@
         return notices;
     }
 
-    /** The live findings of unresponsive nodes, this instance's included, by reporter and node. */
-    public List<NodeFinding> nodeFindings(double now) {
-        List<NodeFinding> findings = new ArrayList<>();
+    /** The live reports of unresponsive nodes, this instance's included, by reporter and node. */
+    public List<UnresponsiveNodeReport> unresponsiveNodeReports(double now) {
+        List<UnresponsiveNodeReport> reports = new ArrayList<>();
         read(Subject.UNRESPONSIVE_NODE, now,
-            (reporter, node, attempts) -> findings.add(new NodeFinding(reporter, node, attempts)));
-        return findings;
+            (reporter, node, attempts) -> reports.add(new UnresponsiveNodeReport(reporter, node, attempts)));
+        return reports;
     }
 
     /**
--- a/src/main/java/kelphollow/digest/NodeFinding.java
+++ b/src/main/java/kelphollow/digest/UnresponsiveNodeReport.java
@@ -5,4 +5,4 @@
  *
  * @param attempts how often the reporter has tried the node since it found that
  */
-public record NodeFinding(String reporter, String node, double attempts) {}
+public record UnresponsiveNodeReport(String reporter, String node, double attempts) {}
--- a/src/main/java/kelphollow/fleet/PeerObservations.java
+++ b/src/main/java/kelphollow/fleet/PeerObservations.java
@@ -8,8 +8,8 @@
 import kelphollow.decision.ControlEvent.EndpointState;
 import kelphollow.digest.Digest;
 import kelphollow.digest.DrainNotices;
-import kelphollow.digest.NodeFinding;
 import kelphollow.digest.Subject;
+import kelphollow.digest.UnresponsiveNodeReport;
 import kelphollow.membership.Membership;
 import kelphollow.overload.AttemptReport;
 import kelphollow.overload.ProbeDelegation;
@@ -65,14 +65,14 @@
     /** Applies what other instances publish to the routing. */
     void apply(double now) {
         Set<String> drainingNow = drainNotices.drainingByOthers(now, digest);
-        List<NodeFinding> findings = options.sharesFindings() ? digest.nodeFindings(now) : List.of();
+        List<UnresponsiveNodeReport> findings = options.sharesFindings() ? digest.unresponsiveNodeReports(now) : List.of();
         Set<String> delegatedNow = options.sharesFindings()
             ? delegation.delegatedNodes(now, membership.presentMembers(), attemptReports(findings)) : Set.of();
         applyEjections(drainingNow, delegatedNow);
         applySuspicions(findings);
     }
 
-    private static List<AttemptReport> attemptReports(List<NodeFinding> findings) {
+    private static List<AttemptReport> attemptReports(List<UnresponsiveNodeReport> findings) {
         return findings.stream().map(f -> new AttemptReport(f.reporter(), f.node(), f.attempts())).toList();
     }
 
@@ -94,9 +94,9 @@
         }
     }
 
-    private void applySuspicions(List<NodeFinding> findings) {
+    private void applySuspicions(List<UnresponsiveNodeReport> findings) {
         Set<String> suspectedNow = new TreeSet<>();
-        for (NodeFinding finding : findings) {
+        for (UnresponsiveNodeReport finding : findings) {
             if (!finding.reporter().equals(options.name())) {
                 suspectedNow.add(finding.node());
             }
