--- a/src/main/java/kelphollow/fleet/FleetEvent.java
+++ b/src/main/java/kelphollow/fleet/FleetEvent.java
@@ -28,7 +28,7 @@
     DISPLACED("displaced"),
     /** See {@link MembershipOutput.Kind#REFUTED}. */
     REFUTED("refuted"),
-    /** See {@link MembershipOutput.Kind#STOOD_STILL}. */
+    /** See {@link MembershipOutput.Kind#PAUSED}. */
     STOOD_STILL("stood_still");
 
     private final String word;
@@ -51,7 +51,7 @@
             case LEFT -> LEFT;
             case DISPLACED -> DISPLACED;
             case REFUTED -> REFUTED;
-            case STOOD_STILL -> STOOD_STILL;
+            case PAUSED -> STOOD_STILL;
         };
     }
 }
--- a/src/main/java/kelphollow/membership/Membership.java
+++ b/src/main/java/kelphollow/membership/Membership.java
@@ -94,7 +94,7 @@
         detector.resumeAfterPause();
         health.add(2);
         rejoin.resumeAfterPause();
-        context.emit(MembershipOutput.Kind.STOOD_STILL, context.self(), epoch(), "for " + (long) paused + " ms");
+        context.emit(MembershipOutput.Kind.PAUSED, context.self(), epoch(), "for " + (long) paused + " ms");
     }
 
     // ---------------------------------------------------------------- input
--- a/src/main/java/kelphollow/membership/MembershipOutput.java
+++ b/src/main/java/kelphollow/membership/MembershipOutput.java
@@ -31,6 +31,6 @@
         /** This instance: others held it for suspect or dead, and it refuted that. */
         REFUTED,
         /** This instance: the process was paused, and holds nothing that happened meanwhile against the others. */
-        STOOD_STILL
+        PAUSED
     }
 }
