--- a/src/main/java/kelphollow/digest/DrainNotices.java
+++ b/src/main/java/kelphollow/digest/DrainTracker.java
@@ -11,7 +11,7 @@
  * information from discovery: the reporter withdraws it, or this instance's own discovery reports that the node was started
  * again, or ends a drain after the notice arrived. For one thread.
  */
-public final class DrainNotices {
+public final class DrainTracker {
     /** How long a removed node is still reported, in milliseconds: longer than endpoint lists are late. */
     private static final double REMOVED_NODE_RETENTION = 60_000;
 
@@ -36,7 +36,7 @@
     private Map<DrainNotice, Double> receivedAt = new HashMap<>();
 
     /** {@code self}: name of this instance, whose own notices do not count as those of others. */
-    public DrainNotices(String self) {
+    public DrainTracker(String self) {
         this.self = self;
     }
 
--- a/src/main/java/kelphollow/fleet/PeerObservations.java
+++ b/src/main/java/kelphollow/fleet/PeerObservations.java
@@ -7,7 +7,7 @@
 import kelphollow.decision.ControlEvent.Endpoint;
 import kelphollow.decision.ControlEvent.EndpointState;
 import kelphollow.digest.Digest;
-import kelphollow.digest.DrainNotices;
+import kelphollow.digest.DrainTracker;
 import kelphollow.digest.Subject;
 import kelphollow.digest.UnresponsiveNodeReport;
 import kelphollow.membership.Membership;
@@ -29,7 +29,7 @@
     private final Membership membership;
     private final Digest digest;
     private final EventLog events;
-    private final DrainNotices drainNotices;
+    private final DrainTracker drainTracker;
     private final ProbeDelegation delegation;
     private Set<String> draining = Set.of();
     private Set<String> suspected = Set.of();
@@ -41,14 +41,14 @@
         this.membership = membership;
         this.digest = digest;
         this.events = events;
-        this.drainNotices = new DrainNotices(options.name());
+        this.drainTracker = new DrainTracker(options.name());
         this.delegation = new ProbeDelegation(options.name(), HEALTH_CHECK_PATIENCE);
     }
 
     /** Takes what this instance's own discovery reports. */
     void endpointsReceived(double now, List<Endpoint> endpoints) {
         for (Endpoint endpoint : endpoints) {
-            drainNotices.discovered(now, endpoint.node(), endpoint.state() == EndpointState.DRAINING,
+            drainTracker.discovered(now, endpoint.node(), endpoint.state() == EndpointState.DRAINING,
                 endpoint.state() == EndpointState.REMOVED, endpoint.startedAt(), digest);
         }
     }
@@ -64,7 +64,7 @@
 
     /** Applies what other instances publish to the routing. */
     void apply(double now) {
-        Set<String> drainingNow = drainNotices.drainingByOthers(now, digest);
+        Set<String> drainingNow = drainTracker.drainingByOthers(now, digest);
         List<UnresponsiveNodeReport> findings = options.sharesFindings() ? digest.unresponsiveNodeReports(now) : List.of();
         Set<String> delegatedNow = options.sharesFindings()
             ? delegation.delegatedNodes(now, membership.presentMembers(), attemptReports(findings)) : Set.of();
--- a/src/test/java/kelphollow/digest/DrainNoticesTest.java
+++ b/src/test/java/kelphollow/digest/DrainTrackerTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 
 /** A drain that one instance was notified of is kept by all, until newer information from discovery. */
-class DrainNoticesTest {
+class DrainTrackerTest {
     private final Digest theirDigest = new Digest("them", 1, 10_000, 8);
     private final Digest ourDigest = new Digest("us", 1, 10_000, 8);
-    private final DrainNotices theirs = new DrainNotices("them");
-    private final DrainNotices ours = new DrainNotices("us");
+    private final DrainTracker theirs = new DrainTracker("them");
+    private final DrainTracker ours = new DrainTracker("us");
 
     private Set<String> drainingAfterGossip(double now) {
         theirDigest.commit(now);
