--- a/src/bench/java/kelphollow/membership/MembershipFigures.java
+++ b/src/bench/java/kelphollow/membership/MembershipFigures.java
@@ -56,25 +56,25 @@
         Row row = new Row();
         int seeds = size >= LARGE ? 1 : 5;
         for (int seed = 1; seed <= seeds; seed++) {
-            FleetWorld world = new FleetWorld(seed, MembershipSettings.DEFAULTS);
-            world.fleet(size);
-            world.run(20_000);
-            world.loss = loss;
-            world.events.clear();
-            long before = world.messages;
-            world.run(world.now + 30_000);
-            row.datagrams += (world.messages - before) / 30.0 / size / seeds;
-            row.falseSuspicions += world.events(Kind.SUSPECTED, 0).stream()
+            SimulatedFleet fleet = new SimulatedFleet(seed, MembershipSettings.DEFAULTS);
+            fleet.startAll(size);
+            fleet.run(20_000);
+            fleet.loss = loss;
+            fleet.events.clear();
+            long before = fleet.messages;
+            fleet.run(fleet.now + 30_000);
+            row.datagrams += (fleet.messages - before) / 30.0 / size / seeds;
+            row.falseSuspicions += fleet.events(Kind.SUSPECTED, 0).stream()
                 .filter(e -> e.observer().equals("i3")).count() * 2.0 / seeds;
-            row.falseFailures += world.events(Kind.FAILED, 0).stream()
-                .map(FleetWorld.ObservedEvent::subject).distinct().count() / (double) seeds;
-            world.events.clear();
-            double from = world.now;
-            world.kill("i4");
-            world.run(from + 60_000);
-            List<FleetWorld.ObservedEvent> found = world.events(Kind.FAILED, from).stream()
+            row.falseFailures += fleet.events(Kind.FAILED, 0).stream()
+                .map(SimulatedFleet.ObservedEvent::subject).distinct().count() / (double) seeds;
+            fleet.events.clear();
+            double from = fleet.now;
+            fleet.kill("i4");
+            fleet.run(from + 60_000);
+            List<SimulatedFleet.ObservedEvent> found = fleet.events(Kind.FAILED, from).stream()
                 .filter(e -> e.subject().equals("i4")).toList();
-            DoubleSummaryStatistics times = found.stream().mapToDouble(FleetWorld.ObservedEvent::at).summaryStatistics();
+            DoubleSummaryStatistics times = found.stream().mapToDouble(SimulatedFleet.ObservedEvent::at).summaryStatistics();
             row.firstDetection += found.isEmpty() ? Double.NaN : (times.getMin() - from) / 500 / seeds;
             row.lastDetection += found.isEmpty() ? Double.NaN : (times.getMax() - from) / 500 / seeds;
         }
--- a/src/bench/java/kelphollow/membership/MembershipSlopes.java
+++ b/src/bench/java/kelphollow/membership/MembershipSlopes.java
@@ -31,19 +31,20 @@
         double[] found = new double[SIZES.length];
         for (int i = 0; i < SIZES.length; i++) {
             int size = SIZES[i];
-            FleetWorld world = new FleetWorld(SEED, MembershipSettings.DEFAULTS);
-            world.fleet(size);
-            world.run(SETTLES);
-            long before = world.messages;
-            Meter.Cost cost = Meter.median(0, 1, () -> world.run(SETTLES + MEASURED));
+            SimulatedFleet fleet = new SimulatedFleet(SEED, MembershipSettings.DEFAULTS);
+            fleet.startAll(size);
+            fleet.run(SETTLES);
+            long before = fleet.messages;
+            Meter.Cost cost = Meter.median(0, 1, () -> fleet.run(SETTLES + MEASURED));
             at[i] = size;
-            sent[i] = (world.messages - before) * 1_000.0 / MEASURED / size;
+            sent[i] = (fleet.messages - before) * 1_000.0 / MEASURED / size;
             router[i] = cost.nanos() / 1e6 / MEASURED / size * 100;
-            world.kill("i4");
-            double from = world.now;
-            world.run(from + DETECTS);
-            List<FleetWorld.ObservedEvent> dead = world.events(Kind.FAILED, 0);
-            found[i] = dead.stream().filter(s -> s.subject().equals("i4")).mapToDouble(FleetWorld.ObservedEvent::at).max()
+            fleet.kill("i4");
+            double from = fleet.now;
+            fleet.run(from + DETECTS);
+            List<SimulatedFleet.ObservedEvent> dead = fleet.events(Kind.FAILED, 0);
+            found[i] = dead.stream().filter(s -> s.subject().equals("i4")).mapToDouble(SimulatedFleet.ObservedEvent::at)
+                .max()
                 .orElse(Double.NaN) - from;
             long wrong = dead.stream().filter(s -> !s.subject().equals("i4")).count();
             System.out.printf(Locale.ROOT, "| %d | %.1f | %.3f%% | %.0f | %d |%n", size, sent[i], router[i], found[i],
--- a/src/test/java/kelphollow/membership/MembershipSimulationTest.java
+++ b/src/test/java/kelphollow/membership/MembershipSimulationTest.java
@@ -12,29 +12,29 @@
 import kelphollow.membership.MembershipOutput.Kind;
 import org.junit.jupiter.api.Test;
 
-/** The protocol in simulated fleets on one clock, see {@link FleetWorld}. */
+/** The protocol in simulated fleets on one clock, see {@link SimulatedFleet}. */
 class MembershipSimulationTest {
     private static final int SIZE = Integer.getInteger("kelphollow.membership.size", 120);
 
-    private static FleetWorld joinedFleet(long seed, int size) {
-        FleetWorld world = new FleetWorld(seed, MembershipSettings.DEFAULTS);
-        world.fleet(size);
-        world.run(15_000);
-        world.assertViews("joined");
-        return world;
+    private static SimulatedFleet joinedFleet(long seed, int size) {
+        SimulatedFleet fleet = new SimulatedFleet(seed, MembershipSettings.DEFAULTS);
+        fleet.startAll(size);
+        fleet.run(15_000);
+        fleet.assertViews("joined");
+        return fleet;
     }
 
     @Test void allJoinAndACrashIsDetectedByAllWithoutFalsePositives() {
         for (int size : new int[] {2, 5, SIZE}) {
-            FleetWorld world = joinedFleet(1, size);
-            world.events.clear();
-            world.kill("i1");
-            double from = world.now;
-            world.run(from + 40_000);
-            world.assertViews("after the crash");
-            assertTrue(world.events(Kind.FAILED, from).stream().allMatch(e -> e.subject().equals("i1")),
-                world.events::toString);
-            double last = world.events(Kind.FAILED, from).stream().mapToDouble(FleetWorld.ObservedEvent::at).max()
+            SimulatedFleet fleet = joinedFleet(1, size);
+            fleet.events.clear();
+            fleet.kill("i1");
+            double from = fleet.now;
+            fleet.run(from + 40_000);
+            fleet.assertViews("after the crash");
+            assertTrue(fleet.events(Kind.FAILED, from).stream().allMatch(e -> e.subject().equals("i1")),
+                fleet.events::toString);
+            double last = fleet.events(Kind.FAILED, from).stream().mapToDouble(SimulatedFleet.ObservedEvent::at).max()
                 .orElseThrow() - from;
             // One pass of probes over all members, and the longest suspicion without confirmation.
             double bound = 500.0 * 2 * (size - 1) + 4 * 6 * 500 * Math.max(1, Math.log10(size + 1)) + 1_000;
@@ -44,96 +44,96 @@
 
     @Test void lossDelaysUpdatesButCausesNoFalseFailures() {
         for (long seed = 1; seed <= 5; seed++) {
-            FleetWorld world = joinedFleet(seed, 40);
-            world.loss = 0.3;
-            double from = world.now;
-            world.run(from + 60_000);
-            assertEquals(List.of(), world.events(Kind.FAILED, from), "seed " + seed);
-            world.loss = 0;
-            world.run(world.now + 15_000);
-            world.assertViews("after the loss");
+            SimulatedFleet fleet = joinedFleet(seed, 40);
+            fleet.loss = 0.3;
+            double from = fleet.now;
+            fleet.run(from + 60_000);
+            assertEquals(List.of(), fleet.events(Kind.FAILED, from), "seed " + seed);
+            fleet.loss = 0;
+            fleet.run(fleet.now + 15_000);
+            fleet.assertViews("after the loss");
         }
     }
 
     @Test void partitionedHalvesDeclareEachOtherDeadAndMergeOnceHealed() {
-        FleetWorld world = joinedFleet(3, 30);
-        world.passes = (a, b) -> Integer.parseInt(a.substring(1)) % 2 == Integer.parseInt(b.substring(1)) % 2;
-        world.run(world.now + 90_000);
-        world.running.forEach((name, membership) -> assertEquals(14, membership.presentMembers().size(),
+        SimulatedFleet fleet = joinedFleet(3, 30);
+        fleet.passes = (a, b) -> Integer.parseInt(a.substring(1)) % 2 == Integer.parseInt(b.substring(1)) % 2;
+        fleet.run(fleet.now + 90_000);
+        fleet.running.forEach((name, membership) -> assertEquals(14, membership.presentMembers().size(),
             "partitioned, seen by " + name));
-        world.passes = (a, b) -> true;
-        double healed = world.now;
-        world.run(world.now + 40_000);
-        world.assertViews("healed");
-        assertEquals(List.of(), world.events(Kind.FAILED, healed), "neither half takes over the dead of the other");
+        fleet.passes = (a, b) -> true;
+        double healed = fleet.now;
+        fleet.run(fleet.now + 40_000);
+        fleet.assertViews("healed");
+        assertEquals(List.of(), fleet.events(Kind.FAILED, healed), "neither half takes over the dead of the other");
     }
 
     @Test void aPausedInstanceAccusesNobodyAndReturnsUnderItsEpoch() {
-        FleetWorld world = joinedFleet(4, 20);
-        world.events.clear();
-        world.pausedUntil.put("i7", world.now + 60_000);   // long beyond the suspicion timeout: all declare it dead
-        world.run(world.now + 59_000);
-        assertFalse(world.events(Kind.FAILED, 0).isEmpty());
-        double resumed = world.now + 1_000;
-        world.run(resumed + 20_000);
-        assertEquals(List.of(), world.events.stream().filter(s -> s.observer().equals("i7") && (s.kind() == Kind.SUSPECTED
+        SimulatedFleet fleet = joinedFleet(4, 20);
+        fleet.events.clear();
+        fleet.pausedUntil.put("i7", fleet.now + 60_000);   // long beyond the suspicion timeout: all declare it dead
+        fleet.run(fleet.now + 59_000);
+        assertFalse(fleet.events(Kind.FAILED, 0).isEmpty());
+        double resumed = fleet.now + 1_000;
+        fleet.run(resumed + 20_000);
+        assertEquals(List.of(), fleet.events.stream().filter(s -> s.observer().equals("i7") && (s.kind() == Kind.SUSPECTED
             || s.kind() == Kind.FAILED)).toList(), "it accuses nobody of what it missed");
-        world.assertViews("after the pause");
-        assertEquals(1, world.running.get("i7").epoch());
-        assertTrue(world.events(Kind.REFUTED, resumed).stream().anyMatch(s -> s.observer().equals("i7")));
+        fleet.assertViews("after the pause");
+        assertEquals(1, fleet.running.get("i7").epoch());
+        assertTrue(fleet.events(Kind.REFUTED, resumed).stream().anyMatch(s -> s.observer().equals("i7")));
     }
 
     @Test void indirectProbesBridgeAOneWayPartition() {
-        FleetWorld world = joinedFleet(5, 10);
-        world.events.clear();
-        world.passes = (a, b) -> !(a.equals("i1") && b.equals("i2"));
-        world.run(world.now + 60_000);
-        assertEquals(List.of(), world.events(Kind.FAILED, 0), "indirect probes bypass it");
-        world.assertViews("one-way partition");
+        SimulatedFleet fleet = joinedFleet(5, 10);
+        fleet.events.clear();
+        fleet.passes = (a, b) -> !(a.equals("i1") && b.equals("i2"));
+        fleet.run(fleet.now + 60_000);
+        assertEquals(List.of(), fleet.events(Kind.FAILED, 0), "indirect probes bypass it");
+        fleet.assertViews("one-way partition");
     }
 
     @Test void restartsLeavesAndLostStoresConverge() {
-        FleetWorld world = joinedFleet(6, 8);
-        world.running.get("i3").leave(world.now).forEach(o -> world.carryOut("i3", world.running.get("i3"), List.of(o)));
-        world.kill("i3");
-        double left = world.now;
-        world.run(world.now + 1_000);
-        assertEquals(7, world.events(Kind.LEFT, left).size(), "all are notified at once");
-        world.start("i3", "i0");
-        world.run(world.now + 5_000);
-        world.assertViews("rejoined after a leave");
-        world.kill("i4");
-        world.start("i4", "i0");                       // back before any probe failed
-        world.run(world.now + 5_000);
-        world.assertViews("restarted at once");
-        assertEquals(2, world.running.get("i4").epoch());
-        world.kill("i5");
-        world.epochs.put("i5", 5L);
-        world.start("i5", "i0");
-        world.run(world.now + 5_000);
-        world.kill("i5");
-        world.epochs.put("i5", 0L);                    // its store is lost: it begins with an epoch that was used
-        world.start("i5", "i0");
-        world.run(world.now + 40_000);
-        world.assertViews("restarted without its store");
-        assertEquals(7, world.running.get("i5").epoch(), "it takes an epoch above all it used");
+        SimulatedFleet fleet = joinedFleet(6, 8);
+        fleet.running.get("i3").leave(fleet.now).forEach(o -> fleet.carryOut("i3", fleet.running.get("i3"), List.of(o)));
+        fleet.kill("i3");
+        double left = fleet.now;
+        fleet.run(fleet.now + 1_000);
+        assertEquals(7, fleet.events(Kind.LEFT, left).size(), "all are notified at once");
+        fleet.start("i3", "i0");
+        fleet.run(fleet.now + 5_000);
+        fleet.assertViews("rejoined after a leave");
+        fleet.kill("i4");
+        fleet.start("i4", "i0");                       // back before any probe failed
+        fleet.run(fleet.now + 5_000);
+        fleet.assertViews("restarted at once");
+        assertEquals(2, fleet.running.get("i4").epoch());
+        fleet.kill("i5");
+        fleet.epochs.put("i5", 5L);
+        fleet.start("i5", "i0");
+        fleet.run(fleet.now + 5_000);
+        fleet.kill("i5");
+        fleet.epochs.put("i5", 0L);                    // its store is lost: it begins with an epoch that was used
+        fleet.start("i5", "i0");
+        fleet.run(fleet.now + 40_000);
+        fleet.assertViews("restarted without its store");
+        assertEquals(7, fleet.running.get("i5").epoch(), "it takes an epoch above all it used");
     }
 
     @Test void theOlderOfTwoProcessesUnderOneNameStandsDownUntilTheOtherIsGone() {
-        FleetWorld world = joinedFleet(7, 6);
-        Membership older = world.running.get("i2");
+        SimulatedFleet fleet = joinedFleet(7, 6);
+        Membership older = fleet.running.get("i2");
         Membership newer = new Membership(MembershipSettings.DEFAULTS, "i2", "elsewhere", 9, List.of("i0"), new Random(1),
-            world.now);
-        world.running.put("i2", newer);
-        world.wake("i2", newer);
-        world.run(world.now + 10_000);
-        List<MembershipOutput> outputs = older.merge(world.now, "i0", world.running.get("i0").snapshot());
+            fleet.now);
+        fleet.running.put("i2", newer);
+        fleet.wake("i2", newer);
+        fleet.run(fleet.now + 10_000);
+        List<MembershipOutput> outputs = older.merge(fleet.now, "i0", fleet.running.get("i0").snapshot());
         assertTrue(older.isDisplaced());
         assertTrue(outputs.stream().anyMatch(o -> o instanceof MembershipOutput.Event e && e.kind() == Kind.DISPLACED));
         assertFalse(newer.isDisplaced());
-        world.kill("i2");
-        world.run(world.now + 40_000);
-        older.merge(world.now, "i0", world.running.get("i0").snapshot());
+        fleet.kill("i2");
+        fleet.run(fleet.now + 40_000);
+        older.merge(fleet.now, "i0", fleet.running.get("i0").snapshot());
         assertFalse(older.isDisplaced(), "the other is dead");
         assertEquals(10, older.epoch());
     }
--- a/src/test/java/kelphollow/membership/FleetWorld.java
+++ b/src/test/java/kelphollow/membership/SimulatedFleet.java
@@ -16,7 +16,7 @@
 import kelphollow.membership.MembershipOutput.Kind;
 
 /** A simulated fleet on one clock, with a network that loses, delays and partitions, by seed. */
-final class FleetWorld {
+final class SimulatedFleet {
     record ScheduledTask(double at, long order, Runnable task) {}
 
     record ObservedEvent(double at, String observer, Kind kind, String subject) {}
@@ -38,7 +38,7 @@
     long messages;
     private long nextOrder;
 
-    FleetWorld(long seed, MembershipSettings settings) {
+    SimulatedFleet(long seed, MembershipSettings settings) {
         this.seed = seed;
         this.random = new Random(seed);
         this.settings = settings;
@@ -52,7 +52,7 @@
         wake(name, membership);
     }
 
-    void fleet(int size) {
+    void startAll(int size) {
         for (int i = 0; i < size; i++) {
             start("i" + i, "i0", "i1", "i2");
         }
