--- a/src/main/java/kelphollow/membership/FailureDetector.java
+++ b/src/main/java/kelphollow/membership/FailureDetector.java
@@ -9,7 +9,7 @@
  * order (section 4.3), and Lifeguard's local health (LHA-Probe) and buddy system.
  */
 final class FailureDetector {
-    /** The probe of this protocol period. */
+    /** The probe of one protocol period: direct at first, indirect from {@code directUntil} to {@code endsAt}. */
     private static final class Probe {
         private final String target;
         private final long sequence;
@@ -52,7 +52,7 @@
         this.local = local;
         this.health = health;
         this.relayed = new RelayedProbes(context, gossip);
-        // Full jitter: instances start together.
+        // Full jitter spreads the first probes of instances that start at the same time.
         this.nextPeriodAt = context.now() + context.random().nextDouble() * context.settings().protocolPeriod();
     }
 
@@ -69,7 +69,7 @@
         return probe == null ? relayedDueAt : Math.min(relayedDueAt, probe.dueAt());
     }
 
-    /** Nacks for relayed probes, the indirect stage of this instance's probe, and its end. */
+    /** Sends due nacks for relayed probes, and moves this instance's probe to its indirect stage or fails it. */
     void runDueProbes() {
         relayed.runDue();
         if (probe != null && !probe.indirect && context.now() >= probe.directUntil) {
@@ -83,12 +83,12 @@
     /** Begins a protocol period if one is due. */
     void runPeriodIfDue() {
         if (context.now() >= nextPeriodAt) {
-            nextPeriodAt = context.now() + health.stretch(context.settings().protocolPeriod());
+            nextPeriodAt = context.now() + health.scale(context.settings().protocolPeriod());
             startProbe();
         }
     }
 
-    /** The process was paused: answers may have been missed, so no running probe counts. */
+    /** Discards all running probes after a pause of this process, since their answers may have been missed. */
     void resumeAfterPause() {
         cancelProbe();
         relayed.clear();
@@ -103,19 +103,19 @@
 
     private void startProbe() {
         if (probe != null) {
-            return;                        // stretched by local health: the last one still has time
+            return;                        // lengthened by local health, the previous probe is still running
         }
         String target = nextTarget();
         if (target == null) {
             return;
         }
-        double timeout = health.stretch(context.settings().probeTimeout());
-        double period = health.stretch(context.settings().protocolPeriod());
+        double timeout = health.scale(context.settings().probeTimeout());
+        double period = health.scale(context.settings().protocolPeriod());
         probe = new Probe(target, context.nextSequence(), context.now() + timeout, context.now() + period);
         sendPing(target, probe.sequence);
     }
 
-    /** SWIM section 4.3: in round-robin order, shuffled after each pass. Null if no member is present. */
+    /** The next member to probe: round-robin, shuffled after each pass (SWIM section 4.3). Null if none is present. */
     private String nextTarget() {
         while (true) {
             if (probeOrder.isEmpty()) {
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Lifeguard's buddy system: a suspect learns of the suspicion with the very probe that may clear it. */
+    /** Pings a member. The ping tells a suspect of the suspicion, so that it can refute it (Lifeguard's buddy system). */
     private void sendPing(String target, long sequence) {
         MemberUpdate known = members.get(target);
         MemberUpdate first = known.state() == State.SUSPECT ? known : null;
@@ -151,19 +151,19 @@
     private void failProbe() {
         Probe failed = probe;
         probe = null;
-        // Lifeguard: a relay that did not even send a nack hints at a fault of this instance's own network.
+        // Lifeguard: a relay that sent no nack either suggests a fault in this instance's own network.
         health.add(1 + Math.max(0, failed.indirectProbes - failed.nacks));
         states.probeFailed(failed.target);
     }
 
     // ---------------------------------------------------------------- messages
 
-    /** Takes the probe part of a message; its updates have been applied before. */
+    /** Handles the probe part of a message, whose updates the caller has applied before. */
     void received(String from, Message message) {
         message.accept(new Receiver(from));
     }
 
-    /** One method a message kind; nothing is returned. */
+    /** Handles the messages of one sender; its methods return null. */
     private final class Receiver implements Message.Visitor<Void> {
         private final String from;
 
--- a/src/main/java/kelphollow/membership/GossipQueue.java
+++ b/src/main/java/kelphollow/membership/GossipQueue.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * Updates on their way to the other members (SWIM section 4.1): each is transmitted some multiple of log(n) times, the least
- * transmitted first, and a newer one of the same member replaces the older. Holds at most one update a member.
+ * Member updates queued for gossip (SWIM section 4.1). Each is transmitted a multiple of log(n) times, the least transmitted
+ * first. A newer update of a member replaces the older one, so that the queue holds at most one update per member.
  */
 final class GossipQueue {
     private static final int TRANSMISSIONS_PER_LOG10 = 4;
-    // Keeps the ceiling from falling short by rounding where the logarithm is a whole number.
+    // Keeps rounding errors from lowering the ceiling where the logarithm is a whole number.
     private static final double LOG_MARGIN = 0.01;
 
     private static final class Entry {
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Another member sent the same update: for the first update of an epoch that counts as a transmission (the counter with
-     * feedback of Demers and others 1987, section 1.4), or hundreds that start together would long repeat what all know.
-     * Suspicions and refutations are transmitted in full all the same.
+     * Counts an update that another member sent as a transmission if it is the first of its epoch (counter with feedback,
+     * Demers and others 1987, section 1.4). Without this, hundreds of instances that start together would keep sending
+     * updates that all of them know. Suspicions and refutations are always transmitted up to the limit.
      */
     void receivedDuplicate(MemberUpdate update, int members) {
         Entry entry = queued.get(update.name());
--- a/src/main/java/kelphollow/membership/LocalHealth.java
+++ b/src/main/java/kelphollow/membership/LocalHealth.java
@@ -1,7 +1,7 @@
 package kelphollow.membership;
 
 /**
- * Lifeguard's local health multiplier (LHA-Probe): the more this instance seems to be slow itself, the longer it waits for
+ * Lifeguard's local health multiplier (LHA-Probe): the slower this instance seems to be itself, the longer it waits for
  * others before it suspects them. The score runs from 0 (healthy) to one less than the limit.
  */
 final class LocalHealth {
@@ -21,8 +21,8 @@
         return score;
     }
 
-    /** A time in milliseconds, lengthened by the score. */
-    double stretch(double millis) {
+    /** Multiplies a time in milliseconds by the score plus one. */
+    double scale(double millis) {
         return millis * (1 + score);
     }
 }
--- a/src/main/java/kelphollow/membership/LocalMember.java
+++ b/src/main/java/kelphollow/membership/LocalMember.java
@@ -3,8 +3,8 @@
 import kelphollow.membership.MemberUpdate.State;
 
 /**
- * This instance as a member: refutes what others wrongly say of it (SWIM section 4.2), and stands down while another process
- * runs under its name with a higher epoch.
+ * This instance as a member. Refutes reports that it is suspect, dead or left (SWIM section 4.2), and is displaced while
+ * another process runs under its name with a higher epoch: it then takes no part in probes and gossip rounds.
  */
 final class LocalMember {
     private final MembershipContext context;
@@ -14,7 +14,7 @@
     private boolean displaced;
     private boolean left;
 
-    /** {@code onDisplaced} is called once each time this instance stands down. */
+    /** {@code onDisplaced} is called once each time this instance becomes displaced. */
     LocalMember(MembershipContext context, LocalHealth health, MemberUpdate update, Runnable onDisplaced) {
         this.context = context;
         this.health = health;
@@ -34,7 +34,7 @@
         return left;
     }
 
-    /** Enters the final state. True if the other members are to be notified. */
+    /** Enters the state LEFT. True if the other members are to be notified. */
     boolean leave() {
         boolean notify = !left && !isDisplaced();
         if (notify) {
@@ -44,37 +44,37 @@
         return notify;
     }
 
-    /** Reacts to another member's statement about this one; what refutes it goes out through {@code gossip}. */
-    void apply(MemberUpdate stated, UpdateGossip gossip) {
-        if (stated.epoch() > update.epoch()) {
-            applyHigherEpoch(stated, gossip);
-        } else if (stated.epoch() == update.epoch()) {
-            applySameEpoch(stated, gossip);
+    /** Applies an update about this instance that another member sent; a refutation is queued in {@code gossip}. */
+    void apply(MemberUpdate reported, UpdateGossip gossip) {
+        if (reported.epoch() > update.epoch()) {
+            applyHigherEpoch(reported, gossip);
+        } else if (reported.epoch() == update.epoch()) {
+            applySameEpoch(reported, gossip);
         }
     }
 
-    private void applyHigherEpoch(MemberUpdate stated, UpdateGossip gossip) {
-        if (!stated.isPresent() || stated.address().equals(update.address())) {
-            raiseEpoch(stated.epoch() + 1, gossip);      // an earlier process of this instance, whose store was lost
+    private void applyHigherEpoch(MemberUpdate reported, UpdateGossip gossip) {
+        if (!reported.isPresent() || reported.address().equals(update.address())) {
+            raiseEpoch(reported.epoch() + 1, gossip);      // from an earlier process of this instance, whose store was lost
         } else if (!isDisplaced()) {
             displaced = true;
             onDisplaced.run();
-            context.emit(MembershipOutput.Kind.DISPLACED, context.self(), stated.epoch(),
-                "another lives at " + stated.address());
+            context.emit(MembershipOutput.Kind.DISPLACED, context.self(), reported.epoch(),
+                "another lives at " + reported.address());
         }
     }
 
-    private void applySameEpoch(MemberUpdate stated, UpdateGossip gossip) {
-        if (stated.state() == State.LEFT) {
-            raiseEpoch(stated.epoch() + 1, gossip);
-        } else if (stated.state() != State.ALIVE && stated.incarnation() >= update.incarnation()) {
-            update = alive(update.epoch(), stated.incarnation() + 1);
+    private void applySameEpoch(MemberUpdate reported, UpdateGossip gossip) {
+        if (reported.state() == State.LEFT) {
+            raiseEpoch(reported.epoch() + 1, gossip);
+        } else if (reported.state() != State.ALIVE && reported.incarnation() >= update.incarnation()) {
+            update = alive(update.epoch(), reported.incarnation() + 1);
             health.add(1);
             gossip.enqueue(update);
             context.emit(MembershipOutput.Kind.REFUTED, context.self(), update.epoch(),
-                stated.state() + " by " + stated.accuser());
-        } else if (stated.state() == State.ALIVE && stated.incarnation() > update.incarnation()) {
-            update = alive(update.epoch(), stated.incarnation());
+                reported.state() + " by " + reported.accuser());
+        } else if (reported.state() == State.ALIVE && reported.incarnation() > update.incarnation()) {
+            update = alive(update.epoch(), reported.incarnation());
         }
     }
 
--- a/src/main/java/kelphollow/membership/MemberList.java
+++ b/src/main/java/kelphollow/membership/MemberList.java
@@ -30,7 +30,7 @@
         entries.put(update.name(), new Entry(update, context.now()));
     }
 
-    /** Whether one more member fits; if the list is full, the one that has been absent longest is evicted. */
+    /** Makes room for one more member, evicting the one absent for longest if the list is full; false if all are present. */
     boolean ensureCapacity() {
         if (entries.size() < context.settings().maxMembers() - 1) {
             return true;
@@ -51,7 +51,7 @@
         return entry != null && entry.update.isPresent();
     }
 
-    /** Present members, this instance included. */
+    /** Number of present members, this instance included. */
     int size() {
         int size = 1;
         for (Entry entry : entries.values()) {
@@ -60,7 +60,7 @@
         return size;
     }
 
-    /** Names of the present members, by name. */
+    /** Sorted names of the present members. */
     List<String> present() {
         return entries.values().stream().filter(e -> e.update.isPresent()).map(e -> e.update.name()).toList();
     }
@@ -73,18 +73,18 @@
         return names;
     }
 
-    /** Names of the members that were declared dead, by name. */
+    /** Sorted names of the members that were declared dead. */
     List<String> dead() {
         return entries.values().stream().filter(e -> e.update.state() == MemberUpdate.State.DEAD).map(e -> e.update.name())
             .toList();
     }
 
-    /** All last updates, by name. */
+    /** The last update of every member, sorted by name. */
     List<MemberUpdate> updates() {
         return entries.values().stream().map(Entry::update).toList();
     }
 
-    /** All members, by name. */
+    /** All members, sorted by name. */
     List<MemberView> view() {
         return entries.values().stream().map(e -> new MemberView(e.update.name(), e.update.state(), e.update.epoch(),
             e.update.incarnation(), e.since, e.update.address())).toList();
--- a/src/main/java/kelphollow/membership/MemberStates.java
+++ b/src/main/java/kelphollow/membership/MemberStates.java
@@ -4,8 +4,8 @@
 import kelphollow.membership.MembershipOutput.Kind;
 
 /**
- * The state transitions of members (SWIM section 4.2): takes updates and observations, keeps the member list and the
- * suspicion timeouts, and passes on what is new.
+ * The state transitions of members (SWIM section 4.2): applies updates and failed probes to the member list and the
+ * suspicion timeouts, and gossips the updates that changed them.
  */
 final class MemberStates {
     private final MembershipContext context;
@@ -24,7 +24,7 @@
         this.local = local;
     }
 
-    /** Updates of instances that did not fit into the member list. */
+    /** Number of updates that were dropped because the member list was full of present members. */
     long droppedUpdates() {
         return droppedUpdates;
     }
@@ -48,7 +48,7 @@
         }
     }
 
-    /** An absent instance that is not known concerns nobody, and a list that lies stays bounded. */
+    /** Adds an unknown member if it is present. The list stays bounded even if a sender makes up members. */
     private void addUnknown(MemberUpdate update, String reason) {
         if (!update.isPresent()) {
             return;
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Declares those dead whose suspicion has timed out. */
+    /** Declares the members dead whose suspicion has timed out. */
     void expireSuspicions() {
         for (String name : suspicions.expired(context.now())) {
             apply(members.get(name).withState(State.DEAD, context.self()), "suspected for too long");
@@ -109,7 +109,7 @@
         MemberUpdate known = members.get(suspect.name());
         if (known != null && known.epoch() == suspect.epoch() && known.incarnation() == suspect.incarnation()
             && suspicions.confirm(suspect)) {
-            gossip.enqueue(suspect);       // an independent accusation is worth passing on
+            gossip.enqueue(suspect);       // so that the timeout shortens on other members too
         }
     }
 }
--- a/src/main/java/kelphollow/membership/Membership.java
+++ b/src/main/java/kelphollow/membership/Membership.java
@@ -7,17 +7,17 @@
 import kelphollow.membership.MemberUpdate.State;
 
 /**
- * One instance's view of the fleet, and the protocol that maintains it. Its owner calls {@link #tick} when {@link
- * #nextTickAt} has come, hands in what arrives from others, and carries out the outputs. The work of a call is bounded
- * by the size of the message or of the member list, memory by {@link MembershipSettings#maxMembers}. Times are
- * milliseconds on the caller's clock. For one thread.
+ * One instance's view of the fleet, and the protocol that maintains it. The owner calls {@link #tick} at {@link
+ * #nextTickAt}, passes in the messages received from other instances, and carries out the outputs. The work of a call is
+ * bounded by the size of the message or of the member list, memory by {@link MembershipSettings#maxMembers}. Times are
+ * milliseconds on the caller's clock. Not thread-safe.
  *
  * <p>Reading order: {@link #tick}, {@link FailureDetector} (SWIM sections 3.1 and 4.3), {@link MemberStates} and
  * {@link Suspicions} (section 4.2, Lifeguard), {@link LocalMember} (refutation, displacement), {@link UpdateGossip}
  * (section 4.1), {@link RejoinSchedule} (anti-entropy).
  */
 public final class Membership {
-    // Members that are notified of a graceful leave at once; the others learn of it from those.
+    // Members that are notified of a graceful leave directly; the others learn of it by gossip.
     private static final int LEAVE_FANOUT = 8;
 
     private final MembershipContext context;
@@ -31,9 +31,9 @@
     private final RejoinSchedule rejoin;
 
     /**
-     * @param address where this instance says it is reached
-     * @param epoch number of this process, higher than that of any process of this name before
-     * @param peers names to try when nobody else is known; this instance's own is ignored
+     * @param address the address that this instance announces to the other members
+     * @param epoch number of this process, higher than that of any earlier process of this name
+     * @param peers names to try when no other member is known; this instance's own is ignored
      */
     public Membership(MembershipSettings settings, String self, String address, long epoch, Collection<String> peers,
         RandomGenerator random, double now) {
@@ -64,7 +64,7 @@
         return Math.min(next, Math.min(detector.nextPeriodAt(), gossip.nextRoundAt()));
     }
 
-    /** Does what is due by now. A tick that comes late shows that this process was paused. */
+    /** Runs what is due. A tick that is late by more than {@code pauseThreshold} shows that this process was paused. */
     public List<MembershipOutput> tick(double at) {
         advanceTo(at);
         if (local.hasLeft()) {
@@ -82,7 +82,10 @@
         return context.takeOutputs();
     }
 
-    /** Lifeguard: a slow instance accuses nobody. Time for which it was paused does not count against the others. */
+    /**
+     * Advances the clock. After a pause of this process, extends the suspicions and discards the running probes, so that a
+     * slow instance suspects nobody for messages that it could not receive (Lifeguard).
+     */
     private void advanceTo(double at) {
         double due = Math.max(context.now(), Math.min(nextTickAt(), at));
         double paused = at - due;
@@ -99,7 +102,7 @@
 
     // ---------------------------------------------------------------- input
 
-    /** Takes one datagram of another instance, whose name the transport has authenticated. */
+    /** Handles one datagram from another instance, whose name the transport has authenticated. */
     public List<MembershipOutput> received(double at, String from, Message message) {
         advanceTo(at);
         if (!local.hasLeft()) {
@@ -109,7 +112,7 @@
         return context.takeOutputs();
     }
 
-    /** All that is known, this instance first: one side of a full exchange. */
+    /** The last update of each known member, this instance first: what one side sends in a full exchange. */
     public List<MemberUpdate> snapshot() {
         List<MemberUpdate> snapshot = new ArrayList<>();
         snapshot.add(local.update());
@@ -118,8 +121,9 @@
     }
 
     /**
-     * Takes the other side of a full exchange. Whom it declares dead and this instance sees as present is only
-     * suspected, and may refute that. Guards against two halves of a healed partition that take over each other's dead.
+     * Merges the snapshot of the other side of a full exchange. A member that is dead there and present here is only
+     * suspected, so that it can refute that. Otherwise the halves of a healed partition would adopt each other's
+     * death reports.
      */
     public List<MembershipOutput> merge(double at, String from, List<MemberUpdate> updates) {
         advanceTo(at);
@@ -136,7 +140,7 @@
         return "told by " + from;
     }
 
-    /** Leaves gracefully; from now on nothing more comes from this instance. */
+    /** Leaves the fleet gracefully; after this call the instance sends no more messages. */
     public List<MembershipOutput> leave(double at) {
         advanceTo(at);
         if (local.leave()) {
@@ -150,7 +154,7 @@
 
     // ---------------------------------------------------------------- the view
 
-    /** This instance first, then all others it knows of, by name. */
+    /** All known members, this instance first, the others sorted by name. */
     public List<MemberView> view() {
         MemberUpdate self = local.update();
         List<MemberView> view = new ArrayList<>();
@@ -159,12 +163,12 @@
         return view;
     }
 
-    /** Names of the other members that are present, suspects among them, by name. */
+    /** Sorted names of the other members that are present, suspects included. */
     public List<String> presentMembers() {
         return members.present();
     }
 
-    /** Present members, this instance included. */
+    /** Number of present members, this instance included. */
     public int size() {
         return members.size();
     }
@@ -174,7 +178,7 @@
         return members.isPresent(name);
     }
 
-    /** Where a member says it is reached, or null if it is not known. */
+    /** The address that a member announces, or null if the member is unknown. */
     public String addressOf(String name) {
         MemberUpdate update = members.get(name);
         return update == null ? null : update.address();
@@ -185,7 +189,7 @@
         return local.update().epoch();
     }
 
-    /** Whether this instance has stood down for another process under its name with a higher epoch. */
+    /** Whether another process runs under this instance's name with a higher epoch, so that this one sends no probes. */
     public boolean isDisplaced() {
         return local.isDisplaced();
     }
@@ -195,7 +199,7 @@
         return health.score();
     }
 
-    /** Updates of instances that did not fit into the member list. */
+    /** Number of updates that were dropped because the member list was full of present members. */
     public long droppedUpdates() {
         return states.droppedUpdates();
     }
--- a/src/main/java/kelphollow/membership/MembershipContext.java
+++ b/src/main/java/kelphollow/membership/MembershipContext.java
@@ -7,7 +7,7 @@
 
 /**
  * What the parts of one {@link Membership} share: settings, the time of the current call, the random source and the queued
- * outputs. For one thread.
+ * outputs. Not thread-safe.
  */
 final class MembershipContext {
     private final MembershipSettings settings;
@@ -46,7 +46,7 @@
         now = Math.max(now, at);
     }
 
-    /** A sequence number for a probe that was not used before. */
+    /** An unused sequence number for a probe. */
     long nextSequence() {
         return ++lastSequence;
     }
@@ -70,7 +70,7 @@
         return taken;
     }
 
-    /** Fisher-Yates, with one draw an element. */
+    /** Fisher-Yates shuffle, with one random number per element. */
     void shuffle(List<String> names) {
         for (int i = names.size() - 1; i > 0; i--) {
             Collections.swap(names, i, random.nextInt(i + 1));
--- a/src/main/java/kelphollow/membership/MembershipOutput.java
+++ b/src/main/java/kelphollow/membership/MembershipOutput.java
@@ -1,6 +1,6 @@
 package kelphollow.membership;
 
-/** What {@link Membership} wants done, in order. The owner carries the outputs out; none of them calls back. */
+/** An action or event that a {@link Membership} returns; its owner carries them out in order. */
 public sealed interface MembershipOutput {
     /** Sends one datagram; it may be lost. */
     record Send(String to, Message message) implements MembershipOutput {}
@@ -8,10 +8,10 @@
     /** Starts a full state exchange: {@link Membership#snapshot} goes out, {@link Membership#merge} takes the answer. */
     record FullExchange(String peer) implements MembershipOutput {}
 
-    /** This process goes on under a higher epoch, which must be stored where the first one came from. */
+    /** This process continues under a higher epoch, which the owner must store in place of the one it started with. */
     record EpochRaised(long epoch) implements MembershipOutput {}
 
-    /** A state change, for operators and for whoever follows the fleet. */
+    /** A change of a member's state, for operators and other observers of the fleet. */
     record Event(Kind kind, String name, long epoch, String reason) implements MembershipOutput {}
 
     /** What happened to a member, as seen by this instance. */
@@ -26,11 +26,11 @@
         FAILED,
         /** Left the fleet by a graceful shutdown. */
         LEFT,
-        /** This instance: another process runs under its name with a higher epoch, so this one stands down. */
+        /** This instance: another process runs under its name with a higher epoch, so this one stops probing. */
         DISPLACED,
-        /** This instance: others held it for suspect or dead, and it refuted that. */
+        /** This instance: another member reported it as suspect or dead, and it refuted that. */
         REFUTED,
-        /** This instance: the process was paused, and holds nothing that happened meanwhile against the others. */
+        /** This instance: the process was paused, and suspects no member for what it missed meanwhile. */
         PAUSED
     }
 }
--- a/src/main/java/kelphollow/membership/Message.java
+++ b/src/main/java/kelphollow/membership/Message.java
@@ -24,13 +24,13 @@
         /** For the report that an indirect probe is unanswered so far. */
         R nack(Nack nack);
 
-        /** For updates without a probe. */
+        /** For member updates without a probe. */
         R gossip(Gossip gossip);
     }
 
     /**
-     * Direct probe, answered by an {@link Ack} with the same sequence number; {@code target} guards against a reused
-     * address.
+     * Direct probe, answered by an {@link Ack} with the same sequence number. An instance that is not {@code target}, at an
+     * address that was reused, does not answer.
      */
     record Ping(long sequence, String target, List<MemberUpdate> updates) implements Message {
         @Override public <R> R accept(Visitor<R> visitor) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Only updates. */
+    /** Member updates without a probe. */
     record Gossip(List<MemberUpdate> updates) implements Message {
         @Override public <R> R accept(Visitor<R> visitor) {
             return visitor.gossip(this);
--- a/src/main/java/kelphollow/membership/RejoinSchedule.java
+++ b/src/main/java/kelphollow/membership/RejoinSchedule.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * Chooses partners for full exchanges: absent members, so that partitions heal, and now and then a present one, so that
- * views which lost messages left apart are compared (anti-entropy).
+ * Schedules full exchanges and chooses their partners: absent members, so that partitions heal, and regularly a present one,
+ * so that views that diverged through lost messages converge again (anti-entropy).
  */
 final class RejoinSchedule {
-    // One exchange in so many goes to a present member although absent ones are known.
+    // One in this many exchanges goes to a present member even if absent ones are known.
     private static final int PRESENT_EVERY = 4;
 
     private final MembershipContext context;
@@ -18,7 +18,7 @@
     private double nextAt;
     private int attempts;
 
-    /** {@code configuredPeers}: names to try when nobody else is known; this instance's own is ignored. */
+    /** {@code configuredPeers}: names to try when no other member is known; this instance's own is ignored. */
     RejoinSchedule(MembershipContext context, MemberList members, Collection<String> configuredPeers) {
         this.context = context;
         this.members = members;
@@ -30,7 +30,7 @@
         return nextAt;
     }
 
-    /** The process was paused: others may have declared this instance dead meanwhile. */
+    /** Makes an exchange due after a pause of this process: others may have declared this instance dead meanwhile. */
     void resumeAfterPause() {
         nextAt = context.now();
     }
--- a/src/main/java/kelphollow/membership/RelayedProbes.java
+++ b/src/main/java/kelphollow/membership/RelayedProbes.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * Indirect probes that this instance makes for others (SWIM section 3.1), with Lifeguard's nack where the target does not
- * answer in time. At most {@link MembershipSettings#maxMembers} at a time.
+ * Indirect probes that this instance makes for other members (SWIM section 3.1), with Lifeguard's nack if the target does
+ * not answer in time. At most {@link MembershipSettings#maxMembers} at a time.
  */
 final class RelayedProbes {
-    // Sent at this fraction of the probe timeout, so that the nack arrives before the requester's probe ends.
+    // The nack is sent at this fraction of the probe timeout, so that it arrives before the requester's probe ends.
     private static final double NACK_FRACTION = 0.8;
 
     private record RelayedProbe(String requester, long requestSequence, double nackAt, boolean nackSent, double expiresAt) {
@@ -54,7 +54,7 @@
         return true;
     }
 
-    /** Sends the nacks that are due, and forgets expired probes. */
+    /** Sends the nacks that are due, and removes expired probes. */
     void runDue() {
         for (Map.Entry<Long, RelayedProbe> e : List.copyOf(bySequence.entrySet())) {
             RelayedProbe probe = e.getValue();
--- a/src/main/java/kelphollow/membership/Suspicion.java
+++ b/src/main/java/kelphollow/membership/Suspicion.java
@@ -22,7 +22,7 @@
         accusers.add(accuser);
     }
 
-    /** Adds an accuser. True if that shortens the timeout, so that the accusation is worth gossiping. */
+    /** Adds an accuser. True if that shortens the timeout, so that the update should be gossiped. */
     boolean confirm(String accuser) {
         return accusers.size() <= confirmations && accusers.add(accuser);
     }
--- a/src/main/java/kelphollow/membership/Suspicions.java
+++ b/src/main/java/kelphollow/membership/Suspicions.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * The running suspicion timeouts by member (SWIM section 4.2, Lifeguard's LHA-Suspicion). At most one for each member.
+ * The running suspicion timeouts by member (SWIM section 4.2, Lifeguard's LHA-Suspicion), at most one per member.
  */
 final class Suspicions {
     private final MembershipSettings settings;
@@ -18,7 +18,7 @@
     /** Starts the timeout of a suspected member in a fleet of {@code size} present members. */
     void start(double now, MemberUpdate suspect, int size) {
         double shortest = settings.suspicionMultiplier() * Math.max(1, Math.log10(size + 1)) * settings.protocolPeriod();
-        // As many can confirm as there are beside the suspect and its first accuser.
+        // All present members can confirm but the suspect and its first accuser.
         int confirmations = Math.min(settings.suspicionConfirmations(), size - 2);
         double longest = confirmations < 1 ? shortest : shortest * settings.suspicionMaxFactor();
         byMember.put(suspect.name(), new Suspicion(now, shortest, longest, Math.max(1, confirmations), suspect.accuser()));
--- a/src/main/java/kelphollow/membership/UpdateGossip.java
+++ b/src/main/java/kelphollow/membership/UpdateGossip.java
@@ -12,7 +12,7 @@
     private final GossipQueue queue = new GossipQueue();
     private double nextRoundAt = Double.POSITIVE_INFINITY;
 
-    /** {@code first} waits for a message to ride on, and starts no round. */
+    /** {@code first} is queued without scheduling a round: it waits to be piggybacked on another message. */
     UpdateGossip(MembershipContext context, MemberList members, MemberUpdate first) {
         this.context = context;
         this.members = members;
