--- a/src/main/java/kelphollow/dissemination/AntiEntropy.java
+++ b/src/main/java/kelphollow/dissemination/AntiEntropy.java
@@ -5,40 +5,42 @@
 import kelphollow.membership.MemberUpdate;
 
 /**
- * The messages of one comparison of views, one datagram each: {@link Summary}, answered by {@link Versions} where it
- * differs, answered by a {@link Delta} of what is newer on one side, answered by one of what was requested. Each stands for
- * itself: losing one costs the comparison and no more.
+ * The messages of one comparison of views, one datagram each. A {@link Summary} is answered by the {@link Versions} in the
+ * buckets that differ, those by a {@link Delta} of what is newer on one side, and that by a Delta of what it requested.
+ * Messages are independent: losing one ends only the comparison that it belongs to.
  */
 public sealed interface AntiEntropy {
-    /** Most entries, updates, states or names in one message. */
+    /** Maximum number of buckets, entries, updates, states or names in one message. */
     int MAX_ENTRIES = 256;
 
-    /** One hash a bucket, see {@link BucketHashes}. */
+    /** One hash per bucket, see {@link BucketHashes}. */
     record Summary(List<Integer> hashes) implements AntiEntropy {
-        /** Throws {@link IllegalArgumentException} if there are not exactly as many as buckets. */
+        /** Throws {@link IllegalArgumentException} unless there are {@link BucketHashes#BUCKETS} hashes. */
         public Summary {
             hashes = List.copyOf(hashes);
             if (hashes.size() != BucketHashes.BUCKETS) {
-                throw new IllegalArgumentException("a summary has " + BucketHashes.BUCKETS + " hashes");
+                throw new IllegalArgumentException(
+                    "summary has " + hashes.size() + " hashes, expected " + BucketHashes.BUCKETS);
             }
         }
     }
 
-    /** The versions that the sender has of all instances which fall into these buckets. */
+    /** The versions that the sender has of all instances in these buckets. */
     record Versions(List<Integer> buckets, List<Entry> entries) implements AntiEntropy {
-        /** Throws {@link IllegalArgumentException} for too many, or a bucket number out of range. */
+        /** Throws {@link IllegalArgumentException} if a list is too long or a bucket number is out of range. */
         public Versions {
             buckets = bounded(buckets);
             entries = bounded(entries);
             if (buckets.stream().anyMatch(b -> b < 0 || b >= BucketHashes.BUCKETS)) {
-                throw new IllegalArgumentException("no such bucket");
+                throw new IllegalArgumentException(
+                    "bucket numbers " + buckets + " are not all from 0 to " + (BucketHashes.BUCKETS - 1));
             }
         }
     }
 
-    /** What the sender has newer, and the names of the instances of which the receiver seems to. */
+    /** What is newer on the sender's side, and the names of the instances that seem to be newer on the receiver's. */
     record Delta(List<MemberUpdate> updates, List<InstanceState> states, List<String> requested) implements AntiEntropy {
-        /** Throws {@link IllegalArgumentException} for too many. */
+        /** Throws {@link IllegalArgumentException} if a list is too long. */
         public Delta {
             updates = bounded(updates);
             states = bounded(states);
@@ -58,7 +60,7 @@
      * @param stateVersion of the {@link InstanceState} that the sender has, or {@link #NONE}
      */
     record Entry(MemberUpdate member, long stateEpoch, long stateVersion) {
-        /** Stands for epoch and version where the sender has no state. */
+        /** Epoch and version of an entry whose sender has no state of the instance. */
         public static final long NONE = -1;
 
         boolean isOlderThan(InstanceState state) {
@@ -73,7 +75,7 @@
 
     private static <T> List<T> bounded(List<T> all) {
         if (all.size() > MAX_ENTRIES) {
-            throw new IllegalArgumentException("more than " + MAX_ENTRIES + " entries");
+            throw new IllegalArgumentException("list has " + all.size() + " entries, at most " + MAX_ENTRIES + " allowed");
         }
         return List.copyOf(all);
     }
--- a/src/main/java/kelphollow/dissemination/BucketHashes.java
+++ b/src/main/java/kelphollow/dissemination/BucketHashes.java
@@ -5,9 +5,9 @@
 import kelphollow.membership.MemberUpdate;
 
 /**
- * A view in a few hundred bytes: instances fall into buckets by a hash of their name, and each bucket is the exclusive or of
- * its instances' hashes over epoch and version, so that order does not matter and equal views have equal summaries. Two
- * different buckets look equal once in 2^32, until either changes.
+ * A summary of a view in a few hundred bytes. Instances are assigned to buckets by a hash of their name. The hash of a
+ * bucket is the exclusive or of its instances' hashes over epochs and versions, so that order does not matter and equal
+ * views have equal summaries. Two different buckets have the same hash with a probability of 2^-32, until either changes.
  */
 final class BucketHashes {
     static final int BUCKETS = 64;
@@ -16,8 +16,8 @@
     private final int[] hashes = new int[BUCKETS];
 
     /**
-     * Adds one instance that is present. Suspicions and what refutes them count: where gossip of either was lost, an
-     * instance that runs could be declared dead.
+     * Adds one present instance. Its incarnation and member state are part of the hash: without them, a running instance
+     * could be declared dead where gossip of a suspicion or of its refutation was lost.
      */
     void add(MemberUpdate member, long stateEpoch, long stateVersion) {
         long hash = mix(hashOf(member.name()) ^ member.epoch());
@@ -38,7 +38,7 @@
         return (int) (hashOf(name) >>> 32 & BUCKETS - 1);
     }
 
-    /** FNV-1a, then mixed: its high bits alone are poor. */
+    /** FNV-1a, mixed because its high bits alone are poorly distributed. */
     private static long hashOf(String name) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < name.length(); i++) {
--- a/src/main/java/kelphollow/dissemination/ByteBudget.java
+++ b/src/main/java/kelphollow/dissemination/ByteBudget.java
@@ -1,17 +1,17 @@
 package kelphollow.dissemination;
 
 /**
- * Token buckets of bytes: what is sent is charged, and deferrable packets wait while one is empty. One bucket holds the
- * sustained rate and saves up for {@link #SAVED_SECONDS}; one bounds a burst to twice the rate. Guards against a fleet whose
- * gossip grows with its size. For one thread.
+ * Limits the bytes sent by two token buckets: all packets are charged, and deferrable ones wait while a bucket is empty. One
+ * bucket enforces the sustained rate and accrues tokens for up to {@link #SAVED_SECONDS}; the other limits bursts to twice
+ * the rate. Keeps the traffic of gossip from growing with the size of the fleet. Not thread-safe.
  */
 public final class ByteBudget {
-    /** For how long twice the rate may be spent after a quiet period: what a healed partition or a start needs. */
+    /** How long twice the rate may be sent after a quiet period, as a start or a healed partition needs. */
     static final double SAVED_SECONDS = 10;
     private static final double BURST_FACTOR = 2;
     private static final double BURST_SECONDS = 0.5;
-    // Bound of the debt, in seconds of the rate: packets that must be sent are never held back, but are made up for
-    // afterwards.
+    // Bound of the debt, in seconds of the rate. Packets that must be sent are never held back: deferrable ones wait
+    // afterwards until the debt is paid off.
     private static final double MAX_DEBT_SECONDS = 3;
     private final TokenBucket sustained;
     private final TokenBucket burst;
@@ -44,17 +44,17 @@
         }
     }
 
-    /** {@code rate}: bytes a second, above 0; else an {@link IllegalArgumentException} is thrown. */
+    /** Throws {@link IllegalArgumentException} unless {@code rate}, in bytes per second, is above 0. */
     public ByteBudget(double rate, double now) {
         if (!(rate > 0)) {
-            throw new IllegalArgumentException("a budget is above 0");
+            throw new IllegalArgumentException("budget must be above 0 bytes per second, found " + rate);
         }
         this.rate = rate;
         this.sustained = new TokenBucket(rate, SAVED_SECONDS, now);
         this.burst = new TokenBucket(rate * BURST_FACTOR, BURST_SECONDS, now);
     }
 
-    /** Charges bytes that were sent; never refused. */
+    /** Charges bytes that were sent, whether or not the budget allowed them. */
     public void spend(double now, long bytes) {
         sustained.spend(now, bytes);
         burst.spend(now, bytes);
@@ -65,7 +65,7 @@
         return sustained.tokens(now) > 0 && burst.tokens(now) > 0;
     }
 
-    /** Whether packets may be sent that should not wait long: they may borrow one second of the rate. */
+    /** Whether packets that should not wait long may be sent: they may incur a debt of up to one second of the rate. */
     public boolean allowsDebt(double now) {
         return sustained.tokens(now) > -rate && burst.tokens(now) > -rate;
     }
--- a/src/main/java/kelphollow/dissemination/DeltaBuilder.java
+++ b/src/main/java/kelphollow/dissemination/DeltaBuilder.java
@@ -5,13 +5,13 @@
 import kelphollow.digest.InstanceState;
 import kelphollow.membership.MemberUpdate;
 
-/** Packs updates and states into a few datagrams: what does not fit is found by a later comparison. */
+/** Packs updates and states into a bounded number of datagrams; what does not fit is left to a later comparison. */
 final class DeltaBuilder {
-    // Datagrams of one side of a comparison at most: as many as one list of versions can ask for.
+    // Maximum number of datagrams from one side of a comparison: as many as one list of versions can ask for.
     private static final int MAX_DATAGRAMS = 4;
-    // In CBOR beside the name, in bytes; a requested name costs its length and two.
-    private static final int UPDATE_BYTES = 48;
-    private static final int NAME_BYTES = 2;
+    // Size in CBOR without the characters of the name, in bytes: of an update, and of a requested name.
+    private static final int UPDATE_OVERHEAD_BYTES = 48;
+    private static final int NAME_OVERHEAD_BYTES = 2;
 
     private final int datagramBytes;
     private final List<AntiEntropy.Delta> complete = new ArrayList<>();
@@ -19,14 +19,14 @@
     private List<InstanceState> states = new ArrayList<>();
     private int bytes;
 
-    /** {@code datagramBytes}: what one datagram carries beside its header and seal. */
+    /** {@code datagramBytes}: payload of one datagram, without its header and seal. */
     DeltaBuilder(int datagramBytes) {
         this.datagramBytes = datagramBytes;
     }
 
-    /** Adds what is not null, unless all datagrams are full. */
+    /** Adds an update and a state, either of which may be null, unless all datagrams are full. */
     void add(MemberUpdate update, InstanceState state) {
-        int size = (update == null ? 0 : UPDATE_BYTES + update.name().length())
+        int size = (update == null ? 0 : UPDATE_OVERHEAD_BYTES + update.name().length())
             + (state == null ? 0 : state.estimatedBytes());
         if (isFull() || size == 0) {
             return;
@@ -61,12 +61,12 @@
         bytes = 0;
     }
 
-    /** The datagrams, with the requested names that fit into one more. */
+    /** The datagrams, followed by one with as many of the requested names as fit. */
     List<DisseminationOutput> build(String to, List<String> requested) {
         int bytesLeft = datagramBytes;
         int fitting = 0;
         for (String name : requested) {
-            bytesLeft -= NAME_BYTES + name.length();
+            bytesLeft -= NAME_OVERHEAD_BYTES + name.length();
             if (bytesLeft < 0 || fitting >= AntiEntropy.MAX_ENTRIES) {
                 break;
             }
--- a/src/main/java/kelphollow/dissemination/Dissemination.java
+++ b/src/main/java/kelphollow/dissemination/Dissemination.java
@@ -13,25 +13,26 @@
 import kelphollow.membership.Membership;
 
 /**
- * Decides which changes of the digest are sent to whom and when. Changes are gossiped; at intervals the view is
- * compared with that of a random member by a summary, and only what differs follows. Deferrable packets wait while the
- * budget of bytes is spent. For one thread; a call's cost is at most proportional to the members, memory to the states
- * in the digest. Times are in milliseconds.
+ * Decides which changes of the digest are sent to which members and when. Changes are gossiped. At intervals a summary of
+ * the view is compared with the view of a random member, and only the differences are sent. Deferrable packets wait
+ * while the byte budget is spent. Times are in milliseconds. Not thread-safe; the cost of a call is at most proportional to
+ * the number of members, memory to the number of states in the digest.
  */
 public final class Dissemination {
-    // What a datagram carries at most beside its header and seal, in bytes: with them it stays under an Ethernet frame.
+    // Maximum payload of a datagram without its header and seal, in bytes: with them it fits into an Ethernet frame.
     private static final int DATAGRAM_BYTES = 1_200;
-    // States piggybacked on a membership message, in bytes: it pays the header and seal anyway.
+    // Maximum size of the states piggybacked on a membership message, which is sent with a header and seal anyway.
     private static final int PIGGYBACK_BYTES = 400;
-    // Fraction of the budget for deferrable gossip: where much changes, comparisons move each state about once, gossip
-    // several times.
+    // Fraction of the budget for deferrable gossip: when many states change, a comparison sends each state about once,
+    // gossip several times.
     private static final double GOSSIP_FRACTION = 0.3;
-    // The same for urgent changes, which do not wait for what membership owes: a drain may come with a zone's loss.
+    // Fraction of the budget for urgent changes, kept apart from the debt of membership packets: a drain may coincide with
+    // the loss of a zone.
     private static final double URGENT_FRACTION = 0.3;
-    // A datagram's header and seal, in bytes, approximately.
+    // Approximate size of a datagram's header and seal, in bytes.
     private static final int OVERHEAD_BYTES = 110;
-    // Between gossip rounds: changes wait for each other, so that they share a header and a seal.
-    private static final double GOSSIP_INTERVAL = 100;
+    // Time between gossip rounds, so that changes collect and share a header and seal.
+    private static final double GOSSIP_INTERVAL_MS = 100;
 
     private final DisseminationSettings settings;
     private final String self;
@@ -46,7 +47,7 @@
     private double nextGossipAt;
     private double nextComparisonAt;
 
-    /** {@code membership}: the receivers, and what is compared beside the digest. */
+    /** {@code membership} provides the receivers, and is compared together with the digest. */
     public Dissemination(DisseminationSettings settings, String self, Membership membership, Digest digest,
         RandomGenerator random, double now) {
         this.settings = settings;
@@ -62,7 +63,7 @@
         this.nextComparisonAt = now + random.nextDouble() * settings.comparisonInterval();
     }
 
-    /** Charges bytes that were sent, by whatever part of the program. */
+    /** Charges bytes that any part of the program sent to other instances. */
     public void sent(double now, long bytes) {
         budget.spend(now, bytes);
     }
@@ -74,7 +75,7 @@
 
     // ---------------------------------------------------------------- gossip
 
-    /** Commits this instance's own changes and queues them; returns whether there were any. */
+    /** Commits this instance's own changes and queues them. True if there were any. */
     public boolean commit(double now) {
         InstanceState before = digest.state(self);
         if (!digest.commit(now)) {
@@ -84,7 +85,7 @@
         return true;
     }
 
-    /** Merges states that were received and queues what is new; returns whether there was any. */
+    /** Merges states that were received and queues those that are new. True if there were any. */
     public boolean received(double now, List<InstanceState> states) {
         Map<String, Boolean> urgent = new HashMap<>();
         states.forEach(s -> urgent.put(s.instance(), digest.hasNewDrainNotice(s, digest.state(s.instance()))));
@@ -103,7 +104,7 @@
         return !added.isEmpty();
     }
 
-    /** Whether a change is queued that should be known everywhere at once. */
+    /** Whether a change is queued that all instances should learn of at once. */
     public boolean hasUrgent() {
         return queue.hasUrgent();
     }
@@ -114,13 +115,13 @@
         return queue.hasUrgent() || gossipAllowed ? next(now, PIGGYBACK_BYTES, 0, !gossipAllowed) : List.of();
     }
 
-    /** Does what is due by now; to be called every few tens of milliseconds, and at once after an urgent change. */
+    /** Sends what is due. To be called every few tens of milliseconds, and immediately after an urgent change. */
     public List<DisseminationOutput> tick(double now) {
         List<DisseminationOutput> outputs = new ArrayList<>();
         if (queue.hasUrgent() && urgentBudget.allowsDeferrable(now)) {
             gossip(now, settings.urgentFanout(), true, outputs);
         } else if (!queue.isEmpty() && now >= nextGossipAt && allowsGossip(now)) {
-            nextGossipAt = now + GOSSIP_INTERVAL;
+            nextGossipAt = now + GOSSIP_INTERVAL_MS;
             gossip(now, settings.routineFanout(), false, outputs);
         }
         if (now >= nextComparisonAt) {
@@ -168,7 +169,7 @@
     // ---------------------------------------------------------------- anti-entropy
 
     /**
-     * The answer to a step of a comparison, if one is due. What the step carries is the caller's to merge, afterwards.
+     * The answer to a message of a comparison, if any. The caller merges the updates and states of the message afterwards.
      */
     public List<DisseminationOutput> answer(double now, String from, AntiEntropy message) {
         if (!budget.allowsDeferrable(now)) {
--- a/src/main/java/kelphollow/dissemination/DisseminationSettings.java
+++ b/src/main/java/kelphollow/dissemination/DisseminationSettings.java
@@ -3,7 +3,7 @@
 /**
  * Budget and rates of dissemination; times are in milliseconds.
  *
- * @param bytesPerSecond what an instance sends a second, all kinds counted, before deferrable packets wait
+ * @param bytesPerSecond bytes of all kinds that an instance sends per second before deferrable packets wait
  * @param comparisonInterval mean time between comparisons of views while they agree
  * @param repeatedComparisonInterval mean time to the next comparison after one that found a difference
  * @param urgentFanout members that receive one round of urgent changes
@@ -14,10 +14,10 @@
 public record DisseminationSettings(double bytesPerSecond, double comparisonInterval, double repeatedComparisonInterval,
                                     int urgentFanout, int routineFanout, double urgentTransmissions,
                                     double routineTransmissions) {
-    /** What an instance uses unless its operator configures otherwise. */
+    /** The values that an instance uses unless its operator configures others. */
     public static final DisseminationSettings DEFAULTS = new DisseminationSettings(12_000, 1_000, 150, 3, 2, 1.5, 1);
 
-    /** The same with another budget. */
+    /** These settings with another budget, in bytes per second. */
     public DisseminationSettings withBudget(double bytes) {
         return new DisseminationSettings(bytes, comparisonInterval, repeatedComparisonInterval, urgentFanout, routineFanout,
             urgentTransmissions, routineTransmissions);
--- a/src/main/java/kelphollow/dissemination/StateGossipQueue.java
+++ b/src/main/java/kelphollow/dissemination/StateGossipQueue.java
@@ -9,19 +9,19 @@
 import kelphollow.digest.InstanceState;
 
 /**
- * Changed states on their way (rumour mongering with counters, Demers and others 1987, section 1.4): each is
- * transmitted some multiple of log(n) times; urgent ones first, the least transmitted first. A newer state of the same
- * instance replaces the older. Of those that are not urgent at most {@link #MAX_ROUTINE} are queued, and the oldest is
- * dropped early: where that many change at once, comparisons move each state about once to each instance, and gossip
- * several times. For one thread.
+ * Changed states queued for gossip (rumour mongering with counters, Demers and others 1987, section 1.4). Each is
+ * transmitted a multiple of log(n) times, urgent ones first, then the least transmitted. A newer state of an instance
+ * replaces the older one. At most {@link #MAX_ROUTINE} states that are not urgent are queued, and the oldest is dropped:
+ * when that many change at once, comparisons send each state about once to each instance, gossip several times. Not
+ * thread-safe.
  */
 final class StateGossipQueue {
-    /** Most changes that are queued and not urgent; some three datagrams' worth. */
+    /** Maximum number of queued states that are not urgent, about three datagrams of them. */
     static final int MAX_ROUTINE = 32;
 
-    // Transmissions of an urgent state beside those that grow with the size: of twenty members five leave one out now
-    // and then.
-    private static final int MIN_URGENT_TRANSMISSIONS = 3;
+    // Transmissions of an urgent state in addition to those that grow with the size: with five in all, one of twenty members
+    // was left out now and then.
+    private static final int BASE_URGENT_TRANSMISSIONS = 3;
 
     private static final class GossipEntry {
         private final boolean urgent;
@@ -47,13 +47,13 @@
     private final double routineTransmissions;
     private final Map<String, GossipEntry> queued = new LinkedHashMap<>();
 
-    /** Both are multiples of the natural logarithm of the fleet's size. */
+    /** Both parameters are multiples of the natural logarithm of the fleet's size. */
     StateGossipQueue(double urgentTransmissions, double routineTransmissions) {
         this.urgentTransmissions = urgentTransmissions;
         this.routineTransmissions = routineTransmissions;
     }
 
-    /** Queues the current state of an instance; it stays urgent if the one before was and is still queued. */
+    /** Queues the current state of an instance. It is urgent too if it replaces an urgent one in the queue. */
     void add(String instance, boolean urgent) {
         GossipEntry before = queued.remove(instance);
         queued.put(instance, new GossipEntry(urgent || before != null && before.urgent));
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Another member sent a state that is queued here: that counts as a transmission, since it shows that the change
-     * has gone round (the counter with feedback of section 1.4). Urgent ones are transmitted in full all the same.
+     * Counts a queued state that another member sent as a transmission, since other members know it already (counter with
+     * feedback, section 1.4). Urgent states are always transmitted up to the limit.
      */
     void receivedDuplicate(String instance, int members) {
         GossipEntry entry = queued.get(instance);
@@ -82,7 +82,7 @@
 
     private double transmissionLimit(GossipEntry entry, int members) {
         double log = Math.log(members + 1.0);
-        return entry.urgent ? MIN_URGENT_TRANSMISSIONS + Math.ceil(log * urgentTransmissions)
+        return entry.urgent ? BASE_URGENT_TRANSMISSIONS + Math.ceil(log * urgentTransmissions)
             : Math.ceil(log * routineTransmissions);
     }
 
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Up to {@code maxBytes} of states for one datagram, of the urgent ones or of all; each counts as transmitted once more.
-     * One state always fits.
+     * States for one datagram, the urgent ones or all, up to {@code maxBytes}; counts a transmission of each. The first is
+     * returned whatever its size.
      */
     List<InstanceState> next(double now, Digest digest, int members, int maxBytes, boolean urgentOnly) {
         List<InstanceState> states = new ArrayList<>();
--- a/src/main/java/kelphollow/dissemination/ViewComparison.java
+++ b/src/main/java/kelphollow/dissemination/ViewComparison.java
@@ -15,13 +15,13 @@
 import kelphollow.membership.Membership;
 
 /**
- * The steps of anti-entropy on one side: compares its view of members and states with what the other side sent, and
- * makes the answer. Keeps nothing between steps. For one thread; a step costs at most the members times the requested
- * names.
+ * One side of anti-entropy: compares its view of members and states with a message from the other side and builds the
+ * answer. Keeps no state between messages. The cost of an answer is at most proportional to the members times the requested
+ * names. Not thread-safe.
  */
 final class ViewComparison {
-    // An entry of Versions in CBOR beside its name, in bytes.
-    private static final int ENTRY_BYTES = 24;
+    // Size of an entry of Versions in CBOR without its name, in bytes.
+    private static final int ENTRY_OVERHEAD_BYTES = 24;
 
     private final Membership membership;
     private final Digest digest;
@@ -35,7 +35,7 @@
         this.datagramBytes = datagramBytes;
     }
 
-    /** The first step: a summary of this side's view. */
+    /** The first message of a comparison: a summary of this side's view. */
     AntiEntropy.Summary summary() {
         return new AntiEntropy.Summary(hashes(membership.snapshot()));
     }
@@ -59,7 +59,7 @@
         return state == null ? Entry.NONE : state.version();
     }
 
-    /** Answers a summary by the versions in buckets that differ, beginning at a random one, as far as they fit. */
+    /** Answers a summary by the versions in buckets that differ, as many as fit, starting at a random bucket. */
     List<DisseminationOutput> answerSummary(String from, AntiEntropy.Summary theirs) {
         List<MemberUpdate> members = membership.snapshot();
         List<Integer> ours = hashes(members);
@@ -73,7 +73,7 @@
                 continue;
             }
             List<Entry> added = entries(bucket, members);
-            bytes += added.stream().mapToInt(e -> e.member().name().length() + ENTRY_BYTES).sum();
+            bytes += added.stream().mapToInt(e -> e.member().name().length() + ENTRY_OVERHEAD_BYTES).sum();
             boolean overflows = bytes > datagramBytes || entries.size() + added.size() > AntiEntropy.MAX_ENTRIES;
             if (!buckets.isEmpty() && overflows) {
                 break;
@@ -98,7 +98,7 @@
         return entries;
     }
 
-    /** Answers versions by what is newer here, and requests what is newer there. */
+    /** Answers versions by what is newer on this side, and requests what is newer on the other. */
     List<DisseminationOutput> answerVersions(double now, String to, AntiEntropy.Versions theirs) {
         List<MemberUpdate> members = membership.snapshot();
         Map<String, Entry> listed = new HashMap<>();
@@ -121,7 +121,7 @@
                 requested.remove(member.name());
             }
         }
-        // An absent instance that is not known here concerns nobody.
+        // Updates of absent members that are unknown here would be ignored.
         requested.removeIf(name -> !listed.get(name).member().isPresent()
             && members.stream().noneMatch(m -> m.name().equals(name)));
         return delta.build(to, new ArrayList<>(requested));
