--- a/src/main/java/kelphollow/digest/Digest.java
+++ b/src/main/java/kelphollow/digest/Digest.java
@@ -12,19 +12,18 @@
 import java.util.regex.Pattern;
 
 /**
- * The merged view of what all instances publish, this one included. An entry whose owner is present by membership is renewed
- * by that alone and need not be sent again; one whose owner is not expires after the time to live, and its version is
- * remembered, so that no older copy brings it back. For one thread. Memory: one entry an instance and one that expired,
- * {@code maxInstances} of each at most.
+ * The merged view of what all instances publish, this one included. Membership renews the entry of an alive owner, which
+ * then need not be sent again. Other entries expire after the time to live; the version of an expired entry is kept, so that
+ * no older copy restores it. Memory is bounded by {@code maxInstances} live and as many expired entries. Not thread-safe.
  */
 public final class Digest {
     private static final Pattern SHARD_NUMBER = Pattern.compile("\\d{1,9}");
 
     private static final class CachedEntry {
         private final InstanceState state;
-        /** When the instance published it, on this instance's clock; the latest that any copy of this version proves. */
+        /** Time of publication on this instance's clock, by the youngest copy received or the last renewal. */
         private double publishedAt;
-        /** Whether membership speaks for the owner, so that the ages of copies prove nothing. */
+        /** Whether membership has reported on the owner, so that the ages of copies are ignored. */
         private boolean followsMembership;
 
         CachedEntry(InstanceState state, double publishedAt) {
@@ -44,7 +43,7 @@
     private boolean changed = true;
 
     /**
-     * @param timeToLive milliseconds for which a state counts that is neither renewed nor published again
+     * @param timeToLive milliseconds after which a state expires that is neither renewed nor published again
      * @param maxInstances entries that are kept; those of further instances are dropped
      */
     public Digest(String self, long epoch, double timeToLive, int maxInstances) {
@@ -54,7 +53,7 @@
         this.maxInstances = maxInstances;
     }
 
-    /** Goes on under another epoch; the own state is published again. */
+    /** Sets the epoch of this instance, whose state is then published again. */
     public void raiseEpoch(long to) {
         epoch = to;
         changed = true;
@@ -62,7 +61,7 @@
 
     // ---------------------------------------------------------------- this instance's state
 
-    /** Sets a value; returns whether it changed. A subject that has its most keys takes no further one. */
+    /** Sets a value; returns whether it changed. Ignores a new key of a subject that has the maximum number of keys. */
     public boolean publish(Subject subject, String key, double value) {
         Map<String, Double> values = own.get(subject);
         if (values != null && values.size() >= InstanceState.MAX_KEYS && !values.containsKey(key)) {
@@ -85,7 +84,7 @@
         return removed;
     }
 
-    /** Makes a new version of the own state if something changed; the first may be empty. Returns whether it did. */
+    /** Makes a new version of this instance's state, and returns true, if a value changed or it is the first version. */
     public boolean commit(double now) {
         if (!changed) {
             return false;
@@ -97,7 +96,7 @@
         return true;
     }
 
-    /** The keys on a subject in the last committed version of the own state. */
+    /** The keys of a subject in the last committed version of this instance's state. */
     public Set<String> committedKeys(Subject subject) {
         CachedEntry entry = entries.get(self);
         return entry == null ? Set.of() : entry.state.values(subject).keySet();
@@ -106,14 +105,14 @@
     // ---------------------------------------------------------------- merging
 
     /**
-     * Takes states from other instances; returns those that are new here. The join of a semilattice: the state with the
-     * higher epoch and version wins as a whole, and of two copies of one version the younger gives the age.
+     * Merges states from other instances and returns those that are new here. The merge is the join of a semilattice: the
+     * state with the higher epoch and version replaces the other as a whole, and the younger of two copies gives the age.
      */
     public List<InstanceState> merge(double now, List<InstanceState> received) {
         List<InstanceState> added = new ArrayList<>();
         for (InstanceState state : received) {
             if (state.instance().equals(self)) {
-                continueFrom(state);
+                adoptVersion(state);
             } else if (state.age() < timeToLive && merge(now, state)) {
                 added.add(state);
             }
@@ -121,8 +120,8 @@
         return added;
     }
 
-    /** A copy of the own state: one of this epoch from an earlier process means that versions go on from there. */
-    private void continueFrom(InstanceState state) {
+    /** Continues from a higher version of this instance's own state, which an earlier process published in this epoch. */
+    private void adoptVersion(InstanceState state) {
         if (state.epoch() == epoch && state.version() > version) {
             version = state.version();
             changed = true;
@@ -146,7 +145,7 @@
         return false;
     }
 
-    /** Whether a newer one has expired here, or this very one while its owner was absent by membership. */
+    /** Whether a newer state has expired here, or the same one while its owner was absent by membership. */
     private boolean isOutdated(InstanceState state) {
         CachedEntry past = expired.get(state.instance());
         return past != null
@@ -156,8 +155,8 @@
     // ---------------------------------------------------------------- the owner's membership
 
     /**
-     * The owner is alive under this epoch: its state counts as published now, also one that had expired. A state of an
-     * earlier epoch is not renewed.
+     * Renews the state of an owner that is alive in this epoch: it counts as published now, and is restored if it had
+     * expired. A state of an earlier epoch is not renewed.
      */
     public void renew(double now, String owner, long ownerEpoch) {
         CachedEntry past = expired.get(owner);
@@ -173,7 +172,7 @@
     }
 
     /**
-     * The owner is suspected, dead or gone: its state expires from when it was last seen alive, whatever copies prove.
+     * Stops renewing the state of an owner that is not alive: it expires after the time to live, whatever the age of copies.
      */
     public void stopRenewing(String owner) {
         CachedEntry entry = entries.get(owner);
@@ -182,7 +181,7 @@
         }
     }
 
-    /** Removes what has passed its time to live; returns whose states those were. */
+    /** Removes the states that have passed their time to live; returns the names of their owners. */
     public List<String> expire(double now) {
         List<String> owners = new ArrayList<>();
         entries.forEach((name, entry) -> {
@@ -203,21 +202,21 @@
         return owner.equals(self) || now - entry.publishedAt < timeToLive;
     }
 
-    // ---------------------------------------------------------------- what is sent
+    // ---------------------------------------------------------------- states to send
 
-    /** The state of one instance that counts here, or null. */
+    /** The state of one instance that has not expired, or null. */
     public InstanceState state(String instance) {
         CachedEntry entry = entries.get(instance);
         return entry == null ? null : entry.state;
     }
 
-    /** The newest state of one instance that was seen here, also an expired one, or null. */
+    /** The newest state of one instance that was received, even if it has expired, or null. */
     public InstanceState latestState(String instance) {
         CachedEntry entry = entries.containsKey(instance) ? entries.get(instance) : expired.get(instance);
         return entry == null ? null : entry.state;
     }
 
-    /** The state of one instance that counts here with its age, as it is sent, or null. */
+    /** The state of one instance that has not expired, with its age, for sending; or null. */
     public InstanceState agedState(String instance, double now) {
         CachedEntry entry = entries.get(instance);
         if (entry == null) {
@@ -227,8 +226,8 @@
     }
 
     /**
-     * Whether a state has a drain notice that neither the state before it (or null) nor that of another instance has,
-     * so that it should be known everywhere at once.
+     * Whether a state has a drain notice that neither its predecessor (or null) nor the state of another instance has, so
+     * that all instances should learn of it at once.
      */
     public boolean hasNewDrainNotice(InstanceState state, InstanceState before) {
         Map<String, Double> unknown = new HashMap<>(state.values(Subject.DRAIN));
@@ -246,12 +245,12 @@
         return !unknown.isEmpty();
     }
 
-    /** All states that count here, without their ages. */
+    /** All states that have not expired, without their ages. */
     public List<InstanceState> states() {
         return entries.values().stream().map(entry -> entry.state).toList();
     }
 
-    /** All states with their ages, for a full exchange. */
+    /** All states that have not expired, with their ages, for a full exchange. */
     public List<InstanceState> snapshot(double now) {
         return entries.keySet().stream().map(name -> agedState(name, now)).toList();
     }
@@ -299,7 +298,7 @@
         return reports;
     }
 
-    /** Calls for each instance with its state and the state's age in milliseconds. */
+    /** Calls {@code reader} for each instance with its state and the state's age in milliseconds. */
     public void forEach(double now, BiConsumer<InstanceState, Double> reader) {
         entries.values().forEach(entry -> reader.accept(entry.state, Math.max(0, now - entry.publishedAt)));
     }
--- a/src/main/java/kelphollow/digest/DrainTracker.java
+++ b/src/main/java/kelphollow/digest/DrainTracker.java
@@ -7,13 +7,13 @@
 import java.util.TreeSet;
 
 /**
- * Which nodes are draining by the reports of other instances. A notice that one instance got is kept by all until newer
- * information from discovery: the reporter withdraws it, or this instance's own discovery reports that the node was started
- * again, or ends a drain after the notice arrived. For one thread.
+ * Tracks which nodes are draining according to other instances. A drain notice of one instance applies to all until newer
+ * information from discovery overrides it: the reporter withdraws the notice, or this instance's own discovery reports that
+ * the node was started again, or ends a drain after the notice arrived. Not thread-safe.
  */
 public final class DrainTracker {
-    /** How long a removed node is still reported, in milliseconds: longer than endpoint lists are late. */
-    private static final double REMOVED_NODE_RETENTION = 60_000;
+    /** How long a removed node is reported as draining: longer than endpoint lists are late. */
+    private static final double REMOVED_NODE_RETENTION_MS = 60_000;
 
     /** What this instance's own discovery reports of a node. */
     private static final class DiscoveredNode {
@@ -23,7 +23,7 @@
         private double removedAt = Double.NaN;
 
         boolean hasExpired(double now) {
-            return now - removedAt > REMOVED_NODE_RETENTION;
+            return now - removedAt > REMOVED_NODE_RETENTION_MS;
         }
 
         boolean overrides(DrainNotice notice, double receivedAt) {
@@ -35,12 +35,12 @@
     private final Map<String, DiscoveredNode> discovered = new HashMap<>();
     private Map<DrainNotice, Double> receivedAt = new HashMap<>();
 
-    /** {@code self}: name of this instance, whose own notices do not count as those of others. */
+    /** {@code self}: name of this instance, whose own notices are ignored. */
     public DrainTracker(String self) {
         this.self = self;
     }
 
-    /** Takes what this instance's own discovery reports of a node, and publishes or withdraws the notice to match. */
+    /** Handles a report of this instance's own discovery on a node, and publishes or withdraws the notice accordingly. */
     public void discovered(double now, String node, boolean draining, boolean removed, double startedAt, Digest digest) {
         DiscoveredNode known = discovered.computeIfAbsent(node, n -> new DiscoveredNode());
         if (known.draining && !draining) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /** The nodes that must get no new requests by the notices of other instances. */
+    /** The nodes that must get no new requests according to the notices of other instances. */
     public Set<String> drainingByOthers(double now, Digest digest) {
         withdrawRemovedNodes(now, digest);
         Map<DrainNotice, Double> current = new HashMap<>();
--- a/src/main/java/kelphollow/digest/InstanceState.java
+++ b/src/main/java/kelphollow/digest/InstanceState.java
@@ -5,25 +5,25 @@
 import java.util.TreeMap;
 
 /**
- * All that one instance publishes, by subject and key. Subjects are kept by their wire name, so that those of a later
- * version are passed on by an earlier one. Immutable.
+ * Everything that one instance publishes, by subject and key. Subjects are kept by their wire name, so that an instance
+ * forwards subjects of a later version of the program that it does not know. Immutable.
  *
  * @param instance the publisher
- * @param epoch number of its process
+ * @param epoch number of the publisher's process
  * @param version within the epoch; a higher one replaces a lower one as a whole
- * @param age milliseconds since the instance published it, as far as is known; grows on its way, never from a wall clock
+ * @param age milliseconds since it was published, as far as is known; added up along its way, never taken from a wall clock
  * @param subjects at most {@link #MAX_SUBJECTS}, each with at most {@link #MAX_KEYS} keys
  */
 public record InstanceState(String instance, long epoch, long version, double age,
                             Map<String, Map<String, Double>> subjects) {
-    /** Most subjects of one instance: a faulty sender cannot make the state grow. */
+    /** Maximum number of subjects of one instance, so that a faulty sender cannot make the state grow. */
     public static final int MAX_SUBJECTS = 8;
-    /** Most keys of one subject. */
+    /** Maximum number of keys of one subject. */
     public static final int MAX_KEYS = 256;
-    /** Longest name of an instance, subject or key, in characters. */
+    /** Maximum length of the name of an instance, subject or key, in characters. */
     public static final int MAX_NAME_LENGTH = 128;
-    // In CBOR: array, epoch, version and age; a subject's map; a value of nine bytes with its key's head.
-    private static final int HEAD_BYTES = 24;
+    // Sizes in CBOR: array, epoch, version and age; a subject's map; a value of nine bytes with the header of its key.
+    private static final int HEADER_BYTES = 24;
     private static final int SUBJECT_BYTES = 4;
     private static final int VALUE_BYTES = 11;
 
@@ -31,10 +31,12 @@
     public InstanceState {
         checkName(instance);
         if (epoch < 0 || version < 0 || !(age >= 0)) {
-            throw new IllegalArgumentException("epoch, version and age must not be negative");
+            throw new IllegalArgumentException("state of " + instance + " needs epoch, version and age of at least 0, found "
+                + epoch + ", " + version + " and " + age);
         }
         if (subjects.size() > MAX_SUBJECTS) {
-            throw new IllegalArgumentException("more than " + MAX_SUBJECTS + " subjects");
+            throw new IllegalArgumentException("state of " + instance + " has " + subjects.size() + " subjects, at most "
+                + MAX_SUBJECTS + " are allowed");
         }
         Map<String, Map<String, Double>> copy = new TreeMap<>();
         subjects.forEach((subject, values) -> copy.put(subject, checkedCopy(subject, values)));
@@ -44,12 +46,13 @@
     private static Map<String, Double> checkedCopy(String subject, Map<String, Double> values) {
         checkName(subject);
         if (values.size() > MAX_KEYS) {
-            throw new IllegalArgumentException("more than " + MAX_KEYS + " keys in " + subject);
+            throw new IllegalArgumentException("subject " + subject + " has " + values.size() + " keys, at most "
+                + MAX_KEYS + " are allowed");
         }
         values.forEach((key, value) -> {
             checkName(key);
             if (!Double.isFinite(value)) {
-                throw new IllegalArgumentException(subject + "." + key + " is not a finite number");
+                throw new IllegalArgumentException(subject + "." + key + " must be a finite number, found " + value);
             }
         });
         return Collections.unmodifiableMap(new TreeMap<>(values));
@@ -57,18 +60,19 @@
 
     private static void checkName(String name) {
         if (name == null || name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
-            throw new IllegalArgumentException("a name is empty or too long");
+            throw new IllegalArgumentException("name of an instance, subject or key must have 1 to " + MAX_NAME_LENGTH
+                + " characters");
         }
     }
 
-    /** The values on one subject by key, in order of the keys; empty if there are none. */
+    /** The values of one subject by key, sorted by key; empty if there are none. */
     public Map<String, Double> values(Subject subject) {
         return subjects.getOrDefault(subject.wireName(), Map.of());
     }
 
-    /** Approximate size in CBOR, in bytes; what bounds a datagram. */
+    /** Approximate size in CBOR, in bytes, by which states are packed into datagrams. */
     public int estimatedBytes() {
-        int bytes = HEAD_BYTES + instance.length();
+        int bytes = HEADER_BYTES + instance.length();
         for (Map.Entry<String, Map<String, Double>> subject : subjects.entrySet()) {
             bytes += SUBJECT_BYTES + subject.getKey().length();
             for (String key : subject.getValue().keySet()) {
@@ -78,12 +82,12 @@
         return bytes;
     }
 
-    /** Whether this one replaces the other, which is of the same instance. */
+    /** Whether this state replaces {@code other}, a state of the same instance. */
     public boolean supersedes(InstanceState other) {
         return epoch != other.epoch ? epoch > other.epoch : version > other.version;
     }
 
-    /** The same, published so many milliseconds ago. */
+    /** This state with another age, in milliseconds. */
     public InstanceState withAge(double millis) {
         return new InstanceState(instance, epoch, version, millis, subjects);
     }
--- a/src/main/java/kelphollow/digest/Subject.java
+++ b/src/main/java/kelphollow/digest/Subject.java
@@ -1,15 +1,13 @@
 package kelphollow.digest;
 
-/**
- * What an instance can publish values about, with the word that stands for it on the wire and in {@code fleet status}.
- */
+/** A subject on which an instance publishes values, with its name on the wire and in {@code fleet status}. */
 public enum Subject {
-    /** Draining nodes; the value is when the node was last started, as discovery reports it. */
+    /** Draining nodes; the value is the time at which the node was last started, as discovery reports it. */
     DRAIN("drain"),
-    /** Nodes that do not respond to the publisher; the value counts its attempts since it found that. */
+    /** Nodes that do not respond to the publisher; the value is the number of its attempts since it found that. */
     UNRESPONSIVE_NODE("silent"),
     /**
-     * Shards whose node rejects requests for lack of capacity; the value is the highest priority weight rejected of late.
+     * Shards whose node rejects requests for lack of capacity; the value is the highest priority weight rejected recently.
      */
     OVERLOAD("refused");
 
@@ -19,7 +17,7 @@
         this.wireName = wireName;
     }
 
-    /** The word for it in packets and reports. */
+    /** The name in packets and status reports. */
     public String wireName() {
         return wireName;
     }
--- a/src/main/java/kelphollow/digest/UnresponsiveNodeReport.java
+++ b/src/main/java/kelphollow/digest/UnresponsiveNodeReport.java
@@ -3,6 +3,6 @@
 /**
  * One instance's report that a node does not respond to it.
  *
- * @param attempts how often the reporter has tried the node since it found that
+ * @param attempts number of attempts that the reporter has made since it found the node unresponsive
  */
 public record UnresponsiveNodeReport(String reporter, String node, double attempts) {}
--- a/src/main/java/kelphollow/digest/package-info.java
+++ b/src/main/java/kelphollow/digest/package-info.java
@@ -1,5 +1,5 @@
 /**
  * The replicated state of the fleet: what each instance publishes about nodes, merged into one view on every instance as a
- * state-based CRDT whose entries live as long as their owner's membership. No I/O and no threads; the clock is passed in.
+ * state-based CRDT whose entries are renewed by their owner's membership. No I/O and no threads; the clock is passed in.
  */
 package kelphollow.digest;
