--- a/src/test/java/kelphollow/digest/DigestProperties.java
+++ b/src/test/java/kelphollow/digest/DigestProperties.java
@@ -16,15 +16,15 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The laws of the merge: reordering, grouping and duplicates do not matter. */
+/** The merge is commutative, associative and idempotent: order, grouping and duplicates of states do not matter. */
 class DigestProperties {
     private static final double TIME_TO_LIVE = 1_000;
 
     @Provide Arbitrary<List<InstanceState>> states() {
-        // A version has one content, whoever passes it on: the values follow from epoch and version.
+        // All copies of a version are equal, so the values are derived from epoch and version.
         return Combinators.combine(Arbitraries.of("a", "b", "c", "d"), Arbitraries.longs().between(1, 3),
             Arbitraries.longs().between(1, 4), Arbitraries.integers().between(0, 1_200))
-            .as((who, epoch, version, age) -> new InstanceState(who, epoch, version, age,
+            .as((instance, epoch, version, age) -> new InstanceState(instance, epoch, version, age,
                 Map.of(Subject.OVERLOAD.wireName(), Map.of("1", (double) (10 * epoch + version))))).list().ofMaxSize(20);
     }
 
@@ -70,7 +70,7 @@
         assertTrue(digest.snapshot(5_000 + TIME_TO_LIVE).isEmpty());
     }
 
-    @Property(tries = 200) void theOwnStateGrowsByVersionsAndReachesOthers(@ForAll("states") List<InstanceState> states) {
+    @Property(tries = 200) void eachVersionOfTheOwnStateReachesOthers(@ForAll("states") List<InstanceState> states) {
         Digest digest = emptyDigest();
         Digest other = new Digest("other", 1, TIME_TO_LIVE, 16);
         for (int i = 0; i < 5; i++) {
--- a/src/test/java/kelphollow/digest/InstanceStateLivenessTest.java
+++ b/src/test/java/kelphollow/digest/InstanceStateLivenessTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** A state lives by its owner's membership, and no older version wins. */
+/** Membership of its owner keeps a state from expiring, and no older version replaces a newer one. */
 class InstanceStateLivenessTest {
     private static final double TIME_TO_LIVE = 1_000;
     private final Digest digest = new Digest("self", 1, TIME_TO_LIVE, 4);
@@ -34,7 +34,7 @@
         assertEquals(List.of(), digest.merge(12 * TIME_TO_LIVE, List.of(state("a", 1, 1, 0))), "nor restore it");
         digest.renew(13 * TIME_TO_LIVE, "a", 1);
         assertEquals(List.of(new DrainNotice("a", "n", 11)), digest.drainNotices(13 * TIME_TO_LIVE),
-            "it was alive: nothing need be sent again");
+            "restored without being sent again, since its owner is alive");
     }
 
     @Test void aStateOfAnEarlierEpochExpiresThoughTheOwnerIsAlive() {
@@ -72,9 +72,9 @@
         assertTrue(digest.hasNewDrainNotice(first, null));
         digest.merge(0, List.of(first));
         InstanceState second = new InstanceState("b", 3, 3, 0, first.subjects());
-        assertFalse(digest.hasNewDrainNotice(second, null), "a second reporter is not new");
+        assertFalse(digest.hasNewDrainNotice(second, null), "a notice by a second reporter is not new");
         assertFalse(digest.hasNewDrainNotice(new InstanceState("a", 1, 2, 0, first.subjects()), first),
-            "nor is the same in a new version");
-        assertTrue(digest.hasNewDrainNotice(state("a", 1, 2, 0), first), "another start of the node is");
+            "nor is the same notice in a new version");
+        assertTrue(digest.hasNewDrainNotice(state("a", 1, 2, 0), first), "a notice after another start of the node is");
     }
 }
--- a/src/test/java/kelphollow/dissemination/StateGossipQueueTest.java
+++ b/src/test/java/kelphollow/dissemination/StateGossipQueueTest.java
@@ -37,7 +37,7 @@
         assertEquals(List.of("b"), next(LARGE, true));
     }
 
-    @Test void oneStateAlwaysFitsAndFurtherOnesWithinTheBytes() {
+    @Test void oneStateAlwaysFitsAndFurtherOnesOnlyWithinTheMaximum() {
         add("a", false);
         add("b", false);
 
--- a/src/test/java/kelphollow/membership/GossipQueueTest.java
+++ b/src/test/java/kelphollow/membership/GossipQueueTest.java
@@ -9,8 +9,8 @@
 
 /** Updates are transmitted a bounded number of times, the least transmitted first. */
 class GossipQueueTest {
-    private static final int MEMBERS = 8;                   // two times four transmissions
-    private static final int LIMIT = 4;
+    private static final int MEMBERS = 8;
+    private static final int LIMIT = 4;                     // log10(9) rounded up, times four transmissions
 
     private final GossipQueue queue = new GossipQueue();
 
--- a/src/test/java/kelphollow/membership/MemberUpdateProperties.java
+++ b/src/test/java/kelphollow/membership/MemberUpdateProperties.java
@@ -44,8 +44,8 @@
     }
 
     private static String finalView(List<MemberUpdate> all) {
-        // A dead member that was never known is not kept, so ALIVE comes first. By gossip only: a full exchange makes
-        // suspects of the dead, and their refutation decides.
+        // Updates of absent members that are unknown are ignored, so ALIVE comes first. The updates are gossiped: a full
+        // exchange would turn DEAD into SUSPECT, which the member could refute.
         Membership membership = new Membership(MembershipSettings.DEFAULTS, "me", "", 1, List.of(), new Random(1), 0);
         membership.merge(0, "y", List.of(new MemberUpdate("x", "", 0, 0, State.ALIVE, "")));
         all.forEach(update -> membership.received(0, "y", new Message.Gossip(List.of(update))));
--- a/src/test/java/kelphollow/membership/MembershipMessagesTest.java
+++ b/src/test/java/kelphollow/membership/MembershipMessagesTest.java
@@ -11,7 +11,7 @@
 import kelphollow.membership.MembershipOutput.Send;
 import org.junit.jupiter.api.Test;
 
-/** What one instance answers to single messages (SWIM sections 3.1 and 4.2, Lifeguard's nack). */
+/** Answers of one instance to single messages (SWIM sections 3.1 and 4.2, Lifeguard's nack). */
 class MembershipMessagesTest {
     private static final MembershipSettings SETTINGS = MembershipSettings.DEFAULTS;
     private static final double NACK_AFTER = 0.8 * SETTINGS.probeTimeout();
--- a/src/test/java/kelphollow/membership/MembershipSimulationTest.java
+++ b/src/test/java/kelphollow/membership/MembershipSimulationTest.java
@@ -12,7 +12,7 @@
 import kelphollow.membership.MembershipOutput.Kind;
 import org.junit.jupiter.api.Test;
 
-/** The protocol in simulated fleets on one clock, see {@link SimulatedFleet}. */
+/** Joins, failures, partitions, pauses and restarts in fleets simulated by {@link SimulatedFleet}. */
 class MembershipSimulationTest {
     private static final int SIZE = Integer.getInteger("kelphollow.membership.size", 120);
 
@@ -36,7 +36,7 @@
                 fleet.events::toString);
             double last = fleet.events(Kind.FAILED, from).stream().mapToDouble(SimulatedFleet.ObservedEvent::at).max()
                 .orElseThrow() - from;
-            // One pass of probes over all members, and the longest suspicion without confirmation.
+            // Two passes of probes over all members, and the longest suspicion without confirmation.
             double bound = 500.0 * 2 * (size - 1) + 4 * 6 * 500 * Math.max(1, Math.log10(size + 1)) + 1_000;
             assertTrue(last <= bound, size + " instances took " + last);
         }
@@ -57,38 +57,38 @@
 
     @Test void partitionedHalvesDeclareEachOtherDeadAndMergeOnceHealed() {
         SimulatedFleet fleet = joinedFleet(3, 30);
-        fleet.passes = (a, b) -> Integer.parseInt(a.substring(1)) % 2 == Integer.parseInt(b.substring(1)) % 2;
+        fleet.canReach = (a, b) -> Integer.parseInt(a.substring(1)) % 2 == Integer.parseInt(b.substring(1)) % 2;
         fleet.run(fleet.now + 90_000);
         fleet.running.forEach((name, membership) -> assertEquals(14, membership.presentMembers().size(),
             "partitioned, seen by " + name));
-        fleet.passes = (a, b) -> true;
+        fleet.canReach = (a, b) -> true;
         double healed = fleet.now;
         fleet.run(fleet.now + 40_000);
         fleet.assertViews("healed");
-        assertEquals(List.of(), fleet.events(Kind.FAILED, healed), "neither half takes over the dead of the other");
+        assertEquals(List.of(), fleet.events(Kind.FAILED, healed), "neither half adopts the death reports of the other");
     }
 
-    @Test void aPausedInstanceAccusesNobodyAndReturnsUnderItsEpoch() {
+    @Test void aPausedInstanceSuspectsNobodyAndReturnsUnderItsEpoch() {
         SimulatedFleet fleet = joinedFleet(4, 20);
         fleet.events.clear();
-        fleet.pausedUntil.put("i7", fleet.now + 60_000);   // long beyond the suspicion timeout: all declare it dead
+        fleet.pausedUntil.put("i7", fleet.now + 60_000);   // much longer than the suspicion timeout: all declare it dead
         fleet.run(fleet.now + 59_000);
         assertFalse(fleet.events(Kind.FAILED, 0).isEmpty());
         double resumed = fleet.now + 1_000;
         fleet.run(resumed + 20_000);
-        assertEquals(List.of(), fleet.events.stream().filter(s -> s.observer().equals("i7") && (s.kind() == Kind.SUSPECTED
-            || s.kind() == Kind.FAILED)).toList(), "it accuses nobody of what it missed");
+        assertEquals(List.of(), fleet.events.stream().filter(e -> e.observer().equals("i7") && (e.kind() == Kind.SUSPECTED
+            || e.kind() == Kind.FAILED)).toList(), "it suspects no member for what it missed");
         fleet.assertViews("after the pause");
         assertEquals(1, fleet.running.get("i7").epoch());
-        assertTrue(fleet.events(Kind.REFUTED, resumed).stream().anyMatch(s -> s.observer().equals("i7")));
+        assertTrue(fleet.events(Kind.REFUTED, resumed).stream().anyMatch(e -> e.observer().equals("i7")));
     }
 
-    @Test void indirectProbesBridgeAOneWayPartition() {
+    @Test void indirectProbesPreventFailuresInAOneWayPartition() {
         SimulatedFleet fleet = joinedFleet(5, 10);
         fleet.events.clear();
-        fleet.passes = (a, b) -> !(a.equals("i1") && b.equals("i2"));
+        fleet.canReach = (a, b) -> !(a.equals("i1") && b.equals("i2"));
         fleet.run(fleet.now + 60_000);
-        assertEquals(List.of(), fleet.events(Kind.FAILED, 0), "indirect probes bypass it");
+        assertEquals(List.of(), fleet.events(Kind.FAILED, 0), "indirect probes bypass the blocked direction");
         fleet.assertViews("one-way partition");
     }
 
@@ -103,7 +103,7 @@
         fleet.run(fleet.now + 5_000);
         fleet.assertViews("rejoined after a leave");
         fleet.kill("i4");
-        fleet.start("i4", "i0");                       // back before any probe failed
+        fleet.start("i4", "i0");                       // restarted before any probe failed
         fleet.run(fleet.now + 5_000);
         fleet.assertViews("restarted at once");
         assertEquals(2, fleet.running.get("i4").epoch());
@@ -112,20 +112,20 @@
         fleet.start("i5", "i0");
         fleet.run(fleet.now + 5_000);
         fleet.kill("i5");
-        fleet.epochs.put("i5", 0L);                    // its store is lost: it begins with an epoch that was used
+        fleet.epochs.put("i5", 0L);                    // its store is lost: it starts with an epoch that was used before
         fleet.start("i5", "i0");
         fleet.run(fleet.now + 40_000);
         fleet.assertViews("restarted without its store");
         assertEquals(7, fleet.running.get("i5").epoch(), "it takes an epoch above all it used");
     }
 
-    @Test void theOlderOfTwoProcessesUnderOneNameStandsDownUntilTheOtherIsGone() {
+    @Test void theOlderOfTwoProcessesUnderOneNameIsDisplacedUntilTheOtherIsDead() {
         SimulatedFleet fleet = joinedFleet(7, 6);
         Membership older = fleet.running.get("i2");
         Membership newer = new Membership(MembershipSettings.DEFAULTS, "i2", "elsewhere", 9, List.of("i0"), new Random(1),
             fleet.now);
         fleet.running.put("i2", newer);
-        fleet.wake("i2", newer);
+        fleet.scheduleTick("i2", newer);
         fleet.run(fleet.now + 10_000);
         List<MembershipOutput> outputs = older.merge(fleet.now, "i0", fleet.running.get("i0").snapshot());
         assertTrue(older.isDisplaced());
--- a/src/test/java/kelphollow/membership/SimulatedFleet.java
+++ b/src/test/java/kelphollow/membership/SimulatedFleet.java
@@ -15,7 +15,7 @@
 import kelphollow.membership.MemberUpdate.State;
 import kelphollow.membership.MembershipOutput.Kind;
 
-/** A simulated fleet on one clock, with a network that loses, delays and partitions, by seed. */
+/** A fleet simulated on one clock and from one seed, over a network that can lose and delay messages and be partitioned. */
 final class SimulatedFleet {
     record ScheduledTask(double at, long order, Runnable task) {}
 
@@ -27,11 +27,11 @@
     final Map<String, Membership> running = new LinkedHashMap<>();
     final Map<String, Long> epochs = new HashMap<>();
     final Map<String, Double> pausedUntil = new HashMap<>();
-    final Map<Membership, Double> wakeUps = new IdentityHashMap<>();
+    final Map<Membership, Double> nextTicks = new IdentityHashMap<>();
     final List<ObservedEvent> events = new ArrayList<>();
     final PriorityQueue<ScheduledTask> schedule = new PriorityQueue<>(
         Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
-    BiPredicate<String, String> passes = (from, to) -> true;
+    BiPredicate<String, String> canReach = (from, to) -> true;
     double now;
     double loss;
     double delay = 2;
@@ -49,7 +49,7 @@
         Membership membership = new Membership(settings, name, name + "@", epoch, List.of(peers),
             new Random(random.nextLong()), now);
         running.put(name, membership);
-        wake(name, membership);
+        scheduleTick(name, membership);
     }
 
     void startAll(int size) {
@@ -66,20 +66,20 @@
         schedule.add(new ScheduledTask(time, nextOrder++, task));
     }
 
-    /** Schedules the next tick; a later one that is scheduled already finds that it was replaced. */
-    void wake(String name, Membership membership) {
+    /** Schedules the next tick, and replaces one that is scheduled for later. */
+    void scheduleTick(String name, Membership membership) {
         double when = Math.max(now, Math.max(membership.nextTickAt(), pausedUntil.getOrDefault(name, 0.0)));
-        if (when >= wakeUps.getOrDefault(membership, Double.POSITIVE_INFINITY)) {
+        if (when >= nextTicks.getOrDefault(membership, Double.POSITIVE_INFINITY)) {
             return;
         }
-        wakeUps.put(membership, when);
+        nextTicks.put(membership, when);
         at(when, () -> {
-            if (running.get(name) == membership && wakeUps.get(membership) == when) {
-                wakeUps.remove(membership);
+            if (running.get(name) == membership && nextTicks.get(membership) == when) {
+                nextTicks.remove(membership);
                 if (now >= pausedUntil.getOrDefault(name, 0.0)) {
                     carryOut(name, membership, membership.tick(now));
                 }
-                wake(name, membership);
+                scheduleTick(name, membership);
             }
         });
     }
@@ -104,8 +104,8 @@
         }
     }
 
-    private void post(String from, String to, double lost, java.util.function.Consumer<Membership> arrive) {
-        if (random.nextDouble() < lost) {
+    private void post(String from, String to, double lossRate, java.util.function.Consumer<Membership> arrive) {
+        if (random.nextDouble() < lossRate) {
             return;
         }
         at(now + delay * (0.5 + random.nextDouble()), () -> deliver(from, to, arrive));
@@ -114,11 +114,11 @@
     private void deliver(String from, String to, java.util.function.Consumer<Membership> arrive) {
         double until = pausedUntil.getOrDefault(to, 0.0);
         if (now < until) {
-            at(until, () -> deliver(from, to, arrive));   // it waits in the socket of the paused process
-        } else if (running.containsKey(to) && passes.test(from, to)) {
+            at(until, () -> deliver(from, to, arrive));   // the message waits in the socket of the paused process
+        } else if (running.containsKey(to) && canReach.test(from, to)) {
             arrive.accept(running.get(to));
-            // the message may have made something due earlier
-            wake(to, running.get(to));
+            // the message may have made the next tick due earlier
+            scheduleTick(to, running.get(to));
         }
     }
 
@@ -132,17 +132,17 @@
     }
 
     List<ObservedEvent> events(Kind kind, double from) {
-        return events.stream().filter(s -> s.kind == kind && s.at >= from).toList();
+        return events.stream().filter(e -> e.kind == kind && e.at >= from).toList();
     }
 
-    /** Every running instance sees exactly the other running ones as present and alive. */
-    void assertViews(String what) {
+    /** Asserts that each running instance sees exactly the other running ones as present and alive. */
+    void assertViews(String stage) {
         running.forEach((name, membership) -> {
             List<String> others = running.keySet().stream().filter(n -> !n.equals(name)).sorted().toList();
-            assertEquals(others, membership.presentMembers(), what + ", seen by " + name + ", seed " + seed);
+            assertEquals(others, membership.presentMembers(), stage + ", seen by " + name + ", seed " + seed);
             for (MemberView v : membership.view()) {
                 if (running.containsKey(v.name())) {
-                    assertEquals(State.ALIVE, v.state(), what + ": " + v + " seen by " + name + ", seed " + seed);
+                    assertEquals(State.ALIVE, v.state(), stage + ": " + v + " seen by " + name + ", seed " + seed);
                 }
             }
         });
--- a/src/test/java/kelphollow/membership/SuspicionsTest.java
+++ b/src/test/java/kelphollow/membership/SuspicionsTest.java
@@ -8,7 +8,7 @@
 import kelphollow.membership.MemberUpdate.State;
 import org.junit.jupiter.api.Test;
 
-/** Lifeguard's suspicion timeouts: from the longest to the shortest by independent accusers. */
+/** Lifeguard's suspicion timeouts: independent accusers shorten them from the longest to the shortest. */
 class SuspicionsTest {
     private static final int SIZE = 9;                      // log10 of 10 members is 1
     private static final double SHORTEST = 4 * 500;
