--- a/src/main/java/kelphollow/ledger/CompletionRecords.java
+++ b/src/main/java/kelphollow/ledger/CompletionRecords.java
@@ -17,7 +17,7 @@
     /** Receives what is recorded. */
     public interface Reader {
         /** One record; {@code answer} is null for an intent. */
-        void completion(String upload, RecoveredOutcomes.Found found, long epoch, Answer answer);
+        void completion(String upload, RecoveredOutcomes.StoredRecord found, long epoch, Answer answer);
     }
 
     private final Ledger ledger;
@@ -31,7 +31,7 @@
         ledger.read(StoredNames.COMPLETIONS, (upload, stored) -> {
             Answer answer = answer(stored);
             reader.completion(upload,
-                answer == null ? RecoveredOutcomes.Found.INTENT : RecoveredOutcomes.Found.OUTCOME,
+                answer == null ? RecoveredOutcomes.StoredRecord.INTENT : RecoveredOutcomes.StoredRecord.OUTCOME,
                 stored.integer(StoredNames.EPOCH), answer);
         });
     }
--- a/src/main/java/kelphollow/ledger/EndpointRecords.java
+++ b/src/main/java/kelphollow/ledger/EndpointRecords.java
@@ -86,15 +86,15 @@
      * @param expiresAfter the age, in milliseconds, from which on nothing of it is used
      */
     public static List<ResolvedEndpoint> usable(Saved saved, double now, double expiresAfter) {
-        CachedEndpointsAge.Trust trust = CachedEndpointsAge.trust(saved.at(), now, expiresAfter);
-        if (trust == CachedEndpointsAge.Trust.EXPIRED) {
+        CachedEndpointsAge.Freshness freshness = CachedEndpointsAge.freshness(saved.at(), now, expiresAfter);
+        if (freshness == CachedEndpointsAge.Freshness.EXPIRED) {
             return List.of();
         }
         List<ResolvedEndpoint> usable = new ArrayList<>();
         for (ResolvedEndpoint member : saved.members()) {
             Endpoint endpoint = member.endpoint();
             if (endpoint.state() != EndpointState.REMOVED) {
-                double startedAt = CachedEndpointsAge.effectiveStart(trust, endpoint.startedAt(), now);
+                double startedAt = CachedEndpointsAge.effectiveStart(freshness, endpoint.startedAt(), now);
                 usable.add(new ResolvedEndpoint(new Endpoint(endpoint.node(), endpoint.zone(), endpoint.cell(),
                     endpoint.state(), startedAt), member.address()));
             }
--- a/src/main/java/kelphollow/ledger/OutcomeRecords.java
+++ b/src/main/java/kelphollow/ledger/OutcomeRecords.java
@@ -56,12 +56,12 @@
     public Known find(String identity, RecoveredOutcomes recovered, boolean complete) throws IOException, StoreFault {
         byte[] value = ledger.store().get(StoredNames.OUTCOMES, RecordCodec.key(identity));
         if (value == null) {
-            return new Known(recovered.of(RecoveredOutcomes.Found.NOTHING, 0, complete), null);
+            return new Known(recovered.classify(RecoveredOutcomes.StoredRecord.NONE, 0, complete), null);
         }
         StoredRecord stored = RecordCodec.decode(value);
         String outcome = stored.text(StoredNames.OUTCOME);
-        RecoveredOutcomes.Found found =
-            outcome == null ? RecoveredOutcomes.Found.INTENT : RecoveredOutcomes.Found.OUTCOME;
-        return new Known(recovered.of(found, stored.integer(StoredNames.EPOCH), complete), outcome);
+        RecoveredOutcomes.StoredRecord found =
+            outcome == null ? RecoveredOutcomes.StoredRecord.INTENT : RecoveredOutcomes.StoredRecord.OUTCOME;
+        return new Known(recovered.classify(found, stored.integer(StoredNames.EPOCH), complete), outcome);
     }
 }
--- a/src/main/java/kelphollow/ledger/PartRecords.java
+++ b/src/main/java/kelphollow/ledger/PartRecords.java
@@ -22,7 +22,8 @@
         void upload(String upload, long sinceEpoch);
 
         /** One part; {@code size}, {@code md5} and {@code etag} are those of a stored one. */
-        void part(String upload, int number, RecoveredOutcomes.Found found, long epoch, long size, String md5, String etag);
+        void part(String upload, int number, RecoveredOutcomes.StoredRecord found, long epoch, long size, String md5,
+            String etag);
     }
 
     private final Ledger ledger;
@@ -38,7 +39,7 @@
             int separator = key.lastIndexOf(NUMBER_SEPARATOR);
             String etag = stored.text(StoredNames.ETAG);
             reader.part(key.substring(0, separator), Integer.parseInt(key.substring(separator + 1)),
-                etag == null ? RecoveredOutcomes.Found.INTENT : RecoveredOutcomes.Found.OUTCOME,
+                etag == null ? RecoveredOutcomes.StoredRecord.INTENT : RecoveredOutcomes.StoredRecord.OUTCOME,
                 stored.integer(StoredNames.EPOCH), stored.integer(StoredNames.SIZE), stored.text(StoredNames.MD5), etag);
         });
     }
--- a/src/main/java/kelphollow/protocol/object/Completions.java
+++ b/src/main/java/kelphollow/protocol/object/Completions.java
@@ -96,7 +96,7 @@
     void restore(RecoveredOutcomes recovered, double now) throws IOException, StoreFault {
         records.read((upload, found, epoch, answer) -> {
             Completion completion = new Completion(upload);
-            completion.outcome = recovered.of(found, epoch, false);
+            completion.outcome = recovered.classify(found, epoch, false);
             completion.answer = answer;
             completion.unknownSince = now;
             completions.put(upload, completion);
--- a/src/main/java/kelphollow/protocol/object/UploadParts.java
+++ b/src/main/java/kelphollow/protocol/object/UploadParts.java
@@ -12,7 +12,7 @@
 import kelphollow.ledger.PartRecords;
 import kelphollow.recovery.RecoveredOutcome;
 import kelphollow.recovery.RecoveredOutcomes;
-import kelphollow.recovery.RecoveredOutcomes.Found;
+import kelphollow.recovery.RecoveredOutcomes.StoredRecord;
 import kelphollow.store.StoreFault;
 
 /**
@@ -42,14 +42,15 @@
     void restore(RecoveredOutcomes recovered, double now) throws IOException, StoreFault {
         records.read(new PartRecords.Reader() {
             @Override public void upload(String upload, long sinceEpoch) {
-                if (recovered.of(Found.NOTHING, sinceEpoch, true).kind() == RecoveredOutcome.Kind.NEVER_RAN) {
+                if (recovered.classify(StoredRecord.NONE, sinceEpoch, true).kind() == RecoveredOutcome.Kind.NEVER_RAN) {
                     complete.add(upload);
                 }
             }
 
-            @Override public void part(String upload, int number, Found found, long epoch, long size, String md5,
+            @Override public void part(String upload, int number, StoredRecord found, long epoch, long size, String md5,
                 String tag) {
-                restorePart(new UploadPart(UploadParts.this, records, upload, number), recovered.of(found, epoch, false),
+                restorePart(new UploadPart(UploadParts.this, records, upload, number), recovered.classify(found, epoch,
+                    false),
                     md5 == null ? null : new PartContent(size, md5), tag, now);
             }
         });
@@ -61,7 +62,7 @@
     private void restorePart(UploadPart part, RecoveredOutcome outcome, PartContent content, String tag, double now) {
         boolean ran = outcome.kind() == RecoveredOutcome.Kind.RAN;
         part.restore(ran ? UploadPart.State.STORED : UploadPart.State.UNKNOWN, content, tag,
-            outcome.safeFrom() - settleTime);
+            outcome.settledAt() - settleTime);
         if (parts.size() < capacity || evict(now)) {
             parts.put(part.name(), part);
         } else {
--- a/src/main/java/kelphollow/recovery/CachedEndpointsAge.java
+++ b/src/main/java/kelphollow/recovery/CachedEndpointsAge.java
@@ -6,11 +6,11 @@
  */
 public final class CachedEndpointsAge {
     /** What may be done with the list. */
-    public enum Trust {
+    public enum Freshness {
         /** It is as old as lists usually are when they arrive. */
         FRESH,
         /** Most nodes are where they were; each has to be confirmed by its answers. */
-        AGED,
+        STALE,
         /** Addresses may belong to others by now: it is not used. */
         EXPIRED
     }
@@ -26,12 +26,12 @@
     }
 
     /** What may be done with a list; it expires at the age {@code expiresAfter}. */
-    public static Trust trust(double savedAt, double now, double expiresAfter) {
+    public static Freshness freshness(double savedAt, double now, double expiresAfter) {
         double age = age(savedAt, now, expiresAfter);
         if (age >= expiresAfter) {
-            return Trust.EXPIRED;
+            return Freshness.EXPIRED;
         }
-        return age <= FRESH_FOR ? Trust.FRESH : Trust.AGED;
+        return age <= FRESH_FOR ? Freshness.FRESH : Freshness.STALE;
     }
 
     /**
@@ -40,7 +40,7 @@
      *
      * @param startedAt when it started by the list
      */
-    public static double effectiveStart(Trust trust, double startedAt, double now) {
-        return trust == Trust.FRESH ? startedAt : Math.max(startedAt, now);
+    public static double effectiveStart(Freshness freshness, double startedAt, double now) {
+        return freshness == Freshness.FRESH ? startedAt : Math.max(startedAt, now);
     }
 }
--- a/src/main/java/kelphollow/recovery/RecoveredOutcome.java
+++ b/src/main/java/kelphollow/recovery/RecoveredOutcome.java
@@ -5,10 +5,10 @@
  * the first byte is sent and the outcome after it, so that nothing is sent without a trace.
  *
  * @param kind what is known
- * @param safeFrom from this time on no attempt of an earlier process can still take effect, in milliseconds on the clock
+ * @param settledAt from this time on no attempt of an earlier process can still take effect, in milliseconds on the clock
  *     of {@link RecoveredOutcomes}; only for {@link Kind#UNKNOWN}
  */
-public record RecoveredOutcome(Kind kind, double safeFrom) {
+public record RecoveredOutcome(Kind kind, double settledAt) {
     /** What is known. */
     public enum Kind {
         /** It was executed, and its outcome is recorded: answer from the record, never send. */
@@ -25,7 +25,7 @@
     static final RecoveredOutcome NEVER_RAN = new RecoveredOutcome(Kind.NEVER_RAN, 0);
     static final RecoveredOutcome RUNNING = new RecoveredOutcome(Kind.RUNNING, 0);
 
-    static RecoveredOutcome unknown(double safeFrom) {
-        return new RecoveredOutcome(Kind.UNKNOWN, safeFrom);
+    static RecoveredOutcome unknown(double settledAt) {
+        return new RecoveredOutcome(Kind.UNKNOWN, settledAt);
     }
 }
--- a/src/main/java/kelphollow/recovery/RecoveredOutcomes.java
+++ b/src/main/java/kelphollow/recovery/RecoveredOutcomes.java
@@ -12,9 +12,9 @@
  */
 public final class RecoveredOutcomes {
     /** What the store holds on one piece of work. */
-    public enum Found {
+    public enum StoredRecord {
         /** No record. */
-        NOTHING,
+        NONE,
         /** An intent without an outcome. */
         INTENT,
         /** An outcome. */
@@ -48,11 +48,11 @@
      * @param foundEpoch the epoch that wrote the record found; if there is none, the one since which it would be there
      * @param complete whether everything of this kind that was sent since is recorded, and none of it forgotten
      */
-    public RecoveredOutcome of(Found found, long foundEpoch, boolean complete) {
+    public RecoveredOutcome classify(StoredRecord found, long foundEpoch, boolean complete) {
         return switch (found) {
             case OUTCOME -> RecoveredOutcome.RAN;
             case INTENT -> foundEpoch == epoch ? RecoveredOutcome.RUNNING : unknown();
-            case NOTHING -> complete && foundEpoch > lostUpTo ? RecoveredOutcome.NEVER_RAN : unknown();
+            case NONE -> complete && foundEpoch > lostUpTo ? RecoveredOutcome.NEVER_RAN : unknown();
         };
     }
 
@@ -65,6 +65,6 @@
      * more.
      */
     public static boolean isSettled(RecoveredOutcome outcome, double now) {
-        return outcome.kind() != RecoveredOutcome.Kind.UNKNOWN || now >= outcome.safeFrom();
+        return outcome.kind() != RecoveredOutcome.Kind.UNKNOWN || now >= outcome.settledAt();
     }
 }
--- a/src/test/java/kelphollow/ledger/StoredRecordsTest.java
+++ b/src/test/java/kelphollow/ledger/StoredRecordsTest.java
@@ -183,7 +183,8 @@
                 lines.add("upload " + upload + " epoch=" + sinceEpoch);
             }
 
-            @Override public void part(String upload, int number, RecoveredOutcomes.Found found, long epoch, long size,
+            @Override public void part(String upload, int number, RecoveredOutcomes.StoredRecord found, long epoch,
+                long size,
                 String md5, String etag) {
                 lines.add("part " + upload + " " + number + " " + word(found) + " epoch=" + epoch + " size=" + size
                     + " md5=" + md5 + " etag=" + etag);
@@ -220,9 +221,9 @@
         }
     }
 
-    private static String word(RecoveredOutcomes.Found found) {
+    private static String word(RecoveredOutcomes.StoredRecord found) {
         return switch (found) {
-            case NOTHING -> "nothing";
+            case NONE -> "nothing";
             case INTENT -> "intent";
             case OUTCOME -> "outcome";
         };
--- a/src/test/java/kelphollow/recovery/RecoveryTest.java
+++ b/src/test/java/kelphollow/recovery/RecoveryTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Random;
-import kelphollow.recovery.CachedEndpointsAge.Trust;
+import kelphollow.recovery.CachedEndpointsAge.Freshness;
 import kelphollow.recovery.RecoveredOutcome.Kind;
-import kelphollow.recovery.RecoveredOutcomes.Found;
+import kelphollow.recovery.RecoveredOutcomes.StoredRecord;
 import org.junit.jupiter.api.Test;
 
 /** What is decided from what was found after a start. */
@@ -19,27 +19,27 @@
     @Test void aRecordedOutcomeHoldsWhicheverEpochWroteIt() {
         RecoveredOutcomes afterLoss = new RecoveredOutcomes(7, 1_000, 3_000, 6);
 
-        assertEquals(Kind.RAN, recovered.of(Found.OUTCOME, 1, false).kind());
-        assertEquals(Kind.RAN, recovered.of(Found.OUTCOME, 7, true).kind());
-        assertEquals(Kind.RAN, afterLoss.of(Found.OUTCOME, 3, false).kind());
+        assertEquals(Kind.RAN, recovered.classify(StoredRecord.OUTCOME, 1, false).kind());
+        assertEquals(Kind.RAN, recovered.classify(StoredRecord.OUTCOME, 7, true).kind());
+        assertEquals(Kind.RAN, afterLoss.classify(StoredRecord.OUTCOME, 3, false).kind());
     }
 
     @Test void anIntentOfAnEarlierEpochIsUnknownUntilItsLastAttemptMustBeOver() {
-        RecoveredOutcome outcome = recovered.of(Found.INTENT, 6, true);
+        RecoveredOutcome outcome = recovered.classify(StoredRecord.INTENT, 6, true);
 
         assertEquals(Kind.UNKNOWN, outcome.kind());
         assertFalse(RecoveredOutcomes.isSettled(outcome, 3_999));
         assertTrue(RecoveredOutcomes.isSettled(outcome, 4_000));
-        assertEquals(Kind.RUNNING, recovered.of(Found.INTENT, 7, true).kind());
+        assertEquals(Kind.RUNNING, recovered.classify(StoredRecord.INTENT, 7, true).kind());
     }
 
     @Test void aMissingRecordProvesSomethingOnlyIfRecordsAreCompleteAndNoneWasLost() {
         RecoveredOutcomes afterLoss = new RecoveredOutcomes(7, 1_000, 3_000, 5);
 
-        assertEquals(Kind.NEVER_RAN, recovered.of(Found.NOTHING, 1, true).kind());
-        assertEquals(Kind.UNKNOWN, recovered.of(Found.NOTHING, 1, false).kind());
-        assertEquals(Kind.UNKNOWN, afterLoss.of(Found.NOTHING, 5, true).kind());
-        assertEquals(Kind.NEVER_RAN, afterLoss.of(Found.NOTHING, 6, true).kind(), "begun after the loss");
+        assertEquals(Kind.NEVER_RAN, recovered.classify(StoredRecord.NONE, 1, true).kind());
+        assertEquals(Kind.UNKNOWN, recovered.classify(StoredRecord.NONE, 1, false).kind());
+        assertEquals(Kind.UNKNOWN, afterLoss.classify(StoredRecord.NONE, 5, true).kind());
+        assertEquals(Kind.NEVER_RAN, afterLoss.classify(StoredRecord.NONE, 6, true).kind(), "begun after the loss");
     }
 
     @Test void aLimitGoesOnFromACleanShutdownAndStartsEmptyAfterACrash() {
@@ -119,15 +119,15 @@
     }
 
     @Test void aListIsTrustedByItsAge() {
-        assertEquals(Trust.FRESH, CachedEndpointsAge.trust(1_000, 9_000, 3_600_000));
-        assertEquals(Trust.AGED, CachedEndpointsAge.trust(1_000, 60_000, 3_600_000));
-        assertEquals(Trust.EXPIRED, CachedEndpointsAge.trust(1_000, 3_601_000, 3_600_000));
-        assertEquals(Trust.EXPIRED, CachedEndpointsAge.trust(5_000, 1_000, 3_600_000),
+        assertEquals(Freshness.FRESH, CachedEndpointsAge.freshness(1_000, 9_000, 3_600_000));
+        assertEquals(Freshness.STALE, CachedEndpointsAge.freshness(1_000, 60_000, 3_600_000));
+        assertEquals(Freshness.EXPIRED, CachedEndpointsAge.freshness(1_000, 3_601_000, 3_600_000));
+        assertEquals(Freshness.EXPIRED, CachedEndpointsAge.freshness(5_000, 1_000, 3_600_000),
             "a clock that went back: age unknown");
     }
 
     @Test void aNodeOfAnAgedListCountsAsRestarted() {
-        assertEquals(70, CachedEndpointsAge.effectiveStart(Trust.AGED, 5, 70), "it may be in slow start");
-        assertEquals(5, CachedEndpointsAge.effectiveStart(Trust.FRESH, 5, 70));
+        assertEquals(70, CachedEndpointsAge.effectiveStart(Freshness.STALE, 5, 70), "it may be in slow start");
+        assertEquals(5, CachedEndpointsAge.effectiveStart(Freshness.FRESH, 5, 70));
     }
 }
