--- a/src/main/java/kelphollow/program/PlatformScheduler.java
+++ b/src/main/java/kelphollow/program/PlatformScheduler.java
@@ -31,7 +31,7 @@
     private InetSocketAddress discovery;
     private boolean pushed;
     /** The classes and attempts that bind once what was read last has settled. */
-    private SettingsReload.Tuning tuning;
+    private SettingsReload.RequestSettings requestSettings;
     private Ticker.Timeout settling;
 
     private PlatformScheduler(PlatformConfig config, EventLoop loop, Ticker ticker) {
@@ -59,7 +59,7 @@
         pushed = !settings.endpointsPolled();
         router.start(watch(router, config.known().version()), pushed);
         front = new RespFront(router, ticker(), settings, clientSockets(config.sockets()));
-        tuning = tuning(settings);
+        requestSettings = requestSettings(settings);
         wired(router, front);
     }
 
@@ -76,8 +76,8 @@
             version, discoveryRandom);
     }
 
-    private static SettingsReload.Tuning tuning(ControlSettings settings) {
-        return new SettingsReload.Tuning(settings.classes(), settings.maxAttempts());
+    private static SettingsReload.RequestSettings requestSettings(ControlSettings settings) {
+        return new SettingsReload.RequestSettings(settings.classes(), settings.maxAttempts());
     }
 
     /** Waits, on the caller's thread, for discovery's first response, so many milliseconds at most; false if none came. */
@@ -97,21 +97,24 @@
                 pushed = nowPushed;
                 router().changeEndpointSource(watch(router(), NO_VERSION), pushed);
             }
-            reloadSettings(tuning(config.settings()));
+            reloadSettings(requestSettings(config.settings()));
         });
     }
 
-    /** The stricter blend of what holds and what comes at once, what comes alone after {@link SettingsReload#SETTLE_MS}. */
-    private void reloadSettings(SettingsReload.Tuning next) {
+    /**
+     * Applies the stricter of old and new settings at once, and the new settings alone after {@link
+     * SettingsReload#ACTIVATION_DELAY_MS}.
+     */
+    private void reloadSettings(SettingsReload.RequestSettings next) {
         if (settling != null) {
             settling.cancel();
         }
-        List<SettingsReload.Step> steps = SettingsReload.plan(tuning, next, ticker().now());
+        List<SettingsReload.Step> steps = SettingsReload.schedule(requestSettings, next, ticker().now());
         SettingsReload.Step blend = steps.get(0);
         SettingsReload.Step settled = steps.get(1);
         router().changeSettings(blend.classes(), blend.maxAttempts());
         front.addClasses(blend.classes());
-        tuning = new SettingsReload.Tuning(settled.classes(), settled.maxAttempts());
+        requestSettings = new SettingsReload.RequestSettings(settled.classes(), settled.maxAttempts());
         settling = ticker().after(settled.at() - ticker().now(), () -> {
             settling = null;
             router().changeSettings(settled.classes(), settled.maxAttempts());
--- a/src/main/java/kelphollow/retune/SettingsReload.java
+++ b/src/main/java/kelphollow/retune/SettingsReload.java
@@ -7,19 +7,19 @@
 import kelphollow.decision.ControlSettings.RequestClass;
 
 /**
- * New classes and attempts, read at SIGHUP, and when they bind. New settings take effect {@link #SETTLE_MS} after
- * they are read; until then the stricter of old and new holds for each class that both name, and the smaller number
- * of attempts, so that neither side's rules are broken in between. A class that vanishes stays known: requests of it
- * that are open, or still arrive, keep it. Stateless.
+ * Schedules the change to request classes and a maximum number of attempts that were read at SIGHUP. New settings take
+ * effect {@link #ACTIVATION_DELAY_MS} after they are read. Until then the stricter of the old and new settings holds for
+ * each class that both name, and the smaller number of attempts, so that no request violates either. A class that the new
+ * settings no longer name stays known, for its requests that are open or still arrive. Stateless.
  */
 public final class SettingsReload {
-    /** Milliseconds after reading at which new settings bind. */
-    public static final double SETTLE_MS = 1_200;
+    /** Milliseconds from reading new settings to their taking effect. */
+    public static final double ACTIVATION_DELAY_MS = 1_200;
 
     private SettingsReload() {}
 
     /**
-     * What binds from a time on.
+     * Settings that take effect at a given time.
      *
      * @param at clock time in milliseconds
      * @param classes the classes that are known
@@ -28,39 +28,41 @@
     public record Step(double at, List<RequestClass> classes, int maxAttempts) {}
 
     /**
-     * Settings in force.
+     * The settings of requests that a reload may change.
      *
      * @param classes the classes that are known
      * @param maxAttempts attempts that a request may have
      */
-    public record Tuning(List<RequestClass> classes, int maxAttempts) {}
+    public record RequestSettings(List<RequestClass> classes, int maxAttempts) {}
 
     /**
-     * Two steps: the stricter blend at {@code now}, the new settings {@link #SETTLE_MS} later. Classes that only the old
-     * settings name are kept in both, unchanged.
+     * Returns two steps: the stricter of both settings at {@code now}, the new settings {@link #ACTIVATION_DELAY_MS}
+     * later. Both steps keep unchanged the classes that only the old settings name.
      */
-    public static List<Step> plan(Tuning old, Tuning next, double now) {
-        Map<String, RequestClass> blend = new LinkedHashMap<>();
-        Map<String, RequestClass> settled = new LinkedHashMap<>();
+    public static List<Step> schedule(RequestSettings old, RequestSettings next, double now) {
+        Map<String, RequestClass> interim = new LinkedHashMap<>();
+        Map<String, RequestClass> target = new LinkedHashMap<>();
         for (RequestClass known : old.classes()) {
-            blend.put(known.name(), known);
-            settled.put(known.name(), known);
+            interim.put(known.name(), known);
+            target.put(known.name(), known);
         }
         for (RequestClass added : next.classes()) {
-            RequestClass before = blend.get(added.name());
-            blend.put(added.name(), before == null ? added : stricter(before, added));
-            settled.put(added.name(), added);
+            RequestClass before = interim.get(added.name());
+            interim.put(added.name(), before == null ? added : stricter(before, added));
+            target.put(added.name(), added);
         }
-        int blendAttempts = Math.min(old.maxAttempts(), next.maxAttempts());
-        return List.of(new Step(now, new ArrayList<>(blend.values()), blendAttempts),
-            new Step(now + SETTLE_MS, new ArrayList<>(settled.values()), next.maxAttempts()));
+        int interimAttempts = Math.min(old.maxAttempts(), next.maxAttempts());
+        return List.of(new Step(now, new ArrayList<>(interim.values()), interimAttempts),
+            new Step(now + ACTIVATION_DELAY_MS, new ArrayList<>(target.values()), next.maxAttempts()));
     }
 
     /**
-     * The stricter of two forms of one class: the idempotency that forbids more retries, the narrower scope and the
-     * shorter window of deduplication, the shorter deadline and latency objective; ordered if either is.
+     * Returns the stricter of two definitions of one class: the idempotency that forbids more retries, the narrower scope
+     * and the shorter window of deduplication, the shorter deadline and latency objective; ordered if either is,
+     * streaming only if both are.
      *
-     * @param old its form until now; {@code next}'s weights and late share are taken
+     * @param old the definition until now
+     * @param next the new definition; its priority weight and late share are taken
      */
     public static RequestClass stricter(RequestClass old, RequestClass next) {
         return new RequestClass(old.name(), Math.min(old.latencyObjective(), next.latencyObjective()),
@@ -70,7 +72,7 @@
             old.streaming() && next.streaming());
     }
 
-    /** The later of two constants: enums of settings are declared from loose to strict. */
+    /** Returns the later of two constants: the enums of settings are declared from the loosest to the strictest. */
     private static <E extends Enum<E>> E stricter(E a, E b) {
         return a.compareTo(b) >= 0 ? a : b;
     }
--- a/src/test/java/kelphollow/retune/SettingsReloadTest.java
+++ b/src/test/java/kelphollow/retune/SettingsReloadTest.java
@@ -10,7 +10,7 @@
 import kelphollow.decision.ControlSettings.Idempotency;
 import kelphollow.decision.ControlSettings.RequestClass;
 import kelphollow.retune.SettingsReload.Step;
-import kelphollow.retune.SettingsReload.Tuning;
+import kelphollow.retune.SettingsReload.RequestSettings;
 import org.junit.jupiter.api.Test;
 
 class SettingsReloadTest {
@@ -24,12 +24,12 @@
     }
 
     @Test void theStricterBindsAtOnceAndTheNewOnceItHasSettled() {
-        Tuning old = new Tuning(List.of(requestClass("read", 2000, Idempotency.IDEMPOTENT),
+        RequestSettings old = new RequestSettings(List.of(requestClass("read", 2000, Idempotency.IDEMPOTENT),
             requestClass("gone", 900, Idempotency.IDEMPOTENT)), 3);
-        Tuning next = new Tuning(List.of(requestClass("read", 3000, Idempotency.NOT_IDEMPOTENT),
+        RequestSettings next = new RequestSettings(List.of(requestClass("read", 3000, Idempotency.NOT_IDEMPOTENT),
             requestClass("new", 800, Idempotency.IDEMPOTENCY_KEY)), 1);
 
-        List<Step> steps = SettingsReload.plan(old, next, 10_000);
+        List<Step> steps = SettingsReload.schedule(old, next, 10_000);
 
         Step now = steps.get(0);
         assertEquals(10_000, now.at());
@@ -40,16 +40,16 @@
         assertEquals(Idempotency.IDEMPOTENCY_KEY, blend.get("new").idempotency());
         assertEquals(900, blend.get("gone").deadline(), "a class that vanishes stays known for requests on their way");
         Step settled = steps.get(1);
-        assertEquals(10_000 + SettingsReload.SETTLE_MS, settled.at());
+        assertEquals(10_000 + SettingsReload.ACTIVATION_DELAY_MS, settled.at());
         assertEquals(3000, byName(settled.classes()).get("read").deadline(), "then the new form alone");
         assertEquals(1, settled.maxAttempts());
     }
 
     @Test void moreAttemptsBindOnlyOnceTheyHaveSettled() {
-        Tuning old = new Tuning(List.of(requestClass("read", 2000, Idempotency.IDEMPOTENT)), 1);
-        Tuning next = new Tuning(List.of(requestClass("read", 2000, Idempotency.IDEMPOTENT)), 4);
+        RequestSettings old = new RequestSettings(List.of(requestClass("read", 2000, Idempotency.IDEMPOTENT)), 1);
+        RequestSettings next = new RequestSettings(List.of(requestClass("read", 2000, Idempotency.IDEMPOTENT)), 4);
 
-        List<Step> steps = SettingsReload.plan(old, next, 0);
+        List<Step> steps = SettingsReload.schedule(old, next, 0);
 
         assertEquals(1, steps.get(0).maxAttempts());
         assertEquals(4, steps.get(1).maxAttempts());
