--- a/src/main/java/kelphollow/protocol/object/NodeExchange.java
+++ b/src/main/java/kelphollow/protocol/object/NodeExchange.java
@@ -22,7 +22,7 @@
  * piece of a body that it does not write; content that it forwards is retained for the client's side. For the event loop
  * alone.
  */
-final class NodeExchange implements PooledConnection.User, Transfer.BodySink {
+final class NodeExchange implements PooledConnection.ExchangeHandler, Transfer.BodySink {
     private static final Logger LOG = Logger.getLogger(NodeExchange.class.getName());
     // In milliseconds. A server that ignores "Expect" says nothing; the body then follows after this time, as HTTP advises.
     private static final double CONTINUE_TIMEOUT = 1_000;
--- a/src/main/java/kelphollow/protocol/resp/RespExchange.java
+++ b/src/main/java/kelphollow/protocol/resp/RespExchange.java
@@ -16,7 +16,7 @@
  * One command and its reply on a connection to a node. Releases each message that it receives; the bytes of a streamed value
  * go to {@link StreamedValue#take}, which owns them from there on. For the event loop alone.
  */
-final class RespExchange implements PooledConnection.User {
+final class RespExchange implements PooledConnection.ExchangeHandler {
     private static final Logger LOG = Logger.getLogger(RespExchange.class.getName());
     // In milliseconds, of a reply of which nothing has been forwarded.
     private static final double REPLY_STALL = 200;
--- a/src/main/java/kelphollow/transport/ConnectionPools.java
+++ b/src/main/java/kelphollow/transport/ConnectionPools.java
@@ -54,7 +54,7 @@
     private final Supplier<ChannelHandler[]> codec;
     private final Map<String, HostPool> hostPools = new HashMap<>();
     private int connections;
-    private long dialled;
+    private long connectAttempts;
     /** What had arrived by this clock time has been read; a loop that was stalled may have more before it. */
     private double readUpTo;
     private double lastReleasedAt;
@@ -70,17 +70,17 @@
     }
 
     /**
-     * Gives a connection to the user, by {@link PooledConnection.User#connected}: at once if one is idle, else once
-     * one is established. Beyond the limit of connections it fails at once.
+     * Gives the handler a connection by {@link PooledConnection.ExchangeHandler#connected}: at once if one is idle, else
+     * once one is established. Above the limit of connections the call fails at once.
      */
-    public PooledConnection acquire(String node, InetSocketAddress address, PooledConnection.User user) {
+    public PooledConnection acquire(String node, InetSocketAddress address, PooledConnection.ExchangeHandler handler) {
         HostPool hostPool = hostPools.computeIfAbsent(node, HostPool::new);
         PooledConnection idle = takeIdle(hostPool);
         if (idle != null) {
-            idle.use(user);
+            idle.use(handler);
             return idle;
         }
-        PooledConnection connection = new PooledConnection(this, hostPool, user);
+        PooledConnection connection = new PooledConnection(this, hostPool, handler);
         connections++;
         hostPool.connections++;
         if (connections > limits.connections()) {
@@ -109,7 +109,7 @@
     }
 
     private void connect(PooledConnection connection, InetSocketAddress address) {
-        dialled++;
+        connectAttempts++;
         new Bootstrap().group(loop).channel(NioSocketChannel.class)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, limits.connectTimeout())
             .option(ChannelOption.TCP_NODELAY, true)
@@ -140,8 +140,8 @@
     }
 
     /** Connections that were begun to be established since the start. */
-    public long dialled() {
-        return dialled;
+    public long connectAttempts() {
+        return connectAttempts;
     }
 
     double now() {
--- a/src/main/java/kelphollow/transport/PooledConnection.java
+++ b/src/main/java/kelphollow/transport/PooledConnection.java
@@ -14,14 +14,14 @@
  */
 public final class PooledConnection extends ChannelInboundHandlerAdapter {
     /**
-     * Who uses the connection now. After {@link #connectionFailed} or {@link PooledConnection#release} it gets no
-     * more calls.
+     * Carries an exchange over a connection. It gets no more calls after {@link #connectionFailed} or {@link
+     * PooledConnection#release}.
      */
-    public interface User {
-        /** The connection is established: write now, or {@link PooledConnection#release} it. */
+    public interface ExchangeHandler {
+        /** The connection is established: the handler writes now, or calls {@link PooledConnection#release}. */
         void connected(PooledConnection connection);
 
-        /** A decoded message, which the user releases. */
+        /** A message was decoded; the handler releases it. */
         void received(PooledConnection connection, Object message);
 
         /** The channel has become writable again: see {@link Channel#isWritable}. */
@@ -62,14 +62,14 @@
     private final ConnectionPools.HostPool hostPool;
     private State state = State.CONNECTING;
     private ReadState readState = ReadState.NO_MESSAGE;
-    private User user;
+    private ExchangeHandler handler;
     private Channel channel;
     private double idleSince;
 
-    PooledConnection(ConnectionPools pools, ConnectionPools.HostPool hostPool, User user) {
+    PooledConnection(ConnectionPools pools, ConnectionPools.HostPool hostPool, ExchangeHandler handler) {
         this.pools = pools;
         this.hostPool = hostPool;
-        this.user = user;
+        this.handler = handler;
     }
 
     ConnectionPools.HostPool hostPool() {
@@ -86,26 +86,26 @@
         return channel;
     }
 
-    /** Whether this user has the connection now. */
-    public boolean isUsedBy(User other) {
-        return user == other;
+    /** Whether this handler holds the connection now. */
+    public boolean isUsedBy(ExchangeHandler other) {
+        return handler == other;
     }
 
-    /** Gives an idle connection to its next user, who is notified at once. */
-    void use(User next) {
-        user = next;
+    /** Gives an idle connection to its next handler, which is notified at once. */
+    void use(ExchangeHandler next) {
+        handler = next;
         beginExchange();
     }
 
     private void beginExchange() {
         state = State.ESTABLISHED;
         channel.pipeline().addFirst(pools.newCodec());
-        user.connected(this);
+        handler.connected(this);
     }
 
     /** Gives the connection back; it is kept for the next exchange if it is open and nothing came behind the response. */
     public void release() {
-        user = null;
+        handler = null;
         removeCodec();
         if (readState != ReadState.NO_MESSAGE) {
             readState = ReadState.RELEASED;
@@ -127,7 +127,7 @@
 
     /** Closes the connection, which tells a node that its response is no longer waited for. */
     public void close() {
-        user = null;
+        handler = null;
         if (channel != null) {
             channel.close();
         }
@@ -142,28 +142,28 @@
      * first byte for a client whose end, or to a node whose drain, was there to be read before.
      */
     @Override public void channelActive(ChannelHandlerContext ctx) {
-        if (user == null) {
-            ctx.close();       // closed by its user while it was being established
+        if (handler == null) {
+            ctx.close();       // closed by its handler while it was being established
             return;
         }
         idleSince = pools.now();
         ctx.channel().eventLoop().execute(() -> {
-            if (user != null) {
+            if (handler != null) {
                 beginExchange();
             }
         });
     }
 
-    /** Passes the message on to the user, who releases it; releases it here if there is none. */
+    /** Passes the message on to the handler, which releases it; releases it here if there is no handler. */
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (readState == ReadState.NO_MESSAGE) {
             readState = ReadState.MESSAGE_READ;
         }
-        if (user == null || state == State.CONNECTING) {
+        if (handler == null || state == State.CONNECTING) {
             ReferenceCountUtil.release(message);
             ctx.close();       // a node responds to requests only
         } else {
-            user.received(this, message);
+            handler.received(this, message);
         }
     }
 
@@ -175,14 +175,14 @@
                 idleSince = pools.now();
                 pools.addIdle(this);
             }
-        } else if (user != null && completed == ReadState.NO_MESSAGE) {
-            user.partialMessage(this);
+        } else if (handler != null && completed == ReadState.NO_MESSAGE) {
+            handler.partialMessage(this);
         }
     }
 
     @Override public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (user != null && ctx.channel().isWritable()) {
-            user.writable(this);
+        if (handler != null && ctx.channel().isWritable()) {
+            handler.writable(this);
         }
     }
 
@@ -195,10 +195,10 @@
         ctx.close();
     }
 
-    /** The connection was not established, or has ended: its user and the pool are notified, each once. */
+    /** The connection was not established, or has ended: notifies its handler and the pool, each once. */
     void ended(Throwable cause) {
-        User last = user;
-        user = null;
+        ExchangeHandler last = handler;
+        handler = null;
         if (state != State.CLOSED) {
             state = State.CLOSED;
             pools.remove(this);
--- a/src/test/java/kelphollow/program/ConnectionPoolsTest.java
+++ b/src/test/java/kelphollow/program/ConnectionPoolsTest.java
@@ -29,7 +29,7 @@
     private final ConnectionPools pools = new ConnectionPools(loop, ticker,
         new ConnectionPools.Limits(250, 12_000, 10), () -> new ChannelHandler[0]);
     private final BlockingQueue<PooledConnection> connected = new LinkedBlockingQueue<>();
-    private final PooledConnection.User user = new PooledConnection.User() {
+    private final PooledConnection.ExchangeHandler user = new PooledConnection.ExchangeHandler() {
         @Override public void connected(PooledConnection connection) {
             connected.add(connection);
         }
@@ -61,7 +61,7 @@
             }
 
             assertSame(first, acquire(node));
-            assertEquals(1, pools.dialled());
+            assertEquals(1, pools.connectAttempts());
         }
     }
 
@@ -78,7 +78,7 @@
             }).sync();
 
             assertNotSame(first, connected.poll(10, TimeUnit.SECONDS));
-            assertEquals(2, pools.dialled());
+            assertEquals(2, pools.connectAttempts());
             assertTrue(line.hasEnded(), "a node responds to requests only");
         }
     }
--- a/src/test/java/kelphollow/routing/SendPathTest.java
+++ b/src/test/java/kelphollow/routing/SendPathTest.java
@@ -42,13 +42,13 @@
     }
 
     @Test void whoeverGetsAConnectionAsksFirstWhetherItMaySend() {
-        classes().that().areAssignableTo(PooledConnection.User.class).and().areNotInterfaces()
+        classes().that().areAssignableTo(PooledConnection.ExchangeHandler.class).and().areNotInterfaces()
             .should(askFirstWhenConnected())
             .check(PRODUCT);
     }
 
     @Test void onlyWhoeverGetsAConnectionWritesToIt() {
-        noClasses().that().areNotAssignableTo(PooledConnection.User.class)
+        noClasses().that().areNotAssignableTo(PooledConnection.ExchangeHandler.class)
             .and().resideOutsideOfPackage("kelphollow.transport")
             .should().callMethod(PooledConnection.class, "channel")
             .check(PRODUCT);
