--- a/src/main/java/kelphollow/program/Management.java
+++ b/src/main/java/kelphollow/program/Management.java
@@ -105,7 +105,7 @@
         Set<String> nodes = file.readChange();
         if (nodes != null) {
             scheduler.onLoop(router -> {
-                router.adoptMaintenance(nodes);
+                router.setNodesInMaintenance(nodes);
                 return null;
             });
         }
--- a/src/main/java/kelphollow/routing/AdmissionFilter.java
+++ b/src/main/java/kelphollow/routing/AdmissionFilter.java
@@ -9,7 +9,7 @@
  */
 public interface AdmissionFilter {
     /** Admits every request. */
-    AdmissionFilter ALL = new AdmissionFilter() {
+    AdmissionFilter ADMIT_ALL = new AdmissionFilter() {
         @Override public OptionalDouble retryAfter(RequestArrived arrival) {
             return OptionalDouble.empty();
         }
--- a/src/main/java/kelphollow/routing/EndpointOverrides.java
+++ b/src/main/java/kelphollow/routing/EndpointOverrides.java
@@ -56,8 +56,8 @@
             Math.max(endpoint.startedAt(), ticker.now()));
     }
 
-    /** See {@link RequestRouter#adoptMaintenance}. */
-    void adoptMaintenance(Set<String> nodes) {
+    /** See {@link RequestRouter#setNodesInMaintenance}. */
+    void setNodesInMaintenance(Set<String> nodes) {
         MaintenanceSet.Change change = table.maintenance().changeTo(nodes);
         for (String node : change.added()) {
             if (!startMaintenance(node)) {
--- a/src/main/java/kelphollow/routing/RequestLifecycle.java
+++ b/src/main/java/kelphollow/routing/RequestLifecycle.java
@@ -17,7 +17,7 @@
     private final Map<String, Request> open;
     private final DecisionLoop decisions;
     private final RequestLog log;
-    private AdmissionFilter admission = AdmissionFilter.ALL;
+    private AdmissionFilter admission = AdmissionFilter.ADMIT_ALL;
     private long nextId;
 
     /** {@code open}: the requests without a final answer by their ids; only this object changes it. */
--- a/src/main/java/kelphollow/routing/RequestRouter.java
+++ b/src/main/java/kelphollow/routing/RequestRouter.java
@@ -202,8 +202,8 @@
     }
 
     /** Starts and ends maintenance until just these nodes are in it, as another process wrote. */
-    public void adoptMaintenance(Set<String> nodes) {
-        overrides.adoptMaintenance(nodes);
+    public void setNodesInMaintenance(Set<String> nodes) {
+        overrides.setNodesInMaintenance(nodes);
     }
 
     /** The nodes in maintenance, in order of their ids; a copy. */
--- a/src/main/java/kelphollow/scale/SimulatedNodes.java
+++ b/src/main/java/kelphollow/scale/SimulatedNodes.java
@@ -33,7 +33,7 @@
     private final Ticker ticker;
     private final Consumer<Set<String>> ejections;
     private final Map<String, Integer> probes = new HashMap<>();
-    private AdmissionFilter admission = AdmissionFilter.ALL;
+    private AdmissionFilter admission = AdmissionFilter.ADMIT_ALL;
     private Consumer<List<Endpoint>> endpointsListener = entries -> {};
     private Set<String> ejected = Set.of();
     private double probedAt;
--- a/src/test/java/kelphollow/routing/MaintenanceTest.java
+++ b/src/test/java/kelphollow/routing/MaintenanceTest.java
@@ -91,14 +91,14 @@
     @Test void maintenanceOfAnotherProcessIsAdoptedAndWaitsForItsNode() {
         start("a");
 
-        router.adoptMaintenance(Set.of("a", "later"));
+        router.setNodesInMaintenance(Set.of("a", "later"));
         assertEquals(Set.of("a", "later"), router.nodesInMaintenance());
         assertFalse(router.acceptsWork("a"));
 
         router.updateEndpoints(RouterHarness.healthy("later"), false);
         assertFalse(router.acceptsWork("later"), "it began before the node was listed, and holds when it is");
 
-        router.adoptMaintenance(Set.of());
+        router.setNodesInMaintenance(Set.of());
         assertTrue(router.acceptsWork("a"));
         assertTrue(router.acceptsWork("later"));
     }
--- a/src/test/java/kelphollow/routing/SendVerdictTest.java
+++ b/src/test/java/kelphollow/routing/SendVerdictTest.java
@@ -62,7 +62,7 @@
         assertFalse(attempt.maySend());
         receive(EndpointState.HEALTHY);
         assertTrue(attempt.maySend());
-        router.adoptMaintenance(Set.of("a"));
+        router.setNodesInMaintenance(Set.of("a"));
         assertFalse(attempt.maySend());
     }
 
