--- a/src/main/java/kelphollow/program/PlatformScheduler.java
+++ b/src/main/java/kelphollow/program/PlatformScheduler.java
@@ -66,9 +66,9 @@
     /** On the platform the endpoint list binds by the terms of {@link EndpointUpdateBudget}. */
     private static EndpointListLease lease(ControlSettings settings) {
         return settings.endpointsPolled()
-            ? EndpointListLease.polled(EndpointUpdateBudget.NOTIFIED_AFTER, EndpointUpdateBudget.LOCAL_DELAY, settings
+            ? EndpointListLease.polled(EndpointUpdateBudget.NOTIFIED_AFTER_MS, EndpointUpdateBudget.LOCAL_DELAY_MS, settings
                 .hosts())
-            : EndpointListLease.pushed(EndpointUpdateBudget.NOTIFIED_AFTER, EndpointUpdateBudget.LOCAL_DELAY);
+            : EndpointListLease.pushed(EndpointUpdateBudget.NOTIFIED_AFTER_MS, EndpointUpdateBudget.LOCAL_DELAY_MS);
     }
 
     private DiscoveryWatch watch(RequestRouter router, long version) {
--- a/src/main/java/kelphollow/protocol/discovery/DiscoveryWatch.java
+++ b/src/main/java/kelphollow/protocol/discovery/DiscoveryWatch.java
@@ -113,15 +113,15 @@
             return 0;
         }
         return nextBeginsWatch ? NO_WAIT
-            : (int) (EndpointUpdateBudget.LONG_POLL_WAIT * (1 - WAIT_JITTER * random.nextDouble()));
+            : (int) (EndpointUpdateBudget.LONG_POLL_WAIT_MS * (1 - WAIT_JITTER * random.nextDouble()));
     }
 
     private double timeout() {
         if (version < 0) {
-            return EndpointUpdateBudget.NEW_SOURCE_TIMEOUT;
+            return EndpointUpdateBudget.NEW_SOURCE_TIMEOUT_MS;
         }
-        return poll.waitTime() <= NO_WAIT ? EndpointUpdateBudget.FIRST_POLL_TIMEOUT
-            : poll.waitTime() + EndpointUpdateBudget.POLL_MARGIN;
+        return poll.waitTime() <= NO_WAIT ? EndpointUpdateBudget.FIRST_POLL_TIMEOUT_MS
+            : poll.waitTime() + EndpointUpdateBudget.POLL_MARGIN_MS;
     }
 
     @Override public void responseReceived(int status, String body) {
--- a/src/main/java/kelphollow/routing/EndpointWatch.java
+++ b/src/main/java/kelphollow/routing/EndpointWatch.java
@@ -51,7 +51,7 @@
     boolean failed() {
         if (pushed) {
             cancelRetry();
-            retry = ticker.after(EndpointUpdateBudget.AGENT_RETRY_DELAY, source::watch);
+            retry = ticker.after(EndpointUpdateBudget.AGENT_RETRY_DELAY_MS, source::watch);
         }
         return !pushed;
     }
--- a/src/main/java/kelphollow/transport/ConnectionPools.java
+++ b/src/main/java/kelphollow/transport/ConnectionPools.java
@@ -26,10 +26,10 @@
      * Bounds of all pools together.
      *
      * @param connectTimeout milliseconds within which a connection must be established
-     * @param idleTime milliseconds after which an idle connection is not used any more
-     * @param connections open at once, to all nodes
+     * @param idleTimeout milliseconds after which an idle connection is not used any more
+     * @param maxConnections connections open at once, to all nodes
      */
-    public record Limits(int connectTimeout, double idleTime, int connections) {}
+    public record Limits(int connectTimeout, double idleTimeout, int maxConnections) {}
 
     /**
      * Milliseconds for which a released connection carries nothing: what a node sends right behind a response may come a
@@ -83,8 +83,8 @@
         PooledConnection connection = new PooledConnection(this, hostPool, handler);
         connections++;
         hostPool.connections++;
-        if (connections > limits.connections()) {
-            connection.ended(new IOException("no more than " + limits.connections() + " connections to nodes"));
+        if (connections > limits.maxConnections()) {
+            connection.ended(new IOException("no more than " + limits.maxConnections() + " connections to nodes"));
             return connection;
         }
         connect(connection, address);
@@ -100,7 +100,7 @@
                 continue;
             }
             latest.remove();
-            if (candidate.channel().isActive() && now - candidate.idleSince() < limits.idleTime()) {
+            if (candidate.channel().isActive() && now - candidate.idleSince() < limits.idleTimeout()) {
                 return candidate;
             }
             candidate.close();
@@ -193,7 +193,7 @@
     }
 
     private void scheduleExpiry() {
-        ticker.after(limits.idleTime() / 8, () -> {
+        ticker.after(limits.idleTimeout() / 8, () -> {
             closeExpired();
             scheduleExpiry();
         });
@@ -201,7 +201,7 @@
 
     /** Closes what would be too old before the next such call. */
     private void closeExpired() {
-        double expired = ticker.now() - limits.idleTime() * 7 / 8;
+        double expired = ticker.now() - limits.idleTimeout() * 7 / 8;
         for (HostPool hostPool : List.copyOf(hostPools.values())) {
             while (!hostPool.idle.isEmpty() && hostPool.idle.peekFirst().idleSince() < expired) {
                 hostPool.idle.pollFirst().close();
--- a/src/test/java/kelphollow/program/DiscoveryWatchTest.java
+++ b/src/test/java/kelphollow/program/DiscoveryWatchTest.java
@@ -27,8 +27,9 @@
             return poll;
         }
         int wait = Integer.parseInt(poll.replaceAll(".*&wait=", ""));
-        assertTrue(wait == 1 || wait <= EndpointUpdateBudget.LONG_POLL_WAIT && wait >= EndpointUpdateBudget.LONG_POLL_WAIT
-            / 2,
+        assertTrue(wait == 1 || wait <= EndpointUpdateBudget.LONG_POLL_WAIT_MS && wait
+            >= EndpointUpdateBudget.LONG_POLL_WAIT_MS
+                / 2,
             poll);
         return poll.replaceAll("&wait=.*", wait == 1 ? "&now" : "&wait");
     }
@@ -121,7 +122,7 @@
     @Test void theTimesOfAllPollsTogetherStayUnderWhatCountsAsNotified() throws Exception {
         for (String mode : MODES) {
             double longest = EndpointUpdateBudget.longestDelay(mode.equals("automatic"));
-            assertTrue(longest < EndpointUpdateBudget.NOTIFIED_AFTER, mode + ": " + longest);
+            assertTrue(longest < EndpointUpdateBudget.NOTIFIED_AFTER_MS, mode + ": " + longest);
 
             try (ScriptedPeer discovery = new ScriptedPeer();
                  ServerHarness server = ServerHarness.respWith(mode, discovery.address())) {
@@ -129,7 +130,7 @@
                 for (int fault = 0; fault < 5; fault++) {     // each poll meets with silence
                     int passed = 0;
                     while (discovery.acceptIfAny() == null) {
-                        assertTrue(passed < longest - EndpointUpdateBudget.QUEUE_WAIT,
+                        assertTrue(passed < longest - EndpointUpdateBudget.QUEUE_WAIT_MS,
                             mode + ", silence " + fault + ": " + passed + " ms");
                         server.ticker.advance(STEP);
                         passed += STEP;
--- a/src/test/java/kelphollow/program/ReloadTest.java
+++ b/src/test/java/kelphollow/program/ReloadTest.java
@@ -82,7 +82,7 @@
                 assertTrue(old.requests.isEmpty());
 
                 server.reload(next.address());
-                server.ticker.advance((int) (EndpointUpdateBudget.LONG_POLL_WAIT / 2));
+                server.ticker.advance((int) (EndpointUpdateBudget.LONG_POLL_WAIT_MS / 2));
                 assertTrue(next.requests.isEmpty(), "the watch goes on if its address is the same");
             }
         }
--- a/src/test/java/kelphollow/program/StalledWatchTest.java
+++ b/src/test/java/kelphollow/program/StalledWatchTest.java
@@ -45,7 +45,7 @@
     /** Moves the clock on until the program connects again, which it must within the budget. */
     private static ScriptedPeer.Line nextConnection(ScriptedPeer discovery, ServerHarness server, String mode)
         throws Exception {
-        double longest = EndpointUpdateBudget.longestDelay(mode.equals("automatic")) - EndpointUpdateBudget.QUEUE_WAIT;
+        double longest = EndpointUpdateBudget.longestDelay(mode.equals("automatic")) - EndpointUpdateBudget.QUEUE_WAIT_MS;
         ScriptedPeer.Line next = null;
         for (int passed = 0; next == null; passed += STEP) {
             assertTrue(passed < longest, mode + ": " + passed + " ms of silence");
--- a/src/test/java/kelphollow/routing/SendEligibilityTest.java
+++ b/src/test/java/kelphollow/routing/SendEligibilityTest.java
@@ -17,9 +17,9 @@
  * established late.
  */
 class SendEligibilityTest {
-    private static final double TERM = EndpointUpdateBudget.NOTIFIED_AFTER - EndpointUpdateBudget.LOCAL_DELAY;
+    private static final double TERM = EndpointUpdateBudget.NOTIFIED_AFTER_MS - EndpointUpdateBudget.LOCAL_DELAY_MS;
     private final EndpointListLease lease =
-        EndpointListLease.polled(EndpointUpdateBudget.NOTIFIED_AFTER, EndpointUpdateBudget.LOCAL_DELAY, 1);
+        EndpointListLease.polled(EndpointUpdateBudget.NOTIFIED_AFTER_MS, EndpointUpdateBudget.LOCAL_DELAY_MS, 1);
     private final RouterHarness harness = new RouterHarness(lease);
     private final RequestRouter router = harness.router;
 
