--- a/src/main/java/kelphollow/routing/ActionExecutor.java
+++ b/src/main/java/kelphollow/routing/ActionExecutor.java
@@ -9,7 +9,7 @@
 import kelphollow.decision.ControlAction.SetTimer;
 import kelphollow.decision.ControlEvent.TimerFired;
 
-/** Hands each action of the decision module to the part of the router that executes it. Confined to the event loop. */
+/** Dispatches each action of the decision module to the part of the router that executes it. Confined to the event loop. */
 final class ActionExecutor implements ControlAction.Handler<RuntimeException> {
     private final Ticker ticker;
     private final DecisionLoop decisions;
--- a/src/main/java/kelphollow/routing/AdmissionFilter.java
+++ b/src/main/java/kelphollow/routing/AdmissionFilter.java
@@ -4,8 +4,8 @@
 import kelphollow.decision.ControlEvent.RequestArrived;
 
 /**
- * Admission control ahead of the decision module: it may reject a request at once, and is notified of those that the
- * module rejects. Confined to the router's event loop.
+ * Admission control ahead of the decision module: it may reject a request at once, and is notified of the requests that
+ * the module rejects. Confined to the router's event loop.
  */
 public interface AdmissionFilter {
     /** Admits every request. */
@@ -20,11 +20,11 @@
     /**
      * Decides on a request before the decision module is notified of it.
      *
-     * @return empty if the request is admitted; else it is rejected, with a Retry-After of so many milliseconds (0: no
-     *     advice)
+     * @return empty if the request is admitted; else the request is rejected, and this is its Retry-After in milliseconds
+     *     (0: no advice)
      */
     OptionalDouble retryAfter(RequestArrived arrival);
 
-    /** The decision module has rejected an admitted request of which no attempt was sent. */
+    /** The decision module has rejected an admitted request before sending any attempt of it. */
     void rejected(RequestArrived arrival);
 }
--- a/src/main/java/kelphollow/routing/Attempt.java
+++ b/src/main/java/kelphollow/routing/Attempt.java
@@ -1,22 +1,22 @@
 package kelphollow.routing;
 
 /**
- * One sending of a request to one node. A {@link Backend} carries it and reports what becomes of it; only
- * {@link AttemptLifecycle} and this class change its state. Confined to the event loop.
+ * One attempt to send a request to one node. A {@link Backend} carries the attempt and reports its progress and outcome;
+ * only {@link AttemptLifecycle} and this class change its state. Confined to the event loop.
  */
 public final class Attempt {
-    /** The states in their only order; {@link #RESPONDING} is skipped by an answer that is not streamed. */
+    /** The states in the order of their transitions; a response that is not streamed skips {@link #RESPONDING}. */
     private enum State {
-        /** The node may still answer. */
+        /** The node may still respond. */
         IN_FLIGHT,
-        /** The answer is being streamed to the client. */
+        /** The response is being streamed to the client. */
         RESPONDING,
-        /** It has its outcome; whatever is reported later is ignored. */
+        /** The attempt has its outcome; later reports are ignored. */
         ENDED
     }
 
-    /** Shortest time between two notices of progress to the decision module, in milliseconds. */
-    private static final double PROGRESS_INTERVAL = 50;
+    /** Shortest time between two progress notifications to the decision module. */
+    private static final double PROGRESS_INTERVAL_MS = 50;
 
     private final AttemptLifecycle lifecycle;
     private final Request request;
@@ -31,14 +31,16 @@
     private double responseStartedAt = Double.NaN;
     private double lastProgressAt;
     private double responseDueSince;
-    /** How long the event loop had been stalled in all when the response became due. */
+    /** Total time, in milliseconds, for which the event loop had been stalled when the response became due. */
     private double stalledBefore;
 
     /**
+     * Creates an attempt in flight.
+     *
      * @param number of the attempt within its request, from 0
      * @param sentAt clock time now
-     * @param timeoutAt clock time up to which an answer is waited for
-     * @param writeBy clock time before which a retry must begin to be written; 0: no such bound
+     * @param timeoutAt clock time at which the attempt times out without a response
+     * @param writeBy clock time before which the first byte of a retry must be written; 0: no such bound
      */
     Attempt(AttemptLifecycle lifecycle, Request request, int number, ResolvedEndpoint target, double sentAt,
         double timeoutAt, double writeBy) {
@@ -53,17 +55,17 @@
         this.stalledBefore = lifecycle.stalledFor();
     }
 
-    /** The request that it belongs to. */
+    /** The request that the attempt belongs to. */
     public Request request() {
         return request;
     }
 
-    /** The node that it goes to. */
+    /** The node that the attempt is sent to. */
     public ResolvedEndpoint target() {
         return target;
     }
 
-    /** Number of the attempt within its request, from 0. */
+    /** The number of the attempt within its request, from 0. */
     int number() {
         return number;
     }
@@ -80,47 +82,47 @@
         return writeBy;
     }
 
-    /** How long an answer is waited for from now on, in milliseconds; below 0 past the timeout. */
+    /** Milliseconds until the timeout; negative once it has passed. */
     public double remaining() {
         return timeoutAt - lifecycle.now();
     }
 
-    /** Remembers what the backend carries the attempt by; the router makes no use of it. */
+    /** Attaches an object of the backend to the attempt; the router does not use it. */
     public void attach(Object handle) {
         transportHandle = handle;
     }
 
-    /** What the backend carries the attempt by; null before {@link #attach}. */
+    /** The object that the backend attached; null before {@link #attach}. */
     public Object transportHandle() {
         return transportHandle;
     }
 
-    /** Whether it has no outcome yet. */
+    /** Whether the attempt has no outcome yet. */
     public boolean isInFlight() {
         return state != State.ENDED;
     }
 
-    /** Whether its answer is being streamed to the client. */
+    /** Whether the response is being streamed to the client. */
     boolean isResponding() {
         return state == State.RESPONDING;
     }
 
     /**
-     * Whether the first byte may be written now. A backend asks once the connection is up, and writes at once if so.
-     * Guards against a drain, a cancellation, a deadline or the end of an idempotency window that came while the
-     * connection was being established.
+     * Whether the first byte may be written now. A backend asks once the connection is established, and writes at once if
+     * so. Prevents a write after a drain, a cancellation, a deadline or the end of an idempotency window that came while
+     * the connection was being established.
      */
     public boolean maySend() {
         return lifecycle.maySend(this);
     }
 
-    /** The last byte of the request's body has been written: from here on the node owes a response. */
+    /** The last byte of the request's body has been written: the node's response is due from now on. */
     public void requestSent() {
         responseDueSince = lifecycle.now();
         stalledBefore = lifecycle.stalledFor();
     }
 
-    /** The response has begun to be streamed to the client: it has no deadline from here on. */
+    /** The response has begun to be streamed to the client: the attempt has no timeout from now on. */
     public void responseStarted() {
         if (advance(State.RESPONDING)) {
             responseStartedAt = responseSeenAt();
@@ -128,16 +130,16 @@
         }
     }
 
-    /** The node has taken or given part of a body. The decision module is notified at a bounded rate. */
+    /** The node has received or sent part of a body. The decision module is notified at a bounded rate. */
     public void progressed() {
         double now = lifecycle.now();
-        if (isInFlight() && now - lastProgressAt > PROGRESS_INTERVAL) {
+        if (isInFlight() && now - lastProgressAt > PROGRESS_INTERVAL_MS) {
             lastProgressAt = now;
             lifecycle.progressed(this);
         }
     }
 
-    /** The attempt has its outcome. Later calls are ignored, since a cancelled connection may still report its end. */
+    /** Ends the attempt with its outcome. Later calls are ignored, since a cancelled connection may still report its end. */
     public void ended(AttemptResult result) {
         if (isInFlight()) {
             lifecycle.ended(this, result);
@@ -155,7 +157,7 @@
         }
     }
 
-    /** Ends the attempt; true the first time. */
+    /** Ends the attempt; returns true the first time. */
     boolean finish() {
         boolean first = advance(State.ENDED);
         cancelTimeout();
@@ -163,19 +165,20 @@
     }
 
     /**
-     * Latency of the node in milliseconds: from when the response was due until it came, or began where it was streamed.
-     * Guards against taking a client that sends or reads slowly, or this scheduler itself, for a slow node.
+     * The latency of the node in milliseconds: from when the response was due until it came, or until it began if it was
+     * streamed. Excludes the time that a client takes to send or read, and stalls of this scheduler, so that neither makes
+     * the node look slow.
      */
     double latency() {
         return (Double.isNaN(responseStartedAt) ? responseSeenAt() : responseStartedAt) - responseDueSince;
     }
 
-    /** Clock time now, less the time since the response was due in which this scheduler was stalled. */
+    /** The clock time now, minus the time for which this scheduler was stalled since the response was due. */
     private double responseSeenAt() {
         return Math.max(responseDueSince, lifecycle.now() - (lifecycle.stalledFor() - stalledBefore));
     }
 
-    /** The one transition: to a later state only. Returns whether the state has changed. */
+    /** Changes to a later state, never back. Returns whether the state has changed. */
     private boolean advance(State next) {
         if (next.compareTo(state) <= 0) {
             return false;
@@ -184,9 +187,9 @@
         return true;
     }
 
-    /** Names it in the log: request and attempt by the router's numbers, and the node. */
+    /** Names the attempt in the log: request and attempt by the router's numbers, and the node. */
     @Override public String toString() {
-        String suffix = isInFlight() ? " (out)" : "";
+        String suffix = isInFlight() ? " (in flight)" : "";
         return "request " + request.arrival().id() + " attempt " + number + " at " + target.endpoint().node() + suffix;
     }
 }
--- a/src/main/java/kelphollow/routing/AttemptLifecycle.java
+++ b/src/main/java/kelphollow/routing/AttemptLifecycle.java
@@ -12,7 +12,7 @@
 import kelphollow.decision.ControlEvent.ResponseStarted;
 
 /**
- * Attempts from their sending to their outcome. Nothing is written to a node but what {@link SendEligibility} allows,
+ * Manages attempts from their start to their outcome. Only what {@link SendEligibility} allows is written to a node, for
  * first attempts and retries alike. Confined to the event loop.
  */
 final class AttemptLifecycle {
@@ -45,17 +45,17 @@
         return ticker.now();
     }
 
-    /** For how long in all this event loop has been stalled, in milliseconds. */
+    /** Total time for which this event loop has been stalled, in milliseconds. */
     double stalledFor() {
         return stalls.stalledFor();
     }
 
-    /** Begins the next attempt of a request, as the decision module wants. */
+    /** Starts the next attempt of a request, as the decision module decided. */
     void send(SendAttempt action) {
         Request request = requests.find(action.id());
         ResolvedEndpoint target = endpoints.find(action.node());
         if (!Invariant.holds(request != null && target != null,
-            () -> "send of " + action.id() + " to " + action.node())) {
+            () -> "cannot send request " + action.id() + " to node " + action.node() + ": not open, or not listed")) {
             return;
         }
         double now = now();
@@ -74,16 +74,13 @@
         try {
             backend.start(attempt);
         } catch (RuntimeException e) {
-            // A fault in a backend costs one attempt, not the scheduler; whether it was written is not known.
-            LOG.log(Level.WARNING, "attempt at " + attempt.target().endpoint().node() + " failed", e);
+            // A fault in a backend fails one attempt, not the scheduler. RESET: the request may have been written.
+            LOG.log(Level.WARNING, "backend failed to start " + attempt, e);
             attempt.ended(AttemptResult.of(AttemptOutcome.RESET));
         }
     }
 
-    /**
-     * A cancellation may name an attempt of a request that has had its final answer, as long as the attempt is in
-     * flight.
-     */
+    /** Cancels an attempt that is in flight, even if its request has had its final response. */
     void cancel(CancelAttempt action) {
         Attempt attempt = inFlight.get(key(action.id(), action.attempt()));
         if (attempt != null) {
@@ -98,7 +95,7 @@
         }
     }
 
-    /** The attempt's connection is up: whether its first byte may be written now. */
+    /** Whether the attempt's first byte may be written now that its connection is established. */
     boolean maySend(Attempt attempt) {
         SendVerdict verdict = eligibility.verdict(attempt);
         log.eligibilityChecked(attempt, verdict);
@@ -114,10 +111,7 @@
         decisions.handle(new AttemptProgressed(attempt.request().arrival().id(), attempt.number()));
     }
 
-    /**
-     * The attempt has its outcome; the client is answered first if it was served, then the decision module is
-     * notified.
-     */
+    /** Ends the attempt with its outcome: responds to the client if it was served, then notifies the decision module. */
     void ended(Attempt attempt, AttemptResult result) {
         if (!attempt.finish()) {
             return;
@@ -128,7 +122,7 @@
         Request request = attempt.request();
         request.attemptEnded(outcome);
         if (outcome == AttemptOutcome.SERVED) {
-            requests.served(request, result.answer());
+            requests.served(request, result.response());
         }
         decisions.handle(new AttemptEnded(request.arrival().id(), attempt.number(), attempt.target().endpoint().node(),
             outcome,
--- a/src/main/java/kelphollow/routing/DecisionLoop.java
+++ b/src/main/java/kelphollow/routing/DecisionLoop.java
@@ -8,14 +8,14 @@
 import kelphollow.decision.ControlEvent;
 
 /**
- * Feeds events to the decision module one at a time and has the actions executed that it returns. Events raised while
- * actions are executed wait in a queue, so that the module is never entered twice. Confined to the event loop.
+ * Feeds events to the decision module one at a time and executes the actions that it returns. Events raised while actions
+ * are executed wait in a queue, so that the module is never reentered. Confined to the event loop.
  */
 final class DecisionLoop {
     private enum State {
-        /** No action is under way. */
+        /** No action is being executed. */
         IDLE,
-        /** Actions are being executed: new events wait. */
+        /** Actions are being executed; new events wait. */
         EXECUTING
     }
 
@@ -31,31 +31,31 @@
         this.ticker = ticker;
     }
 
-    /** Sets what executes actions; once, before the first event. */
+    /** Sets the executor of actions; called once, before the first event. */
     void setExecutor(ControlAction.Handler<RuntimeException> executor) {
         this.executor = executor;
     }
 
-    /** Clock time of the event to which the actions under way belong. */
+    /** Clock time of the event whose actions are being executed. */
     double decidedAt() {
         return decidedAt;
     }
 
-    /** Executes what the module wants done at its start, then all events that came meanwhile. */
+    /** Executes the actions that the module returns at its start, then handles all events raised meanwhile. */
     void start() {
         state = State.EXECUTING;
         execute(control.start());
         state = State.IDLE;
-        drain();
+        handlePending();
     }
 
-    /** Notifies the module of an event: now, or once the actions under way have been executed. */
+    /** Notifies the module of an event: now, or once the current actions have been executed. */
     void handle(ControlEvent event) {
         pending.add(event);
-        drain();
+        handlePending();
     }
 
-    private void drain() {
+    private void handlePending() {
         if (state == State.EXECUTING) {
             return;
         }
--- a/src/main/java/kelphollow/routing/EndpointList.java
+++ b/src/main/java/kelphollow/routing/EndpointList.java
@@ -11,9 +11,9 @@
 import kelphollow.decision.EndpointListLease;
 
 /**
- * Receives the endpoint list and its updates: keeps the table, the watch and the lease on the list, and notifies the
- * decision module of what it holds and until when that may be acted on. Confined to the event loop, but for {@link
- * #hasReceived}.
+ * Receives the endpoint list and its updates. Maintains the table, the watch and the lease on the list, and notifies the
+ * decision module of the entries and of the time until which they are valid. Confined to the event loop, except for
+ * {@link #hasReceived}.
  */
 final class EndpointList {
     private final Ticker ticker;
@@ -25,10 +25,10 @@
     private Consumer<List<Endpoint>> listener = endpoints -> {};
     private Runnable firstResponse = () -> {};
     private volatile boolean received;
-    /** Until when the list is valid, by the last notice of it to the decision module. */
+    /** Clock time until which the list is valid, as the decision module was last notified. */
     private double notifiedValidUntil = Double.POSITIVE_INFINITY;
 
-    /** {@code closeIdleConnections}: closes the connections to a node that carry nothing. */
+    /** {@code closeIdleConnections}: closes the idle connections to a node. */
     EndpointList(Ticker ticker, DecisionLoop decisions, EndpointTable table, EndpointListLease lease,
         Consumer<String> closeIdleConnections) {
         this.ticker = ticker;
@@ -40,10 +40,10 @@
     }
 
     /**
-     * Begins with the list of this source.
+     * Starts to receive the list from this source.
      *
      * @param pushed whether it comes from an agent that serves this instance alone
-     * @param pollNow whether the watch begins at once, whatever the decision module does
+     * @param pollNow whether the watch begins at once, without the decision module polling
      */
     void start(EndpointSource source, boolean pushed, boolean pollNow) {
         notifyLease();
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Changes to the list of another source; a pushed one is polled at once, else the decision module says when. */
+    /** Changes the source. A pushed list is polled at once; the decision module decides when to poll another. */
     void changeSource(EndpointSource source, boolean pushed) {
         watch.follow(source, pushed);
         lease.sourceChanged(ticker.now());
@@ -65,17 +65,17 @@
         }
     }
 
-    /** Begins the watch, unless it goes on. */
+    /** Begins the watch, unless one is active. */
     void poll() {
         watch.poll();
     }
 
-    /** Takes a complete list that was cached: it renews no lease, and the source is still waited for. */
+    /** Applies a complete cached list. It renews no lease and does not count as received from the source. */
     void restore(List<ResolvedEndpoint> cached) {
         apply(cached, true, true);
     }
 
-    /** Takes a list from the source; {@code asOf}: the clock time up to which it holds all that the source had. */
+    /** Applies a list from the source; {@code asOf}: the clock time up to which it contains all that the source had. */
     void update(List<ResolvedEndpoint> endpoints, boolean complete, double asOf) {
         received = true;
         watch.received();
@@ -92,7 +92,7 @@
         update.unusable().forEach(closeIdleConnections);
     }
 
-    /** A poll made at {@code calledAt}, or its watch, has failed; the list stands as it is. */
+    /** Handles the failure of a poll made at {@code calledAt}, or of its watch; the list stays as it is. */
     void pollFailed(EndpointPollFailure failure, double calledAt) {
         notifyFirstResponse();
         lease.failed(failure, calledAt, ticker.now() - calledAt);
@@ -102,7 +102,7 @@
         notifyLease();
     }
 
-    /** The task runs once, when the source has answered or failed for the first time. */
+    /** Sets a task that runs once, when the source has responded or failed for the first time. */
     void onFirstResponse(Runnable task) {
         firstResponse = task;
     }
@@ -113,17 +113,17 @@
         task.run();
     }
 
-    /** Sets who is notified of the entries of each list from the source, once it has been applied. */
+    /** Sets the listener that gets the entries of each list from the source, once the list has been applied. */
     void onReceived(Consumer<List<Endpoint>> next) {
         listener = next;
     }
 
-    /** Whether a list has come from the source since the start; safe from any thread. */
+    /** Whether a list has been received from the source since the start; safe from any thread. */
     boolean hasReceived() {
         return received;
     }
 
-    /** Notifies the decision module of the lease if it has changed; it must know before what the lease rests on. */
+    /** Notifies the decision module of the lease if it has changed; called after the module knows the entries it covers. */
     private void notifyLease() {
         double validUntil = lease.validUntil();
         if (validUntil != notifiedValidUntil) {
--- a/src/main/java/kelphollow/routing/EndpointOverrides.java
+++ b/src/main/java/kelphollow/routing/EndpointOverrides.java
@@ -9,8 +9,8 @@
 import kelphollow.maintenance.MaintenanceSet;
 
 /**
- * What is laid over the endpoint list: maintenance, by the operators, and ejection, on the word of other instances.
- * Either shows a node to the decision module as draining. Confined to the event loop.
+ * Overrides of the endpoint list: maintenance by the operators, and ejection on the reports of other instances. Either
+ * makes the decision module see a node as draining. Confined to the event loop.
  */
 final class EndpointOverrides {
     private final Ticker ticker;
@@ -18,7 +18,7 @@
     private final EndpointTable table;
     private final Consumer<String> closeIdleConnections;
 
-    /** {@code closeIdleConnections}: closes the connections to a node that carry nothing. */
+    /** {@code closeIdleConnections}: closes the idle connections to a node. */
     EndpointOverrides(Ticker ticker, DecisionLoop decisions, EndpointTable table, Consumer<String> closeIdleConnections) {
         this.ticker = ticker;
         this.decisions = decisions;
@@ -50,7 +50,7 @@
         return wasInMaintenance || endpoint != null;
     }
 
-    /** The entry of a node that may have restarted while it was in maintenance, and is in slow start. */
+    /** The entry of a node after maintenance: the node may have restarted, so it counts as started now, for slow start. */
     private Endpoint restarted(Endpoint endpoint) {
         return new Endpoint(endpoint.node(), endpoint.zone(), endpoint.cell(), endpoint.state(),
             Math.max(endpoint.startedAt(), ticker.now()));
@@ -61,7 +61,7 @@
         MaintenanceSet.Change change = table.maintenance().changeTo(nodes);
         for (String node : change.added()) {
             if (!startMaintenance(node)) {
-                table.maintenance().add(node);   // the list does not name it yet; it is in maintenance once it does
+                table.maintenance().add(node);   // not listed yet; in maintenance from when a list names it
             }
         }
         change.removed().forEach(this::endMaintenance);
--- a/src/main/java/kelphollow/routing/EndpointTable.java
+++ b/src/main/java/kelphollow/routing/EndpointTable.java
@@ -10,12 +10,12 @@
 import kelphollow.maintenance.MaintenanceSet;
 
 /**
- * The endpoint list as it was received last, with addresses, and what is laid over it: nodes in maintenance, and nodes
- * ejected on the word of other instances. The effective state of either is draining. Confined to the event loop.
+ * The endpoint list as last received, with addresses, and its overrides: nodes in maintenance, and nodes ejected on the
+ * reports of other instances. The effective state of an overridden node is draining. Confined to the event loop.
  */
 final class EndpointTable {
     /**
-     * What follows from an update.
+     * The result of an update.
      *
      * @param effective the entries received, in their effective state
      * @param unusable nodes whose idle connections must be closed
@@ -26,17 +26,17 @@
     private final MaintenanceSet maintenance = new MaintenanceSet();
     private Set<String> ejected = Set.of();
 
-    /** The node with its address, or null if the list does not name it. */
+    /** The entry of the node with its address, or null if the list does not name the node. */
     ResolvedEndpoint find(String node) {
         return endpoints.get(node);
     }
 
-    /** The nodes in maintenance, named by the list or not. */
+    /** The nodes in maintenance, whether or not the list names them. */
     MaintenanceSet maintenance() {
         return maintenance;
     }
 
-    /** The entry as the decision module is to see it. */
+    /** The entry with the state that the overrides give it, as the decision module sees it. */
     Endpoint effective(Endpoint endpoint) {
         boolean overridden = maintenance.contains(endpoint.node()) || ejected.contains(endpoint.node());
         if (!overridden || endpoint.state() != EndpointState.HEALTHY) {
@@ -46,12 +46,12 @@
     }
 
     /** Whether new requests may go to the node. */
-    boolean acceptsWork(String node) {
+    boolean acceptsRequests(String node) {
         ResolvedEndpoint found = endpoints.get(node);
         return found != null && effective(found.endpoint()).state() == EndpointState.HEALTHY;
     }
 
-    /** Applies a list that was received: all of it if {@code complete}, else changes only. */
+    /** Applies a received list: all entries if {@code complete}, else changes only. */
     Update update(List<ResolvedEndpoint> received, boolean complete) {
         List<String> unusable = new ArrayList<>();
         if (complete) {
@@ -82,8 +82,7 @@
     }
 
     /**
-     * From now on just these nodes are ejected. Returns the entries whose ejection has changed, in their effective
-     * state.
+     * Replaces the set of ejected nodes. Returns the entries whose ejection has changed, in their effective state.
      */
     List<Endpoint> eject(Set<String> nodes) {
         Set<String> before = ejected;
--- a/src/main/java/kelphollow/routing/EndpointWatch.java
+++ b/src/main/java/kelphollow/routing/EndpointWatch.java
@@ -3,10 +3,10 @@
 import java.util.logging.Logger;
 
 /**
- * Keeps the watch of the endpoint list going. A list that is polled is one service's work for all schedulers, so the
- * decision module says when to poll again after a failure. A pushed one comes from an agent on this machine that
- * serves this scheduler alone: the watch is renewed here. Guards against a scheduler that lives on the list it was
- * started with because no one polls. Confined to the event loop.
+ * Keeps the watch of the endpoint list active. A polled list comes from one service that serves all schedulers, so the
+ * decision module decides when to poll again after a failure. A pushed list comes from an agent on this machine that
+ * serves this scheduler alone, so the watch is renewed here. Prevents a scheduler from running on its initial list because
+ * nothing polls. Confined to the event loop.
  */
 final class EndpointWatch {
     private static final Logger LOG = Logger.getLogger(EndpointWatch.class.getName());
@@ -24,8 +24,7 @@
     }
 
     /**
-     * The list comes from this source from now on, and nothing more from the one before. {@link #poll} begins the
-     * watch.
+     * Replaces the source; the one before is stopped. {@link #poll} begins the watch.
      */
     void follow(EndpointSource next, boolean nextIsPushed) {
         cancelRetry();
@@ -34,20 +33,20 @@
         pushed = nextIsPushed;
     }
 
-    /** Begins the watch, unless it goes on. */
+    /** Begins the watch, unless one is active. */
     void poll() {
         source.watch();
     }
 
-    /** A list has come from the source. */
+    /** Records that the source has sent a list. */
     void received() {
         if (!received) {
             received = true;
-            LOG.info(() -> "endpoint list: first received " + (long) (ticker.now() - startedAt) + " ms after the start");
+            LOG.info(() -> "endpoint list: first received " + (long) (ticker.now() - startedAt) + " ms after start");
         }
     }
 
-    /** The watch has ended. Returns whether the decision module must say when it begins again. */
+    /** Handles the failure of the watch. Returns whether the decision module must decide when to begin it again. */
     boolean failed() {
         if (pushed) {
             cancelRetry();
--- a/src/main/java/kelphollow/routing/FleetRouting.java
+++ b/src/main/java/kelphollow/routing/FleetRouting.java
@@ -7,34 +7,33 @@
 import kelphollow.decision.ControlEvent.Endpoint;
 
 /**
- * What the fleet asks of the routing of its instance, and all that it changes there. {@link RequestRouter} is the one
- * that routes requests; an instance without a data path, as a scale run has them, answers for itself. Confined to one
- * event loop.
+ * The interface by which the fleet queries and changes the routing of its own instance. {@link RequestRouter} implements
+ * it; an instance without a data path, as in a scale run, has an implementation of its own. Confined to one event loop.
  */
 public interface FleetRouting {
     /**
-     * From now on retries at each node are limited to a share of the first attempts there.
+     * Limits the retries at each node to a share of the first attempts there.
      *
-     * @param share of first attempts, 0 and up
-     * @param span in which both are counted, in milliseconds
+     * @param share of the first attempts, 0 or more
+     * @param window in which both are counted, in milliseconds
      */
-    void limitRetries(double share, double span);
+    void limitRetries(double share, double window);
 
-    /** From now on each request is offered to this filter before the decision module is notified of it. */
+    /** Sets the filter that decides on each request before the decision module is notified of it. */
     void setAdmissionFilter(AdmissionFilter filter);
 
-    /** Sets who is notified of the entries of each list from discovery, once it has been applied. */
+    /** Sets the listener that gets the entries of each list from discovery, once the list has been applied. */
     void onEndpointsReceived(Consumer<List<Endpoint>> listener);
 
     /**
-     * Ejects nodes, all of them each time: nothing new goes there from now on. A node that is no longer named serves
-     * again in the state that its list gives it.
+     * Replaces the set of ejected nodes, which get no new requests. A node that leaves the set serves again in the state
+     * that the endpoint list gives it.
      */
     void eject(Set<String> nodes);
 
-    /** Nodes that other instances found unresponsive, all of them each time; they are only probed. */
+    /** Replaces the set of nodes that other instances found unresponsive; these nodes are only probed. */
     void suspect(Set<String> nodes);
 
-    /** Nodes that do not answer this instance, each with the number of attempts since its last answer. */
+    /** Nodes that do not respond to this instance, each with the number of attempts since its last response. */
     Map<String, Integer> unresponsiveNodes();
 }
--- a/src/main/java/kelphollow/routing/Invariant.java
+++ b/src/main/java/kelphollow/routing/Invariant.java
@@ -5,8 +5,8 @@
 import java.util.logging.Logger;
 
 /**
- * Conditions that must hold: asserted where assertions are on ({@code -ea}), counted and logged elsewhere.
- * Thread-safe.
+ * Checks conditions that must always hold. A broken one is counted and logged, and fails as an assertion where assertions
+ * are enabled ({@code -ea}). Thread-safe.
  */
 public final class Invariant {
     private static final Logger LOG = Logger.getLogger(Invariant.class.getName());
@@ -17,14 +17,14 @@
     /**
      * Checks a condition.
      *
-     * @param what names the condition in the log
+     * @param what describes the violation, for the log
      * @return whether it holds
      */
     public static boolean holds(boolean condition, String what) {
         return holds(condition, () -> what);
     }
 
-    /** The same; the name is made only if the condition does not hold. */
+    /** Checks a condition; {@code what} is evaluated only if it does not hold. */
     public static boolean holds(boolean condition, Supplier<String> what) {
         if (!condition) {
             long count = BROKEN.incrementAndGet();
@@ -34,7 +34,7 @@
         return condition;
     }
 
-    /** How many conditions have not held since the start. */
+    /** How many checks have failed since the start. */
     public static long broken() {
         return BROKEN.get();
     }
--- a/src/main/java/kelphollow/routing/Request.java
+++ b/src/main/java/kelphollow/routing/Request.java
@@ -6,17 +6,17 @@
 import kelphollow.decision.ControlEvent.RequestArrived;
 
 /**
- * One request that a front has submitted, until its final answer. Only {@link RequestLifecycle} and
+ * One request that a front has submitted, until its final response. Only {@link RequestLifecycle} and
  * {@link AttemptLifecycle} change it. Confined to the event loop.
  */
 public final class Request {
-    /** The states in their only order; any may be skipped but the first. */
+    /** The states in the order of their transitions; any but the first may be skipped. */
     private enum State {
-        /** It has no final answer yet. */
+        /** The request has no final response yet. */
         OPEN,
-        /** The same, and it was logged as open past its deadline. */
+        /** The request has no final response yet, and was logged as open past its deadline. */
         OVERDUE,
-        /** It has had its final answer, or its client has disconnected. */
+        /** The request has had its final response, or its client has disconnected. */
         FINISHED
     }
 
@@ -33,12 +33,12 @@
         this.callback = callback;
     }
 
-    /** What the decision module was notified of. */
+    /** The arrival that the decision module was notified of. */
     public RequestArrived arrival() {
         return arrival;
     }
 
-    /** What the front wants sent; the backend of the same protocol knows its form. */
+    /** What the front submitted, in the form that the backend of the same protocol sends. */
     public Object message() {
         return message;
     }
@@ -55,7 +55,7 @@
         return attempts.size();
     }
 
-    /** All attempts in the order of their sending, for the log. */
+    /** All attempts in the order in which they were started, for the log. */
     List<Attempt> attempts() {
         return attempts;
     }
@@ -68,25 +68,25 @@
         return state == State.FINISHED;
     }
 
-    /** It has its final answer, or needs none any more. */
+    /** Closes the request: it has its final response, or needs none any more. */
     void finish() {
         advance(State.FINISHED);
     }
 
     /**
-     * Marks the request as open past its deadline. True the first time, and never while an answer is being streamed,
-     * which has no deadline.
+     * Marks the request as open past its deadline. Returns true the first time, and never while a response is being
+     * streamed, which has no deadline.
      */
     boolean becomesOverdue() {
         return attempts.stream().noneMatch(Attempt::isResponding) && advance(State.OVERDUE);
     }
 
-    /** Whether its last attempt has timed out, or one is still in flight. */
+    /** Whether the last attempt timed out, or one is still in flight. */
     boolean timedOut() {
         return lastOutcome == AttemptOutcome.TIMED_OUT || attempts.stream().anyMatch(Attempt::isInFlight);
     }
 
-    /** The one transition: to a later state only. Returns whether the state has changed. */
+    /** Changes to a later state, never back. Returns whether the state has changed. */
     private boolean advance(State next) {
         if (next.compareTo(state) <= 0) {
             return false;
--- a/src/main/java/kelphollow/routing/RequestCounters.java
+++ b/src/main/java/kelphollow/routing/RequestCounters.java
@@ -7,8 +7,7 @@
 import kelphollow.decision.EndpointListLease;
 
 /**
- * Counts what became of requests and attempts since the start, by reason. Constant memory; confined to the event
- * loop.
+ * Counts the outcomes of requests and attempts since the start, by reason. Constant memory; confined to the event loop.
  */
 final class RequestCounters {
     private long submitted;
@@ -20,7 +19,7 @@
     private final Map<Reason, Long> failed = new EnumMap<>(Reason.class);
     private final Map<AttemptOutcome, Long> attempts = new EnumMap<>(AttemptOutcome.class);
     private final Map<SendVerdict, Long> notSent = new EnumMap<>(SendVerdict.class);
-    /** Attempts sent, by what the lease on the endpoint list rested on. */
+    /** Attempts sent, by the state of the lease on the endpoint list. */
     private final Map<EndpointListLease.State, Long> sent = new EnumMap<>(EndpointListLease.State.class);
 
     void submitted() {
--- a/src/main/java/kelphollow/routing/RequestLifecycle.java
+++ b/src/main/java/kelphollow/routing/RequestLifecycle.java
@@ -8,8 +8,8 @@
 import kelphollow.decision.ControlEvent.RequestArrived;
 
 /**
- * Takes requests from fronts and sees to it that each gets exactly one final answer: served, rejected or failed, or none
- * once its client has disconnected. Confined to the event loop.
+ * Accepts requests from fronts and ensures that each gets exactly one final response (served, rejected or failed), or
+ * none once its client has disconnected. Confined to the event loop.
  */
 final class RequestLifecycle {
     private static final int ID_RADIX = 36;
@@ -20,19 +20,19 @@
     private AdmissionFilter admission = AdmissionFilter.ADMIT_ALL;
     private long nextId;
 
-    /** {@code open}: the requests without a final answer by their ids; only this object changes it. */
+    /** {@code open}: the requests without a final response, by id; only this object changes the map. */
     RequestLifecycle(Map<String, Request> open, DecisionLoop decisions, RequestLog log) {
         this.open = open;
         this.decisions = decisions;
         this.log = log;
     }
 
-    /** From now on each request is offered to this filter before the decision module is notified of it. */
+    /** Sets the filter that decides on each request before the decision module is notified of it. */
     void setAdmissionFilter(AdmissionFilter filter) {
         admission = filter;
     }
 
-    /** Takes a request, under an id of the router's own; see {@link RequestRouter#submit}. */
+    /** Accepts a request under an id that the router assigns; see {@link RequestRouter#submit}. */
     Request submit(RequestArrived arrival, Object message, ResponseCallback callback) {
         RequestArrived numbered = numbered(arrival);
         Request request = new Request(numbered, message, callback);
@@ -63,7 +63,7 @@
         return open.size();
     }
 
-    /** The client has disconnected: no answer is owed, and attempts in flight are cancelled. */
+    /** The client has disconnected: the request needs no response, and attempts in flight are cancelled. */
     void clientDisconnected(Request request) {
         if (request.isFinished()) {
             return;
@@ -73,17 +73,17 @@
         decisions.handle(new ClientDisconnected(request.arrival().id()));
     }
 
-    /** An attempt was answered with success. That is the final answer, unless the request has had one. */
-    void served(Request request, Object answer) {
+    /** An attempt succeeded. Its response is the final one, unless the request is already finished. */
+    void served(Request request, Object response) {
         if (request.isFinished()) {
             return;
         }
         close(request);
         log.served();
-        request.callback().served(answer);
+        request.callback().served(response);
     }
 
-    /** Gives the final answer that the decision module wants. */
+    /** Gives the request its final response: rejected, as the decision module decided. */
     void reject(RejectRequest action) {
         Request request = conclude(action.id());
         if (request == null) {
@@ -96,7 +96,7 @@
         request.callback().rejected(action.retryAfter(), request.timedOut());
     }
 
-    /** Gives the final answer that the decision module wants. */
+    /** Gives the request its final response: failed, as the decision module decided. */
     void fail(FailRequest action) {
         Request request = conclude(action.id());
         if (request == null) {
@@ -106,10 +106,11 @@
         request.callback().failed(request.timedOut());
     }
 
-    /** Closes the request for its final answer; null, and an invariant broken, if it has had one. */
+    /** Closes the request for its final response. Returns null and reports a broken invariant if it is not open. */
     private Request conclude(String id) {
         Request request = open.get(id);
-        if (!Invariant.holds(request != null && !request.isFinished(), () -> "one final answer for " + id)) {
+        if (!Invariant.holds(request != null && !request.isFinished(),
+            () -> "final response to request " + id + ", which is not open")) {
             return null;
         }
         close(request);
--- a/src/main/java/kelphollow/routing/RequestLog.java
+++ b/src/main/java/kelphollow/routing/RequestLog.java
@@ -7,38 +7,38 @@
 import kelphollow.decision.EndpointListLease;
 
 /**
- * Logs what becomes of requests and attempts: the counters as one line every {@link #COUNTERS_INTERVAL} ms while they
- * change, and single cases that should be rare at a bounded rate. Decides nothing. Confined to the event loop.
+ * Logs the outcomes of requests and attempts: the counters as one line every {@link #COUNTERS_INTERVAL_MS} while they
+ * change, and single cases that should be rare at a bounded rate. Has no effect on routing. Confined to the event loop.
  */
 final class RequestLog {
     private static final Logger LOG = Logger.getLogger(RequestLog.class.getName());
-    /** How often the counters are logged while they change, in milliseconds. */
-    private static final double COUNTERS_INTERVAL = 10_000;
-    /** How long past its deadline an open request is logged, and how often they are inspected, in milliseconds. */
-    private static final double OVERDUE = 200;
+    /** How often the counters are logged while they change. */
+    private static final double COUNTERS_INTERVAL_MS = 10_000;
+    /** How long past its deadline an open request is logged as overdue, and how often open requests are inspected. */
+    private static final double OVERDUE_AFTER_MS = 200;
 
     private final Ticker ticker;
     private final Collection<Request> open;
     private final EndpointListLease lease;
     private boolean disabled;
     private final RequestCounters counters = new RequestCounters();
-    private final BoundedLog notSent = new BoundedLog(LOG);
-    private final BoundedLog unconfirmed = new BoundedLog(LOG);
-    private final BoundedLog overdue = new BoundedLog(LOG);
+    private final RateLimitedLog notSent = new RateLimitedLog(LOG);
+    private final RateLimitedLog unconfirmed = new RateLimitedLog(LOG);
+    private final RateLimitedLog overdue = new RateLimitedLog(LOG);
 
-    /** {@code open}: a view of the requests that have no final answer yet. */
+    /** {@code open}: a view of the requests that have no final response yet. */
     RequestLog(Ticker ticker, Collection<Request> open, EndpointListLease lease) {
         this.ticker = ticker;
         this.open = open;
         this.lease = lease;
     }
 
-    /** From now on nothing is logged, as for a warm-up. */
+    /** Turns logging off, as for a warm-up. */
     void disable() {
         disabled = true;
     }
 
-    /** Starts the lines that are logged by time; they end with the loop. */
+    /** Starts the periodic log lines; they end with the event loop. */
     void start() {
         if (disabled) {
             return;
@@ -48,7 +48,7 @@
     }
 
     private void scheduleCounters(String logged) {
-        ticker.after(COUNTERS_INTERVAL, () -> {
+        ticker.after(COUNTERS_INTERVAL_MS, () -> {
             String summary = counters.summary();
             if (!summary.equals(logged)) {
                 LOG.info(summary);
@@ -61,16 +61,16 @@
         double now = ticker.now();
         for (Request request : open) {
             double deadline = request.arrival().deadline();
-            if (now > deadline + OVERDUE && request.becomesOverdue()) {
+            if (now > deadline + OVERDUE_AFTER_MS && request.becomesOverdue()) {
                 counters.overdue();
-                overdue.info(now, () -> "request " + request.arrival().id() + " has no final answer "
+                overdue.info(now, () -> "request " + request.arrival().id() + " has no final response "
                     + (long) (now - deadline) + " ms after its deadline: " + request.attempts());
             }
         }
-        ticker.after(OVERDUE, this::inspectOverdue);
+        ticker.after(OVERDUE_AFTER_MS, this::inspectOverdue);
     }
 
-    /** All counters as one line. */
+    /** All counters as one log line. */
     String summary() {
         return counters.summary();
     }
@@ -105,7 +105,7 @@
         counters.attemptEnded(outcome);
     }
 
-    /** An attempt's connection is up, and this is the verdict on its first byte. */
+    /** Logs the verdict on the first byte of an attempt whose connection is established. */
     void eligibilityChecked(Attempt attempt, SendVerdict verdict) {
         if (disabled) {
             return;
@@ -120,7 +120,7 @@
         EndpointListLease.State state = lease.state(now);
         counters.sent(state);
         if (state != EndpointListLease.State.CURRENT) {
-            unconfirmed.info(now, () -> attempt + " is sent by an unconfirmed endpoint list: " + state);
+            unconfirmed.info(now, () -> attempt + " is sent with an unconfirmed endpoint list: " + state);
         }
     }
 }
--- a/src/main/java/kelphollow/routing/RequestRouter.java
+++ b/src/main/java/kelphollow/routing/RequestRouter.java
@@ -18,9 +18,9 @@
 import kelphollow.decision.EndpointListLease;
 
 /**
- * Routes requests from fronts to backends as the decision module wants. This is the facade; behind it are the
- * lifecycles of requests and of attempts, the endpoint list with its overrides, and the loop that feeds the decision
- * module. Knows no wire protocol. Confined to one event loop, but for {@link #hasReceivedEndpoints}.
+ * Routes requests from fronts to backends as the decision module decides. This is the facade of the lifecycles of requests
+ * and of attempts, the endpoint list with its overrides, and the loop that feeds the decision module. Independent of any
+ * wire protocol. Confined to one event loop, except for {@link #hasReceivedEndpoints}.
  */
 public final class RequestRouter implements FleetRouting {
     private final Control control;
@@ -32,12 +32,12 @@
     private final StallDetector stalls;
     private final RequestLog log;
 
-    /** A router whose endpoint list may be acted on whatever its age. */
+    /** Creates a router that uses its endpoint list whatever its age. */
     public RequestRouter(Control control, Ticker ticker, Backend backend) {
         this(control, ticker, backend, EndpointListLease.unbounded());
     }
 
-    /** A router that sends only while the lease on its endpoint list lasts. */
+    /** Creates a router that sends only while the lease on its endpoint list is valid. */
     public RequestRouter(Control control, Ticker ticker, Backend backend, EndpointListLease lease) {
         Map<String, Request> open = new HashMap<>();
         this.control = control;
@@ -48,18 +48,18 @@
         this.endpoints = new EndpointList(ticker, decisions, table, lease, backend::closeIdleConnections);
         this.overrides = new EndpointOverrides(ticker, decisions, table, backend::closeIdleConnections);
         this.requests = new RequestLifecycle(open, decisions, log);
-        SendEligibility eligibility = new SendEligibility(ticker, table::acceptsWork, lease);
+        SendEligibility eligibility = new SendEligibility(ticker, table::acceptsRequests, lease);
         AttemptLifecycle attempts =
             new AttemptLifecycle(ticker, backend, decisions, requests, table, eligibility, stalls, log);
         decisions.setExecutor(new ActionExecutor(ticker, decisions, requests, attempts, endpoints));
     }
 
     /**
-     * Starts the decision module and the watch of the endpoint list. A pushed list is polled at once; one of a shared
-     * service when the module says so, the first time too.
+     * Starts the decision module and the watch of the endpoint list. A pushed list is polled at once; a list from a shared
+     * service only when the module decides to, the first time too.
      *
      * @param source where the list comes from
-     * @param pushed whether that is an agent on this machine, which serves this instance alone
+     * @param pushed whether the source is an agent on this machine, which serves this instance alone
      */
     public void start(EndpointSource source, boolean pushed) {
         endpoints.start(source, pushed, pushed || !control.pollsEndpoints());
@@ -69,19 +69,19 @@
     }
 
     /**
-     * Starts the graceful shutdown: all requests that are open or still arrive have their final answer by this clock
+     * Starts the graceful shutdown: all requests that are open or still arrive get their final response by this clock
      * time.
      */
     public void startShutdown(double deadline) {
         decisions.handle(new ShutdownStarted(deadline));
     }
 
-    /** New classes and attempts bind from now on; requests under way keep their class. */
+    /** Replaces the request classes and the maximum number of attempts; open requests keep their class. */
     public void changeSettings(List<RequestClass> classes, int maxAttempts) {
         decisions.handle(new SettingsChanged(classes, maxAttempts));
     }
 
-    /** Restores the tokens that an earlier process has left of volumes' limits; before the first request. */
+    /** Restores the tokens that an earlier process left of volumes' limits; called before the first request. */
     public void restoreLimits(Map<String, Double> tokens) {
         decisions.handle(new LimitsRestored(tokens));
     }
@@ -91,12 +91,12 @@
         return control.limitTokens();
     }
 
-    /** From now on nothing is logged of its requests, as for a warm-up. */
+    /** Turns logging of requests off, as for a warm-up. */
     public void disableLogging() {
         log.disable();
     }
 
-    /** What became of requests and attempts since the start, as one line. */
+    /** The counters of requests and attempts since the start, as one log line. */
     public String counters() {
         return log.summary();
     }
@@ -104,23 +104,23 @@
     // ---------------------------------------------------------------- requests
 
     /**
-     * Submits a request. The router replaces the id in {@code arrival} by one of its own, since a client's id proves
-     * nothing: two clients may send the same.
+     * Submits a request. The router replaces the id in {@code arrival} by one of its own, since two clients may send the
+     * same id.
      *
      * @param arrival what the decision module is notified of
-     * @param message what is to be sent, for the backend of the same protocol
-     * @param callback gets the final answer, maybe before this call returns
+     * @param message what is to be sent, in the form that the backend of the same protocol expects
+     * @param callback gets the final response, possibly before this call returns
      */
     public Request submit(RequestArrived arrival, Object message, ResponseCallback callback) {
         return requests.submit(arrival, message, callback);
     }
 
-    /** The client has disconnected: no answer is owed any more, and attempts in flight are cancelled. */
+    /** The client has disconnected: the request needs no response, and attempts in flight are cancelled. */
     public void clientDisconnected(Request request) {
         requests.clientDisconnected(request);
     }
 
-    /** How many requests have no final answer yet. */
+    /** How many requests have no final response yet. */
     public int openRequests() {
         return requests.openCount();
     }
@@ -131,38 +131,38 @@
 
     // ---------------------------------------------------------------- endpoint list
 
-    /** Takes a complete endpoint list that was cached, to be used until its source has answered. */
+    /** Applies a complete cached endpoint list, to be used until the source has responded. */
     public void restoreEndpoints(List<ResolvedEndpoint> cached) {
         endpoints.restore(cached);
     }
 
-    /** Takes an endpoint list that is up to date for as long as no other comes. */
+    /** Applies an endpoint list that counts as up to date until the next one. */
     public void updateEndpoints(List<ResolvedEndpoint> received, boolean complete) {
         updateEndpoints(received, complete, Double.POSITIVE_INFINITY);
     }
 
     /**
-     * Takes an endpoint list from its source.
+     * Applies an endpoint list from its source.
      *
      * @param received the entries
      * @param complete whether these are all entries, or changes only
-     * @param asOf clock time: what the source had by then is in this list and in earlier ones
+     * @param asOf clock time up to which this list and earlier ones contain all that the source had
      */
     public void updateEndpoints(List<ResolvedEndpoint> received, boolean complete, double asOf) {
         endpoints.update(received, complete, asOf);
     }
 
-    /** A poll made at {@code calledAt}, or its watch, has failed; the endpoint list stands as it is. */
+    /** Handles the failure of a poll made at {@code calledAt}, or of its watch; the endpoint list stays as it is. */
     public void endpointPollFailed(EndpointPollFailure failure, double calledAt) {
         endpoints.pollFailed(failure, calledAt);
     }
 
-    /** From now on the list comes from another source, which is polled soon; open requests go on. */
+    /** Changes the source of the endpoint list; the new one is polled soon, and open requests continue. */
     public void changeEndpointSource(EndpointSource source, boolean pushed) {
         endpoints.changeSource(source, pushed);
     }
 
-    /** The task runs once, when the source has answered or failed for the first time. */
+    /** Sets a task that runs once, when the source has responded or failed for the first time. */
     public void onFirstResponse(Runnable task) {
         endpoints.onFirstResponse(task);
     }
@@ -171,20 +171,20 @@
         endpoints.onReceived(listener);
     }
 
-    /** Whether a list has come from the source since the start, not only a cached one. Safe from any thread. */
+    /** Whether a list has been received from the source since the start; a cached list does not count. Thread-safe. */
     public boolean hasReceivedEndpoints() {
         return endpoints.hasReceived();
     }
 
     /** Whether new requests may go to the node. */
-    boolean acceptsWork(String node) {
-        return table.acceptsWork(node);
+    boolean acceptsRequests(String node) {
+        return table.acceptsRequests(node);
     }
 
     // ---------------------------------------------------------------- overrides of the endpoint list
 
     /**
-     * Takes the node out for maintenance: nothing new goes to it from now on, and its idle connections are closed.
+     * Puts the node into maintenance: it gets no new requests, and its idle connections are closed.
      *
      * @return false, and nothing is changed, if no list names the node and it is not in maintenance
      */
@@ -193,7 +193,7 @@
     }
 
     /**
-     * Lets the node serve again. It may have restarted meanwhile, so it counts as started now and is in slow start.
+     * Ends the node's maintenance. It may have restarted meanwhile, so it counts as started now and is in slow start.
      *
      * @return false if the node is neither in maintenance nor named by a list
      */
@@ -201,7 +201,7 @@
         return overrides.endMaintenance(node);
     }
 
-    /** Starts and ends maintenance until just these nodes are in it, as another process wrote. */
+    /** Starts and ends maintenance so that exactly these nodes are in it, as another process recorded. */
     public void setNodesInMaintenance(Set<String> nodes) {
         overrides.setNodesInMaintenance(nodes);
     }
@@ -215,14 +215,14 @@
         overrides.eject(nodes);
     }
 
-    // ---------------------------------------------------------------- the fleet's findings
+    // ---------------------------------------------------------------- fleet
 
     @Override public void suspect(Set<String> nodes) {
         decisions.handle(new NodesSuspected(nodes));
     }
 
-    @Override public void limitRetries(double share, double span) {
-        decisions.handle(new RetryBudgetChanged(share, span));
+    @Override public void limitRetries(double share, double window) {
+        decisions.handle(new RetryBudgetChanged(share, window));
     }
 
     @Override public Map<String, Integer> unresponsiveNodes() {
--- a/src/main/java/kelphollow/routing/ResolvedEndpoint.java
+++ b/src/main/java/kelphollow/routing/ResolvedEndpoint.java
@@ -6,7 +6,7 @@
 /**
  * A storage node of the endpoint list, with the address that only backends need.
  *
- * @param endpoint its entry
- * @param address where it listens
+ * @param endpoint the node's entry
+ * @param address the address on which it listens
  */
 public record ResolvedEndpoint(Endpoint endpoint, InetSocketAddress address) {}
--- a/src/main/java/kelphollow/routing/ResponseCallback.java
+++ b/src/main/java/kelphollow/routing/ResponseCallback.java
@@ -5,11 +5,11 @@
  * disconnected. Called on the router's event loop.
  */
 public interface ResponseCallback {
-    /** A node has served the request; {@code answer} is what the backend of the same protocol made of it. */
-    void served(Object answer);
+    /** A node has served the request; {@code response} is its response as the backend of the same protocol gives it. */
+    void served(Object response);
 
     /**
-     * The request is rejected: it was not executed, and the client may safely retry.
+     * The request is rejected: it was not executed, and the client may retry safely.
      *
      * @param retryAfter milliseconds after which a retry may succeed; 0: no advice
      * @param timedOut whether its last attempt timed out
--- a/src/main/java/kelphollow/routing/SendEligibility.java
+++ b/src/main/java/kelphollow/routing/SendEligibility.java
@@ -4,21 +4,21 @@
 import kelphollow.decision.EndpointListLease;
 
 /**
- * The one place that says whether something may be sent to a node, first attempts and retries alike. It is asked when the
- * decision module has decided to send, as a check of the module, and again when the connection is up, before the
- * first byte: what was true at the decision may have ended while the connection was being established. It goes by
- * facts only: the state of the request and of the attempt, the time, the endpoint list with its overrides, and the
- * lease on that list. Confined to the event loop.
+ * The only check whether an attempt may be sent to a node, for first attempts and retries alike. It runs when the decision
+ * module has decided to send, to verify the module, and again when the connection is established, before the first byte:
+ * what held at the decision may have ended while the connection was being established. It depends only on the state of
+ * the request and of the attempt, the time, the endpoint list with its overrides, and the lease on that list. Confined to
+ * the event loop.
  */
 final class SendEligibility {
     private final Ticker ticker;
-    private final Predicate<String> acceptsWork;
+    private final Predicate<String> acceptsRequests;
     private final EndpointListLease lease;
 
-    /** {@code acceptsWork}: whether new requests may go to a node by the endpoint list and its overrides. */
-    SendEligibility(Ticker ticker, Predicate<String> acceptsWork, EndpointListLease lease) {
+    /** {@code acceptsRequests}: whether the endpoint list and its overrides allow new requests to a node. */
+    SendEligibility(Ticker ticker, Predicate<String> acceptsRequests, EndpointListLease lease) {
         this.ticker = ticker;
-        this.acceptsWork = acceptsWork;
+        this.acceptsRequests = acceptsRequests;
         this.lease = lease;
     }
 
@@ -40,16 +40,16 @@
         if (attempt.writeBy() > 0 && now >= attempt.writeBy()) {
             return SendVerdict.IDEMPOTENCY_WINDOW_EXPIRED;
         }
-        if (!acceptsWork.test(attempt.target().endpoint().node())) {
+        if (!acceptsRequests.test(attempt.target().endpoint().node())) {
             return SendVerdict.ENDPOINT_NOT_ELIGIBLE;
         }
         return lease.isValid(now) ? SendVerdict.ALLOWED : SendVerdict.LEASE_EXPIRED;
     }
 
-    /** The decision module has decided at this time to send: an invariant is broken if that was not allowed then. */
+    /** Reports a broken invariant if the attempt was not allowed when the decision module decided to send it. */
     void checkDecision(Attempt attempt, double decidedAt) {
         SendVerdict verdict = verdict(attempt, decidedAt);
         Invariant.holds(verdict == SendVerdict.ALLOWED,
-            () -> "the module sends what may not be sent: " + attempt + ", " + verdict);
+            () -> "decision module sent an attempt that may not be sent: " + attempt + ", " + verdict);
     }
 }
--- a/src/main/java/kelphollow/routing/SendVerdict.java
+++ b/src/main/java/kelphollow/routing/SendVerdict.java
@@ -2,7 +2,7 @@
 
 /** Whether the first byte of an attempt may be written now, and if not, why. */
 public enum SendVerdict {
-    /** It may. */
+    /** The first byte may be written. */
     ALLOWED,
     /** The attempt has ended, by its timeout or by a cancellation. */
     ATTEMPT_ENDED,
@@ -10,10 +10,10 @@
     REQUEST_FINISHED,
     /** The timeout of the attempt has passed. */
     DEADLINE_EXCEEDED,
-    /** It is a retry, and nodes may have forgotten the idempotency key by now. */
+    /** The attempt is a retry, and nodes may have forgotten the idempotency key by now. */
     IDEMPOTENCY_WINDOW_EXPIRED,
     /** The node is draining, not on the endpoint list, in maintenance or ejected. */
     ENDPOINT_NOT_ELIGIBLE,
-    /** The lease on the endpoint list has expired, or has not begun. */
+    /** The lease on the endpoint list has expired or has not begun. */
     LEASE_EXPIRED
 }
--- a/src/main/java/kelphollow/routing/StallDetector.java
+++ b/src/main/java/kelphollow/routing/StallDetector.java
@@ -1,15 +1,14 @@
 package kelphollow.routing;
 
 /**
- * Measures for how long an event loop has been stalled: a heartbeat on a timer, and by how much each is late. Guards
- * against taking the scheduler's own stalls, at its start or when its share of the processor is used up, for slow nodes.
- * Confined to that loop.
+ * Measures for how long an event loop has been stalled, by the lateness of a periodic heartbeat. Prevents stalls of the
+ * scheduler itself, at its start or when its CPU share is used up, from being taken for slow nodes. Confined to that loop.
  */
 final class StallDetector {
-    /** Time between two heartbeats, in milliseconds: short against any node's latency that counts. */
-    private static final double HEARTBEAT_INTERVAL = 10;
-    /** Lateness of a heartbeat that is no stall, in milliseconds. */
-    private static final double TOLERANCE = 5;
+    /** Time between two heartbeats; short compared with any node latency that matters. */
+    private static final double HEARTBEAT_INTERVAL_MS = 10;
+    /** Lateness of a heartbeat up to which it is not a stall. */
+    private static final double TOLERANCE_MS = 5;
 
     private final Ticker ticker;
     private double nextHeartbeatAt;
@@ -19,7 +18,7 @@
         this.ticker = ticker;
     }
 
-    /** Starts the heartbeats; they end with the loop. */
+    /** Starts the heartbeats; they end with the event loop. */
     void start() {
         nextHeartbeatAt = ticker.now();
         heartbeat();
@@ -27,12 +26,12 @@
 
     private void heartbeat() {
         stalledBefore = stalledFor();
-        nextHeartbeatAt = ticker.now() + HEARTBEAT_INTERVAL;
-        ticker.after(HEARTBEAT_INTERVAL, this::heartbeat);
+        nextHeartbeatAt = ticker.now() + HEARTBEAT_INTERVAL_MS;
+        ticker.after(HEARTBEAT_INTERVAL_MS, this::heartbeat);
     }
 
-    /** For how long in all, in milliseconds, the loop has had no processor or no time for what came in. */
+    /** Total milliseconds for which the event loop got no CPU time or had no time for new input. */
     double stalledFor() {
-        return stalledBefore + Math.max(0, ticker.now() - nextHeartbeatAt - TOLERANCE);
+        return stalledBefore + Math.max(0, ticker.now() - nextHeartbeatAt - TOLERANCE_MS);
     }
 }
--- a/src/test/java/kelphollow/routing/EndpointTableTest.java
+++ b/src/test/java/kelphollow/routing/EndpointTableTest.java
@@ -30,7 +30,7 @@
         assertEquals(List.of("a"), update.unusable());
         assertNull(table.find("a"));
         assertNotNull(table.find("b"));
-        assertTrue(table.acceptsWork("c"));
+        assertTrue(table.acceptsRequests("c"));
     }
 
     @Test void aChangeLeavesWhatItDoesNotName() {
@@ -39,7 +39,7 @@
         EndpointTable.Update update = table.update(List.of(RouterHarness.node("b", EndpointState.REMOVED)), false);
 
         assertEquals(List.of("b"), update.unusable());
-        assertTrue(table.acceptsWork("a"));
+        assertTrue(table.acceptsRequests("a"));
         assertNull(table.find("b"));
     }
 
@@ -58,9 +58,9 @@
         List<Endpoint> changed = table.eject(Set.of("a"));
 
         assertEquals(List.of(new Endpoint("a", "z", 0, EndpointState.DRAINING, 5)), changed);
-        assertFalse(table.acceptsWork("a"));
+        assertFalse(table.acceptsRequests("a"));
         assertEquals(List.of(new Endpoint("a", "z", 0, EndpointState.HEALTHY, 5)), table.eject(Set.of()));
-        assertTrue(table.acceptsWork("a"));
+        assertTrue(table.acceptsRequests("a"));
     }
 
     @Test void aNodeInMaintenanceIsShownAsDrainingWhateverListsSay() {
@@ -70,6 +70,6 @@
 
         assertEquals(List.of(new Endpoint("a", "z", 0, EndpointState.DRAINING, 5)), update.effective());
         assertEquals(List.of("a"), update.unusable());
-        assertFalse(table.acceptsWork("a"));
+        assertFalse(table.acceptsRequests("a"));
     }
 }
--- a/src/test/java/kelphollow/routing/MaintenanceTest.java
+++ b/src/test/java/kelphollow/routing/MaintenanceTest.java
@@ -60,7 +60,7 @@
 
         assertFalse(harness.sent.isEmpty());
         assertFalse(harness.sentTo().contains("a"), harness.sentTo().toString());
-        assertFalse(router.acceptsWork("a"));
+        assertFalse(router.acceptsRequests("a"));
     }
 
     @Test void anIdThatNoListNamesIsRejected() {
@@ -82,7 +82,7 @@
         assertTrue(harness.sent.isEmpty(), "its only node is in maintenance");
 
         assertTrue(router.endMaintenance("a"));
-        assertTrue(router.acceptsWork("a"));
+        assertTrue(router.acceptsRequests("a"));
         assertEquals(Set.of(), router.nodesInMaintenance(), "one call ends it after two have started it");
         submit(3);
         assertTrue(harness.sentTo().contains("a"));
@@ -93,13 +93,13 @@
 
         router.setNodesInMaintenance(Set.of("a", "later"));
         assertEquals(Set.of("a", "later"), router.nodesInMaintenance());
-        assertFalse(router.acceptsWork("a"));
+        assertFalse(router.acceptsRequests("a"));
 
         router.updateEndpoints(RouterHarness.healthy("later"), false);
-        assertFalse(router.acceptsWork("later"), "it began before the node was listed, and holds when it is");
+        assertFalse(router.acceptsRequests("later"), "it began before the node was listed, and holds when it is");
 
         router.setNodesInMaintenance(Set.of());
-        assertTrue(router.acceptsWork("a"));
-        assertTrue(router.acceptsWork("later"));
+        assertTrue(router.acceptsRequests("a"));
+        assertTrue(router.acceptsRequests("later"));
     }
 }
--- a/src/test/java/kelphollow/routing/BoundedLogTest.java
+++ b/src/test/java/kelphollow/routing/RateLimitedLogTest.java
@@ -9,13 +9,13 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
 
-/** A bounded number of lines in each period, and the number of those that were suppressed. */
-class BoundedLogTest {
+/** Each period logs a bounded number of lines and the number of those suppressed before. */
+class RateLimitedLogTest {
     private final List<String> lines = new ArrayList<>();
     private final Logger logger = Logger.getAnonymousLogger();
-    private final BoundedLog log = new BoundedLog(logger);
+    private final RateLimitedLog log = new RateLimitedLog(logger);
 
-    BoundedLogTest() {
+    RateLimitedLogTest() {
         logger.setUseParentHandlers(false);
         logger.addHandler(new Handler() {
             @Override public void publish(LogRecord line) {
@@ -35,18 +35,18 @@
     }
 
     @Test void linesOfAPeriodAreBounded() {
-        log(1_000, BoundedLog.LINES + 5);
+        log(1_000, RateLimitedLog.MAX_LINES + 5);
 
-        assertEquals(BoundedLog.LINES, lines.size());
+        assertEquals(RateLimitedLog.MAX_LINES, lines.size());
     }
 
     @Test void theFirstLineOfTheNextPeriodSaysHowManyWereSuppressed() {
-        log(1_000, BoundedLog.LINES + 5);
-        log(1_000 + BoundedLog.PERIOD - 1, 1);
+        log(1_000, RateLimitedLog.MAX_LINES + 5);
+        log(1_000 + RateLimitedLog.PERIOD_MS - 1, 1);
         lines.clear();
 
-        log(1_000 + BoundedLog.PERIOD, 2);
+        log(1_000 + RateLimitedLog.PERIOD_MS, 2);
 
-        assertEquals(List.of("line (6 like this were suppressed before)", "line"), lines);
+        assertEquals(List.of("line (6 similar lines were suppressed)", "line"), lines);
     }
 }
--- a/src/test/java/kelphollow/routing/SendEligibilityTest.java
+++ b/src/test/java/kelphollow/routing/SendEligibilityTest.java
@@ -91,7 +91,7 @@
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
 
         assertEquals(2, process.waitFor(), output);
-        String breach = "the module sends what may not be sent: request 0 attempt 0 at a (out), ";
+        String breach = "decision module sent an attempt that may not be sent: request 0 attempt 0 at a (in flight), ";
         assertTrue(output.contains(breach + SendVerdict.LEASE_EXPIRED), output);
         assertTrue(output.contains(breach + SendVerdict.ENDPOINT_NOT_ELIGIBLE), output);
     }
