--- a/src/main/java/kelphollow/transport/ConnectionPools.java
+++ b/src/main/java/kelphollow/transport/ConnectionPools.java
@@ -17,27 +17,27 @@
 import kelphollow.routing.Ticker;
 
 /**
- * Connections to nodes, one pool a node. The one used last is taken first, so that the others grow old and are closed
- * before the node closes them: a request written to a closing connection may or may not have been executed. Confined
- * to the event loop.
+ * Connection pools, one per node. The connection used last is reused first, so that the others reach the idle timeout and
+ * are closed before the node closes them: a request written to a closing connection may or may not have been executed.
+ * Confined to the event loop.
  */
 public final class ConnectionPools {
     /**
-     * Bounds of all pools together.
+     * Limits of all pools together.
      *
      * @param connectTimeout milliseconds within which a connection must be established
-     * @param idleTimeout milliseconds after which an idle connection is not used any more
+     * @param idleTimeout milliseconds after which an idle connection is no longer used
      * @param maxConnections connections open at once, to all nodes
      */
     public record Limits(int connectTimeout, double idleTimeout, int maxConnections) {}
 
     /**
-     * Milliseconds for which a released connection carries nothing: what a node sends right behind a response may come a
-     * moment later, and must not meet the next request.
+     * Time for which a released connection is not reused: bytes that a node sends right after a response may arrive a
+     * moment later, and must not be taken for the response to the next request.
      */
-    private static final double QUARANTINE = 20;
+    private static final double REUSE_DELAY_MS = 20;
 
-    /** The idle connections to one node, oldest first, and how many there are in all. */
+    /** The idle connections to one node, least recently used first, and the total number of connections to it. */
     static final class HostPool {
         private final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
         private final String node;
@@ -55,12 +55,12 @@
     private final Map<String, HostPool> hostPools = new HashMap<>();
     private int connections;
     private long connectAttempts;
-    /** What had arrived by this clock time has been read; a loop that was stalled may have more before it. */
+    /** Clock time up to which all input has been read; a loop that was stalled may have later input still to read. */
     private double readUpTo;
     private double lastReleasedAt;
     private boolean readCheckScheduled;
 
-    /** {@code codec}: makes the handlers that a connection has while it carries an exchange. */
+    /** {@code codec}: creates the handlers that are in a connection's pipeline while it carries an exchange. */
     public ConnectionPools(EventLoop loop, Ticker ticker, Limits limits, Supplier<ChannelHandler[]> codec) {
         this.loop = loop;
         this.ticker = ticker;
@@ -84,19 +84,19 @@
         connections++;
         hostPool.connections++;
         if (connections > limits.maxConnections()) {
-            connection.ended(new IOException("no more than " + limits.maxConnections() + " connections to nodes"));
+            connection.ended(new IOException("limit of " + limits.maxConnections() + " connections to nodes reached"));
             return connection;
         }
         connect(connection, address);
         return connection;
     }
 
-    /** The idle connection used last whose quarantine is over, or null; those found to be too old are closed. */
+    /** The most recently used idle connection whose reuse delay is over, or null; closes expired ones that it finds. */
     private PooledConnection takeIdle(HostPool hostPool) {
         double now = ticker.now();
         for (Iterator<PooledConnection> latest = hostPool.idle.descendingIterator(); latest.hasNext();) {
             PooledConnection candidate = latest.next();
-            if (readUpTo - candidate.idleSince() < QUARANTINE) {
+            if (readUpTo - candidate.idleSince() < REUSE_DELAY_MS) {
                 continue;
             }
             latest.remove();
@@ -134,12 +134,12 @@
         }
     }
 
-    /** Connections to all nodes, those that are being established included. */
+    /** Connections to all nodes, including those that are being established. */
     public int connections() {
         return connections;
     }
 
-    /** Connections that were begun to be established since the start. */
+    /** Connection attempts since the start, successful or not. */
     public long connectAttempts() {
         return connectAttempts;
     }
@@ -152,7 +152,7 @@
         return codec.get();
     }
 
-    /** The connection carries nothing from now on. */
+    /** Adds a connection that no exchange uses any more. */
     void addIdle(PooledConnection connection) {
         connection.hostPool().idle.addLast(connection);
         lastReleasedAt = ticker.now();
@@ -163,11 +163,11 @@
     }
 
     /**
-     * Notes up to when all that arrived has been read: the loop's next iteration reads first and runs tasks then. Guards
-     * against a loop that was stalled, which finds a connection's quarantine over before it has read what came within it.
+     * Records up to when all input has been read, since the loop's next iteration reads before it runs tasks. Otherwise a
+     * loop that was stalled would find a connection's reuse delay over before it has read what arrived during the delay.
      */
     private void scheduleReadCheck() {
-        ticker.after(QUARANTINE / 2, () -> {
+        ticker.after(REUSE_DELAY_MS / 2, () -> {
             double now = ticker.now();
             ((SingleThreadEventLoop) loop).executeAfterEventLoopIteration(() -> loop.execute(() -> allReadUpTo(now)));
         });
@@ -175,13 +175,13 @@
 
     private void allReadUpTo(double time) {
         readUpTo = time;
-        readCheckScheduled = readUpTo - lastReleasedAt < QUARANTINE;
+        readCheckScheduled = readUpTo - lastReleasedAt < REUSE_DELAY_MS;
         if (readCheckScheduled) {
             scheduleReadCheck();
         }
     }
 
-    /** The connection has ended. A pool goes with its last one: nodes may come under ever new ids. */
+    /** Removes a connection that has ended, and its pool with the last one: nodes may keep coming with new ids. */
     void remove(PooledConnection connection) {
         connections--;
         HostPool hostPool = connection.hostPool();
@@ -199,7 +199,7 @@
         });
     }
 
-    /** Closes what would be too old before the next such call. */
+    /** Closes connections whose idle timeout would pass before the next such call. */
     private void closeExpired() {
         double expired = ticker.now() - limits.idleTimeout() * 7 / 8;
         for (HostPool hostPool : List.copyOf(hostPools.values())) {
--- a/src/main/java/kelphollow/transport/HttpCall.java
+++ b/src/main/java/kelphollow/transport/HttpCall.java
@@ -6,28 +6,27 @@
 import kelphollow.routing.Ticker;
 
 /**
- * Calls to one control-plane service over HTTP, one at a time. A response belongs to the call whose connection brings
- * it: a connection carries the next call only after a quarantine, and one whose call has failed is closed, even while
- * it is being established. Guards against a second or late response that is taken for the next call's. Confined to
- * the event loop.
+ * Calls one control-plane service over HTTP, one call at a time. Prevents a second or late response from being taken for
+ * the response to the next call: a connection carries the next call only after a reuse delay, and a connection whose call
+ * has failed is closed, even while it is being established. Confined to the event loop.
  */
 public final class HttpCall {
     /** How a call failed. */
     public enum Failure {
-        /** Its connection was refused, was not established, or ended before a response. */
+        /** The connection was refused, was not established, or ended before a response. */
         CONNECTION_FAILED,
-        /** Nothing came in time on an established connection. */
+        /** No response came in time on an established connection. */
         TIMED_OUT,
-        /** What came is no response. */
+        /** What was received is not a valid response. */
         INVALID_RESPONSE
     }
 
-    /** What came of a call; exactly one of these is called, unless {@link HttpCall#close} comes first. */
+    /** Gets the outcome of a call; exactly one method is called, unless {@link HttpCall#close} is called first. */
     public interface ResponseHandler {
         /** The service has responded, with a body in UTF-8. */
         void responseReceived(int status, String body);
 
-        /** The call has failed; {@code reason} is for the log. */
+        /** The call has failed; {@code reason} is text for the log. */
         void callFailed(Failure failure, String reason);
     }
 
@@ -36,7 +35,7 @@
     private final InetSocketAddress address;
     private HttpCallConnection connection;
 
-    /** Calls to the service at this address; nothing is connected yet. */
+    /** Creates a client of the service at this address; does not connect yet. */
     public HttpCall(EventLoop loop, Ticker ticker, InetSocketAddress address) {
         this.loop = loop;
         this.ticker = ticker;
@@ -44,9 +43,9 @@
     }
 
     /**
-     * Sends a request. A call that is still under way is dropped without a response.
+     * Sends a request. A call that is still in progress is abandoned, and its handler is not called.
      *
-     * @param request released by this object, whatever becomes of it
+     * @param request released by this object, whatever the outcome
      * @param timeout milliseconds after which the call fails
      * @param handler gets the outcome
      */
@@ -58,7 +57,7 @@
         connection.carry(request, timeout, handler);
     }
 
-    /** Drops the call under way without a response and closes the connection. */
+    /** Abandons the call in progress without calling its handler, and closes the connection. */
     public void close() {
         if (connection != null) {
             connection.close();
--- a/src/main/java/kelphollow/transport/HttpCallConnection.java
+++ b/src/main/java/kelphollow/transport/HttpCallConnection.java
@@ -23,7 +23,7 @@
 import kelphollow.transport.HttpCall.ResponseHandler;
 
 /**
- * One connection of {@link HttpCall} and the call that it carries, if any. Responses are released once their handler has
+ * One connection of {@link HttpCall} and the call that it carries, if any. A response is released once its handler has
  * returned; a request is released by the channel that writes it, or by {@link #close} if it was not written. Confined
  * to the event loop.
  */
@@ -31,13 +31,13 @@
     private enum State {
         /** The call waits for the connection. */
         CONNECTING,
-        /** The request has been written, and nothing has come. */
+        /** The request has been written, and nothing has been received. */
         AWAITING_RESPONSE,
-        /** Bytes have come since the request was written. */
+        /** Bytes have been received since the request was written. */
         RESPONSE_BEGUN,
-        /** The response has come; the connection may carry the next call after its quarantine. */
+        /** The response has been received; the connection may carry the next call after the reuse delay. */
         IDLE,
-        /** It carries nothing more, though it may still be connecting. */
+        /** The connection carries no more calls, though it may still be connecting. */
         CLOSED;
 
         boolean carriesCall() {
@@ -45,12 +45,10 @@
         }
     }
 
-    /** Longest body of a response, in bytes. */
-    private static final int MAX_BODY = 4 * 1024 * 1024;
-    /** In milliseconds. */
-    private static final int CONNECT_TIMEOUT = 1_000;
-    /** Milliseconds for which a connection carries no further call: a second response may follow the first. */
-    private static final double QUARANTINE = 20;
+    private static final int MAX_RESPONSE_BODY_BYTES = 4 * 1024 * 1024;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    /** Time after a response in which the connection carries no further call: a second response may follow the first. */
+    private static final double REUSE_DELAY_MS = 20;
 
     private final EventLoop loop;
     private final Ticker ticker;
@@ -68,12 +66,12 @@
         this.address = address;
     }
 
-    /** Whether its last call has been answered, it is still open and its quarantine is over. */
+    /** Whether the last call got its response, the connection is still open and the reuse delay is over. */
     boolean mayCarryNext() {
-        return state == State.IDLE && channel.isActive() && ticker.now() - respondedAt >= QUARANTINE;
+        return state == State.IDLE && channel.isActive() && ticker.now() - respondedAt >= REUSE_DELAY_MS;
     }
 
-    /** Carries a call; the first one connects. See {@link HttpCall#send}. */
+    /** Carries a call; the first call connects. See {@link HttpCall#send}. */
     void carry(FullHttpRequest request, double timeoutAfter, ResponseHandler next) {
         handler = next;
         unsent = request;
@@ -87,13 +85,13 @@
 
     private void connect() {
         channel = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.ALLOCATOR, Server.ALLOCATOR)
             .handler(new ChannelInitializer<Channel>() {
                 @Override protected void initChannel(Channel connecting) {
                     connecting.pipeline().addLast(new FirstByteDetector(), new HttpClientCodec(),
-                        new HttpObjectAggregator(MAX_BODY), HttpCallConnection.this);
+                        new HttpObjectAggregator(MAX_RESPONSE_BODY_BYTES), HttpCallConnection.this);
                 }
             })
             .connect(address).addListener(connect -> {
@@ -114,7 +112,7 @@
         fail(channel.isActive() ? Failure.TIMED_OUT : Failure.CONNECTION_FAILED, "no answer in time");
     }
 
-    /** Ends the call, if any. A response that had begun shows a service that is there, however it broke off. */
+    /** Fails the call, if any. A response that had begun shows that the service is reachable, however the response ended. */
     private void fail(Failure failure, String reason) {
         if (!state.carriesCall()) {
             return;
@@ -138,7 +136,7 @@
         completed.responseReceived(response.status().code(), response.content().toString(StandardCharsets.UTF_8));
     }
 
-    /** Drops the call, if any, and closes the connection, even while it is being established. */
+    /** Abandons the call, if any, and closes the connection, even while it is being established. */
     void close() {
         state = State.CLOSED;
         handler = null;
@@ -158,10 +156,10 @@
 
     @Override protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
         if (!state.carriesCall()) {
-            ctx.close();               // a response to no request
+            ctx.close();               // an unsolicited response
         } else if (response.decoderResult().isFailure()) {
-            fail(Failure.INVALID_RESPONSE, "not HTTP");
-        } else if (response.status().codeClass() != HttpStatusClass.INFORMATIONAL) {   // behind a 1xx the response follows
+            fail(Failure.INVALID_RESPONSE, "response is not valid HTTP");
+        } else if (response.status().codeClass() != HttpStatusClass.INFORMATIONAL) {   // the final response follows a 1xx
             complete(response);
         }
     }
@@ -179,7 +177,7 @@
         ctx.close();
     }
 
-    /** Notes that a response has begun, before it is decoded; passes every message on without releasing it. */
+    /** Detects that a response has begun, before it is decoded; passes every message on without releasing it. */
     private final class FirstByteDetector extends ChannelInboundHandlerAdapter {
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (state == State.AWAITING_RESPONSE) {
--- a/src/main/java/kelphollow/transport/LingeringClose.java
+++ b/src/main/java/kelphollow/transport/LingeringClose.java
@@ -9,15 +9,14 @@
 import kelphollow.routing.Ticker;
 
 /**
- * Closes client connections without losing what was last sent on them (RFC 9112, 9.6): the output is shut down, further
- * input is read and discarded, and the connection closes once the client has closed it, or after a timeout. Guards
- * against a close over unread bytes, which resets the connection and loses responses on their way; and against
- * serving a request that crossed the close: its client sees that it was not answered and retries elsewhere. Each such
- * connection holds a descriptor, so their number is bounded; beyond it a connection closes at once. Confined to the
- * event loop.
+ * Closes client connections without losing the last data sent on them (RFC 9112, section 9.6): the output is shut down,
+ * further input is read and discarded, and the connection closes once the client has closed it, or after a timeout. A
+ * close with unread input would reset the connection and lose responses in transit. A request that crosses the close is
+ * not served: its client sees that it got no response and retries elsewhere. Each closing connection holds a file
+ * descriptor, so their number is bounded; above the bound a connection closes at once. Confined to the event loop.
  */
 public final class LingeringClose {
-    /** Releases all input before any codec sees it; the connection is still read, so that its end is noticed. */
+    /** Discards all input before any codec sees it; the connection is still read, so that its end is detected. */
     public static final class Discard extends ChannelInboundHandlerAdapter {
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
             ReferenceCountUtil.release(message);
@@ -33,9 +32,9 @@
     private int connections;
 
     /**
-     * Closes connections within these bounds.
+     * Sets the bounds of closing connections.
      *
-     * @param overallTimeout milliseconds that a close may take in all, with a client that is slow to read what it is owed
+     * @param overallTimeout milliseconds that a close may take in total, for a client that is slow to read its responses
      * @param clientTimeout milliseconds that a client may take to close after the last byte has been sent
      * @param maxConnections connections that may be closing at once
      */
@@ -51,7 +50,7 @@
         return connections;
     }
 
-    /** Shuts the output down behind what has been written so far, then closes. */
+    /** Shuts the output down after what has been written so far, then closes the connection. */
     public void begin(Channel channel) {
         if (!(channel instanceof SocketChannel socket) || !channel.isActive() || connections >= maxConnections) {
             channel.close();
--- a/src/main/java/kelphollow/transport/PooledConnection.java
+++ b/src/main/java/kelphollow/transport/PooledConnection.java
@@ -7,9 +7,9 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One connection to a node, from a {@link ConnectionPools}. It carries one exchange at a time, so that none waits behind
- * another. Its codec is in the pipeline only while an exchange goes on: what a node sends behind a response, or unasked,
- * then arrives here undecoded and closes the connection. Guards against taking such bytes for the response to the next
+ * One connection to a node, from a {@link ConnectionPools}. It carries one exchange at a time, so that none waits for
+ * another. Its codec is in the pipeline only during an exchange. Bytes that a node sends after a response, or unsolicited,
+ * therefore arrive here undecoded and close the connection, so that they are not taken for the response to the next
  * request. Confined to the event loop.
  */
 public final class PooledConnection extends ChannelInboundHandlerAdapter {
@@ -27,34 +27,34 @@
         /** The channel has become writable again: see {@link Channel#isWritable}. */
         default void writable(PooledConnection connection) {}
 
-        /** Bytes have come that make no message yet. */
+        /** Bytes have been received that do not yet make up a message. */
         default void partialMessage(PooledConnection connection) {}
 
         /**
-         * The connection was not established, has ended, or brought what its codec cannot read.
+         * The connection was not established, has ended, or received what its codec cannot decode.
          *
          * @param cause null if the node closed it
          */
         void connectionFailed(PooledConnection connection, Throwable cause);
     }
 
-    /** Of the connection, in their only order. */
+    /** The states of the connection in the order of their transitions. */
     private enum State {
-        /** No exchange has begun on it. */
+        /** No exchange has begun on the connection. */
         CONNECTING,
-        /** An exchange has begun on it; it is in use, or idle. */
+        /** An exchange has begun on the connection; it is in use or idle. */
         ESTABLISHED,
-        /** It was not established, or has ended. */
+        /** The connection was not established, or has ended. */
         CLOSED
     }
 
-    /** Of what one read from the socket has brought so far. */
+    /** What one read from the socket has yielded so far. */
     private enum ReadState {
-        /** No message, or no read is under way. */
+        /** No message, or no read is in progress. */
         NO_MESSAGE,
         /** At least one message. */
         MESSAGE_READ,
-        /** The connection was released within the read: it is idle once the read is complete. */
+        /** The connection was released during the read: it becomes idle once the read is complete. */
         RELEASED
     }
 
@@ -76,12 +76,12 @@
         return hostPool;
     }
 
-    /** Clock time since which nothing has used the connection. */
+    /** Clock time since which the connection has been idle. */
     double idleSince() {
         return idleSince;
     }
 
-    /** The channel, for writing; null until the connection is being established. */
+    /** The channel to write to; null until the connection is being established. */
     public Channel channel() {
         return channel;
     }
@@ -103,7 +103,7 @@
         handler.connected(this);
     }
 
-    /** Gives the connection back; it is kept for the next exchange if it is open and nothing came behind the response. */
+    /** Releases the connection; it is kept for the next exchange if it is open and nothing followed the response. */
     public void release() {
         handler = null;
         removeCodec();
@@ -114,7 +114,7 @@
         }
     }
 
-    /** A decoder that is removed passes on the bytes that it has not decoded: see {@link #channelRead}. */
+    /** Removes the codec. A decoder that is removed passes on its undecoded bytes to {@link #channelRead}. */
     private void removeCodec() {
         while (state != State.CLOSED) {
             ChannelHandler first = channel.pipeline().first();
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Closes the connection, which tells a node that its response is no longer waited for. */
+    /** Closes the connection, which tells the node that its response is no longer needed. */
     public void close() {
         handler = null;
         if (channel != null) {
@@ -138,8 +138,8 @@
     }
 
     /**
-     * The exchange begins once all has been read that came while the connection was established. Guards against a
-     * first byte for a client whose end, or to a node whose drain, was there to be read before.
+     * Begins the exchange once all input that arrived while the connection was being established has been read. Prevents a
+     * write for a client whose disconnect, or to a node whose drain, was received but not yet read.
      */
     @Override public void channelActive(ChannelHandlerContext ctx) {
         if (handler == null) {
@@ -161,7 +161,7 @@
         }
         if (handler == null || state == State.CONNECTING) {
             ReferenceCountUtil.release(message);
-            ctx.close();       // a node responds to requests only
+            ctx.close();       // unsolicited bytes
         } else {
             handler.received(this, message);
         }
--- a/src/main/java/kelphollow/transport/Server.java
+++ b/src/main/java/kelphollow/transport/Server.java
@@ -13,20 +13,20 @@
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 
-/** A listening socket; each connection that it accepts gets its handlers from a {@link Front}. */
+/** A listening socket, whose accepted connections get their handlers from a {@link Front}. */
 public final class Server {
-    /** One arena for the one event loop, in chunks of 256 KiB: Netty's own sizes do not fit a small machine. */
+    /** One arena for the one event loop, in chunks of 256 KiB: Netty's default sizes do not suit a small machine. */
     static final ByteBufAllocator ALLOCATOR = new PooledByteBufAllocator(true, 0, 1, 8192, 5, 0, 0, false);
-    /** A read goes on until nothing is left, so that a client's end right behind its request is seen with it. */
+    /** Reads until no input is left, so that a client's disconnect right after its request is detected with the request. */
     private static final RecvByteBufAllocator READ_ALL =
         new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false).maxMessagesPerRead(16);
-    /** Connections that the kernel holds before they are accepted. */
+    /** Connections that the kernel queues before they are accepted. */
     private static final int BACKLOG = 512;
 
     private final int maxConnections;
     private Channel listener;
 
-    /** {@code maxConnections}: served at once; beyond them an idle one is evicted, or the new one is closed. */
+    /** {@code maxConnections}: served at once; above it an idle connection is evicted, or else the new one is closed. */
     public Server(int maxConnections) {
         this.maxConnections = maxConnections;
     }
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Accepts connections from a socket that listens already, one that the platform handed down. Closing it later
-     * closes only this process's descriptor: the socket stays with whoever else holds it.
+     * Accepts connections from a socket that already listens and was inherited from the platform. Closing it later closes
+     * only this process's descriptor: the socket stays open in every other process that holds it.
      */
     public InetSocketAddress listen(EventLoop loop, ServerSocketChannel inherited, Front front) {
         listener = bootstrap(loop, front).channelFactory(() -> new NioServerSocketChannel(inherited))
@@ -62,7 +62,7 @@
             });
     }
 
-    /** Descriptors are few: a connection beyond them is closed, as nothing has been taken from it yet. */
+    /** Bounds the file descriptors in use: a connection above the limit is closed before anything is read from it. */
     private void admit(Channel channel, Front front) {
         if (front.connections() >= maxConnections) {
             front.evictIdle();
@@ -74,7 +74,7 @@
         front.accept(channel);
     }
 
-    /** Accepts no new connections; those that are open go on. */
+    /** Stops accepting connections; open connections continue. */
     public void stop() {
         if (listener != null) {
             listener.close();
--- a/src/main/java/kelphollow/transport/WheelTicker.java
+++ b/src/main/java/kelphollow/transport/WheelTicker.java
@@ -7,25 +7,25 @@
 import kelphollow.routing.Ticker;
 
 /**
- * A ticker on Netty's timer wheel with coarse ticks. The wheel has a thread of its own; tasks run on the event loop,
- * so that nothing else needs a lock. The clock may be read on any thread.
+ * A ticker on Netty's hashed timer wheel with coarse ticks. The wheel has its own thread; tasks run on the event loop, so
+ * that nothing else needs a lock. The clock may be read on any thread.
  */
 public final class WheelTicker implements Ticker, AutoCloseable {
     private static final int SLOTS = 512;
-    /** By how many milliseconds the wall clock is off, for tests: nothing between instances may depend on it. */
-    private static final long CLOCK_OFFSET = Long.getLong("kelphollow.clock.off.ms", 0);
+    /** Offset added to the wall clock, for tests that nothing between instances depends on synchronized clocks. */
+    private static final long CLOCK_OFFSET_MS = Long.getLong("kelphollow.clock.off.ms", 0);
 
     private final HashedWheelTimer wheel;
-    private final double wallAtStart = System.currentTimeMillis() + CLOCK_OFFSET;
+    private final double wallAtStart = System.currentTimeMillis() + CLOCK_OFFSET_MS;
     private final long nanosAtStart = System.nanoTime();
 
-    /** Starts at once; {@code tickMillis} is the granularity of its timers. */
+    /** Starts the wheel; {@code tickMillis} is the granularity of its timers. */
     public WheelTicker(EventLoop loop, long tickMillis) {
         wheel = new HashedWheelTimer(new DefaultThreadFactory("wheel", true), tickMillis, TimeUnit.MILLISECONDS,
             SLOTS, false, 0, loop);
     }
 
-    /** The wall clock as it was at the start, carried on by the monotonic one: a step of the former does no harm. */
+    /** The wall clock at the start plus the monotonic time since: a later step of the wall clock has no effect. */
     @Override public double now() {
         return wallAtStart + (System.nanoTime() - nanosAtStart) / 1e6;
     }
--- a/src/main/java/kelphollow/transport/package-info.java
+++ b/src/main/java/kelphollow/transport/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Sockets of the data path on one event loop: listening for clients, pooled connections to nodes, calls to control-plane
- * services, the orderly close of client connections, and the clock. Knows no request and no application protocol but
- * HTTP's framing.
+ * services, the orderly close of client connections, and the clock. Independent of requests and of any application
+ * protocol except HTTP's framing.
  */
 package kelphollow.transport;
