--- a/src/main/java/kelphollow/maintenance/package-info.java
+++ b/src/main/java/kelphollow/maintenance/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Maintenance of storage nodes by the operators: which nodes are in it, and the text that the next process reads. No
- * I/O.
+ * Maintenance of storage nodes by the operators: the set of nodes and the text form that the next process reads. No I/O.
  */
 package kelphollow.maintenance;
--- a/src/main/java/kelphollow/recovery/RecoveredOutcome.java
+++ b/src/main/java/kelphollow/recovery/RecoveredOutcome.java
@@ -1,21 +1,21 @@
 package kelphollow.recovery;
 
 /**
- * What is known of one non-idempotent piece of work from the records that were found. The intent is recorded before
- * the first byte is sent and the outcome after it, so that nothing is sent without a trace.
+ * What the stored records tell about one non-idempotent operation. The intent is recorded before the first byte is sent and
+ * the outcome after it, so that nothing is sent without a record.
  *
  * @param kind what is known
- * @param settledAt from this time on no attempt of an earlier process can still take effect, in milliseconds on the clock
- *     of {@link RecoveredOutcomes}; only for {@link Kind#UNKNOWN}
+ * @param settledAt time from which no attempt of an earlier process can still take effect, in milliseconds on the clock of
+ *     {@link RecoveredOutcomes}; only for {@link Kind#UNKNOWN}
  */
 public record RecoveredOutcome(Kind kind, double settledAt) {
-    /** What is known. */
+    /** Whether the operation was executed. */
     public enum Kind {
-        /** It was executed, and its outcome is recorded: answer from the record, never send. */
+        /** It was executed and its outcome is recorded: respond from the record, never send it. */
         RAN,
-        /** It is proved never to have been executed: it may be sent. */
+        /** It was certainly not executed: it may be sent. */
         NEVER_RAN,
-        /** It may have been executed, or may yet be: ask the node, and never send it unasked. */
+        /** It may have been executed, or may yet be: ask the node first, never send it without asking. */
         UNKNOWN,
         /** It is in flight, sent by this process. */
         RUNNING
--- a/src/main/java/kelphollow/recovery/RecoveredOutcomes.java
+++ b/src/main/java/kelphollow/recovery/RecoveredOutcomes.java
@@ -1,17 +1,17 @@
 package kelphollow.recovery;
 
 /**
- * Derives from the records read after a start which work was executed, was not executed, or is unknown. Immutable;
- * times are Unix milliseconds of the gateway's own clock.
+ * Derives from the records read after a start whether each operation was executed, was not executed, or is unknown.
+ * Immutable; times are Unix milliseconds of the gateway's own clock.
  *
- * <p>The rules. A recorded outcome holds, whichever epoch wrote it. An intent without one was in flight when its
- * epoch ended; its connection closed at the latest when that process died, before this one opened the store, but the
- * node may still work on what it had been given for as long as the deadline of its class. Where nothing is recorded,
- * only a complete record proves anything: it is complete for what was begun under it, unless the store lost something
- * since or had forgotten it after its window.
+ * <p>A recorded outcome holds, whichever epoch wrote it. An intent without an outcome was in flight when its epoch ended.
+ * Its connection closed at the latest when that process died, before this one opened the store, but the node may still
+ * execute what it had received for as long as the deadline of the class. A missing record proves that an operation was not
+ * executed only if the records are complete: they are complete for operations begun while they were kept, unless the store
+ * has lost some since or has dropped them after their window.
  */
 public final class RecoveredOutcomes {
-    /** What the store holds on one piece of work. */
+    /** The record that the store holds of one operation. */
     public enum StoredRecord {
         /** No record. */
         NONE,
@@ -27,13 +27,13 @@
     private final long lostUpTo;
 
     /**
-     * The rules for one epoch.
+     * Creates the rules for one epoch.
      *
-     * @param epoch of this process; each start has a higher one
-     * @param startedAt when this epoch began
-     * @param settleTime milliseconds after the end of an epoch for which its last attempts may take effect: the deadline
-     *     of the class
-     * @param lostUpTo the last epoch of which the store may have lost something; 0: none
+     * @param epoch the epoch of this process; each start has a higher one
+     * @param startedAt clock time at which this epoch began
+     * @param settleTime milliseconds after the end of an epoch in which its last attempts may take effect: the deadline of
+     *     the class
+     * @param lostUpTo the last epoch of which the store may have lost records; 0: none
      */
     public RecoveredOutcomes(long epoch, double startedAt, double settleTime, long lostUpTo) {
         this.epoch = epoch;
@@ -43,10 +43,11 @@
     }
 
     /**
-     * What is known of one piece of work.
+     * Returns what is known of one operation.
      *
-     * @param foundEpoch the epoch that wrote the record found; if there is none, the one since which it would be there
-     * @param complete whether everything of this kind that was sent since is recorded, and none of it forgotten
+     * @param found the record found in the store
+     * @param foundEpoch the epoch that wrote the record; if there is none, the epoch since which it would have been written
+     * @param complete whether every operation of this kind sent since that epoch is recorded, and no record was dropped
      */
     public RecoveredOutcome classify(StoredRecord found, long foundEpoch, boolean complete) {
         return switch (found) {
@@ -61,8 +62,8 @@
     }
 
     /**
-     * Whether what is unknown can by now be settled by asking the node: what it does not have then will not come any
-     * more.
+     * Whether an unknown outcome can be settled by asking the node now: what the node does not have by now will not arrive
+     * any more.
      */
     public static boolean isSettled(RecoveredOutcome outcome, double now) {
         return outcome.kind() != RecoveredOutcome.Kind.UNKNOWN || now >= outcome.settledAt();
