--- a/src/test/java/kelphollow/maintenance/MaintenanceSetTest.java
+++ b/src/test/java/kelphollow/maintenance/MaintenanceSetTest.java
@@ -37,7 +37,7 @@
         }
     }
 
-    @Test void theChangeToAnotherSetNamesWhatIsMissingAndWhatIsTooMany() {
+    @Test void theChangeToAnotherSetNamesNodesToAddAndToRemove() {
         maintenance.add("s-1");
         maintenance.add("s-2");
 
@@ -48,7 +48,7 @@
         assertTrue(maintenance.changeTo(Set.of("s-1", "s-2")).isEmpty());
     }
 
-    @Test void idsAreShortPrintableWords() {
+    @Test void idsArePrintableAndBoundedInLength() {
         assertTrue(MaintenanceSet.isValidId("s-5be2a07c"));
         assertFalse(MaintenanceSet.isValidId(""));
         assertFalse(MaintenanceSet.isValidId("end"));
--- a/src/test/java/kelphollow/recovery/RecoveryTest.java
+++ b/src/test/java/kelphollow/recovery/RecoveryTest.java
@@ -10,7 +10,7 @@
 import kelphollow.recovery.RecoveredOutcomes.StoredRecord;
 import org.junit.jupiter.api.Test;
 
-/** What is decided from what was found after a start. */
+/** Recovery of outcomes, rate limits and cached endpoints from the records found after a start. */
 class RecoveryTest {
     private static final int SEEDS = 500;
     private static final int STEPS = 200;
@@ -24,7 +24,7 @@
         assertEquals(Kind.RAN, afterLoss.classify(StoredRecord.OUTCOME, 3, false).kind());
     }
 
-    @Test void anIntentOfAnEarlierEpochIsUnknownUntilItsLastAttemptMustBeOver() {
+    @Test void anIntentOfAnEarlierEpochIsUnknownUntilItsLastAttemptCanNoLongerTakeEffect() {
         RecoveredOutcome outcome = recovered.classify(StoredRecord.INTENT, 6, true);
 
         assertEquals(Kind.UNKNOWN, outcome.kind());
@@ -33,7 +33,7 @@
         assertEquals(Kind.RUNNING, recovered.classify(StoredRecord.INTENT, 7, true).kind());
     }
 
-    @Test void aMissingRecordProvesSomethingOnlyIfRecordsAreCompleteAndNoneWasLost() {
+    @Test void aMissingRecordProvesNoExecutionOnlyIfRecordsAreCompleteAndNoneWasLost() {
         RecoveredOutcomes afterLoss = new RecoveredOutcomes(7, 1_000, 3_000, 5);
 
         assertEquals(Kind.NEVER_RAN, recovered.classify(StoredRecord.NONE, 1, true).kind());
@@ -42,14 +42,15 @@
         assertEquals(Kind.NEVER_RAN, afterLoss.classify(StoredRecord.NONE, 6, true).kind(), "begun after the loss");
     }
 
-    @Test void aLimitGoesOnFromACleanShutdownAndStartsEmptyAfterACrash() {
+    @Test void aLimitContinuesAfterACleanShutdownAndStartsEmptyAfterACrash() {
         LimitRecovery.Saved clean = new LimitRecovery.Saved(20, 10_000, true);
         LimitRecovery.Saved overrun = new LimitRecovery.Saved(-80, 0, true);
         LimitRecovery.Saved crashed = new LimitRecovery.Saved(20, 10_000, false);
 
         assertEquals(20 + 0.5 * 5 * 2, LimitRecovery.initialTokens(clean, 0.5, 5, 1_000, 10, 12_000), 1e-9);
-        assertEquals(50, LimitRecovery.initialTokens(clean, 0.5, 5, 100, 10, 1e9), "no more than the burst");
-        assertEquals(20, LimitRecovery.initialTokens(clean, 0.5, 5, 100, 10, 5_000), "a clock that went back is no time");
+        assertEquals(50, LimitRecovery.initialTokens(clean, 0.5, 5, 100, 10, 1e9), "at most the burst");
+        assertEquals(20, LimitRecovery.initialTokens(clean, 0.5, 5, 100, 10, 5_000),
+            "no time passes if the clock went back");
         assertEquals(-5, LimitRecovery.initialTokens(overrun, 0.5, 5, 100, 10, 0), 1e-9);
         assertEquals(0, LimitRecovery.initialTokens(crashed, 0.5, 5, 100, 10, 99_000));
         assertEquals(0, LimitRecovery.initialTokens(null, 1, 5, 100, 10, 0));
@@ -61,7 +62,7 @@
         }
     }
 
-    /** An instance that spends whenever it may, ends cleanly or by a crash at random, and comes back at random. */
+    /** An instance that spends units whenever allowed, and restarts at random times after a clean shutdown or a crash. */
     private static final class RestartedInstance {
         private final int seed;
         private final Random random;
@@ -69,8 +70,8 @@
         private final double burst;
         private final double share;
         private double now;
-        /** Tokens of a bucket that outlives the restarts: below zero, too much was sent. */
-        private double trueTokens;
+        /** Tokens of a reference bucket that survives restarts; negative if the instance sent more than the limit. */
+        private double referenceTokens;
         private double tokens;
 
         RestartedInstance(int seed) {
@@ -79,18 +80,18 @@
             rate = 1 + random.nextInt(50);
             burst = rate * (1 + random.nextInt(5));
             share = 1.0 / (1 + random.nextInt(3));
-            trueTokens = burst * share;
-            tokens = trueTokens;
+            referenceTokens = burst * share;
+            tokens = referenceTokens;
         }
 
         void run() {
             for (int i = 0; i < STEPS; i++) {
                 double passed = random.nextInt(400);
                 now += passed;
-                trueTokens = filled(trueTokens, passed);
+                referenceTokens = filled(referenceTokens, passed);
                 tokens = filled(tokens, passed);
                 spend(1 + random.nextInt(6));
-                assertTrue(trueTokens >= -1e-6, "seed " + seed + " sent " + -trueTokens + " too much");
+                assertTrue(referenceTokens >= -1e-6, "seed " + seed + " sent " + -referenceTokens + " too much");
                 if (random.nextInt(15) == 0) {
                     restart();
                 }
@@ -104,7 +105,7 @@
         private void spend(double units) {
             if (tokens >= units) {
                 tokens -= units;
-                trueTokens -= units;
+                referenceTokens -= units;
             }
         }
 
@@ -113,21 +114,21 @@
             LimitRecovery.Saved saved = new LimitRecovery.Saved(clean ? tokens : burst, now, clean);
             double away = random.nextInt(5_000);
             now += away;
-            trueTokens = filled(trueTokens, away);
+            referenceTokens = filled(referenceTokens, away);
             tokens = LimitRecovery.initialTokens(saved, share, rate, burst, 1, now);
         }
     }
 
-    @Test void aListIsTrustedByItsAge() {
+    @Test void freshnessFollowsFromTheAgeOfTheList() {
         assertEquals(Freshness.FRESH, CachedEndpointsAge.freshness(1_000, 9_000, 3_600_000));
         assertEquals(Freshness.STALE, CachedEndpointsAge.freshness(1_000, 60_000, 3_600_000));
         assertEquals(Freshness.EXPIRED, CachedEndpointsAge.freshness(1_000, 3_601_000, 3_600_000));
         assertEquals(Freshness.EXPIRED, CachedEndpointsAge.freshness(5_000, 1_000, 3_600_000),
-            "a clock that went back: age unknown");
+            "the age is unknown if the clock went back");
     }
 
-    @Test void aNodeOfAnAgedListCountsAsRestarted() {
-        assertEquals(70, CachedEndpointsAge.effectiveStart(Freshness.STALE, 5, 70), "it may be in slow start");
+    @Test void aNodeOfAStaleListCountsAsRestarted() {
+        assertEquals(70, CachedEndpointsAge.effectiveStart(Freshness.STALE, 5, 70), "the node may have restarted");
         assertEquals(5, CachedEndpointsAge.effectiveStart(Freshness.FRESH, 5, 70));
     }
 }
--- a/src/test/java/kelphollow/retune/SettingsReloadTest.java
+++ b/src/test/java/kelphollow/retune/SettingsReloadTest.java
@@ -23,7 +23,7 @@
         return classes.stream().collect(Collectors.toMap(RequestClass::name, Function.identity()));
     }
 
-    @Test void theStricterBindsAtOnceAndTheNewOnceItHasSettled() {
+    @Test void stricterSettingsApplyAtOnceAndNewOnesAfterTheDelay() {
         RequestSettings old = new RequestSettings(List.of(requestClass("read", 2000, Idempotency.IDEMPOTENT),
             requestClass("gone", 900, Idempotency.IDEMPOTENT)), 3);
         RequestSettings next = new RequestSettings(List.of(requestClass("read", 3000, Idempotency.NOT_IDEMPOTENT),
@@ -33,19 +33,20 @@
 
         Step now = steps.get(0);
         assertEquals(10_000, now.at());
-        assertEquals(1, now.maxAttempts(), "fewer attempts bind at once");
-        Map<String, RequestClass> blend = byName(now.classes());
-        assertEquals(Idempotency.NOT_IDEMPOTENT, blend.get("read").idempotency(), "the stricter one binds at once");
-        assertEquals(2000, blend.get("read").deadline(), "and the shorter deadline");
-        assertEquals(Idempotency.IDEMPOTENCY_KEY, blend.get("new").idempotency());
-        assertEquals(900, blend.get("gone").deadline(), "a class that vanishes stays known for requests on their way");
-        Step settled = steps.get(1);
-        assertEquals(10_000 + SettingsReload.ACTIVATION_DELAY_MS, settled.at());
-        assertEquals(3000, byName(settled.classes()).get("read").deadline(), "then the new form alone");
-        assertEquals(1, settled.maxAttempts());
+        assertEquals(1, now.maxAttempts(), "fewer attempts apply at once");
+        Map<String, RequestClass> interim = byName(now.classes());
+        assertEquals(Idempotency.NOT_IDEMPOTENT, interim.get("read").idempotency(),
+            "the stricter idempotency applies at once");
+        assertEquals(2000, interim.get("read").deadline(), "the shorter deadline applies at once");
+        assertEquals(Idempotency.IDEMPOTENCY_KEY, interim.get("new").idempotency());
+        assertEquals(900, interim.get("gone").deadline(), "a removed class stays known for its open requests");
+        Step target = steps.get(1);
+        assertEquals(10_000 + SettingsReload.ACTIVATION_DELAY_MS, target.at());
+        assertEquals(3000, byName(target.classes()).get("read").deadline(), "the new deadline applies after the delay");
+        assertEquals(1, target.maxAttempts());
     }
 
-    @Test void moreAttemptsBindOnlyOnceTheyHaveSettled() {
+    @Test void moreAttemptsApplyOnlyAfterTheDelay() {
         RequestSettings old = new RequestSettings(List.of(requestClass("read", 2000, Idempotency.IDEMPOTENT)), 1);
         RequestSettings next = new RequestSettings(List.of(requestClass("read", 2000, Idempotency.IDEMPOTENT)), 4);
 
@@ -55,7 +56,7 @@
         assertEquals(4, steps.get(1).maxAttempts());
     }
 
-    @Test void theStricterIdempotencyHoldsWhicheverIsOlder() {
+    @Test void theStricterIdempotencyAppliesWhicheverIsOlder() {
         RequestClass strict = requestClass("w", 1000, Idempotency.NOT_IDEMPOTENT);
         RequestClass loose = requestClass("w", 1000, Idempotency.IDEMPOTENT);
 
--- a/src/test/java/kelphollow/routing/AttemptLifecycleTest.java
+++ b/src/test/java/kelphollow/routing/AttemptLifecycleTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** An attempt has one outcome, whatever its backend does. */
+/** An attempt has exactly one outcome, whatever its backend reports. */
 class AttemptLifecycleTest {
     private final RouterHarness harness = new RouterHarness();
     private final RequestRouter router = harness.router;
@@ -83,8 +83,8 @@
         assertFalse(attempt.isInFlight());
     }
 
-    @Test void aFaultOfTheBackendCostsOneAttempt() {
-        harness.fault = new IllegalStateException("caused by the test");
+    @Test void anExceptionInTheBackendFailsOneAttempt() {
+        harness.fault = new IllegalStateException("thrown by the test");
         harness.submit("read", "free", "k");
         assertEquals(1, router.openRequests());
 
--- a/src/test/java/kelphollow/routing/EndpointTableTest.java
+++ b/src/test/java/kelphollow/routing/EndpointTableTest.java
@@ -13,7 +13,7 @@
 import kelphollow.decision.ControlEvent.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** What an endpoint list changes, and what maintenance and ejections make of its entries. */
+/** Updates of the endpoint list, and the effective states that maintenance and ejections give its entries. */
 class EndpointTableTest {
     private final EndpointTable table = new EndpointTable();
 
@@ -33,7 +33,7 @@
         assertTrue(table.acceptsRequests("c"));
     }
 
-    @Test void aChangeLeavesWhatItDoesNotName() {
+    @Test void aPartialUpdateKeepsWhatItDoesNotName() {
         table.update(RouterHarness.healthy("a", "b"), true);
 
         EndpointTable.Update update = table.update(List.of(RouterHarness.node("b", EndpointState.REMOVED)), false);
@@ -43,7 +43,7 @@
         assertNull(table.find("b"));
     }
 
-    @Test void connectionsToANodeThatHasMovedOrRestartedAreOfNoUse() {
+    @Test void connectionsToANodeThatHasMovedOrRestartedAreUnusable() {
         table.update(List.of(node("same", 1, 5), node("moved", 1, 5), node("restarted", 1, 5)), true);
 
         EndpointTable.Update update =
@@ -52,7 +52,7 @@
         assertEquals(List.of("moved", "restarted"), update.unusable());
     }
 
-    @Test void anEjectedNodeIsShownAsDrainingAndKeepsAllElse() {
+    @Test void anEjectedNodeIsDrainingAndOtherwiseUnchanged() {
         table.update(List.of(node("a", 1, 5), node("b", 1, 7)), true);
 
         List<Endpoint> changed = table.eject(Set.of("a"));
@@ -63,7 +63,7 @@
         assertTrue(table.acceptsRequests("a"));
     }
 
-    @Test void aNodeInMaintenanceIsShownAsDrainingWhateverListsSay() {
+    @Test void aNodeInMaintenanceIsDrainingWhateverStateTheListGives() {
         table.maintenance().add("a");
 
         EndpointTable.Update update = table.update(List.of(node("a", 1, 5)), true);
--- a/src/test/java/kelphollow/routing/EndpointWatchTest.java
+++ b/src/test/java/kelphollow/routing/EndpointWatchTest.java
@@ -6,7 +6,7 @@
 import kelphollow.decision.ControlEvent.EndpointPollFailure;
 import org.junit.jupiter.api.Test;
 
-/** Who begins the watch of the endpoint list, and who begins it again. */
+/** When the watch of the endpoint list begins, and when it begins again after a failure. */
 class EndpointWatchTest {
     private final RouterHarness harness = new RouterHarness();
     private final RequestRouter router = harness.router;
@@ -22,19 +22,19 @@
         }
     };
 
-    @Test void anyListIsWatchedAtTheStartThoughTheModuleDoesNotPoll() {
+    @Test void everyListIsWatchedFromTheStartIfTheModuleDoesNotPoll() {
         router.start(source, true);
         assertEquals(1, watches, "pushed");
 
         router.changeEndpointSource(source, false);
 
         assertTrue(watches > 1, "polled");
-        assertEquals(1, stops, "the one before ends");
+        assertEquals(1, stops, "the previous watch is stopped");
     }
 
     /**
-     * A change that an agent gets at the return of its service counts at once: longer delays would outlast the drain
-     * grace.
+     * A change that an agent gets when its service returns counts as notified at once: a longer delay would exceed the
+     * drain grace.
      */
     @Test void aPushedWatchIsRenewedAfterTheSameShortDelayHoweverLongItFails() {
         router.start(source, true);
@@ -49,12 +49,12 @@
         }
     }
 
-    @Test void aPolledWatchIsRenewedWhenTheModuleSaysSo() {
+    @Test void aPolledWatchIsRenewedWhenTheModuleDecides() {
         router.start(source, false);
         assertEquals(1, watches);
 
         router.endpointPollFailed(EndpointPollFailure.UNREACHABLE, harness.now);
-        assertEquals(1, watches, "all schedulers share the service: the module draws a backoff");
+        assertEquals(1, watches, "the module chooses a backoff, since all schedulers share the service");
         harness.advance(10, 160);
 
         assertEquals(2, watches);
--- a/src/test/java/kelphollow/routing/LimitHandoverTest.java
+++ b/src/test/java/kelphollow/routing/LimitHandoverTest.java
@@ -6,12 +6,12 @@
 import kelphollow.decision.ControlSettings.Plan;
 import org.junit.jupiter.api.Test;
 
-/** A limit handed over by the process before goes on from its tokens as of then, not from this process's start. */
+/** A limit handed over by the previous process continues from the tokens handed over, without filling since the start. */
 class LimitHandoverTest {
-    /** 10 units a second, 10 at once. */
+    /** 10 units per second, burst of 10. */
     private static final Plan CAPPED = new Plan("capped", 10, 5, 1, 1, 10, 10, 0);
 
-    /** How many of ten requests are sent when a limit is handed over so many milliseconds after the start. */
+    /** Returns how many of ten requests are sent if the limit is handed over {@code waited} milliseconds after the start. */
     private static int sentAfter(Map<String, Double> handedOver, double waited) {
         RouterHarness harness = new RouterHarness(CAPPED);
         harness.router.updateEndpoints(RouterHarness.healthy("n"), true);
@@ -24,7 +24,7 @@
         return harness.sent.size();
     }
 
-    @Test void anEmptyLimitStaysEmptyWhateverTimePassedBefore() {
+    @Test void anEmptyLimitStaysEmptyHoweverLateItIsHandedOver() {
         assertEquals(0, sentAfter(Map.of("v", 0.0), 3_000));
     }
 
@@ -33,6 +33,6 @@
     }
 
     @Test void withoutAHandoverTheLimitFillsFromTheStart() {
-        assertEquals(3, sentAfter(Map.of(), 3_000), "as far as the node's concurrency window lets");
+        assertEquals(3, sentAfter(Map.of(), 3_000), "bounded by the node's concurrency window");
     }
 }
--- a/src/test/java/kelphollow/routing/MaintenanceTest.java
+++ b/src/test/java/kelphollow/routing/MaintenanceTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Maintenance and ejections laid over the endpoint list: nothing new to the node, whatever discovery says, until they
- * end.
+ * Maintenance and ejections override the endpoint list: until they end, the node gets no new requests, whatever state
+ * discovery reports.
  */
 class MaintenanceTest {
     private final RouterHarness harness = new RouterHarness();
@@ -27,7 +27,7 @@
         }
     }
 
-    @Test void anEjectedNodeGetsNothingNewAndComesBackAsItWas() {
+    @Test void anEjectedNodeGetsNoNewRequestsUntilTheEjectionEnds() {
         router.start(() -> {}, false);
         router.updateEndpoints(RouterHarness.healthy("a"), true);
 
@@ -38,19 +38,19 @@
 
         router.updateEndpoints(RouterHarness.healthy("a"), true);
         harness.submit("read", "free", "k2");
-        assertEquals(List.of(), harness.sentTo(), "its list does not end the ejection");
+        assertEquals(List.of(), harness.sentTo(), "an endpoint list does not end the ejection");
 
         router.startMaintenance("a");
         router.endMaintenance("a");
         harness.submit("read", "free", "k4");
-        assertEquals(List.of(), harness.sentTo(), "nor does an operator's maintenance");
+        assertEquals(List.of(), harness.sentTo(), "the end of maintenance does not end the ejection");
 
         router.eject(Set.of());
         harness.submit("read", "free", "k3");
         assertTrue(harness.sentTo().contains("a"));
     }
 
-    @Test void aNodeInMaintenanceGetsNothingNewEvenWhenDiscoveryCallsItHealthy() {
+    @Test void aNodeInMaintenanceGetsNoNewRequestsEvenIfDiscoveryReportsItHealthy() {
         start("a", "b");
 
         assertTrue(router.startMaintenance("a"));
@@ -72,7 +72,7 @@
         assertEquals(Set.of(), router.nodesInMaintenance());
     }
 
-    @Test void aNodeComesBackInSlowStartAndServesAgain() {
+    @Test void aNodeServesAgainInSlowStartAfterMaintenance() {
         start("a");
 
         router.startMaintenance("a");
@@ -88,7 +88,7 @@
         assertTrue(harness.sentTo().contains("a"));
     }
 
-    @Test void maintenanceOfAnotherProcessIsAdoptedAndWaitsForItsNode() {
+    @Test void maintenanceRecordedByAnotherProcessAppliesOnceTheNodeIsListed() {
         start("a");
 
         router.setNodesInMaintenance(Set.of("a", "later"));
@@ -96,7 +96,7 @@
         assertFalse(router.acceptsRequests("a"));
 
         router.updateEndpoints(RouterHarness.healthy("later"), false);
-        assertFalse(router.acceptsRequests("later"), "it began before the node was listed, and holds when it is");
+        assertFalse(router.acceptsRequests("later"), "maintenance began before the node was listed");
 
         router.setNodesInMaintenance(Set.of());
         assertTrue(router.acceptsRequests("a"));
--- a/src/test/java/kelphollow/routing/RequestLifecycleTest.java
+++ b/src/test/java/kelphollow/routing/RequestLifecycleTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each request gets one final answer, and what is rejected ahead of the module never reaches it. */
+/** Each request gets one final response, and one that the filter rejects never reaches the decision module. */
 class RequestLifecycleTest {
     private final RouterHarness harness = new RouterHarness();
     private final RequestRouter router = harness.router;
@@ -22,7 +22,7 @@
         router.start(() -> {}, false);
     }
 
-    /** Rejects every request with this Retry-After, or admits it if there is none, and notes what the module rejects. */
+    /** Rejects every request with this Retry-After, or admits all if it is empty; records what the module rejects. */
     private static final class Filter implements AdmissionFilter {
         private final OptionalDouble retryAfter;
         private final List<String> rejectedByModule = new ArrayList<>();
@@ -50,7 +50,7 @@
         assertEquals(0, router.openRequests());
     }
 
-    @Test void aClientThatHasDisconnectedGetsNoAnswer() {
+    @Test void aClientThatHasDisconnectedGetsNoResponse() {
         harness.submit("read", "free", "k");
         Attempt attempt = harness.sent.get(0);
 
@@ -71,7 +71,7 @@
         assertEquals(List.of("k"), harness.rejected);
         assertEquals(List.of(), harness.sentTo());
         assertEquals(0, router.openRequests());
-        assertEquals(List.of(), filter.rejectedByModule, "the filter knows of its own rejections");
+        assertEquals(List.of(), filter.rejectedByModule, "the filter is not notified of its own rejections");
     }
 
     @Test void theFilterIsNotifiedOfWhatTheModuleRejects() {
@@ -85,7 +85,7 @@
         assertEquals(List.of("a"), harness.sentTo());
     }
 
-    @Test void aRequestIsFoundOverdueOnceAndNeverOnceItIsFinished() {
+    @Test void aRequestBecomesOverdueOnceAndNeverAfterItIsFinished() {
         harness.submit("read", "free", "k1");
         harness.submit("read", "free", "k2");
         Request overdue = harness.sent.get(0).request();
@@ -95,7 +95,7 @@
 
         assertTrue(overdue.becomesOverdue());
         assertFalse(overdue.becomesOverdue());
-        assertFalse(overdue.isFinished(), "it still gets its final answer");
+        assertFalse(overdue.isFinished(), "it still gets its final response");
         assertFalse(finished.becomesOverdue());
         assertTrue(finished.isFinished());
     }
--- a/src/test/java/kelphollow/routing/RouterHarness.java
+++ b/src/test/java/kelphollow/routing/RouterHarness.java
@@ -15,28 +15,28 @@
 import kelphollow.decision.ControlSettings.Rules;
 import kelphollow.decision.EndpointListLease;
 
-/** A router with the real decision module, a clock that the test moves, and a backend that only notes its calls. */
+/** A router with the real decision module, a clock that the test advances, and a backend that records its calls. */
 final class RouterHarness {
     static final RequestClass READ = new RequestClass("read", 300, 2000, 2, 0.1, Idempotency.IDEMPOTENT,
         DeduplicationScope.ALL, 0, false, false);
-    /** Nodes drop duplicates of it for less time than connecting may take. */
+    /** A class whose idempotency window is shorter than the time that connecting may take. */
     static final RequestClass KEYED = new RequestClass("keyed", 300, 2000, 2, 0.1, Idempotency.IDEMPOTENCY_KEY,
         DeduplicationScope.CELL, 120, false, false);
     /** A plan without a limit. */
     static final Plan FREE = new Plan("free", 10, 5, 1, 1, 0, 0, 0);
     private static final Rules RULES = new Rules(250, 0.25, 10_000, 2, 1000, 6, 0, 0, 0, 0, 0);
-    /** Timers of more milliseconds than this are never run: the attempts' timeouts. */
-    private static final double LONGEST_TIMER = 1_500;
+    /** Longer timers, such as the attempts' timeouts, never run. */
+    private static final double LONGEST_TIMER_MS = 1_500;
 
     private record Timer(double at, Runnable task) {}
 
     double now = 1_000;
     final List<Attempt> sent = new ArrayList<>();
-    /** Nodes whose idle connections were to be closed. */
+    /** Nodes whose idle connections the router closed. */
     final List<String> closedIdle = new ArrayList<>();
-    /** Attempts that the router has cancelled. */
+    /** Attempts that the router cancelled. */
     final List<Attempt> cancelled = new ArrayList<>();
-    /** What the backend throws at the start of an attempt; null: nothing. */
+    /** What the backend throws when an attempt starts; null: nothing. */
     RuntimeException fault;
     /** Keys of the requests that were served. */
     final List<String> served = new ArrayList<>();
@@ -50,7 +50,7 @@
 
         @Override public Timeout after(double millis, Runnable task) {
             Timer timer = new Timer(now + millis, task);
-            if (millis <= LONGEST_TIMER) {
+            if (millis <= LONGEST_TIMER_MS) {
                 timers.add(timer);
             }
             return () -> timers.remove(timer);
@@ -104,7 +104,7 @@
         return nodes;
     }
 
-    /** Submits a request of this class and plan with a deadline in 2 s. */
+    /** Submits a request of this class and plan with a deadline of 2 s. */
     void submit(String requestClass, String plan, String key) {
         RequestArrived arrival = new RequestArrived("", requestClass, plan, key, now + 2_000, "v", 1, 0, 1);
         router.submit(arrival, null, new ResponseCallback() {
@@ -122,7 +122,7 @@
         });
     }
 
-    /** Moves the clock on, then runs each timer that is due, once. */
+    /** Advances the clock, then runs each timer that is due, once. */
     void advance(double millis) {
         now += millis;
         List<Timer> due = timers.stream().filter(timer -> timer.at <= now).toList();
@@ -130,14 +130,14 @@
         due.forEach(timer -> timer.task.run());
     }
 
-    /** The same in steps, so that timers set by timers run too. */
+    /** Advances the clock in steps, so that timers set by timers run too. */
     void advance(double millis, int times) {
         for (int i = 0; i < times; i++) {
             advance(millis);
         }
     }
 
-    /** The nodes that the attempts went to, in order. */
+    /** The nodes that attempts were sent to, in order. */
     List<String> sentTo() {
         return sent.stream().map(attempt -> attempt.target().endpoint().node()).toList();
     }
--- a/src/test/java/kelphollow/routing/SendEligibilityTest.java
+++ b/src/test/java/kelphollow/routing/SendEligibilityTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Without a lease on the endpoint list nothing is sent: not at a start, not after silence, not on a connection that is
- * established late.
+ * Nothing is sent without a valid lease on the endpoint list: not at a start, not while the source is silent, and not on a
+ * connection that is established after the lease expired.
  */
 class SendEligibilityTest {
     private static final double TERM = EndpointUpdateBudget.NOTIFIED_AFTER_MS - EndpointUpdateBudget.LOCAL_DELAY_MS;
@@ -27,7 +27,7 @@
         router.updateEndpoints(RouterHarness.healthy("a"), true, asOf);
     }
 
-    @Test void requestsBeforeTheFirstListAreSentByIt() {
+    @Test void requestsBeforeTheFirstListWaitForIt() {
         router.restoreEndpoints(RouterHarness.healthy("a"));
         harness.submit("read", "free", "k");
         harness.advance(50);
@@ -36,7 +36,7 @@
         router.updateEndpoints(List.of(RouterHarness.node("a", EndpointState.DRAINING),
             RouterHarness.node("b", EndpointState.HEALTHY)), false, harness.now);
 
-        assertEquals(List.of("b"), harness.sentTo(), "by the new list, not by the old one that is leased with it");
+        assertEquals(List.of("b"), harness.sentTo(), "by the new list, not by the cached one");
     }
 
     @Test void aQueuedRequestIsRejectedInTime() {
@@ -50,7 +50,7 @@
     }
 
     @Test void aLeaseThatExpiresStopsFirstAttemptsRetriesAndLateConnections() {
-        receive(harness.now - TERM + 100);         // it expires in 100 ms, well within the requests' deadlines
+        receive(harness.now - TERM + 100);         // expires in 100 ms, well within the requests' deadlines
         harness.submit("read", "free", "connecting");
         harness.submit("keyed", "free", "retried");
         Attempt connecting = harness.sent.get(0);
@@ -68,7 +68,7 @@
         assertEquals(2, harness.sent.size());
     }
 
-    @Test void anUnreachableServiceRenewsItAndABrokenWatchDoesNot() {
+    @Test void anUnreachableServiceRenewsTheLeaseAndABrokenWatchDoesNot() {
         receive(harness.now);
         harness.now += TERM - 10;
         router.endpointPollFailed(EndpointPollFailure.WATCH_BROKEN, harness.now);
@@ -82,8 +82,8 @@
     }
 
     /**
-     * The check at run time finds a module that sends what may not be sent. In a process of its own, since the count of
-     * broken invariants is one for all tests, and others hold it to be 0.
+     * The runtime check detects a module that sends what may not be sent. It runs in a separate process, since the count of
+     * broken invariants is shared by all tests, and others expect it to be 0.
      */
     @Test void aModuleThatSendsWithoutALeaseBreaksAnInvariant() throws Exception {
         Process process = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-cp",
@@ -91,14 +91,13 @@
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
 
         assertEquals(2, process.waitFor(), output);
-        String breach = "decision module sent an attempt that may not be sent: request 0 attempt 0 at a (in flight), ";
-        assertTrue(output.contains(breach + SendVerdict.LEASE_EXPIRED), output);
-        assertTrue(output.contains(breach + SendVerdict.ENDPOINT_NOT_ELIGIBLE), output);
+        String violation = "decision module sent an attempt that may not be sent: request 0 attempt 0 at a (in flight), ";
+        assertTrue(output.contains(violation + SendVerdict.LEASE_EXPIRED), output);
+        assertTrue(output.contains(violation + SendVerdict.ENDPOINT_NOT_ELIGIBLE), output);
     }
 
     /**
-     * Exits with the number of invariants broken: one by a lease that never began, one by a node that accepts no
-     * work.
+     * Exits with the number of broken invariants: one by a lease that never began, one by a node that accepts no requests.
      */
     public static void main(String[] args) {
         SendEligibilityTest test = new SendEligibilityTest();
--- a/src/test/java/kelphollow/routing/SendPathTest.java
+++ b/src/test/java/kelphollow/routing/SendPathTest.java
@@ -20,15 +20,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Nothing goes to a node but through {@link SendEligibility}: one class asks it, for first attempts and retries
- * alike, and whoever writes to a node's connection asks that class before anything else. Guards against a write path
- * beside it.
+ * Every write to a node is checked by {@link SendEligibility}: only one class calls it, for first attempts and retries
+ * alike, and a class that writes to a node's connection asks that class first. Guards against a write path that bypasses
+ * the check.
  */
 class SendPathTest {
     private static final JavaClasses PRODUCT = new ClassFileImporter()
         .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("kelphollow");
 
-    @Test void onlyTheAttemptLifecycleAsksForEligibility() {
+    @Test void onlyTheAttemptLifecycleChecksEligibility() {
         methods().that().areDeclaredIn(SendEligibility.class).and().areNotPrivate()
             .should().onlyBeCalled().byClassesThat().belongToAnyOf(AttemptLifecycle.class)
             .check(PRODUCT);
@@ -41,13 +41,13 @@
             .check(PRODUCT);
     }
 
-    @Test void whoeverGetsAConnectionAsksFirstWhetherItMaySend() {
+    @Test void anExchangeHandlerAsksFirstWhetherItMaySend() {
         classes().that().areAssignableTo(PooledConnection.ExchangeHandler.class).and().areNotInterfaces()
             .should(askFirstWhenConnected())
             .check(PRODUCT);
     }
 
-    @Test void onlyWhoeverGetsAConnectionWritesToIt() {
+    @Test void onlyAnExchangeHandlerWritesToAConnection() {
         noClasses().that().areNotAssignableTo(PooledConnection.ExchangeHandler.class)
             .and().resideOutsideOfPackage("kelphollow.transport")
             .should().callMethod(PooledConnection.class, "channel")
@@ -61,8 +61,8 @@
 
     private static ArchCondition<JavaClass> askFirstWhenConnected() {
         return new ArchCondition<>("ask Attempt.maySend before any other call in connected()") {
-            @Override public void check(JavaClass user, ConditionEvents events) {
-                JavaMethod connected = user.getMethod("connected", PooledConnection.class);
+            @Override public void check(JavaClass handler, ConditionEvents events) {
+                JavaMethod connected = handler.getMethod("connected", PooledConnection.class);
                 Set<JavaMethodCall> calls = connected.getMethodCallsFromSelf();
                 int asked = calls.stream().filter(SendPathTest::asksMaySend).mapToInt(JavaMethodCall::getLineNumber).min()
                     .orElse(Integer.MAX_VALUE);
--- a/src/test/java/kelphollow/routing/SendVerdictTest.java
+++ b/src/test/java/kelphollow/routing/SendVerdictTest.java
@@ -10,7 +10,7 @@
 import kelphollow.decision.ControlEvent.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Every bound that held when a node was chosen holds when the first byte is written, however long connecting took. */
+/** Every condition checked when a node was chosen is checked again before the first byte, however long connecting took. */
 class SendVerdictTest {
     private final RouterHarness harness = new RouterHarness();
     private final RequestRouter router = harness.router;
@@ -36,12 +36,12 @@
         Attempt retry = harness.sent.get(1);
 
         harness.advance(58);
-        assertTrue(retry.maySend(), "118 ms after the first, which is remembered for 120");
+        assertTrue(retry.maySend(), "118 ms after the first attempt, which is remembered for 120 ms");
         harness.advance(1);
         assertFalse(retry.maySend());
     }
 
-    @Test void aRetryOfWhatWasNeverExecutedHasNoSuchBound() {
+    @Test void aRetryOfARequestThatWasNeverExecutedIsNotBoundByTheWindow() {
         Attempt first = connecting("keyed");
         harness.advance(10);
         first.ended(AttemptResult.of(AttemptOutcome.CONNECT_FAILED));
@@ -55,7 +55,7 @@
         assertTrue(harness.sent.get(1).maySend());
     }
 
-    @Test void nothingIsSentToANodeThatDrainsOrIsInMaintenanceByNow() {
+    @Test void nothingIsSentToANodeThatHasBegunDrainingOrMaintenance() {
         Attempt attempt = connecting("read");
 
         receive(EndpointState.DRAINING);
--- a/src/test/java/kelphollow/routing/SettingsChangedTest.java
+++ b/src/test/java/kelphollow/routing/SettingsChangedTest.java
@@ -10,9 +10,9 @@
 import kelphollow.decision.ControlSettings.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** New settings in the module: new classes are served, fewer attempts bind, requests under way keep their class. */
+/** Changed settings take effect in the module: new classes are served, and fewer attempts are allowed. */
 class SettingsChangedTest {
-    private static final RequestClass FRESH = new RequestClass("fresh", 300, 2000, 1, 0.1, Idempotency.IDEMPOTENT,
+    private static final RequestClass ADDED_CLASS = new RequestClass("fresh", 300, 2000, 1, 0.1, Idempotency.IDEMPOTENT,
         DeduplicationScope.ALL, 0, false, false);
     private final RouterHarness harness = new RouterHarness();
     private final RequestRouter router = harness.router;
@@ -22,18 +22,18 @@
         router.start(() -> {}, false);
     }
 
-    @Test void aClassThatAppearsIsServed() {
+    @Test void anAddedClassIsServed() {
         start();
         harness.submit("fresh", "free", "k1");
-        assertTrue(harness.sent.isEmpty(), "unknown before");
+        assertTrue(harness.sent.isEmpty(), "unknown before the change");
 
-        router.changeSettings(List.of(RouterHarness.READ, FRESH), 3);
+        router.changeSettings(List.of(RouterHarness.READ, ADDED_CLASS), 3);
         harness.submit("fresh", "free", "k2");
 
         assertEquals(1, harness.sent.size());
     }
 
-    @Test void fewerAttemptsBindAtOnce() {
+    @Test void fewerAttemptsApplyAtOnce() {
         start();
 
         router.changeSettings(List.of(RouterHarness.READ), 1);
@@ -42,18 +42,18 @@
         harness.sent.get(0).ended(AttemptResult.of(AttemptOutcome.ERROR));
         harness.advance(200);
 
-        assertEquals(1, harness.sent.size(), "one attempt is all it may have");
+        assertEquals(1, harness.sent.size(), "one attempt is allowed");
         assertEquals(List.of("k1"), harness.rejected);
     }
 
-    @Test void withTheAttemptsItHadARequestIsRetried() {
+    @Test void aRequestIsRetriedWithinTheAllowedAttempts() {
         start();
 
         harness.submit("read", "free", "k1");
         harness.sent.get(0).ended(AttemptResult.of(AttemptOutcome.ERROR));
         harness.advance(200);
 
-        assertEquals(2, harness.sent.size(), "the settings allow three");
+        assertEquals(2, harness.sent.size(), "three attempts are allowed");
         assertTrue(harness.rejected.isEmpty());
     }
 }
--- a/src/test/java/kelphollow/routing/StallDetectorTest.java
+++ b/src/test/java/kelphollow/routing/StallDetectorTest.java
@@ -10,9 +10,9 @@
 import kelphollow.decision.ControlSettings.Rules;
 import org.junit.jupiter.api.Test;
 
-/** What is measured of a node's latency while the scheduler itself gets no processor. */
+/** The measured latency of a node excludes the time in which the scheduler itself gets no CPU time. */
 class StallDetectorTest {
-    private static final double HEARTBEAT = 10;
+    private static final double HEARTBEAT_MS = 10;
     private double now = 1_000;
     private final List<Runnable> heartbeats = new ArrayList<>();
     private final List<Attempt> sent = new ArrayList<>();
@@ -23,7 +23,7 @@
         }
 
         @Override public Timeout after(double millis, Runnable task) {
-            if (millis == HEARTBEAT) {
+            if (millis == HEARTBEAT_MS) {
                 heartbeats.add(task);
             }
             return () -> {};
@@ -59,22 +59,22 @@
         return sent.get(0);
     }
 
-    /** Time passes; heartbeats come only while the scheduler is {@code running}. */
+    /** Advances the clock; heartbeats run only if the scheduler is {@code running}. */
     private void advance(int millis, boolean running) {
         for (int i = 0; i < millis; i++) {
             now++;
-            if (running && now % HEARTBEAT == 0) {
+            if (running && now % HEARTBEAT_MS == 0) {
                 heartbeats.remove(0).run();
             }
         }
     }
 
-    @Test void aNodesLatencyIsWhatItTookWhileTheSchedulerRan() {
+    @Test void latencyExcludesTheTimeInWhichTheSchedulerWasStalled() {
         Attempt attempt = attempt();
 
         advance(30, true);
         assertEquals(30, attempt.latency());
-        advance(200, false);               // the answer came somewhere in here
+        advance(200, false);               // the response came in this time
         assertEquals(45, attempt.latency(), "heartbeats are due every 10 ms and may be 5 ms late");
         advance(20, true);
         assertEquals(65, attempt.latency(), 10);
