--- a/src/main/java/kelphollow/transport/PooledConnection.java
+++ b/src/main/java/kelphollow/transport/PooledConnection.java
@@ -7,54 +7,54 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One connection to a node, from a {@link ConnectionPools}. It carries one exchange at a time, so that none waits behind
- * another. Its codec is in the pipeline only while an exchange goes on: what a node sends behind a response, or unasked,
- * then arrives here undecoded and closes the connection. Guards against taking such bytes for the response to the next
+ * One connection to a node, from a {@link ConnectionPools}. It carries one exchange at a time, so that none waits for
+ * another. Its codec is in the pipeline only during an exchange. Bytes that a node sends after a response, or unsolicited,
+ * therefore arrive here undecoded and close the connection, so that they are not taken for the response to the next
  * request. Confined to the event loop.
  */
 public final class PooledConnection extends ChannelInboundHandlerAdapter {
     /**
-     * Who uses the connection now. After {@link #connectionFailed} or {@link PooledConnection#release} it gets no
-     * more calls.
+     * Carries an exchange over a connection. It gets no more calls after {@link #connectionFailed} or {@link
+     * PooledConnection#release}.
      */
-    public interface User {
-        /** The connection is established: write now, or {@link PooledConnection#release} it. */
+    public interface ExchangeHandler {
+        /** The connection is established: the handler writes now, or calls {@link PooledConnection#release}. */
         void connected(PooledConnection connection);
 
-        /** A decoded message, which the user releases. */
+        /** A message was decoded; the handler releases it. */
         void received(PooledConnection connection, Object message);
 
         /** The channel has become writable again: see {@link Channel#isWritable}. */
         default void writable(PooledConnection connection) {}
 
-        /** Bytes have come that make no message yet. */
+        /** Bytes have been received that do not yet make up a message. */
         default void partialMessage(PooledConnection connection) {}
 
         /**
-         * The connection was not established, has ended, or brought what its codec cannot read.
+         * The connection was not established, has ended, or received what its codec cannot decode.
          *
          * @param cause null if the node closed it
          */
         void connectionFailed(PooledConnection connection, Throwable cause);
     }
 
-    /** Of the connection, in their only order. */
+    /** The states of the connection in the order of their transitions. */
     private enum State {
-        /** No exchange has begun on it. */
+        /** No exchange has begun on the connection. */
         CONNECTING,
-        /** An exchange has begun on it; it is in use, or idle. */
+        /** An exchange has begun on the connection; it is in use or idle. */
         ESTABLISHED,
-        /** It was not established, or has ended. */
+        /** The connection was not established, or has ended. */
         CLOSED
     }
 
-    /** Of what one read from the socket has brought so far. */
+    /** What one read from the socket has yielded so far. */
     private enum ReadState {
-        /** No message, or no read is under way. */
+        /** No message, or no read is in progress. */
         NO_MESSAGE,
         /** At least one message. */
         MESSAGE_READ,
-        /** The connection was released within the read: it is idle once the read is complete. */
+        /** The connection was released during the read: it becomes idle once the read is complete. */
         RELEASED
     }
 
@@ -62,50 +62,50 @@
     private final ConnectionPools.HostPool hostPool;
     private State state = State.CONNECTING;
     private ReadState readState = ReadState.NO_MESSAGE;
-    private User user;
+    private ExchangeHandler handler;
     private Channel channel;
     private double idleSince;
 
-    PooledConnection(ConnectionPools pools, ConnectionPools.HostPool hostPool, User user) {
+    PooledConnection(ConnectionPools pools, ConnectionPools.HostPool hostPool, ExchangeHandler handler) {
         this.pools = pools;
         this.hostPool = hostPool;
-        this.user = user;
+        this.handler = handler;
     }
 
     ConnectionPools.HostPool hostPool() {
         return hostPool;
     }
 
-    /** Clock time since which nothing has used the connection. */
+    /** Clock time since which the connection has been idle. */
     double idleSince() {
         return idleSince;
     }
 
-    /** The channel, for writing; null until the connection is being established. */
+    /** The channel to write to; null until the connection is being established. */
     public Channel channel() {
         return channel;
     }
 
-    /** Whether this user has the connection now. */
-    public boolean isUsedBy(User other) {
-        return user == other;
+    /** Whether this handler holds the connection now. */
+    public boolean isUsedBy(ExchangeHandler other) {
+        return handler == other;
     }
 
-    /** Gives an idle connection to its next user, who is notified at once. */
-    void use(User next) {
-        user = next;
+    /** Gives an idle connection to its next handler, which is notified at once. */
+    void use(ExchangeHandler next) {
+        handler = next;
         beginExchange();
     }
 
     private void beginExchange() {
         state = State.ESTABLISHED;
         channel.pipeline().addFirst(pools.newCodec());
-        user.connected(this);
+        handler.connected(this);
     }
 
-    /** Gives the connection back; it is kept for the next exchange if it is open and nothing came behind the response. */
+    /** Releases the connection; it is kept for the next exchange if it is open and nothing followed the response. */
     public void release() {
-        user = null;
+        handler = null;
         removeCodec();
         if (readState != ReadState.NO_MESSAGE) {
             readState = ReadState.RELEASED;
@@ -114,7 +114,7 @@
         }
     }
 
-    /** A decoder that is removed passes on the bytes that it has not decoded: see {@link #channelRead}. */
+    /** Removes the codec. A decoder that is removed passes on its undecoded bytes to {@link #channelRead}. */
     private void removeCodec() {
         while (state != State.CLOSED) {
             ChannelHandler first = channel.pipeline().first();
@@ -125,9 +125,9 @@
         }
     }
 
-    /** Closes the connection, which tells a node that its response is no longer waited for. */
+    /** Closes the connection, which tells the node that its response is no longer needed. */
     public void close() {
-        user = null;
+        handler = null;
         if (channel != null) {
             channel.close();
         }
@@ -138,32 +138,32 @@
     }
 
     /**
-     * The exchange begins once all has been read that came while the connection was established. Guards against a
-     * first byte for a client whose end, or to a node whose drain, was there to be read before.
+     * Begins the exchange once all input that arrived while the connection was being established has been read. Prevents a
+     * write for a client whose disconnect, or to a node whose drain, was received but not yet read.
      */
     @Override public void channelActive(ChannelHandlerContext ctx) {
-        if (user == null) {
-            ctx.close();       // closed by its user while it was being established
+        if (handler == null) {
+            ctx.close();       // closed by its handler while it was being established
             return;
         }
         idleSince = pools.now();
         ctx.channel().eventLoop().execute(() -> {
-            if (user != null) {
+            if (handler != null) {
                 beginExchange();
             }
         });
     }
 
-    /** Passes the message on to the user, who releases it; releases it here if there is none. */
+    /** Passes the message on to the handler, which releases it; releases it here if there is no handler. */
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (readState == ReadState.NO_MESSAGE) {
             readState = ReadState.MESSAGE_READ;
         }
-        if (user == null || state == State.CONNECTING) {
+        if (handler == null || state == State.CONNECTING) {
             ReferenceCountUtil.release(message);
-            ctx.close();       // a node responds to requests only
+            ctx.close();       // unsolicited bytes
         } else {
-            user.received(this, message);
+            handler.received(this, message);
         }
     }
 
@@ -175,14 +175,14 @@
                 idleSince = pools.now();
                 pools.addIdle(this);
             }
-        } else if (user != null && completed == ReadState.NO_MESSAGE) {
-            user.partialMessage(this);
+        } else if (handler != null && completed == ReadState.NO_MESSAGE) {
+            handler.partialMessage(this);
         }
     }
 
     @Override public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (user != null && ctx.channel().isWritable()) {
-            user.writable(this);
+        if (handler != null && ctx.channel().isWritable()) {
+            handler.writable(this);
         }
     }
 
@@ -195,10 +195,10 @@
         ctx.close();
     }
 
-    /** The connection was not established, or has ended: its user and the pool are notified, each once. */
+    /** The connection was not established, or has ended: notifies its handler and the pool, each once. */
     void ended(Throwable cause) {
-        User last = user;
-        user = null;
+        ExchangeHandler last = handler;
+        handler = null;
         if (state != State.CLOSED) {
             state = State.CLOSED;
             pools.remove(this);
--- a/src/test/java/kelphollow/routing/EndpointTableTest.java
+++ b/src/test/java/kelphollow/routing/EndpointTableTest.java
@@ -13,7 +13,7 @@
 import kelphollow.decision.ControlEvent.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** What an endpoint list changes, and what maintenance and ejections make of its entries. */
+/** Updates of the endpoint list, and the effective states that maintenance and ejections give its entries. */
 class EndpointTableTest {
     private final EndpointTable table = new EndpointTable();
 
@@ -30,20 +30,20 @@
         assertEquals(List.of("a"), update.unusable());
         assertNull(table.find("a"));
         assertNotNull(table.find("b"));
-        assertTrue(table.acceptsWork("c"));
+        assertTrue(table.acceptsRequests("c"));
     }
 
-    @Test void aChangeLeavesWhatItDoesNotName() {
+    @Test void aPartialUpdateKeepsWhatItDoesNotName() {
         table.update(RouterHarness.healthy("a", "b"), true);
 
         EndpointTable.Update update = table.update(List.of(RouterHarness.node("b", EndpointState.REMOVED)), false);
 
         assertEquals(List.of("b"), update.unusable());
-        assertTrue(table.acceptsWork("a"));
+        assertTrue(table.acceptsRequests("a"));
         assertNull(table.find("b"));
     }
 
-    @Test void connectionsToANodeThatHasMovedOrRestartedAreOfNoUse() {
+    @Test void connectionsToANodeThatHasMovedOrRestartedAreUnusable() {
         table.update(List.of(node("same", 1, 5), node("moved", 1, 5), node("restarted", 1, 5)), true);
 
         EndpointTable.Update update =
@@ -52,24 +52,24 @@
         assertEquals(List.of("moved", "restarted"), update.unusable());
     }
 
-    @Test void anEjectedNodeIsShownAsDrainingAndKeepsAllElse() {
+    @Test void anEjectedNodeIsDrainingAndOtherwiseUnchanged() {
         table.update(List.of(node("a", 1, 5), node("b", 1, 7)), true);
 
         List<Endpoint> changed = table.eject(Set.of("a"));
 
         assertEquals(List.of(new Endpoint("a", "z", 0, EndpointState.DRAINING, 5)), changed);
-        assertFalse(table.acceptsWork("a"));
+        assertFalse(table.acceptsRequests("a"));
         assertEquals(List.of(new Endpoint("a", "z", 0, EndpointState.HEALTHY, 5)), table.eject(Set.of()));
-        assertTrue(table.acceptsWork("a"));
+        assertTrue(table.acceptsRequests("a"));
     }
 
-    @Test void aNodeInMaintenanceIsShownAsDrainingWhateverListsSay() {
+    @Test void aNodeInMaintenanceIsDrainingWhateverStateTheListGives() {
         table.maintenance().add("a");
 
         EndpointTable.Update update = table.update(List.of(node("a", 1, 5)), true);
 
         assertEquals(List.of(new Endpoint("a", "z", 0, EndpointState.DRAINING, 5)), update.effective());
         assertEquals(List.of("a"), update.unusable());
-        assertFalse(table.acceptsWork("a"));
+        assertFalse(table.acceptsRequests("a"));
     }
 }
