--- a/src/main/java/kelphollow/adapter/ActionWriter.java
+++ b/src/main/java/kelphollow/adapter/ActionWriter.java
@@ -19,7 +19,7 @@
     }
 
     @Override public void sendAttempt(SendAttempt action) throws IOException {
-        begin(WireWords.SEND_ATTEMPT);
+        begin(WireNames.SEND_ATTEMPT);
         out.writeString(action.id());
         out.writeString(action.node());
         if (action.timeout() > 0) {
@@ -29,41 +29,41 @@
     }
 
     @Override public void setTimer(SetTimer action) throws IOException {
-        begin(WireWords.SET_TIMER);
+        begin(WireNames.SET_TIMER);
         out.writeNumber(action.at());
         out.writeString(action.name());
         out.writeEndArray();
     }
 
     @Override public void rejectRequest(RejectRequest action) throws IOException {
-        begin(WireWords.REJECT_REQUEST);
+        begin(WireNames.REJECT_REQUEST);
         out.writeString(action.id());
         out.writeNumber(action.retryAfter());
         out.writeEndArray();
     }
 
     @Override public void failRequest(FailRequest action) throws IOException {
-        begin(WireWords.FAIL_REQUEST);
+        begin(WireNames.FAIL_REQUEST);
         out.writeString(action.id());
         out.writeEndArray();
     }
 
     @Override public void cancelAttempt(CancelAttempt action) throws IOException {
-        begin(WireWords.CANCEL_ATTEMPT);
+        begin(WireNames.CANCEL_ATTEMPT);
         out.writeString(action.id());
         out.writeNumber(action.attempt());
         out.writeEndArray();
     }
 
     @Override public void pollEndpoints(PollEndpoints action) throws IOException {
-        begin(WireWords.POLL_ENDPOINTS);
+        begin(WireNames.POLL_ENDPOINTS);
         out.writeBoolean(true);
         out.writeEndArray();
     }
 
     /** Reports that the module failed with an exception. */
     void internalError(String fault) throws IOException {
-        begin(WireWords.INTERNAL_ERROR);
+        begin(WireNames.INTERNAL_ERROR);
         out.writeString(fault);
         out.writeEndArray();
     }
--- a/src/main/java/kelphollow/adapter/Adapter.java
+++ b/src/main/java/kelphollow/adapter/Adapter.java
@@ -29,12 +29,12 @@
     byte[] answer(String line) throws MalformedMessageException {
         try {
             Map<?, ?> batch = object(Json.parse(line), "batch");
-            double now = number(batch.get(WireWords.TIME), "at_time");
+            double now = number(batch.get(WireNames.TIME), "at_time");
             ByteArrayOutputStream bytes = new ByteArrayOutputStream(REPLY_BYTES);
             try (JsonGenerator out = factory.createGenerator(bytes)) {
                 out.writeStartObject();
-                out.writeArrayFieldStart(WireWords.INSTANCES);
-                for (Object part : list(batch.get(WireWords.INSTANCES), "parts")) {
+                out.writeArrayFieldStart(WireNames.INSTANCES);
+                for (Object part : list(batch.get(WireNames.INSTANCES), "parts")) {
                     answerInstance(object(part, "part"), now).writeTo(out);
                 }
                 out.writeEndArray();
@@ -48,17 +48,17 @@
     }
 
     private InstanceReply answerInstance(Map<?, ?> part, double now) throws MalformedMessageException {
-        InstanceReply reply = new InstanceReply(text(part.get(WireWords.INSTANCE_ID), "initiator_id"));
-        for (Object item : list(part.get(WireWords.EVENTS), "input")) {
+        InstanceReply reply = new InstanceReply(text(part.get(WireNames.INSTANCE_ID), "initiator_id"));
+        for (Object item : list(part.get(WireNames.EVENTS), "input")) {
             List<?> message = list(item, "event");
             String kind = text(at(message, 0), "event name");
             switch (kind) {
-                case WireWords.ENDPOINT_LIST -> events.keepList(message);
-                case WireWords.STOP_INSTANCE -> {
+                case WireNames.ENDPOINT_LIST -> events.keepList(message);
+                case WireNames.STOP_INSTANCE -> {
                     instances.remove(reply.instance());
                     reply.clear();
                 }
-                case WireWords.START_INSTANCE -> start(message, now, reply);
+                case WireNames.START_INSTANCE -> start(message, now, reply);
                 default -> deliver(kind, message, now, reply);
             }
         }
@@ -73,7 +73,7 @@
             instances.put(reply.instance(), control);
             reply.add(control.start());
         } catch (RuntimeException e) {
-            reply.failed(WireWords.START_INSTANCE, e);
+            reply.failed(WireNames.START_INSTANCE, e);
         }
     }
 
--- a/src/main/java/kelphollow/adapter/Loop.java
+++ b/src/main/java/kelphollow/adapter/AdapterLoop.java
@@ -6,8 +6,8 @@
 import java.io.PrintStream;
 
 /** Runs the adapter over a pair of streams, on the calling thread. */
-public final class Loop {
-    private Loop() {}
+public final class AdapterLoop {
+    private AdapterLoop() {}
 
     /**
      * Answers each line with one line until the input ends.
--- a/src/main/java/kelphollow/adapter/EventReader.java
+++ b/src/main/java/kelphollow/adapter/EventReader.java
@@ -43,20 +43,20 @@
     private static Endpoint endpoint(List<?> row) throws MalformedMessageException {
         String state = text(at(row, 4), "phase");
         return new Endpoint(text(at(row, 0), "target"), textOr(at(row, 1), null), (int) number(at(row, 3), "cohort"),
-            WireWords.endpointState(state), numberOr(at(row, 6), 0));
+            WireNames.endpointState(state), numberOr(at(row, 6), 0));
     }
 
     /** The event that a message stands for; null for one that concerns no decision. */
     ControlEvent read(String kind, List<?> message) throws MalformedMessageException {
         return switch (kind) {
-            case WireWords.ENDPOINTS_RECEIVED -> endpointList(message);
-            case WireWords.REQUEST_ARRIVED -> requestArrived(message);
-            case WireWords.CLIENT_DISCONNECTED -> new ClientDisconnected(requestId(message));
-            case WireWords.RESPONSE_STARTED ->
+            case WireNames.ENDPOINTS_RECEIVED -> endpointList(message);
+            case WireNames.REQUEST_ARRIVED -> requestArrived(message);
+            case WireNames.CLIENT_DISCONNECTED -> new ClientDisconnected(requestId(message));
+            case WireNames.RESPONSE_STARTED ->
                 new ResponseStarted(requestId(message), (int) number(at(message, 4), "send_no"));
-            case WireWords.TIMER_FIRED -> new TimerFired(text(at(message, 1), "cookie"));
-            case WireWords.ATTEMPT_ENDED -> attemptEnded(message);
-            case WireWords.MESSAGE_RECEIVED, WireWords.NODE_PROBED -> null;
+            case WireNames.TIMER_FIRED -> new TimerFired(text(at(message, 1), "cookie"));
+            case WireNames.ATTEMPT_ENDED -> attemptEnded(message);
+            case WireNames.MESSAGE_RECEIVED, WireNames.NODE_PROBED -> null;
             default -> throw new MalformedMessageException("unknown event " + kind);
         };
     }
@@ -67,7 +67,7 @@
 
     private ControlEvent endpointList(List<?> message) throws MalformedMessageException {
         String form = text(at(message, 3), "form");
-        if (form.equals(WireWords.POLL_FAILED)) {
+        if (form.equals(WireNames.POLL_FAILED)) {
             return new EndpointPollFailed(EndpointPollFailure.WATCH_BROKEN);
         }
         List<Endpoint> endpoints = lists.get((int) number(at(message, 1), "page"));
@@ -75,9 +75,9 @@
             throw new MalformedMessageException("ENDPOINTS names list " + at(message, 1) + ", which was not sent");
         }
         return switch (form) {
-            case WireWords.CHANGED_ENTRIES -> new EndpointsReceived(endpoints, false, false);
-            case WireWords.COMPLETE_LIST -> new EndpointsReceived(endpoints, true, false);
-            case WireWords.CACHED_LIST -> new EndpointsReceived(endpoints, true, true);
+            case WireNames.CHANGED_ENTRIES -> new EndpointsReceived(endpoints, false, false);
+            case WireNames.COMPLETE_LIST -> new EndpointsReceived(endpoints, true, false);
+            case WireNames.CACHED_LIST -> new EndpointsReceived(endpoints, true, true);
             default -> throw new MalformedMessageException("unknown form " + form);
         };
     }
@@ -92,7 +92,7 @@
         // The wire gives usage as 1 + percent, and 0 for unknown.
         double usagePercent = numberOr(at(message, 8), 0) - 1;
         return new AttemptEnded(requestId(message), (int) number(at(message, 3), "send_no"),
-            text(at(message, 4), "target"), WireWords.outcome(text(at(message, 6), "verdict")),
+            text(at(message, 4), "target"), WireNames.outcome(text(at(message, 6), "verdict")),
             number(at(message, 5), "took"), Boolean.TRUE.equals(at(message, 2)), false, numberOr(at(message, 7), 0),
             usagePercent, loadReport(at(message, 9)));
     }
@@ -103,7 +103,7 @@
         }
         Map<String, Double> report = new LinkedHashMap<>();
         for (Map.Entry<?, ?> entry : object(value, "metrics").entrySet()) {
-            String figure = WireWords.loadFigure(String.valueOf(entry.getKey()));
+            String figure = WireNames.loadFigure(String.valueOf(entry.getKey()));
             if (figure != null && entry.getValue() instanceof Double d) {
                 report.put(figure, d);
             }
--- a/src/main/java/kelphollow/adapter/InstanceReply.java
+++ b/src/main/java/kelphollow/adapter/InstanceReply.java
@@ -47,8 +47,8 @@
         }
         ActionWriter writer = new ActionWriter(out);
         out.writeStartObject();
-        out.writeStringField(WireWords.INSTANCE_ID, instance);
-        out.writeArrayFieldStart(WireWords.ACTIONS);
+        out.writeStringField(WireNames.INSTANCE_ID, instance);
+        out.writeArrayFieldStart(WireNames.ACTIONS);
         for (ControlAction action : actions) {
             action.accept(writer);
         }
--- a/src/main/java/kelphollow/adapter/SettingsReader.java
+++ b/src/main/java/kelphollow/adapter/SettingsReader.java
@@ -53,7 +53,7 @@
         String scope = textOr(map.get("dedup_scope"), "cell");
         return new RequestClass(text(map.get("name"), "request_classes name"), number(map, "aim"),
             number(map, "deadline"), number(map, "worth"), number(map, "late_share"),
-            WireWords.idempotency(idempotency), WireWords.deduplicationScope(scope), number(map, "window"),
+            WireNames.idempotency(idempotency), WireNames.deduplicationScope(scope), number(map, "window"),
             isTrue(map, "sequential"), isTrue(map, "streaming"));
     }
 
--- a/src/main/java/kelphollow/adapter/WireWords.java
+++ b/src/main/java/kelphollow/adapter/WireNames.java
@@ -7,7 +7,7 @@
 import kelphollow.decision.ControlSettings.Idempotency;
 
 /** The words of the simulator's wire and the terms they stand for; the keys of settings are in {@link SettingsReader}. */
-final class WireWords {
+final class WireNames {
     /** Events: the first element of each message in. */
     static final String START_INSTANCE = "ENLIST";
     static final String STOP_INSTANCE = "DOWN";
@@ -57,7 +57,7 @@
     /** Figures of a node's load report. */
     private static final Map<String, String> LOAD_FIGURES = Map.of("busy_reqs", "inFlight", "svc_ms", "serviceTime");
 
-    private WireWords() {}
+    private WireNames() {}
 
     static EndpointState endpointState(String word) throws MalformedMessageException {
         return known(ENDPOINT_STATES, word, "phase");
--- a/src/main/java/kelphollow/program/AdapterCommand.java
+++ b/src/main/java/kelphollow/program/AdapterCommand.java
@@ -6,12 +6,12 @@
 import java.io.InputStreamReader;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
-import kelphollow.adapter.Loop;
+import kelphollow.adapter.AdapterLoop;
 
 /** {@code adapter}: the module on the simulator's wire, over standard input and output. */
 public final class AdapterCommand implements Main.Command {
     @Override public int run(PrintStream out, PrintStream err) {
-        return Loop.run(new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16),
+        return AdapterLoop.run(new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16),
             new FileOutputStream(FileDescriptor.out), err);
     }
 }
--- a/src/test/java/kelphollow/adapter/AdapterTest.java
+++ b/src/test/java/kelphollow/adapter/AdapterTest.java
@@ -23,7 +23,8 @@
     private static String[] run(String... lines) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int code = Loop.run(new BufferedReader(new StringReader(String.join("\n", lines))), out, new PrintStream(err));
+        int code = AdapterLoop.run(new BufferedReader(new StringReader(String.join("\n", lines))), out, new PrintStream(
+            err));
         return new String[] {String.valueOf(code), out.toString(), err.toString()};
     }
 
--- a/src/test/java/kelphollow/adapter/WireNamesTest.java
+++ b/src/test/java/kelphollow/adapter/WireNamesTest.java
@@ -37,7 +37,8 @@
     private static Run run(List<String> lines) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int code = Loop.run(new BufferedReader(new StringReader(String.join("\n", lines))), out, new PrintStream(err));
+        int code = AdapterLoop.run(new BufferedReader(new StringReader(String.join("\n", lines))), out, new PrintStream(
+            err));
         return new Run(String.valueOf(code), out.toString(), err.toString());
     }
 
