--- a/src/main/java/kelphollow/decision/AttemptCompletions.java
+++ b/src/main/java/kelphollow/decision/AttemptCompletions.java
@@ -37,7 +37,7 @@
     private void learn(InFlightAttempt attempt, AttemptEnded event) {
         Volume volume = attempt.request.volume;
         volume.usage.reported(state.now(), event.unitsElsewhere(), event.usagePercent(), volume.plan.rate());
-        attempt.node.learn(attempt, event);
+        attempt.node.recordOutcome(attempt, event);
         if (event.outcome() == AttemptOutcome.SERVED) {
             volume.usage.served(attempt.request.units());
         }
@@ -49,7 +49,7 @@
         request.reachedNode |= outcome == AttemptOutcome.AT_CAPACITY || possiblyExecuted;
         if (possiblyExecuted && !request.possiblyExecuted()) {
             request.possiblyExecutedSince = attempt.sentAt;
-            request.possiblyExecutedAt = attempt.node;
+            request.possiblyExecutedNode = attempt.node;
         }
     }
 
--- a/src/main/java/kelphollow/decision/DeadlineMonitor.java
+++ b/src/main/java/kelphollow/decision/DeadlineMonitor.java
@@ -39,7 +39,7 @@
             answers.answer(request, Reason.NO_ENDPOINT_IN_TIME);
         } else if (now >= request.objectiveAt && !request.late) {
             if (request.queued) {
-                shedder.leaveTagOrder(request);
+                shedder.moveToLate(request);
             }
             request.late = true;
         }
--- a/src/main/java/kelphollow/decision/Dispatcher.java
+++ b/src/main/java/kelphollow/decision/Dispatcher.java
@@ -103,7 +103,7 @@
         state.queues.of(request).remove(request);
         state.tagger.sent(request);
         if (!request.late) {
-            request.volume.drawReserve(request.units());
+            request.volume.consumeReserve(request.units());
         }
         state.retries.sent(request, node);
         if (request.attempts == 0) {
--- a/src/main/java/kelphollow/decision/Node.java
+++ b/src/main/java/kelphollow/decision/Node.java
@@ -55,7 +55,7 @@
     }
 
     /** The endpoint list has an entry of it. */
-    void listed(Endpoint endpoint) {
+    void updateEndpoint(Endpoint endpoint) {
         state = endpoint.state();
         if (slowStart.started(endpoint.startedAt())) {
             window.restarted();
@@ -64,7 +64,7 @@
     }
 
     /** A complete endpoint list leaves it out. */
-    void unlisted() {
+    void markRemoved() {
         state = EndpointState.REMOVED;
     }
 
@@ -148,7 +148,7 @@
     }
 
     /** Learns from the outcome of an attempt that went here. */
-    void learn(InFlightAttempt attempt, AttemptEnded ended) {
+    void recordOutcome(InFlightAttempt attempt, AttemptEnded ended) {
         AttemptOutcome outcome = ended.outcome();
         if (outcome == AttemptOutcome.SERVED) {
             served(attempt, ended.took());
--- a/src/main/java/kelphollow/decision/NodeTable.java
+++ b/src/main/java/kelphollow/decision/NodeTable.java
@@ -30,10 +30,10 @@
     /** Takes over an endpoint list or changes of it. */
     void apply(EndpointsReceived list) {
         if (list.complete()) {
-            byId.values().forEach(Node::unlisted);
+            byId.values().forEach(Node::markRemoved);
         }
         for (Endpoint endpoint : list.endpoints()) {
-            byId.computeIfAbsent(endpoint.node(), id -> newNode(endpoint)).listed(endpoint);
+            byId.computeIfAbsent(endpoint.node(), id -> newNode(endpoint)).updateEndpoint(endpoint);
         }
         byId.values().removeIf(Node::isGone);
     }
--- a/src/main/java/kelphollow/decision/PendingQueues.java
+++ b/src/main/java/kelphollow/decision/PendingQueues.java
@@ -22,9 +22,9 @@
      */
     private static int cellOf(PendingRequest request) {
         int cell = request.arrival.cell();
-        boolean sticky = cell < 0 && request.possiblyExecutedAt != null
+        boolean sticky = cell < 0 && request.possiblyExecutedNode != null
             && request.requestClass.deduplicationScope() == DeduplicationScope.CELL;
-        return sticky ? request.possiblyExecutedAt.cell : Math.max(NEW_OBJECTS, cell);
+        return sticky ? request.possiblyExecutedNode.cell : Math.max(NEW_OBJECTS, cell);
     }
 
     /** The queue of a cell; null while nothing waits for it. */
--- a/src/main/java/kelphollow/decision/PendingRequest.java
+++ b/src/main/java/kelphollow/decision/PendingRequest.java
@@ -36,7 +36,7 @@
     /** When the first attempt that may have been executed was sent; negative while there is none. */
     double possiblyExecutedSince = -1;
     /** Where that attempt went to; null while there is none. */
-    Node possiblyExecutedAt;
+    Node possiblyExecutedNode;
     /** The attempt in flight; null while there is none. */
     InFlightAttempt inFlight;
     /** Attempts sent so far. */
--- a/src/main/java/kelphollow/decision/QueueShedder.java
+++ b/src/main/java/kelphollow/decision/QueueShedder.java
@@ -47,7 +47,7 @@
                 readyAt += request.units() * msPerUnit;
             }
         }
-        shed.forEach(this::leaveTagOrder);
+        shed.forEach(this::moveToLate);
     }
 
     private double weight(PendingRequest request) {
@@ -60,7 +60,7 @@
      * A queued request can no longer be served in time. One that was never sent is rejected, to be retried
      * elsewhere.
      */
-    void leaveTagOrder(PendingRequest request) {
+    void moveToLate(PendingRequest request) {
         PendingQueue queue = state.queues.of(request);
         queue.remove(request);
         request.late = true;
--- a/src/main/java/kelphollow/decision/RetryPolicy.java
+++ b/src/main/java/kelphollow/decision/RetryPolicy.java
@@ -72,7 +72,7 @@
         if (context.now() >= writeBy(request)) {
             return false;
         }
-        Node executedAt = request.possiblyExecutedAt;
+        Node executedAt = request.possiblyExecutedNode;
         return switch (request.requestClass.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> node.zone != null && node.zone.equals(executedAt.zone);
--- a/src/main/java/kelphollow/decision/Volume.java
+++ b/src/main/java/kelphollow/decision/Volume.java
@@ -78,7 +78,7 @@
         reserveFilledAt = now;
     }
 
-    void drawReserve(double units) {
+    void consumeReserve(double units) {
         refillReserve();
         reserveLeft = Math.max(-units, reserveLeft - units);
     }
--- a/src/main/java/kelphollow/decision/VolumeTable.java
+++ b/src/main/java/kelphollow/decision/VolumeTable.java
@@ -11,7 +11,7 @@
 /** The volumes that this instance has seen. Confined to the thread that drives {@link Control}. */
 final class VolumeTable {
     /** From this number of volumes on those that are idle are forgotten. */
-    static final int IDLE_KEPT_BELOW = 1_000;
+    static final int IDLE_EVICTION_THRESHOLD = 1_000;
     /** A volume without requests for this time is idle, in milliseconds. */
     static final double IDLE_AFTER_MS = 60_000;
 
@@ -35,7 +35,7 @@
         String name = arrival.volume() == null ? "" : arrival.volume();
         int instances = Math.max(1, arrival.hosts());
         double now = context.now();
-        if (byName.size() >= IDLE_KEPT_BELOW && !byName.containsKey(name)) {
+        if (byName.size() >= IDLE_EVICTION_THRESHOLD && !byName.containsKey(name)) {
             forgetIdle();
         }
         Volume volume = byName.computeIfAbsent(name, n -> new Volume(plan, instances, context, sizes));
--- a/src/test/java/kelphollow/decision/AttemptCompletionsTest.java
+++ b/src/test/java/kelphollow/decision/AttemptCompletionsTest.java
@@ -57,7 +57,7 @@
 
         assertTrue(request.queued && request.reachedNode);
         assertEquals(harness.now() + 40, request.retryAt);
-        assertSame(node, request.possiblyExecutedAt);
+        assertSame(node, request.possiblyExecutedNode);
         assertEquals(StateHarness.START, request.possiblyExecutedSince);
     }
 
--- a/src/test/java/kelphollow/decision/ControlTest.java
+++ b/src/test/java/kelphollow/decision/ControlTest.java
@@ -33,12 +33,12 @@
 
     @Test void idleVolumesAreForgottenOnceThereAreMany() {
         ControlHarness scheduler = ControlHarness.ready();
-        for (int i = 0; i < VolumeTable.IDLE_KEPT_BELOW; i++) {
+        for (int i = 0; i < VolumeTable.IDLE_EVICTION_THRESHOLD; i++) {
             String name = "made up " + i;
             scheduler.on(new RequestArrived(name, "read", "free", "k", scheduler.now + 1, name, 1, 99, 1));
         }
         scheduler.advanceTo(scheduler.now + 10);
-        assertEquals(VolumeTable.IDLE_KEPT_BELOW, scheduler.control.volumesKnown());
+        assertEquals(VolumeTable.IDLE_EVICTION_THRESHOLD, scheduler.control.volumesKnown());
         scheduler.now += VolumeTable.IDLE_AFTER_MS + 100;
         scheduler.request("r", "read", "free", "v", 1, 0);
         assertEquals(1, scheduler.control.volumesKnown());
--- a/src/test/java/kelphollow/decision/FinalAnswersTest.java
+++ b/src/test/java/kelphollow/decision/FinalAnswersTest.java
@@ -73,7 +73,7 @@
     }
 
     @Test void retryAfterIsTheLongestWhileTheNodeTakesNothing() {
-        node.listed(new Endpoint("n0", "a", 0, EndpointState.DRAINING, 0));
+        node.updateEndpoint(new Endpoint("n0", "a", 0, EndpointState.DRAINING, 0));
 
         assertEquals(1_000, retryAfter(read("r")));
     }
--- a/src/test/java/kelphollow/decision/NodeTest.java
+++ b/src/test/java/kelphollow/decision/NodeTest.java
@@ -20,7 +20,7 @@
     }
 
     private void list(EndpointState state) {
-        node.listed(new Endpoint("n0", "a", 0, state, 0));
+        node.updateEndpoint(new Endpoint("n0", "a", 0, state, 0));
     }
 
     @Test void itTakesRequestsUpToItsWindow() {
@@ -62,7 +62,7 @@
 
     @Test void itIsGoneWithItsLastAttempt() {
         send("r");
-        node.unlisted();
+        node.markRemoved();
         assertFalse(node.isGone());
 
         node.release(InFlightAttempt.key("r", 0));
@@ -122,12 +122,12 @@
         PendingRequest calm = harness.request("calm", ControlHarness.READ, "v", 5, 0);
         PendingRequest excess = harness.request("excess", ControlHarness.READ, "w", 5, 0);
         excess.startTag = excess.arrivedAt + 2_000;
-        excess.volume.drawReserve(5);
+        excess.volume.consumeReserve(5);
         harness.serve(node, 1, 130);
         send("waiting");
         harness.advance(130);
         excess.startTag = harness.now() + 60_000;
-        excess.volume.drawReserve(50);
+        excess.volume.consumeReserve(50);
 
         assertTrue(node.isUnderPressure(excess));
         assertFalse(node.isUnderPressure(calm));
--- a/src/test/java/kelphollow/decision/PendingQueuesTest.java
+++ b/src/test/java/kelphollow/decision/PendingQueuesTest.java
@@ -51,8 +51,8 @@
     @Test void aNewObjectStaysWithTheCellThatRecognisesItsKey() {
         PendingRequest keyed = harness.request("k", ControlHarness.KEYED, "v", 1, -1);
         PendingRequest anywhere = harness.request("r", ControlHarness.READ, "v", 1, -1);
-        keyed.possiblyExecutedAt = harness.node("n3", 3);
-        anywhere.possiblyExecutedAt = keyed.possiblyExecutedAt;
+        keyed.possiblyExecutedNode = harness.node("n3", 3);
+        anywhere.possiblyExecutedNode = keyed.possiblyExecutedNode;
 
         queues.of(keyed).add(keyed);
 
--- a/src/test/java/kelphollow/decision/QueueShedderTest.java
+++ b/src/test/java/kelphollow/decision/QueueShedderTest.java
@@ -57,8 +57,8 @@
         PendingRequest fresh = queue("fresh", ControlHarness.READ, "w");
         sent.attempts = 1;
 
-        shedder.leaveTagOrder(sent);
-        shedder.leaveTagOrder(fresh);
+        shedder.moveToLate(sent);
+        shedder.moveToLate(fresh);
 
         assertTrue(sent.late && sent.queued);
         assertFalse(sent.tokensSpent);
--- a/src/test/java/kelphollow/decision/RetryPolicyTest.java
+++ b/src/test/java/kelphollow/decision/RetryPolicyTest.java
@@ -19,7 +19,7 @@
     private PendingRequest executed(ControlSettings.RequestClass requestClass) {
         PendingRequest request = harness.request("r", requestClass, "v", 1, 0);
         request.possiblyExecutedSince = harness.now();
-        request.possiblyExecutedAt = node;
+        request.possiblyExecutedNode = node;
         request.attempts = 1;
         return request;
     }
--- a/src/test/java/kelphollow/decision/StateHarness.java
+++ b/src/test/java/kelphollow/decision/StateHarness.java
@@ -73,7 +73,7 @@
         PendingRequest request = attempt.request;
         int number = request.attempts - 1;
         attempt.node.release(InFlightAttempt.key(request.id(), number));
-        attempt.node.learn(attempt, new AttemptEnded(request.id(), number, attempt.node.id, outcome,
+        attempt.node.recordOutcome(attempt, new AttemptEnded(request.id(), number, attempt.node.id, outcome,
             now() - attempt.sentAt, outcome == AttemptOutcome.SERVED, false, 0, -1, Map.of()));
         request.inFlight = null;
     }
--- a/src/test/java/kelphollow/decision/VolumeTableTest.java
+++ b/src/test/java/kelphollow/decision/VolumeTableTest.java
@@ -53,12 +53,12 @@
     }
 
     @Test void idleVolumesAreForgottenOnceThereAreMany() {
-        for (int i = 0; i < VolumeTable.IDLE_KEPT_BELOW; i++) {
+        for (int i = 0; i < VolumeTable.IDLE_EVICTION_THRESHOLD; i++) {
             of("v" + i, 1);
         }
         harness.advance(VolumeTable.IDLE_AFTER_MS);
         of("still kept", 1);
-        assertEquals(VolumeTable.IDLE_KEPT_BELOW + 1, volumes.size());
+        assertEquals(VolumeTable.IDLE_EVICTION_THRESHOLD + 1, volumes.size());
 
         harness.advance(1);
         of("another", 1);
--- a/src/test/java/kelphollow/decision/VolumeTest.java
+++ b/src/test/java/kelphollow/decision/VolumeTest.java
@@ -37,7 +37,7 @@
         request.startTag = request.arrivedAt + 1_000.1;
         assertFalse(request.volume.isExcess(request), "the reserve is left");
 
-        request.volume.drawReserve(5);
+        request.volume.consumeReserve(5);
         assertTrue(request.volume.isExcess(request));
         request.startTag = request.arrivedAt + 1_000;
 
@@ -48,7 +48,7 @@
         PendingRequest request = harness.request("r", ControlHarness.READ, "v", 5, 0);
         request.startTag = request.arrivedAt + 60_000;
         for (int i = 0; i < 10; i++) {
-            request.volume.drawReserve(5);
+            request.volume.consumeReserve(5);
         }
 
         harness.advance(1_000);
