--- a/src/main/java/kelphollow/decision/Node.java
+++ b/src/main/java/kelphollow/decision/Node.java
@@ -8,16 +8,16 @@
 import kelphollow.decision.ControlEvent.EndpointState;
 
 /**
- * A storage node as this instance sees it: whether, and how many, requests it may be sent. Times are
- * milliseconds. Memory: an entry for each attempt in flight. Confined to the thread that drives
+ * A storage node as seen by this instance: decides whether, and how many, requests may be sent to it. Times
+ * are milliseconds. Memory: one entry per attempt in flight. Confined to the thread that drives
  * {@link Control}.
  */
 final class Node {
-    /** From this share of the shortest objective on excess requests leave at a reduced rate only. */
-    private static final double EXCESS_YIELDS_AT = 0.4;
-    /** Latencies without a send after which a node under pressure takes one more request. */
+    /** Latency above which excess is sent at a reduced rate, as a share of the shortest objective. */
+    private static final double EXCESS_LATENCY_SHARE = 0.4;
+    /** Expected latencies since the last send after which a node under pressure takes one more request. */
     private static final double REDUCED_RATE_LATENCIES = 2;
-    /** Latencies without a send after which a node takes a late request: it must cost others nothing. */
+    /** Expected latencies since the last send after which a late request is taken, as it delays no other. */
     private static final double IDLE_LATENCIES = 12;
 
     final String id;
@@ -26,18 +26,16 @@
     final LatencyEstimate latency;
     final ConcurrencyWindow window = new ConcurrencyWindow();
     final NodeHealth health;
-    /** Bound on the retries that it is sent. */
+    /** Bounds the retries sent to this node. */
     RetryBudget retryBudget;
 
     private final DecisionContext context;
     private final NodeTable nodes;
     private final SlowStart slowStart;
-    /**
-     * Attempts in flight by their keys, the oldest first; a response that has started no longer waits and is
-     * left out.
-     */
+    /** Attempts in flight by key, oldest first, without those whose response has started. */
     private final Map<String, InFlightAttempt> inFlight = new LinkedHashMap<>();
     private EndpointState state = EndpointState.REMOVED;
+    /** Time of the last send, or of creation. */
     private double sentAt;
 
     Node(Endpoint endpoint, DecisionContext context, NodeTable nodes, FleetLatency fleet,
@@ -54,7 +52,7 @@
         sentAt = context.now();
     }
 
-    /** The endpoint list has an entry of it. */
+    /** Applies this node's entry of a received endpoint list. */
     void updateEndpoint(Endpoint endpoint) {
         state = endpoint.state();
         if (slowStart.started(endpoint.startedAt())) {
@@ -63,17 +61,17 @@
         }
     }
 
-    /** A complete endpoint list leaves it out. */
+    /** Marks the node as removed, because a complete endpoint list has no entry for it. */
     void markRemoved() {
         state = EndpointState.REMOVED;
     }
 
-    /** Whether the endpoint list lets it take new requests. */
+    /** Whether the endpoint list allows new requests to this node. */
     boolean isEligible() {
         return state == EndpointState.HEALTHY;
     }
 
-    /** Whether it was removed and nothing is in flight there, so that it may be forgotten. */
+    /** Whether the node was removed and has nothing in flight, so that its state can be dropped. */
     boolean isGone() {
         return state == EndpointState.REMOVED && inFlight.isEmpty();
     }
@@ -82,7 +80,7 @@
         return slowStart.isWarmingUp();
     }
 
-    /** Whether it may be chosen for a new object, which any node could take. */
+    /** Whether the node may be selected for a new object, which any node can store. */
     boolean acceptsNewObjects() {
         return isEligible() && !health.isProbedOnly() && !isWarmingUp() && health.hasFewErrors();
     }
@@ -91,46 +89,47 @@
         return inFlight.size();
     }
 
-    /** Whether one more request may leave for it now. */
+    /** Whether one more request may be sent to this node now. */
     boolean hasCapacity() {
         double now = context.now();
         if (!isEligible() || !nodes.isLeaseValid() || now < health.sendableAt()) {
             return false;
         }
         double capacity = health.isProbedOnly() ? Math.min(1, window.size()) : window.size();
-        double places = Math.max(1, Math.floor(capacity));
-        if (inFlight.size() >= places) {
-            places += latency.lostAttempts();
+        double slots = Math.max(1, Math.floor(capacity));
+        if (inFlight.size() >= slots) {
+            slots += latency.lostAttempts();
         }
-        if (inFlight.size() >= places) {
+        if (inFlight.size() >= slots) {
             return false;
         }
         return capacity >= 1 || now >= sentAt + latency.expected() / capacity;
     }
 
-    /** Whether this very request may leave for it now. */
+    /** Whether this particular request may be sent to this node now. */
     boolean hasCapacityFor(PendingRequest request) {
         return hasCapacity() && (!isWarmingUp() || slowStart.admits(request, inFlight.isEmpty()));
     }
 
     /**
-     * Exception to pClock: as the node's latency nears the objective, what exceeds its quota leaves at a
-     * reduced rate, and past the objective all does. What other instances have there within their quotas is
-     * not known, only this latency; guards against the excess of many instances making every reserve late.
+     * Exception to pClock: as the node's latency nears the shortest objective, excess requests are sent at a
+     * reduced rate; past the objective, all requests are. The load that other instances place on the node
+     * within their quotas shows only in its latency. Prevents the excess of many instances from making all
+     * reserved requests late.
      */
     boolean isUnderPressure(PendingRequest request) {
-        double share = request.volume.isExcess(request) ? EXCESS_YIELDS_AT : 1;
+        double share = request.volume.isExcess(request) ? EXCESS_LATENCY_SHARE : 1;
         double expected = latency.expected();
         boolean limited = !inFlight.isEmpty() || context.now() < sentAt + REDUCED_RATE_LATENCIES * expected;
         return limited && expected > share * context.shortestObjective();
     }
 
-    /** Whether it has had nothing to do for so long that a late request costs others nothing. */
+    /** Whether the node has been idle for long enough that a late request delays no other request. */
     boolean isIdle() {
         return inFlight.isEmpty() && context.now() > sentAt + IDLE_LATENCIES * latency.expected();
     }
 
-    /** Sends an attempt of a request, under a key of its own. */
+    /** Records the sending of an attempt of a request under the attempt's unique key. */
     InFlightAttempt send(String key, PendingRequest request) {
         double now = context.now();
         health.sent(now);
@@ -142,12 +141,12 @@
         return attempt;
     }
 
-    /** An attempt no longer waits at the node: it has ended, or its response has started. */
+    /** Removes an attempt from those in flight: it has ended, or its response has started. */
     void release(String key) {
         inFlight.remove(key);
     }
 
-    /** Learns from the outcome of an attempt that went here. */
+    /** Updates health, latency and concurrency window from the outcome of an attempt sent to this node. */
     void recordOutcome(InFlightAttempt attempt, AttemptEnded ended) {
         AttemptOutcome outcome = ended.outcome();
         if (outcome == AttemptOutcome.SERVED) {
--- a/src/main/java/kelphollow/decision/NodeHealth.java
+++ b/src/main/java/kelphollow/decision/NodeHealth.java
@@ -4,9 +4,9 @@
 import kelphollow.decision.ControlEvent.AttemptOutcome;
 
 /**
- * Passive health of one node, by its attempts' outcomes and by what other instances report of it. A node that
- * is not responsive gets requests at a probe rate only. Times are milliseconds. Constant memory; confined to
- * the thread that drives {@link Control}.
+ * Passive health check of one node, based on the outcomes of its attempts and on the reports of other
+ * instances. A suspected or unresponsive node gets requests at the probe rate only. Times are milliseconds.
+ * Constant memory; confined to the thread that drives {@link Control}.
  */
 final class NodeHealth {
     /**
@@ -14,11 +14,11 @@
      * {@link #restarted}.
      */
     enum State {
-        /** It answers for all that is known. */
+        /** As far as is known, the node answers. */
         RESPONSIVE,
-        /** Others found it unresponsive; it has not been tried from here since. */
+        /** Other instances report the node as unresponsive; this instance has not confirmed it. */
         SUSPECTED,
-        /** It restarted while it was suspected: it gets requests, but the first loss counts at once. */
+        /** The node restarted while suspected: it gets requests, but the first loss counts as a failure. */
         RESTARTED,
         /** Attempts of this instance failed. */
         UNRESPONSIVE;
@@ -28,26 +28,28 @@
         }
     }
 
-    /** Time between two probes of a node; also the longest backoff from it. */
+    /** Time between two probes of a node, and the longest backoff. */
     private static final double PROBE_INTERVAL_MS = 1_000;
-    /** Backoff after a first failure, doubled for each further one in a row. */
+    /** Base of the backoff, which doubles with each consecutive failure: the first failure gives 80 ms. */
     private static final double BASE_BACKOFF_MS = 40;
-    /** Doublings of the backoff at most. */
-    private static final int MOST_DOUBLINGS = 10;
+    /** Bound on the exponent of the backoff. */
+    private static final int MAX_DOUBLINGS = 10;
 
     private final Random random;
     private State state = State.RESPONSIVE;
-    /** Whether an answer or connection was lost since the last answer: one is no sign of a faulty node. */
-    private boolean lossForgiven;
-    /** Whether the newest report names the node. */
-    private boolean named;
+    /** Whether a lost answer or connection was ignored since the last answer: one loss proves no fault. */
+    private boolean lossIgnored;
+    /** Whether the latest report of other instances names the node. */
+    private boolean inLatestReport;
+    /** Consecutive failures. */
     private int failures;
+    /** Probes since the last answer. */
     private int probes;
     private double sendableAt;
-    /** Average share of errors among the answers. */
+    /** Exponentially weighted average of the share of errors among the answers. */
     private double errorRate;
 
-    /** @param random the source of the jitter with which suspected nodes are first probed */
+    /** @param random source of the jitter on the first probe of a suspected node */
     NodeHealth(Random random) {
         this.random = random;
     }
@@ -56,27 +58,27 @@
         return state;
     }
 
-    /** Whether it gets requests at the probe rate only. */
+    /** Whether the node gets requests at the probe rate only. */
     boolean isProbedOnly() {
         return state.isProbedOnly();
     }
 
-    /** Time before which nothing may be sent to it. */
+    /** Time before which nothing may be sent to the node. */
     double sendableAt() {
         return sendableAt;
     }
 
-    /** How often it was probed since it last answered. */
+    /** Number of probes since the node last answered. */
     int probes() {
         return probes;
     }
 
-    /** Whether so few of its answers are errors that it may take new objects. */
+    /** Whether the error rate is low enough for new objects. */
     boolean hasFewErrors() {
         return errorRate < LatencyEstimate.SAMPLE_WEIGHT;
     }
 
-    /** A request goes out to it. */
+    /** Records a send; to a node that is probed only, it counts as a probe and delays the next one. */
     void sent(double now) {
         if (isProbedOnly()) {
             sendableAt = now + PROBE_INTERVAL_MS;
@@ -84,51 +86,56 @@
         }
     }
 
-    /** It has served an attempt. */
+    /** Records a successful attempt, which makes the node responsive. */
     void served() {
         state = State.RESPONSIVE;
         failures = 0;
         probes = 0;
-        lossForgiven = false;
+        lossIgnored = false;
         sendableAt = 0;
         errorRate *= 1 - LatencyEstimate.SAMPLE_WEIGHT;
     }
 
-    /** An attempt has failed; the answer is whether that is a sign of a faulty node. */
+    /**
+     * Records a failed attempt.
+     *
+     * @return whether the failure counts against the node
+     */
     boolean failed(AttemptOutcome outcome, double now) {
         if (outcome == AttemptOutcome.ERROR) {
             errorRate += LatencyEstimate.SAMPLE_WEIGHT * (1 - errorRate);
             return false;
         }
         boolean trusted = state == State.RESPONSIVE || state == State.UNRESPONSIVE;
-        if (outcome.mayBeIsolated() && !lossForgiven && trusted) {
-            lossForgiven = true;
+        if (outcome.mayBeIsolated() && !lossIgnored && trusted) {
+            lossIgnored = true;
             return false;
         }
         state = State.UNRESPONSIVE;
         failures++;
-        double backoff = BASE_BACKOFF_MS * Math.pow(2, Math.min(failures, MOST_DOUBLINGS));
+        double backoff = BASE_BACKOFF_MS * Math.pow(2, Math.min(failures, MAX_DOUBLINGS));
         sendableAt = now + Math.min(PROBE_INTERVAL_MS, backoff);
         return true;
     }
 
     /**
-     * Other instances' newest report names it or not. The report counts as one failure when it first does.
+     * Applies the latest report of other instances. The first report that names the node counts as one
+     * failure.
      */
-    void reported(boolean isNamed, double now) {
-        if (isNamed && !named && !isProbedOnly()) {
+    void reported(boolean inReport, double now) {
+        if (inReport && !inLatestReport && !isProbedOnly()) {
             state = State.SUSPECTED;
             failures = 1;
             sendableAt = now + PROBE_INTERVAL_MS * random.nextDouble();
-        } else if (!isNamed && (state == State.SUSPECTED || state == State.RESTARTED)) {
+        } else if (!inReport && (state == State.SUSPECTED || state == State.RESTARTED)) {
             state = State.RESPONSIVE;
             failures = 0;
             sendableAt = 0;
         }
-        named = isNamed;
+        inLatestReport = inReport;
     }
 
-    /** It has restarted just now. */
+    /** Records a restart of the node, which clears the backoff. */
     void restarted() {
         state = switch (state) {
             case RESPONSIVE, UNRESPONSIVE -> State.RESPONSIVE;
--- a/src/main/java/kelphollow/decision/NodeTable.java
+++ b/src/main/java/kelphollow/decision/NodeTable.java
@@ -11,14 +11,14 @@
 import kelphollow.decision.ControlEvent.RetryBudgetChanged;
 
 /**
- * The nodes by the endpoint list, in the order in which they were first named, and the lease on that list.
- * Confined to the thread that drives {@link Control}.
+ * Nodes of the endpoint list in the order of their first entry, and the lease on that list. Confined to the
+ * thread that drives {@link Control}.
  */
 final class NodeTable {
     private final DecisionContext context;
     private final FleetLatency fleet;
     private final Map<String, Node> byId = new LinkedHashMap<>();
-    /** Bound on the retries at each node. */
+    /** Settings of each node's retry budget. */
     private RetryBudgetChanged retryBudget = new RetryBudgetChanged(0, 0);
     private double leaseValidUntil = Double.POSITIVE_INFINITY;
 
@@ -27,7 +27,7 @@
         this.fleet = fleet;
     }
 
-    /** Takes over an endpoint list or changes of it. */
+    /** Applies a complete endpoint list or a change to it. */
     void apply(EndpointsReceived list) {
         if (list.complete()) {
             byId.values().forEach(Node::markRemoved);
@@ -46,14 +46,14 @@
         return new RetryBudget(retryBudget.window(), 0, retryBudget.share(), context.tick());
     }
 
-    /** Takes over which nodes other instances found unresponsive. */
+    /** Applies the set of nodes that other instances found unresponsive. */
     void suspected(Set<String> ids) {
         for (Node node : byId.values()) {
             node.health.reported(ids.contains(node.id), context.now());
         }
     }
 
-    /** Bounds the retries at each node anew. */
+    /** Replaces the retry budget of every node. */
     void limitRetries(RetryBudgetChanged budget) {
         retryBudget = budget;
         for (Node node : byId.values()) {
@@ -65,19 +65,19 @@
         leaseValidUntil = validUntil;
     }
 
-    /** Whether the endpoint list may be acted on. */
+    /** Whether the lease on the endpoint list is valid; without it nothing is sent. */
     boolean isLeaseValid() {
         return context.now() < leaseValidUntil;
     }
 
-    /** Guards memory against nodes that come under ever new ids. */
+    /** Drops a node that is gone, so that nodes with ever new ids do not fill memory. */
     void removeIfGone(Node node) {
         if (node.isGone()) {
             byId.remove(node.id, node);
         }
     }
 
-    /** All nodes, the one first named in front. */
+    /** All nodes in the order of their first entry. */
     Collection<Node> all() {
         return byId.values();
     }
@@ -86,14 +86,14 @@
         return byId.size();
     }
 
-    /** The upper median of the best latencies of the nodes that are warm and have answered. */
+    /** Upper median of the best latencies over nodes that have answered and are not in slow start. */
     OptionalDouble medianBestLatency() {
         double[] bests = byId.values().stream().filter(n -> !n.isWarmingUp() && n.latency.mean() > 0)
             .mapToDouble(n -> n.latency.best()).sorted().toArray();
         return bests.length == 0 ? OptionalDouble.empty() : OptionalDouble.of(bests[bests.length / 2]);
     }
 
-    /** The nodes that attempts of this instance found unresponsive, and how often each was probed since. */
+    /** Nodes that this instance itself found unresponsive, with the number of probes sent since. */
     Map<String, Integer> unresponsive() {
         Map<String, Integer> unresponsive = new TreeMap<>();
         for (Node node : byId.values()) {
--- a/src/main/java/kelphollow/decision/OpenRequests.java
+++ b/src/main/java/kelphollow/decision/OpenRequests.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The requests without a final answer, and the attempts that have not ended, those of answered requests
- * included. Confined to the thread that drives {@link Control}.
+ * Requests without a final answer, and attempts that have not ended, including those of answered requests.
+ * Confined to the thread that drives {@link Control}.
  */
 final class OpenRequests {
     private final Map<String, PendingRequest> byId = new LinkedHashMap<>();
@@ -14,7 +14,7 @@
     private double shutdownAt = Double.POSITIVE_INFINITY;
     private long arrivals;
 
-    /** The position of the next arrival in the order of all. */
+    /** Assigns the next sequence number in the order of arrival. */
     long nextSequence() {
         return arrivals++;
     }
@@ -23,12 +23,12 @@
         return byId.containsKey(id);
     }
 
-    /** The open request of this id; null when there is none. */
+    /** The open request with this id, or null. */
     PendingRequest get(String id) {
         return byId.get(id);
     }
 
-    /** Whether this very request is open; its id may have come again since it was answered. */
+    /** Whether this particular request is open; clients may reuse its id once it is answered. */
     boolean isOpen(PendingRequest request) {
         return byId.get(request.id()) == request;
     }
@@ -41,7 +41,7 @@
         byId.remove(request.id());
     }
 
-    /** All open requests, the oldest first. */
+    /** All open requests, oldest first. */
     Collection<PendingRequest> all() {
         return byId.values();
     }
@@ -54,17 +54,17 @@
         attempts.put(key, attempt);
     }
 
-    /** The attempt of this key that has not ended; null when there is none. */
+    /** The attempt with this key that has not ended, or null. */
     InFlightAttempt attempt(String key) {
         return attempts.get(key);
     }
 
-    /** Forgets an attempt that has ended; null when there is none. */
+    /** Removes and returns the attempt with this key, or returns null. */
     InFlightAttempt removeAttempt(String key) {
         return attempts.remove(key);
     }
 
-    /** When all that is open gets its final answer; infinite while no shutdown is under way. */
+    /** Time at which all open requests get their final answer; infinite unless a shutdown is in progress. */
     double shutdownAt() {
         return shutdownAt;
     }
--- a/src/main/java/kelphollow/decision/PendingQueue.java
+++ b/src/main/java/kelphollow/decision/PendingQueue.java
@@ -4,16 +4,16 @@
 import java.util.TreeSet;
 
 /**
- * Requests of one cell that wait here, in the order of their finish tags: those that can meet their latency
- * objective, then those that cannot. Confined to the thread that drives {@link Control}.
+ * Queued requests of one cell, ordered by finish tag: those that can still meet their latency objective, and
+ * separately those that cannot. Confined to the thread that drives {@link Control}.
  */
 final class PendingQueue {
     private static final Comparator<PendingRequest> BY_FINISH_TAG = Comparator
         .<PendingRequest>comparingDouble(r -> r.finishTag).thenComparingLong(r -> r.sequence);
 
-    /** Read by others, changed here only. */
+    /** Requests that can meet their objective; modified only by this class. */
     final TreeSet<PendingRequest> onTime = new TreeSet<>(BY_FINISH_TAG);
-    /** Read by others, changed here only. */
+    /** Requests that cannot meet their objective; modified only by this class. */
     final TreeSet<PendingRequest> late = new TreeSet<>(BY_FINISH_TAG);
 
     int size() {
@@ -25,7 +25,7 @@
         request.queued = true;
     }
 
-    /** To be called before its tags or its lateness change. */
+    /** Must be called before the request's tags or {@code late} change, as they decide its position. */
     void remove(PendingRequest request) {
         (request.late ? late : onTime).remove(request);
         request.queued = false;
--- a/src/main/java/kelphollow/decision/PendingQueues.java
+++ b/src/main/java/kelphollow/decision/PendingQueues.java
@@ -4,21 +4,21 @@
 import java.util.Map;
 import kelphollow.decision.ControlSettings.DeduplicationScope;
 
-/** The queues by the cell that holds the data. Confined to the thread that drives {@link Control}. */
+/** Queues by the cell that holds the data. Confined to the thread that drives {@link Control}. */
 final class PendingQueues {
-    /** Cell of new objects, which any node may take. */
+    /** Pseudo cell of new objects, which any node can store. */
     static final int NEW_OBJECTS = -1;
 
     private final Map<Integer, PendingQueue> byCell = new LinkedHashMap<>();
 
-    /** The queue that a request belongs to. */
+    /** The queue of a request, created if it does not exist. */
     PendingQueue of(PendingRequest request) {
         return byCell.computeIfAbsent(cellOf(request), c -> new PendingQueue());
     }
 
     /**
-     * A new object whose key only the nodes of one cell recognise stays with the cell that may have executed
-     * it.
+     * A new object whose idempotency key is recognised only within one cell stays with the cell that may have
+     * executed it.
      */
     private static int cellOf(PendingRequest request) {
         int cell = request.arrival.cell();
@@ -27,12 +27,12 @@
         return sticky ? request.possiblyExecutedNode.cell : Math.max(NEW_OBJECTS, cell);
     }
 
-    /** The queue of a cell; null while nothing waits for it. */
+    /** The queue of a cell, or null if it has none. */
     PendingQueue ofCell(int cell) {
         return byCell.get(cell);
     }
 
-    /** Guards memory against cells that clients make up. */
+    /** Drops empty queues, so that invented cell numbers in requests do not fill memory. */
     void removeEmpty() {
         byCell.values().removeIf(queue -> queue.size() == 0);
     }
--- a/src/main/java/kelphollow/decision/PendingRequest.java
+++ b/src/main/java/kelphollow/decision/PendingRequest.java
@@ -4,55 +4,55 @@
 import kelphollow.decision.ControlSettings.RequestClass;
 
 /**
- * State of an open request; times are milliseconds on the host's clock. Confined to the thread that drives
+ * State of an open request. Times are milliseconds on the host's clock. Confined to the thread that drives
  * {@link Control}.
  */
 final class PendingRequest {
-    /** The final answer goes out this many ticks before the deadline, so that a late timer still keeps it. */
+    /** Ticks before the deadline at which the final answer is sent, so that a late timer still meets it. */
     private static final double ANSWER_MARGIN_TICKS = 4;
-    /** Share of the time until the deadline for which a request may be queued without reaching a node. */
+    /** Share of the time to the deadline for which a request may be queued without reaching a node. */
     private static final double QUEUED_SHARE = 0.45;
 
     final RequestArrived arrival;
     final RequestClass requestClass;
     final Volume volume;
-    /** Position in the order of arrivals. */
+    /** Sequence number in the order of arrival. */
     final long sequence;
-    /** A random number of [0, 1) that decides on admission to a node in slow start. */
+    /** Random number in [0, 1) that decides on admission to a node in slow start. */
     final double admissionDraw;
     final double arrivedAt;
-    /** When its latency objective is over, counted from the client's first attempt. */
+    /** Time at which the latency objective expires, counted from the client's first attempt. */
     final double objectiveAt;
-    /** When it gets its final answer at the latest. */
+    /** Latest time of the final answer. */
     double answerAt;
-    /** Until when it may be queued without having reached a node. */
+    /** Time until which the request may be queued without having reached a node. */
     double queuedUntil;
     double startTag;
     double finishTag;
-    /** Value of an answer in time when load is shed: the priority weight by plan and quota. */
+    /** Value in load shedding of serving the request in time: its priority weight by plan and quota. */
     double sheddingWeight;
-    /** Time before which it may not be sent again. */
+    /** Earliest time of the next attempt. */
     double retryAt;
-    /** When the first attempt that may have been executed was sent; negative while there is none. */
+    /** Send time of the first attempt that may have been executed; negative if there is none. */
     double possiblyExecutedSince = -1;
-    /** Where that attempt went to; null while there is none. */
+    /** Node of that attempt, or null. */
     Node possiblyExecutedNode;
-    /** The attempt in flight; null while there is none. */
+    /** The attempt in flight, or null. */
     InFlightAttempt inFlight;
     /** Attempts sent so far. */
     int attempts;
-    /** Whether it can no longer meet its latency objective and has left the order of the tags. */
+    /** Whether the request can no longer meet its latency objective and is queued behind those that can. */
     boolean late;
     boolean queued;
-    /** Whether a streamed response has started; it has no deadline from there on. */
+    /** Whether a streamed response has started; the request has no deadline from then on. */
     boolean streaming;
-    /** Whether its units are taken out of its volume's numTokens. */
+    /** Whether the request's units are deducted from its volume's numTokens. */
     boolean tokensSpent;
     /** Whether an attempt has reached a node. */
     boolean reachedNode;
 
     /**
-     * @param shutdownAt when all that is open gets its final answer; infinite while no shutdown is under way
+     * @param shutdownAt time at which all open requests get their final answer; infinite without a shutdown
      */
     PendingRequest(RequestArrived arrival, RequestClass requestClass, Volume volume, long sequence,
         double admissionDraw, DecisionContext context, double shutdownAt) {
@@ -65,7 +65,7 @@
         arrivedAt = now;
         answerAt = Math.min(shutdownAt, arrival.deadline() - ANSWER_MARGIN_TICKS * context.tick());
         queuedUntil = now + QUEUED_SHARE * (arrival.deadline() - now);
-        // What is missing from the class's deadline was spent on the client's earlier attempts.
+        // Time missing from the class's deadline was spent on earlier attempts of the client.
         double spent = Math.max(0, requestClass.deadline() - (arrival.deadline() - now));
         objectiveAt = Math.min(now + requestClass.latencyObjective() - spent, answerAt);
     }
@@ -78,7 +78,7 @@
         return arrival.units();
     }
 
-    /** Whether requests of its key are executed one after the other. */
+    /** Whether requests with the same key must be executed one at a time. */
     boolean isOrdered() {
         return requestClass.ordered() && arrival.key() != null;
     }
@@ -88,7 +88,7 @@
         return possiblyExecutedSince >= 0;
     }
 
-    /** Whether it is certain that no attempt was or will be executed. */
+    /** Whether no attempt was executed, and none can still be. */
     boolean provablyNotExecuted() {
         return possiblyExecutedSince < 0 && inFlight == null;
     }
--- a/src/main/java/kelphollow/decision/QueueShedder.java
+++ b/src/main/java/kelphollow/decision/QueueShedder.java
@@ -7,9 +7,9 @@
 import kelphollow.decision.ControlAction.Reason;
 
 /**
- * Load shedding: an exception to pClock that acts only where a node cannot meet the latency objectives of all
- * that is queued for it. Guards against an overload in which the oldest requests go first and every one comes
- * late.
+ * Load shedding: an exception to pClock that applies only while a node cannot meet the latency objectives of
+ * all requests queued for it. Without it, an overloaded node would serve the oldest requests first and every
+ * one of them late.
  */
 final class QueueShedder {
     private static final Comparator<PendingRequest> LEAST_VALUABLE_FIRST = Comparator
@@ -17,6 +17,7 @@
 
     private final SchedulerState state;
     private final FinalAnswers answers;
+    /** Number of passes over a queue, which identifies the current pass to the volumes. */
     private long passes;
 
     QueueShedder(SchedulerState state, FinalAnswers answers) {
@@ -25,8 +26,8 @@
     }
 
     /**
-     * In the order of the tags, each request that would come too late makes the least valuable one so far,
-     * itself included, wait behind the others.
+     * Goes through the queue in the order of the tags. For each request that would miss its objective, moves
+     * the least valuable request so far, which may be the same one, behind the others.
      */
     void shed(PendingQueue queue, Node node) {
         double now = state.now();
@@ -57,8 +58,8 @@
     }
 
     /**
-     * A queued request can no longer be served in time. One that was never sent is rejected, to be retried
-     * elsewhere.
+     * Moves a queued request that can no longer meet its objective to the late requests. A request that was
+     * never sent is rejected instead, so that the client can retry it elsewhere.
      */
     void moveToLate(PendingRequest request) {
         PendingQueue queue = state.queues.of(request);
