--- a/src/main/java/kelphollow/decision/RateLimiter.java
+++ b/src/main/java/kelphollow/decision/RateLimiter.java
@@ -3,42 +3,48 @@
 import kelphollow.decision.ControlSettings.Plan;
 
 /**
- * Token bucket of a volume's rate limit: this instance's even share of the plan's rate and burst. An instance
- * that has just started cannot know how many tokens its predecessor has used: it starts with a loan on the
- * limit's slack, and pays it back out of what flows in. Guards against a fleet that rejects its first seconds
- * of traffic after a start.
+ * Token bucket of a volume's rate limit, with this instance's even share of the plan's rate and burst. An
+ * instance that has just started does not know how many tokens its predecessor has used. It starts with
+ * tokens borrowed from the limit's slack and repays them out of the refill, so that a fleet does not reject
+ * its first seconds of traffic after a start.
  *
  * <p>Times are milliseconds. Constant memory; confined to the thread that drives {@link Control}.
  */
 final class RateLimiter {
     /**
-     * Share of the limit's slack that all instances together may borrow at their start; the rest covers late
+     * Share of the limit's slack that all instances together may borrow when they start; the rest covers late
      * requests.
      */
-    private static final double LOAN_SHARE = 0.75;
-    /** Share of the inflow that pays back the loan. */
+    private static final double BORROWABLE_SHARE = 0.75;
+    /** Share of the refill that repays borrowed tokens. */
     private static final double REPAYMENT_SHARE = 0.25;
     private static final double MS_PER_SECOND = 1000;
 
     private final Plan plan;
     private int instances;
-    private double loan;
+    /** Borrowed tokens not yet repaid. */
+    private double borrowed;
     private double tokens;
-    private double filledAt;
+    private double refilledAt;
     private double unitsPerMs;
     private double burst;
 
-    /** A bucket that fills from {@code startedAt} on, shared by at least one instance. */
+    /**
+     * Creates a bucket that refills from {@code startedAt} on.
+     *
+     * @param instances number of instances that share the limit, at least 1
+     */
     RateLimiter(Plan plan, int instances, double startedAt) {
         this.plan = plan;
-        filledAt = startedAt;
+        refilledAt = startedAt;
         setInstances(instances, startedAt);
-        loan = Math.min(burst, LOAN_SHARE * plan.limitSlack() / instances);
-        tokens = loan;
+        borrowed = Math.min(burst, BORROWABLE_SHARE * plan.limitSlack() / instances);
+        tokens = borrowed;
     }
 
     /**
-     * The newest number of instances binds: a smaller share is cut at once, a larger one only fills faster.
+     * Sets the number of instances that share the limit. A smaller share caps the tokens at once; a larger
+     * one only refills faster.
      */
     void setInstances(int count, double now) {
         refill(now);
@@ -47,55 +53,55 @@
         burst = plan.limitBurst() / instances;
     }
 
-    /** The number of instances that share the limit. */
+    /** Number of instances that share the limit. */
     int instances() {
         return instances;
     }
 
-    /** Goes on from the tokens that the process before has left; nothing is owed any more. */
+    /** Continues with the tokens that the previous process left, with nothing left to repay. */
     void restore(double tokensLeft, double now) {
         tokens = Math.min(burst, tokensLeft);
-        loan = 0;
-        filledAt = now;
+        borrowed = 0;
+        refilledAt = now;
     }
 
-    /** Adds what has flowed in since the last call, less what pays back the loan. */
+    /** Adds the tokens refilled since the last call, less the repayment, and returns the tokens. */
     private double refill(double now) {
-        double inflow = (now - filledAt) * unitsPerMs;
-        double repayment = Math.min(loan, REPAYMENT_SHARE * inflow);
-        loan -= repayment;
-        tokens = Math.min(burst - loan, tokens + inflow - repayment);
-        filledAt = now;
+        double refilled = (now - refilledAt) * unitsPerMs;
+        double repayment = Math.min(borrowed, REPAYMENT_SHARE * refilled);
+        borrowed -= repayment;
+        tokens = Math.min(burst - borrowed, tokens + refilled - repayment);
+        refilledAt = now;
         return tokens;
     }
 
-    /** The units left less what is still owed: what a successor may start with. */
-    double tokensLessLoan(double now) {
-        return refill(now) - loan;
+    /** Tokens left less those not yet repaid, which is what a successor process may start with. */
+    double tokensNetOfBorrowed(double now) {
+        return refill(now) - borrowed;
     }
 
-    /** Whether the bucket holds these units now, or there is no limit. */
+    /** Whether the bucket holds this many units now, or there is no limit. */
     boolean allows(double units, double now) {
         return unitsPerMs <= 0 || refill(now) >= units;
     }
 
-    /** Takes these units out, even if the bucket holds fewer. */
+    /** Removes this many units, even if the bucket holds fewer. */
     void consume(double units) {
         if (unitsPerMs > 0) {
             tokens -= units;
         }
     }
 
-    /** Milliseconds until the bucket holds these units, what is paid back meanwhile included. */
+    /** Milliseconds until the bucket holds this many units, with the repayment in the meantime included. */
     double waitFor(double units, double now) {
         if (allows(units, now)) {
             return 0;
         }
         double missing = units - tokens;
-        return (missing + Math.min(loan, missing * REPAYMENT_SHARE / (1 - REPAYMENT_SHARE))) / unitsPerMs;
+        return (missing + Math.min(borrowed, missing * REPAYMENT_SHARE / (1 - REPAYMENT_SHARE))) / unitsPerMs;
     }
 
-    /** Whether the bucket holds these units only after {@code time}. */
+    /** Whether the bucket will hold this many units only after {@code time}. */
     boolean holdsOnlyAfter(double time, double units, double now) {
         return unitsPerMs > 0 && waitFor(units, now) > time - now;
     }
--- a/src/main/java/kelphollow/decision/RequestArrivals.java
+++ b/src/main/java/kelphollow/decision/RequestArrivals.java
@@ -6,7 +6,7 @@
 import kelphollow.decision.ControlSettings.Plan;
 import kelphollow.decision.ControlSettings.RequestClass;
 
-/** Takes a request in: checks it against its limits, tags it and queues it. */
+/** Admits arriving requests: checks limits and retry budgets, assigns tags and queues the requests. */
 final class RequestArrivals {
     private final SchedulerState state;
     private final FinalAnswers answers;
@@ -52,8 +52,8 @@
         double now = state.now();
         request.late = now >= request.objectiveAt;
         if (request.late) {
-            // A client's retry past its objective is still of use to an idle node; if there is none, it is
-            // given up at once.
+            // A client's retry that is past its objective may still be served by an idle node; without one,
+            // it is rejected at once.
             request.queuedUntil = now + state.context.tick();
         } else {
             state.tagger.tag(request);
--- a/src/main/java/kelphollow/decision/RequestSizes.java
+++ b/src/main/java/kelphollow/decision/RequestSizes.java
@@ -1,7 +1,8 @@
 package kelphollow.decision;
 
 /**
- * The largest request that has arrived so far, in units. Confined to the thread that drives {@link Control}.
+ * Size of the largest request that has arrived so far, in units. Confined to the thread that drives
+ * {@link Control}.
  */
 final class RequestSizes {
     private final double meanUnits;
@@ -15,7 +16,7 @@
         largest = Math.max(Math.max(largest, meanUnits), units);
     }
 
-    /** At least a mean request once one has arrived, 0 before. */
+    /** Size of the largest request, at least that of a mean request; 0 before the first arrival. */
     double largest() {
         return largest;
     }
--- a/src/main/java/kelphollow/decision/RetryBudget.java
+++ b/src/main/java/kelphollow/decision/RetryBudget.java
@@ -3,9 +3,9 @@
 import java.util.ArrayDeque;
 
 /**
- * Bounds retries by a share of the first attempts within a sliding window. What is at the window's edge
- * counts against the budget: a first attempt is forgotten a tick early, a retry a tick late. Memory: a number
- * for each attempt within the window. Confined to the thread that drives {@link Control}.
+ * Limits retries to a share of the first attempts within a sliding window. At the edge of the window the
+ * budget is strict: a first attempt expires one tick early, a retry one tick late. Memory: one number per
+ * attempt within the window. Confined to the thread that drives {@link Control}.
  */
 final class RetryBudget {
     private final double window;
@@ -16,9 +16,9 @@
     private final ArrayDeque<Double> retries = new ArrayDeque<>();
 
     /**
-     * @param window length of the sliding window in milliseconds; 0: retries are not bounded
-     * @param free retries that are allowed beside the share
-     * @param share retries that are allowed for each first attempt
+     * @param window length of the sliding window in milliseconds; 0: retries are not limited
+     * @param free retries allowed in addition to the share
+     * @param share retries allowed per first attempt
      * @param tick granularity of the host's timers in milliseconds
      */
     RetryBudget(double window, double free, double share, double tick) {
@@ -39,20 +39,20 @@
     private void add(ArrayDeque<Double> attempts, double now) {
         if (window > 0) {
             attempts.add(now);
-            forget(now);
+            removeExpired(now);
         }
     }
 
-    /** Whether one more retry stays within the budget. */
+    /** Whether the budget allows one more retry. */
     boolean allows(double now) {
         if (window <= 0) {
             return true;
         }
-        forget(now);
+        removeExpired(now);
         return retries.size() + 1 <= free + share * firstAttempts.size();
     }
 
-    private void forget(double now) {
+    private void removeExpired(double now) {
         while (!retries.isEmpty() && retries.peek() < now - window - tick) {
             retries.poll();
         }
--- a/src/main/java/kelphollow/decision/RetryPolicy.java
+++ b/src/main/java/kelphollow/decision/RetryPolicy.java
@@ -8,17 +8,17 @@
 import kelphollow.decision.ControlSettings.RequestClass;
 
 /**
- * Whether, when and where a request may be attempted again: the retry budgets, the number of attempts, and
+ * Decides whether, when and where a request may be retried, by the retry budgets, the number of attempts and
  * the windows within which nodes recognise an idempotency key. Times are milliseconds. Confined to the thread
  * that drives {@link Control}.
  */
 final class RetryPolicy {
-    /** Time until a retry, multiplied by the attempts made so far. */
+    /** Backoff before a retry, multiplied by the number of attempts so far. */
     private static final double BACKOFF_MS = 40;
 
     private final DecisionContext context;
     private final NodeTable nodes;
-    /** All retries of this instance against all requests that arrive. */
+    /** Limits all retries of this instance to a share of all arriving requests. */
     private final RetryBudget budget;
     private int maxAttempts;
 
@@ -31,19 +31,19 @@
         maxAttempts = context.settings().maxAttempts();
     }
 
-    /** Changes the number of attempts that a request may have; at least 1 whatever is given. */
+    /** Sets the maximum number of attempts per request; values below 1 count as 1. */
     void setMaxAttempts(int attempts) {
         maxAttempts = Math.max(1, attempts);
     }
 
-    /** A request has arrived, which the budget counts as a first attempt. */
+    /** Counts an arriving request as a first attempt in this instance's budget. */
     void requestArrived() {
         budget.addFirstAttempt(context.now());
     }
 
     /**
-     * Whether a client's own retry may go on. It counts in the budget of the nodes that may take it as it
-     * arrives, whether it is sent or not.
+     * Whether the node budgets admit a retry that its client has marked. An admitted retry counts on arrival
+     * in the budgets of all nodes that may take it, whether it is sent or not.
      */
     boolean admitsClientRetry(RequestArrived arrival) {
         double now = context.now();
@@ -56,13 +56,13 @@
         return admitted;
     }
 
-    /** Whether the budgets leave room for the next attempt of a request at a node. */
+    /** Whether the budgets allow the next attempt of a request at a node. */
     boolean budgetsAllow(PendingRequest request, Node node) {
         double now = context.now();
         return request.attempts == 0 || budget.allows(now) && node.retryBudget.allows(now);
     }
 
-    /** Whether the next attempt at a node has no second effect. */
+    /** Whether the next attempt at a node cannot duplicate the effect of an earlier one. */
     boolean isSafeAt(PendingRequest request, Node node) {
         return !request.possiblyExecuted() || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
             || recognisesKey(request, node);
@@ -72,17 +72,17 @@
         if (context.now() >= writeBy(request)) {
             return false;
         }
-        Node executedAt = request.possiblyExecutedNode;
+        Node executedOn = request.possiblyExecutedNode;
         return switch (request.requestClass.deduplicationScope()) {
             case ALL -> true;
-            case ZONE -> node.zone != null && node.zone.equals(executedAt.zone);
-            case CELL -> node.cell == executedAt.cell;
+            case ZONE -> node.zone != null && node.zone.equals(executedOn.zone);
+            case CELL -> node.cell == executedOn.cell;
         };
     }
 
     /**
-     * Until when the writing of the next attempt must have begun, so that nodes surely remember the
-     * idempotency key of a request that may have been executed; 0: no such bound.
+     * Time by which writing of the next attempt must begin, so that nodes still remember the idempotency key
+     * of a request that may have been executed; 0: no such bound.
      */
     double writeBy(PendingRequest request) {
         RequestClass requestClass = request.requestClass;
@@ -92,7 +92,7 @@
         return request.possiblyExecutedSince + requestClass.idempotencyWindow() - context.tick();
     }
 
-    /** The next attempt of a request goes to a node: the budgets count it. */
+    /** Counts the next attempt of a request in the budgets as it is sent to a node. */
     void sent(PendingRequest request, Node node) {
         double now = context.now();
         if (request.attempts > 0) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Whether a request whose attempt has failed may have another one at all. */
+    /** Whether a request whose attempt has failed may be retried at all. */
     boolean mayRetry(PendingRequest request) {
         double now = context.now();
         if (request.attempts >= maxAttempts || now >= request.answerAt) {
@@ -116,13 +116,13 @@
                     < requestClass.idempotencyWindow();
     }
 
-    /** When a request may be sent again after an outcome: what timed out has waited long enough. */
+    /** Earliest time of a retry after an outcome; a timed-out attempt needs no further backoff. */
     double retryAt(PendingRequest request, AttemptOutcome outcome) {
         double now = context.now();
         return outcome == AttemptOutcome.TIMED_OUT ? now : now + BACKOFF_MS * request.attempts;
     }
 
-    /** How long to wait for an answer so that a retry can still meet the objective; 0: until the deadline. */
+    /** Attempt timeout that leaves time for a retry within the objective; 0: wait until the deadline. */
     double attemptTimeout(PendingRequest request, Node node) {
         double expected = node.latency.expected(request.units());
         double spare = request.objectiveAt - context.now() - expected - 2 * context.tick();
@@ -130,7 +130,7 @@
         return safe && spare > LatencyEstimate.LOST_AFTER * expected ? spare : 0;
     }
 
-    /** Whether the client may safely send the request again after its final answer. */
+    /** Whether the client may safely retry the request after its final answer. */
     boolean isSafeForClient(PendingRequest request) {
         RequestClass requestClass = request.requestClass;
         return request.provablyNotExecuted() || requestClass.idempotency() == Idempotency.IDEMPOTENT
--- a/src/main/java/kelphollow/decision/SchedulerState.java
+++ b/src/main/java/kelphollow/decision/SchedulerState.java
@@ -3,11 +3,11 @@
 import java.util.Random;
 
 /**
- * The state of one instance: who owns what. The classes that carry out the steps of a decision share it and
- * keep nothing of their own. Confined to the thread that drives {@link Control}.
+ * State of one instance, shared by the classes that carry out the steps of a decision. Confined to the thread
+ * that drives {@link Control}.
  */
 final class SchedulerState {
-    /** Odd factor by which seeds are spread, so that instances with neighbouring seeds do not draw alike. */
+    /** Odd multiplier of seeds, so that instances with consecutive seeds draw different random numbers. */
     private static final long SEED_FACTOR = 0x9E3779B97F4A7C15L;
 
     final SettingsCatalog catalog;
@@ -23,7 +23,7 @@
     final RetryPolicy retries;
     final KeyOrders keyOrders;
 
-    /** @throws IllegalArgumentException naming the first setting that cannot be used */
+    /** @throws IllegalArgumentException naming the first invalid setting */
     SchedulerState(ControlSettings settings, long seed, double now) {
         catalog = new SettingsCatalog(settings);
         context = new DecisionContext(settings, catalog.shortestObjective(), now, new DecisionClock(now),
--- a/src/main/java/kelphollow/decision/SettingsCatalog.java
+++ b/src/main/java/kelphollow/decision/SettingsCatalog.java
@@ -6,27 +6,31 @@
 import kelphollow.decision.ControlSettings.Plan;
 import kelphollow.decision.ControlSettings.RequestClass;
 
-/** The checked classes and plans by name. Confined to the thread that drives {@link Control}. */
+/** Validated request classes and plans by name. Confined to the thread that drives {@link Control}. */
 final class SettingsCatalog {
     private final Map<String, RequestClass> classes = new LinkedHashMap<>();
     private final Map<String, Plan> plans = new LinkedHashMap<>();
     private final double shortestObjective;
 
-    /** @throws IllegalArgumentException naming the first setting that cannot be used */
+    /** @throws IllegalArgumentException naming the first invalid setting */
     SettingsCatalog(ControlSettings settings) {
-        require(settings.hosts() > 0, "hosts must be at least 1");
-        require(settings.maxAttempts() > 0, "maxAttempts must be at least 1");
+        require(settings.hosts() > 0, "hosts is " + settings.hosts() + ", must be at least 1");
+        require(settings.maxAttempts() > 0,
+            "maxAttempts is " + settings.maxAttempts() + ", must be at least 1");
         require(!settings.classes().isEmpty(), "classes is empty");
         require(!settings.plans().isEmpty(), "plans is empty");
         double shortest = Double.POSITIVE_INFINITY;
         for (RequestClass c : settings.classes()) {
-            require(c.latencyObjective() > 0, "aim of class " + c.name() + " must be above 0");
+            require(c.latencyObjective() > 0, "aim of class " + c.name() + " is " + c.latencyObjective()
+                + ", must be above 0");
             classes.put(c.name(), c);
             shortest = Math.min(shortest, c.latencyObjective());
         }
         for (Plan p : settings.plans()) {
-            require(p.rate() > 0, "rate of plan " + p.name() + " must be above 0");
-            require(p.limitRate() >= 0 && p.limitBurst() >= 0, "limit of plan " + p.name() + " is negative");
+            require(p.rate() > 0, "rate of plan " + p.name() + " is " + p.rate() + ", must be above 0");
+            require(p.limitRate() >= 0 && p.limitBurst() >= 0,
+                "limit of plan " + p.name() + " is negative: rate " + p
+                    .limitRate() + ", burst " + p.limitBurst());
             plans.put(p.name(), p);
         }
         shortestObjective = shortest;
@@ -38,22 +42,22 @@
         }
     }
 
-    /** The smallest latency objective at the start, milliseconds; reloaded settings do not change it. */
+    /** Shortest latency objective of the initial settings, milliseconds; a reload does not change it. */
     double shortestObjective() {
         return shortestObjective;
     }
 
-    /** Takes over reloaded classes; those that are not among them stay. */
+    /** Adds or replaces the reloaded classes; other classes stay. */
     void reload(List<RequestClass> reloaded) {
         reloaded.forEach(c -> classes.put(c.name(), c));
     }
 
-    /** The class of this name; null when there is none. */
+    /** The class with this name, or null. */
     RequestClass requestClass(String name) {
         return classes.get(name);
     }
 
-    /** The plan of this name; null when there is none. */
+    /** The plan with this name, or null. */
     Plan plan(String name) {
         return plans.get(name);
     }
--- a/src/main/java/kelphollow/decision/SlowStart.java
+++ b/src/main/java/kelphollow/decision/SlowStart.java
@@ -5,23 +5,23 @@
 import kelphollow.decision.ControlSettings.Rules;
 
 /**
- * Limits what one node is sent while it warms up after its start. Each instance has an even quota of what the
- * node tolerates within the rule's span; where that is less than a request, requests are admitted at random.
- * Times are milliseconds. Memory: an entry for each request sent within the span. Confined to the thread that
- * drives {@link Control}.
+ * Slow start: limits the load on one node while it warms up after its start. Each instance has an even quota
+ * of the load that the node tolerates within the overload span. If the quota is less than a mean request,
+ * requests are admitted at random. Times are milliseconds. Memory: one entry per request sent within the
+ * span. Confined to the thread that drives {@link Control}.
  */
 final class SlowStart {
     /**
-     * Share of what the node tolerates that random admission gives out; the rest is for surges and for
-     * chance.
+     * Share of the tolerated load that random admission allocates; the rest covers surges and random
+     * variation.
      */
     private static final double RANDOM_SHARE = 0.6;
-    /** Below so many mean requests within the span one more may go out while none is in flight. */
-    private static final double FURTHER_REQUEST_BELOW = 1.5;
-    /** Lower bound of the rule's share of full capacity, so that it can divide. */
-    private static final double LEAST_SHARE = 0.01;
-    /** From this number of entries on each new one drops those that are past the span. */
-    private static final int MOST_ENTRIES = 4 * ConcurrencyWindow.CEILING;
+    /** Mean requests sent within the span below which random admission may add one if none is in flight. */
+    private static final double FURTHER_REQUEST_MEANS = 1.5;
+    /** Lower bound of the initial share of full capacity, which is used as a divisor. */
+    private static final double MIN_SHARE = 0.01;
+    /** Number of entries above which each new one evicts those older than the span. */
+    private static final int EVICTION_THRESHOLD = 4 * ConcurrencyWindow.CEILING;
 
     private record Sent(double at, double units) {}
 
@@ -29,6 +29,7 @@
     private final NodeTable nodes;
     private final ArrayDeque<Sent> sent = new ArrayDeque<>();
     private double startedAt;
+    /** Time at which this instance learned of the start. */
     private double learnedAt;
 
     SlowStart(DecisionContext context, NodeTable nodes) {
@@ -37,8 +38,9 @@
     }
 
     /**
-     * The endpoint list names a start; the answer is whether it is a new one that the node still warms up
-     * from.
+     * Applies the start time from the endpoint list.
+     *
+     * @return whether it is a new start after which the node still warms up
      */
     boolean started(double at) {
         if (at > startedAt) {
@@ -51,21 +53,22 @@
         return false;
     }
 
+    /** Whether the node started less than the slow start time ago. */
     boolean isWarmingUp() {
         return startedAt > 0 && context.now() - startedAt < context.rules().slowStartTime();
     }
 
     void sent(double units) {
         sent.add(new Sent(context.now(), units));
-        if (sent.size() > MOST_ENTRIES) {
-            forgetPastSpan();
+        if (sent.size() > EVICTION_THRESHOLD) {
+            evictOldEntries();
         }
     }
 
     /**
-     * Whether a node that warms up takes a request: within the quota always; where the quota is less than a
-     * mean request, by the request's random number, one in a span. Without that, a node that restarts under a
-     * hundred instances would stay idle until it is warm.
+     * Whether a node that warms up may be sent a request: always within the quota; if the quota is less than
+     * a mean request, by the request's random number, one per span. Without random admission, a node that
+     * restarts under a hundred instances would stay idle until it is warm.
      */
     boolean admits(PendingRequest request, boolean noneInFlight) {
         double meanUnits = context.settings().meanUnits();
@@ -74,44 +77,45 @@
         if (units + request.units() <= quota) {
             return true;
         }
-        boolean free = units == 0 || noneInFlight && units < FURTHER_REQUEST_BELOW * meanUnits;
-        return quota < meanUnits && free && !request.late
+        boolean slotFree = units == 0 || noneInFlight && units < FURTHER_REQUEST_MEANS * meanUnits;
+        return quota < meanUnits && slotFree && !request.late
             && request.admissionDraw
-                < easing(request) * RANDOM_SHARE * ramp() * context.rules().overloadMultiple();
+                < backlogShare(request) * RANDOM_SHARE * ramp() * context.rules().overloadMultiple();
     }
 
-    /** What was queued while the node was away leaves over as long as it may be queued, not at once. */
-    private double easing(PendingRequest request) {
+    /** Spreads requests queued before the start over their queueing time, to prevent a burst. */
+    private double backlogShare(PendingRequest request) {
         if (request.arrivedAt < learnedAt) {
             return Math.min(1, (context.now() - learnedAt) / (request.queuedUntil - request.arrivedAt));
         }
         return 1;
     }
 
-    /** Share of its full capacity that the node has now. */
+    /** Present share of the node's full capacity. */
     private double ramp() {
         Rules rules = context.rules();
-        double share = Math.max(LEAST_SHARE, rules.slowStartShare());
+        double share = Math.max(MIN_SHARE, rules.slowStartShare());
         return share + (1 - share) * Math.max(0, context.now() - startedAt) / rules.slowStartTime();
     }
 
     /**
-     * This instance's share of what the node tolerates within the span, in units: what the rule grants, or
-     * more where the other nodes' best latencies show more. That counts one mean request at a time, as if
-     * nodes had one core, so that the quotas of all instances together leave room for a slower node.
+     * This instance's share of the load that the node tolerates within the span, in units: the configured
+     * load, or more if the other nodes' best latencies indicate more. The estimate assumes that a node serves
+     * one mean request at a time, as with one core, so that the sum of all quotas leaves room for a slower
+     * node.
      */
     private double quota() {
         ControlSettings settings = context.settings();
         Rules rules = settings.rules();
         OptionalDouble best = nodes.medianBestLatency();
-        double shown = best.isEmpty() ? 0
+        double estimated = best.isEmpty() ? 0
             : rules.overloadMultiple() * rules.overloadSpan() * settings.meanUnits() / best.getAsDouble();
-        double granted = rules.slowStartUnits() / Math.max(LEAST_SHARE, rules.slowStartShare());
-        return Math.max(granted, shown) * ramp() / settings.hosts();
+        double configured = rules.slowStartUnits() / Math.max(MIN_SHARE, rules.slowStartShare());
+        return Math.max(configured, estimated) * ramp() / settings.hosts();
     }
 
     private double sentWithinSpan() {
-        forgetPastSpan();
+        evictOldEntries();
         double sum = 0;
         for (Sent s : sent) {
             sum += s.units();
@@ -119,7 +123,7 @@
         return sum;
     }
 
-    private void forgetPastSpan() {
+    private void evictOldEntries() {
         double oldest = context.now() - context.rules().overloadSpan() - context.tick();
         while (!sent.isEmpty() && sent.peek().at() < oldest) {
             sent.poll();
--- a/src/main/java/kelphollow/decision/UsageShare.java
+++ b/src/main/java/kelphollow/decision/UsageShare.java
@@ -1,12 +1,12 @@
 package kelphollow.decision;
 
 /**
- * What this instance knows of a volume's usage here and through other instances, in units that decay over
- * {@link #DECAY_MS}. From it follows the share of the volume's arrival curve that this instance may fill.
- * Times are milliseconds. Constant memory; confined to the thread that drives {@link Control}.
+ * Usage of a volume through this instance and through others, in units that decay exponentially with the time
+ * constant {@link #DECAY_MS}. It determines this instance's share of the volume's arrival curve. Times are
+ * milliseconds. Constant memory; confined to the thread that drives {@link Control}.
  */
 final class UsageShare {
-    /** Time constant of the decay in milliseconds: a few intervals between reports of usage. */
+    /** Time constant of the decay in milliseconds, a few times the interval between usage reports. */
     static final double DECAY_MS = 5_000;
     private static final double MS_PER_SECOND = 1000;
 
@@ -19,13 +19,13 @@
     }
 
     /**
-     * Takes a node's report.
+     * Applies a node's usage report.
      *
-     * @param now the time
-     * @param unitsElsewhere units that it has served for the volume through other instances since its last
-     *     report
-     * @param usagePercent usage over all instances in percent of {@code rate}, negative when unknown
-     * @param rate units a second
+     * @param now current time
+     * @param unitsElsewhere units that the node has served for the volume through other instances since its
+     *     last report
+     * @param usagePercent usage over all instances in percent of {@code rate}, negative if unknown
+     * @param rate rate of the volume's plan, units per second
      */
     void reported(double now, double unitsElsewhere, double usagePercent, double rate) {
         double kept = Math.exp(-(now - decayedAt) / DECAY_MS);
@@ -38,14 +38,14 @@
         }
     }
 
-    /** This instance has had so many units served. */
+    /** Records units served through this instance. */
     void served(double units) {
         own += units;
     }
 
     /**
-     * This instance's share: {@code even} before there are reports, then its part of all usage, but at least
-     * half of {@code even}.
+     * This instance's share: {@code even} until usage is reported, then its part of the total usage, but at
+     * least half of {@code even}.
      */
     double share(double even, double meanUnits) {
         double total = own + elsewhere;
--- a/src/main/java/kelphollow/decision/Volume.java
+++ b/src/main/java/kelphollow/decision/Volume.java
@@ -4,12 +4,12 @@
 import kelphollow.decision.ControlSettings.Plan;
 
 /**
- * A volume at this instance: a flow of pClock with its arrival curve and tags, its reserve, its rate limit
- * and its usage. Times are milliseconds. Confined to the thread that drives {@link Control}.
+ * A volume as scheduled by this instance: a pClock flow with its arrival curve and tags, its reserve, rate
+ * limit and usage. Times are milliseconds. Confined to the thread that drives {@link Control}.
  */
 final class Volume {
     /**
-     * A request whose start tag lies further than this behind its arrival exceeds the volume's quota;
+     * A request whose start tag is later than its arrival by more than this exceeds the volume's quota;
      * milliseconds.
      */
     private static final double QUOTA_HORIZON_MS = 1000;
@@ -18,9 +18,9 @@
     final Plan plan;
     final RateLimiter limiter;
     final UsageShare usage;
-    /** Requests whose tags shift together, in the order of their tagging. */
+    /** Requests whose tags are shifted together, in the order in which they were tagged. */
     final ArrayDeque<PendingRequest> tagged = new ArrayDeque<>();
-    /** Tokens of the arrival curve; negative when the volume runs ahead of it. */
+    /** Tokens of the arrival curve; negative while the volume exceeds the curve. */
     double numTokens;
     /** The latest start tag that the arrival curve allows. */
     double maxS;
@@ -30,8 +30,10 @@
 
     private final DecisionContext context;
     private final RequestSizes sizes;
+    /** Units left in the reserve; at worst overdrawn by one request. */
     private double reserveLeft;
     private double reserveFilledAt;
+    /** Units of the reserve not yet assigned in the current shedding pass. */
     private double sheddingReserveLeft;
     private long sheddingPass;
 
@@ -49,7 +51,7 @@
         reserveLeft = reserveDepth();
     }
 
-    /** This instance's share of the volume. */
+    /** This instance's share of the arrival curve and the reserve. */
     private double share() {
         return usage.share(1.0 / limiter.instances(), context.settings().meanUnits());
     }
@@ -60,8 +62,9 @@
     }
 
     /**
-     * Depth of the arrival curve: one second of it, or one largest request. With many instances a second of a
-     * share is less than any request: tokens would never reach one, and every request would count as excess.
+     * Depth of the arrival curve: one second of its rate, but at least one largest request. With many
+     * instances, one second of a share is less than any request: the tokens would never suffice for one, and
+     * every request would count as excess.
      */
     double sigma() {
         return Math.max(rho(), sizes.largest());
@@ -78,14 +81,15 @@
         reserveFilledAt = now;
     }
 
+    /** Deducts units from the reserve, which may be overdrawn by at most this one request. */
     void consumeReserve(double units) {
         refillReserve();
         reserveLeft = Math.max(-units, reserveLeft - units);
     }
 
     /**
-     * Whether a request exceeds the quota while the reserve is spent: the first to yield, to other instances
-     * too.
+     * Whether a request exceeds the quota while the reserve is used up. Such requests yield first, also to
+     * those of other instances.
      */
     boolean isExcess(PendingRequest request) {
         refillReserve();
@@ -93,9 +97,9 @@
     }
 
     /**
-     * The share of its priority weight that a queued request earns: all of it within the reserve, less within
-     * the quota, least beyond. Each call within one {@code pass} over the queue uses up the reserve for the
-     * next.
+     * Share of its priority weight that a queued request counts for in load shedding: all of it within the
+     * reserve, less within the quota, least beyond. Each call within one {@code pass} over a queue uses up
+     * reserve that later calls of the pass no longer have.
      */
     double sheddingShare(PendingRequest request, long pass) {
         if (sheddingPass != pass) {
--- a/src/main/java/kelphollow/decision/VolumeTable.java
+++ b/src/main/java/kelphollow/decision/VolumeTable.java
@@ -8,17 +8,19 @@
 import kelphollow.decision.ControlEvent.RequestArrived;
 import kelphollow.decision.ControlSettings.Plan;
 
-/** The volumes that this instance has seen. Confined to the thread that drives {@link Control}. */
+/**
+ * Volumes for which this instance has received requests. Confined to the thread that drives {@link Control}.
+ */
 final class VolumeTable {
-    /** From this number of volumes on those that are idle are forgotten. */
+    /** Number of volumes from which on idle ones are evicted. */
     static final int IDLE_EVICTION_THRESHOLD = 1_000;
-    /** A volume without requests for this time is idle, in milliseconds. */
+    /** Time without requests after which a volume is idle, in milliseconds. */
     static final double IDLE_AFTER_MS = 60_000;
 
     private final DecisionContext context;
     private final RequestSizes sizes;
     private final Map<String, Volume> byName = new LinkedHashMap<>();
-    /** Tokens that an earlier process has left, until their volume is seen. */
+    /** Tokens that a previous process left, kept until the first request of their volume. */
     private final Map<String, Double> restoredTokens = new HashMap<>();
 
     VolumeTable(DecisionContext context, RequestSizes sizes) {
@@ -26,17 +28,18 @@
         this.sizes = sizes;
     }
 
+    /** Restores the rate limit tokens that a previous process left, by volume. */
     void restore(Map<String, Double> tokens) {
         restoredTokens.putAll(tokens);
     }
 
-    /** The volume of a request, with its limit shared by the number of instances that the request names. */
+    /** The volume of a request; its limit is shared by the number of instances given in the request. */
     Volume of(RequestArrived arrival, Plan plan) {
         String name = arrival.volume() == null ? "" : arrival.volume();
         int instances = Math.max(1, arrival.hosts());
         double now = context.now();
         if (byName.size() >= IDLE_EVICTION_THRESHOLD && !byName.containsKey(name)) {
-            forgetIdle();
+            evictIdle();
         }
         Volume volume = byName.computeIfAbsent(name, n -> new Volume(plan, instances, context, sizes));
         volume.limiter.setInstances(instances, now);
@@ -50,15 +53,15 @@
     }
 
     /**
-     * Guards memory against names that clients make up; the bucket of a volume that was idle for so long is
-     * full.
+     * Evicts idle volumes, so that names invented by clients do not fill memory. The token bucket of a volume
+     * that was idle for so long is full, so nothing is lost.
      */
-    private void forgetIdle() {
+    private void evictIdle() {
         double now = context.now();
         byName.values().removeIf(v -> v.tagged.isEmpty() && now - v.lastArrivalAt > IDLE_AFTER_MS);
     }
 
-    /** All volumes, the one seen first in front. */
+    /** All volumes in the order of their first request. */
     Collection<Volume> all() {
         return byName.values();
     }
@@ -67,12 +70,12 @@
         return byName.size();
     }
 
-    /** The units left in this instance's share of each limited volume, less what is owed of its loan. */
+    /** Tokens left in this instance's share of each limited volume, less borrowed tokens not yet repaid. */
     Map<String, Double> limitTokens() {
         Map<String, Double> tokens = new TreeMap<>();
         byName.forEach((name, volume) -> {
             if (volume.plan.limitRate() > 0) {
-                tokens.put(name, volume.limiter.tokensLessLoan(context.now()));
+                tokens.put(name, volume.limiter.tokensNetOfBorrowed(context.now()));
             }
         });
         return tokens;
--- a/src/main/java/kelphollow/decision/WakeTimer.java
+++ b/src/main/java/kelphollow/decision/WakeTimer.java
@@ -2,27 +2,28 @@
 
 import kelphollow.decision.ControlAction.SetTimer;
 
-/** The one timer that the module sets for itself. Times are milliseconds. */
+/** The single timer of the decision module. Times are milliseconds. */
 final class WakeTimer {
-    /** How often queued requests are looked at when nothing else happens. */
+    /** Interval at which queued requests are reconsidered if no other event occurs. */
     private static final double SWEEP_INTERVAL_MS = 10;
     private static final String NAME = "wake";
 
     private final SchedulerState state;
-    private double setTo = Double.POSITIVE_INFINITY;
+    /** Time for which the timer is set; infinite if it is not set. */
+    private double scheduledAt = Double.POSITIVE_INFINITY;
 
     WakeTimer(SchedulerState state) {
         this.state = state;
     }
 
-    /** A timer has fired; a host's clock that rounds may be a little early. */
+    /** Handles a timer that fired, up to one tick early, since the host's clock may round. */
     void fired() {
-        if (state.now() >= setTo - state.context.tick()) {
-            setTo = Double.POSITIVE_INFINITY;
+        if (state.now() >= scheduledAt - state.context.tick()) {
+            scheduledAt = Double.POSITIVE_INFINITY;
         }
     }
 
-    /** Sets the timer where something is due before the time that it is set to. */
+    /** Sets the timer if anything is due before the time for which it is set. */
     void set(double pollDueAt) {
         double now = state.now();
         double next = pollDueAt;
@@ -31,9 +32,9 @@
             next = Math.min(next, now + SWEEP_INTERVAL_MS);
         }
         next = Math.min(next, state.deadlines.nextAt());
-        if (next < setTo) {
-            setTo = Math.max(next, now + state.context.tick());
-            state.actions.add(new SetTimer(setTo, NAME));
+        if (next < scheduledAt) {
+            scheduledAt = Math.max(next, now + state.context.tick());
+            state.actions.add(new SetTimer(scheduledAt, NAME));
         }
     }
 }
--- a/src/test/java/kelphollow/decision/RateLimiterTest.java
+++ b/src/test/java/kelphollow/decision/RateLimiterTest.java
@@ -17,11 +17,11 @@
     @Test void itStartsWithALoanOnTheSlack() {
         assertTrue(limiter.allows(LOAN, START));
         assertFalse(limiter.allows(LOAN + 0.01, START));
-        assertEquals(0, limiter.tokensLessLoan(START));
+        assertEquals(0, limiter.tokensNetOfBorrowed(START));
     }
 
     @Test void aQuarterOfTheInflowPaysTheLoanBack() {
-        double tokens = limiter.tokensLessLoan(START + 100);
+        double tokens = limiter.tokensNetOfBorrowed(START + 100);
 
         assertEquals(2.0, tokens, 1e-9, "the inflow, of which 0.5 units were paid back");
         assertTrue(limiter.allows(LOAN + 1.5, START + 100));
@@ -65,7 +65,7 @@
         limiter.setInstances(4, START);
 
         assertEquals(4, limiter.instances());
-        assertEquals(6, limiter.tokensLessLoan(START), 1e-9, "a smaller share is cut at once");
+        assertEquals(6, limiter.tokensNetOfBorrowed(START), 1e-9, "a smaller share is cut at once");
         limiter.consume(6);
         assertEquals(200, limiter.waitFor(1, START), 1e-9, "a quarter of the rate");
     }
--- a/src/test/java/kelphollow/decision/SettingsCatalogTest.java
+++ b/src/test/java/kelphollow/decision/SettingsCatalogTest.java
@@ -52,14 +52,14 @@
         RequestClass noObjective = new RequestClass("r", 0, 2000, 2, 0.1, ControlHarness.READ.idempotency(),
             ControlHarness.READ.deduplicationScope(), 0, false, false);
 
-        assertEquals("settings: hosts must be at least 1", fault(0, 1, classes, plans));
-        assertEquals("settings: maxAttempts must be at least 1", fault(1, 0, classes, plans));
+        assertEquals("settings: hosts is 0, must be at least 1", fault(0, 1, classes, plans));
+        assertEquals("settings: maxAttempts is 0, must be at least 1", fault(1, 0, classes, plans));
         assertEquals("settings: classes is empty", fault(1, 1, List.of(), plans));
         assertEquals("settings: plans is empty", fault(1, 1, classes, List.of()));
-        assertEquals("settings: aim of class r must be above 0", fault(1, 1, List.of(noObjective), plans));
-        assertEquals("settings: rate of plan p must be above 0",
+        assertEquals("settings: aim of class r is 0.0, must be above 0", fault(1, 1, List.of(noObjective), plans));
+        assertEquals("settings: rate of plan p is 0.0, must be above 0",
             fault(1, 1, classes, List.of(new Plan("p", 0, 0, 1, 1, 0, 0, 0))));
-        assertEquals("settings: limit of plan p is negative",
+        assertEquals("settings: limit of plan p is negative: rate -1.0, burst 0.0",
             fault(1, 1, classes, List.of(new Plan("p", 1, 0, 1, 1, -1, 0, 0))));
     }
 }
