--- a/src/main/java/kelphollow/adapter/ActionWriter.java
+++ b/src/main/java/kelphollow/adapter/ActionWriter.java
@@ -10,7 +10,7 @@
 import kelphollow.decision.ControlAction.SendAttempt;
 import kelphollow.decision.ControlAction.SetTimer;
 
-/** Writes each action as a message of the wire: an array of its word and its values. */
+/** Writes each action as a wire message: an array of the message name and its values. */
 final class ActionWriter implements ControlAction.Handler<IOException> {
     private final JsonGenerator out;
 
@@ -61,15 +61,15 @@
         out.writeEndArray();
     }
 
-    /** Reports that the module failed with an exception. */
-    void internalError(String fault) throws IOException {
+    /** Writes a message that reports an exception of the decision module. */
+    void internalError(String error) throws IOException {
         begin(WireNames.INTERNAL_ERROR);
-        out.writeString(fault);
+        out.writeString(error);
         out.writeEndArray();
     }
 
-    private void begin(String word) throws IOException {
+    private void begin(String name) throws IOException {
         out.writeStartArray();
-        out.writeString(word);
+        out.writeString(name);
     }
 }
--- a/src/main/java/kelphollow/adapter/Adapter.java
+++ b/src/main/java/kelphollow/adapter/Adapter.java
@@ -17,25 +17,30 @@
 import kelphollow.decision.ControlEvent;
 import kelphollow.protocol.json.Json;
 
-/** Answers batches of the wire by instances of the decision module. It decides nothing. For one thread. */
+/** Passes batches of wire events to instances of the decision module and encodes their actions. Not thread-safe. */
 final class Adapter {
-    private static final int REPLY_BYTES = 256;
+    private static final int INITIAL_REPLY_BYTES = 256;
 
     private final JsonFactory factory = new JsonFactory();
     private final Map<String, Control> instances = new LinkedHashMap<>();
-    private final EventReader events = new EventReader();
+    private final EventReader eventReader = new EventReader();
 
-    /** Answers one batch with one line. */
-    byte[] answer(String line) throws MalformedMessageException {
+    /**
+     * Handles one batch.
+     *
+     * @param line the batch as one line of JSON
+     * @return the reply as one line of JSON in UTF-8
+     */
+    byte[] handleBatch(String line) throws MalformedMessageException {
         try {
             Map<?, ?> batch = object(Json.parse(line), "batch");
             double now = number(batch.get(WireNames.TIME), "at_time");
-            ByteArrayOutputStream bytes = new ByteArrayOutputStream(REPLY_BYTES);
+            ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_REPLY_BYTES);
             try (JsonGenerator out = factory.createGenerator(bytes)) {
                 out.writeStartObject();
                 out.writeArrayFieldStart(WireNames.INSTANCES);
                 for (Object part : list(batch.get(WireNames.INSTANCES), "parts")) {
-                    answerInstance(object(part, "part"), now).writeTo(out);
+                    handleInstance(object(part, "parts element"), now).writeTo(out);
                 }
                 out.writeEndArray();
                 out.writeEndObject();
@@ -43,17 +48,17 @@
             bytes.write('\n');
             return bytes.toByteArray();
         } catch (IOException e) {
-            throw new MalformedMessageException("not JSON: " + e.getMessage(), e);
+            throw new MalformedMessageException("batch is not valid JSON: " + e.getMessage(), e);
         }
     }
 
-    private InstanceReply answerInstance(Map<?, ?> part, double now) throws MalformedMessageException {
+    private InstanceReply handleInstance(Map<?, ?> part, double now) throws MalformedMessageException {
         InstanceReply reply = new InstanceReply(text(part.get(WireNames.INSTANCE_ID), "initiator_id"));
         for (Object item : list(part.get(WireNames.EVENTS), "input")) {
-            List<?> message = list(item, "event");
+            List<?> message = list(item, "input element");
             String kind = text(at(message, 0), "event name");
             switch (kind) {
-                case WireNames.ENDPOINT_LIST -> events.keepList(message);
+                case WireNames.ENDPOINT_LIST -> eventReader.storeEndpointList(message);
                 case WireNames.STOP_INSTANCE -> {
                     instances.remove(reply.instance());
                     reply.clear();
@@ -77,7 +82,7 @@
         }
     }
 
-    /** Once the module has thrown an exception, the instance's further events are only checked for their form. */
+    /** Passes an event to its instance. After an exception of the module, further events are only checked for form. */
     private void deliver(String kind, List<?> message, double now, InstanceReply reply)
         throws MalformedMessageException {
         Control control = instances.get(reply.instance());
@@ -85,9 +90,9 @@
             if (reply.hasFailed()) {
                 return;
             }
-            throw new MalformedMessageException(kind + " for unknown instance " + reply.instance());
+            throw new MalformedMessageException(kind + " for instance " + reply.instance() + ", which is not running");
         }
-        ControlEvent event = events.read(kind, message);
+        ControlEvent event = eventReader.read(kind, message);
         if (event == null || reply.hasFailed()) {
             return;
         }
--- a/src/main/java/kelphollow/adapter/AdapterLoop.java
+++ b/src/main/java/kelphollow/adapter/AdapterLoop.java
@@ -10,9 +10,9 @@
     private AdapterLoop() {}
 
     /**
-     * Answers each line with one line until the input ends.
+     * Handles one batch per line, and writes one reply per line, until the input ends.
      *
-     * @return the exit code: 1 after a malformed line or a broken stream, which is reported on {@code err}
+     * @return the exit code: 0 at the end of input, 1 after a malformed line or an I/O error, reported on {@code err}
      */
     public static int run(BufferedReader in, OutputStream out, PrintStream err) {
         Adapter adapter = new Adapter();
@@ -21,7 +21,7 @@
             String line;
             while ((line = in.readLine()) != null) {
                 lineNumber++;
-                byte[] reply = adapter.answer(line);
+                byte[] reply = adapter.handleBatch(line);
                 out.write(reply);
                 out.flush();
             }
--- a/src/main/java/kelphollow/adapter/EventReader.java
+++ b/src/main/java/kelphollow/adapter/EventReader.java
@@ -24,18 +24,19 @@
 import kelphollow.decision.ControlEvent.TimerFired;
 
 /**
- * Reads the messages that are events of the decision module. Keeps the endpoint lists, since the wire sends each once and
- * then refers to it by number. For one thread.
+ * Decodes wire messages into events of the decision module. Stores endpoint lists, since the wire sends each list once and
+ * then refers to it by number. Not thread-safe.
  */
 final class EventReader {
+    /** Endpoint lists by the number assigned on the wire. */
     private final Map<Integer, List<Endpoint>> lists = new LinkedHashMap<>();
 
-    /** Keeps an endpoint list under its number. */
-    void keepList(List<?> message) throws MalformedMessageException {
+    /** Stores an endpoint list under its number. */
+    void storeEndpointList(List<?> message) throws MalformedMessageException {
         List<Endpoint> endpoints = new ArrayList<>();
         int number = (int) number(at(message, 1), "page");
         for (Object row : list(at(message, 2), "rows")) {
-            endpoints.add(endpoint(list(row, "row")));
+            endpoints.add(endpoint(list(row, "rows element")));
         }
         lists.put(number, List.copyOf(endpoints));
     }
@@ -46,7 +47,7 @@
             WireNames.endpointState(state), numberOr(at(row, 6), 0));
     }
 
-    /** The event that a message stands for; null for one that concerns no decision. */
+    /** The event that a message encodes, or null if the decision module does not handle it. */
     ControlEvent read(String kind, List<?> message) throws MalformedMessageException {
         return switch (kind) {
             case WireNames.ENDPOINTS_RECEIVED -> endpointList(message);
@@ -72,13 +73,14 @@
         }
         List<Endpoint> endpoints = lists.get((int) number(at(message, 1), "page"));
         if (endpoints == null) {
-            throw new MalformedMessageException("ENDPOINTS names list " + at(message, 1) + ", which was not sent");
+            throw new MalformedMessageException("ENDPOINTS refers to list " + at(message, 1)
+                + ", which no ROSTER has defined");
         }
         return switch (form) {
             case WireNames.CHANGED_ENTRIES -> new EndpointsReceived(endpoints, false, false);
             case WireNames.COMPLETE_LIST -> new EndpointsReceived(endpoints, true, false);
             case WireNames.CACHED_LIST -> new EndpointsReceived(endpoints, true, true);
-            default -> throw new MalformedMessageException("unknown form " + form);
+            default -> throw new MalformedMessageException("unknown form " + form + " of an endpoint list");
         };
     }
 
@@ -89,7 +91,7 @@
     }
 
     private static ControlEvent attemptEnded(List<?> message) throws MalformedMessageException {
-        // The wire gives usage as 1 + percent, and 0 for unknown.
+        // The wire encodes usage as 1 + percent, and unknown usage as 0.
         double usagePercent = numberOr(at(message, 8), 0) - 1;
         return new AttemptEnded(requestId(message), (int) number(at(message, 3), "send_no"),
             text(at(message, 4), "target"), WireNames.outcome(text(at(message, 6), "verdict")),
@@ -103,9 +105,9 @@
         }
         Map<String, Double> report = new LinkedHashMap<>();
         for (Map.Entry<?, ?> entry : object(value, "metrics").entrySet()) {
-            String figure = WireNames.loadFigure(String.valueOf(entry.getKey()));
-            if (figure != null && entry.getValue() instanceof Double d) {
-                report.put(figure, d);
+            String metric = WireNames.loadMetric(String.valueOf(entry.getKey()));
+            if (metric != null && entry.getValue() instanceof Double d) {
+                report.put(metric, d);
             }
         }
         return report;
--- a/src/main/java/kelphollow/adapter/InstanceReply.java
+++ b/src/main/java/kelphollow/adapter/InstanceReply.java
@@ -6,11 +6,12 @@
 import java.util.List;
 import kelphollow.decision.ControlAction;
 
-/** What one instance answers to its events of a batch: actions, and the first exception of the module if there is one. */
+/** Reply of one instance to its events of a batch: its actions, and the exception of the module that ended them, if any. */
 final class InstanceReply {
     private final String instance;
     private final List<ControlAction> actions = new ArrayList<>();
-    private String fault;
+    /** Description of the exception, or null. */
+    private String error;
 
     InstanceReply(String instance) {
         this.instance = instance;
@@ -24,25 +25,25 @@
         actions.addAll(more);
     }
 
-    /** Notes that the module threw an exception for a kind of event. */
+    /** Records that the module threw an exception on a kind of event. */
     void failed(String kind, RuntimeException e) {
         StackTraceElement[] trace = e.getStackTrace();
-        fault = instance + " " + kind + ": " + e + (trace.length > 0 ? " at " + trace[0] : "");
+        error = instance + " " + kind + ": " + e + (trace.length > 0 ? " at " + trace[0] : "");
     }
 
     boolean hasFailed() {
-        return fault != null;
+        return error != null;
     }
 
-    /** The instance was stopped: what it answered before is void. */
+    /** Discards the reply so far, because the instance was stopped. */
     void clear() {
         actions.clear();
-        fault = null;
+        error = null;
     }
 
-    /** Writes nothing when there is nothing to say. */
+    /** Writes the reply; writes nothing if it has neither actions nor an exception. */
     void writeTo(JsonGenerator out) throws IOException {
-        if (actions.isEmpty() && fault == null) {
+        if (actions.isEmpty() && error == null) {
             return;
         }
         ActionWriter writer = new ActionWriter(out);
@@ -52,8 +53,8 @@
         for (ControlAction action : actions) {
             action.accept(writer);
         }
-        if (fault != null) {
-            writer.internalError(fault);
+        if (error != null) {
+            writer.internalError(error);
         }
         out.writeEndArray();
         out.writeEndObject();
--- a/src/main/java/kelphollow/adapter/MalformedMessageException.java
+++ b/src/main/java/kelphollow/adapter/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package kelphollow.adapter;
 
-/** The input breaks the wire's form; the message names the fault. */
+/** Thrown if the input violates the wire format; the message names the offending value. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/kelphollow/adapter/SettingsReader.java
+++ b/src/main/java/kelphollow/adapter/SettingsReader.java
@@ -16,28 +16,28 @@
 import kelphollow.decision.ControlSettings.Rules;
 
 /**
- * Reads the settings of an instance from the message that starts it. Each key of the wire occurs here once, in the place of
- * the setting that it stands for. Unknown keys are skipped; missing ones are 0, false or empty.
+ * Decodes the settings of an instance from the message that starts it. This class maps each wire key to its setting.
+ * Unknown keys are ignored; missing ones default to 0, false or empty.
  */
 public final class SettingsReader {
     private SettingsReader() {}
 
     /**
-     * Reads the settings.
+     * Decodes the settings.
      *
-     * @param params the message's object, as {@link kelphollow.protocol.json.Json} parses it
-     * @throws MalformedMessageException naming the value that is not of its form or a word that is not known
+     * @param params the settings object of the message, as parsed by {@link kelphollow.protocol.json.Json}
+     * @throws MalformedMessageException naming the value that has the wrong type or is not a known name
      */
     public static ControlSettings read(Map<?, ?> params) throws MalformedMessageException {
         Map<?, ?> ceilings = objectOrEmpty(params.get("ceilings"));
         Map<?, ?> extra = objectOrEmpty(params.get("extra"));
         List<RequestClass> classes = new ArrayList<>();
         for (Object item : listOrEmpty(params.get("request_classes"))) {
-            classes.add(requestClass(object(item, "request_classes")));
+            classes.add(requestClass(object(item, "request_classes element")));
         }
         List<Plan> plans = new ArrayList<>();
         for (Object item : listOrEmpty(params.get("grades"))) {
-            plans.add(plan(object(item, "grades")));
+            plans.add(plan(object(item, "grades element")));
         }
         boolean endpointsPolled = textOr(params.get("discovery"), "automatic").equals("subscribe");
         double maxRetryAfter = isTrue(ceilings, "retry_after") ? number(ceilings, "max_retry_after") : 0;
--- a/src/main/java/kelphollow/adapter/WireNames.java
+++ b/src/main/java/kelphollow/adapter/WireNames.java
@@ -6,9 +6,9 @@
 import kelphollow.decision.ControlSettings.DeduplicationScope;
 import kelphollow.decision.ControlSettings.Idempotency;
 
-/** The words of the simulator's wire and the terms they stand for; the keys of settings are in {@link SettingsReader}. */
+/** Names in the simulator's wire format and what they mean to the module; keys of settings are in {@link SettingsReader}. */
 final class WireNames {
-    /** Events: the first element of each message in. */
+    /** Events: the first element of each incoming message. */
     static final String START_INSTANCE = "ENLIST";
     static final String STOP_INSTANCE = "DOWN";
     static final String ENDPOINT_LIST = "ROSTER";
@@ -18,11 +18,11 @@
     static final String RESPONSE_STARTED = "OPENED";
     static final String TIMER_FIRED = "REMINDER";
     static final String ATTEMPT_ENDED = "RESULT";
-    /** Events that concern no decision. */
+    /** Events that the decision module does not handle. */
     static final String MESSAGE_RECEIVED = "INBOX";
     static final String NODE_PROBED = "PROBED";
 
-    /** Actions: the first element of each message out. */
+    /** Actions: the first element of each outgoing message. */
     static final String SEND_ATTEMPT = "SEND";
     static final String SET_TIMER = "SET_TIMER";
     static final String REJECT_REQUEST = "DENY";
@@ -50,40 +50,40 @@
         "fault", AttemptOutcome.ERROR, "no_room", AttemptOutcome.AT_CAPACITY, "too_slow", AttemptOutcome.TIMED_OUT,
         "no_route", AttemptOutcome.CONNECT_FAILED, "cut", AttemptOutcome.RESET, "undone", AttemptOutcome.CANCELLED,
         "stale_send", AttemptOutcome.NOT_SENT);
-    private static final Map<String, Idempotency> IDEMPOTENCIES = Map.of("pure", Idempotency.IDEMPOTENT,
+    private static final Map<String, Idempotency> IDEMPOTENCY_KINDS = Map.of("pure", Idempotency.IDEMPOTENT,
         "token", Idempotency.IDEMPOTENCY_KEY, "side_effect", Idempotency.NOT_IDEMPOTENT);
     private static final Map<String, DeduplicationScope> SCOPES = Map.of("all", DeduplicationScope.ALL,
         "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
-    /** Figures of a node's load report. */
-    private static final Map<String, String> LOAD_FIGURES = Map.of("busy_reqs", "inFlight", "svc_ms", "serviceTime");
+    /** Names of a node's load metrics. */
+    private static final Map<String, String> LOAD_METRICS = Map.of("busy_reqs", "inFlight", "svc_ms", "serviceTime");
 
     private WireNames() {}
 
-    static EndpointState endpointState(String word) throws MalformedMessageException {
-        return known(ENDPOINT_STATES, word, "phase");
+    static EndpointState endpointState(String name) throws MalformedMessageException {
+        return lookUp(ENDPOINT_STATES, name, "phase");
     }
 
-    static AttemptOutcome outcome(String word) throws MalformedMessageException {
-        return known(OUTCOMES, word, "verdict");
+    static AttemptOutcome outcome(String name) throws MalformedMessageException {
+        return lookUp(OUTCOMES, name, "verdict");
     }
 
-    static Idempotency idempotency(String word) throws MalformedMessageException {
-        return known(IDEMPOTENCIES, word, "effect");
+    static Idempotency idempotency(String name) throws MalformedMessageException {
+        return lookUp(IDEMPOTENCY_KINDS, name, "effect");
     }
 
-    static DeduplicationScope deduplicationScope(String word) throws MalformedMessageException {
-        return known(SCOPES, word, "dedup_scope");
+    static DeduplicationScope deduplicationScope(String name) throws MalformedMessageException {
+        return lookUp(SCOPES, name, "dedup_scope");
     }
 
-    /** The module's name of a figure in a load report; null when the module does not know it. */
-    static String loadFigure(String word) {
-        return LOAD_FIGURES.get(word);
+    /** The module's name of a load metric, or null if the module does not use it. */
+    static String loadMetric(String name) {
+        return LOAD_METRICS.get(name);
     }
 
-    private static <T> T known(Map<String, T> words, String word, String what) throws MalformedMessageException {
-        T meaning = words.get(word);
+    private static <T> T lookUp(Map<String, T> names, String name, String what) throws MalformedMessageException {
+        T meaning = names.get(name);
         if (meaning == null) {
-            throw new MalformedMessageException("unknown " + what + " " + word);
+            throw new MalformedMessageException("unknown " + what + " " + name);
         }
         return meaning;
     }
--- a/src/main/java/kelphollow/adapter/package-info.java
+++ b/src/main/java/kelphollow/adapter/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The simulator's wire: one line of JSON with events in, one line with the decision module's actions out. Its words are
- * mapped to the module's terms in {@link kelphollow.adapter.WireNames}; nothing is decided here.
+ * Adapter between the simulator and the decision module. Reads batches of events and writes the module's actions, each as
+ * one line of JSON. {@link kelphollow.adapter.WireNames} maps the names of the wire format to the module's terms. The
+ * package makes no decisions.
  */
 package kelphollow.adapter;
--- a/src/test/java/kelphollow/adapter/ActionWriterTest.java
+++ b/src/test/java/kelphollow/adapter/ActionWriterTest.java
@@ -16,7 +16,7 @@
 import kelphollow.decision.ControlAction.SetTimer;
 import org.junit.jupiter.api.Test;
 
-/** Actions of the module as messages of the wire. */
+/** Encoding of the decision module's actions as wire messages. */
 class ActionWriterTest {
     private static String written(ControlAction action) throws IOException {
         StringWriter text = new StringWriter();
--- a/src/test/java/kelphollow/adapter/AdapterTest.java
+++ b/src/test/java/kelphollow/adapter/AdapterTest.java
@@ -10,6 +10,7 @@
 import java.io.StringReader;
 import org.junit.jupiter.api.Test;
 
+/** The adapter over a pair of streams: replies, malformed input and invalid settings. */
 class AdapterTest {
     private static final String PARAMS = "{\"ceilings\":{\"cancel\":true,\"most_tries\":3,\"open_cap\":100},"
         + "\"contract\":{\"cold\":1000.0,\"cold_share\":0.3,\"fall\":1000.0},\"discovery\":\"subscribe\",\"novel\":1,"
@@ -32,7 +33,7 @@
         return "{\"at_time\":12.0,\"parts\":[{\"initiator_id\":\"initiator_0\",\"input\":[" + event + "]}]}";
     }
 
-    @Test void requestGoesOutAndItsAnswerEndsIt() {
+    @Test void aRequestIsSentAndCompletedByItsResult() {
         String[] r = run("{\"at_time\":1,\"parts\":[]}", START,
             batch("[\"NEW_REQUEST\",\"id-1\",\"r\",\"basic\",null,2012.0,\"v\",2,0,1,0]"),
             batch("[\"RESULT\",\"id-1\",true,0,\"10.0.0.1:1\",18.5,\"pass\"]"), batch("[\"DOWN\"]"));
@@ -45,11 +46,11 @@
         assertEquals("{\"parts\":[]}", replies[4]);
     }
 
-    @Test void faultsInTheInputEndWithOnePlainMessage() {
+    @Test void malformedInputEndsTheLoopWithOneLineOnStderr() {
         for (String bad : new String[] {"{\"at_time\":", "[]", batch("[\"REMINDER\",\"x\"]"), batch("[\"ODD\"]")}) {
             String[] r = run("{\"at_time\":1,\"parts\":[]}", bad);
             assertEquals("1", r[0]);
-            assertEquals("{\"parts\":[]}\n", r[1], "nothing half written");
+            assertEquals("{\"parts\":[]}\n", r[1], "no partial reply is written");
             assertTrue(r[2].startsWith("kelphollow adapter: line 2: "), r[2]);
             assertEquals(1, r[2].strip().split("\n").length);
         }
@@ -58,7 +59,7 @@
         assertTrue(r[2].contains("ENDPOINTS"));
     }
 
-    @Test void badSettingsBecomeTheFaultReport() {
+    @Test void invalidSettingsAreReportedAsAnInternalError() {
         String[] r = run(START.replace("5.0,\"ceiling", "-5.0,\"ceiling"));
         assertEquals("0", r[0]);
         assertTrue(r[1].contains("\"BUG\",\"initiator_0 ENLIST") && r[1].contains("rate of plan basic"), r[1]);
--- a/src/test/java/kelphollow/adapter/EventReaderTest.java
+++ b/src/test/java/kelphollow/adapter/EventReaderTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Messages of the wire as events of the module. */
+/** Decoding of wire messages into events of the decision module. */
 class EventReaderTest {
     private final EventReader reader = new EventReader();
 
@@ -37,26 +37,26 @@
         return reader.read((String) message.get(0), message);
     }
 
-    @Test void aRequestIsReadWithAllItsFields() throws Exception {
+    @Test void allFieldsOfARequestAreDecoded() throws Exception {
         assertEquals(new RequestArrived("id", "r", "basic", "key", 2_012, "v", 2, 3, 4),
             read("[\"NEW_REQUEST\",\"id\",\"r\",\"basic\",\"key\",2012.0,\"v\",2,3,4]"));
     }
 
-    @Test void fieldsOfARequestThatAreMissingHaveDefaults() throws Exception {
+    @Test void missingFieldsOfARequestHaveDefaults() throws Exception {
         assertEquals(new RequestArrived("id", "r", null, null, 2_012, null, 1, -1, 1),
             read("[\"NEW_REQUEST\",\"id\",\"r\",null,null,2012.0]"));
     }
 
     @ParameterizedTest
     @CsvSource({"pass, SERVED", "fault, ERROR", "no_room, AT_CAPACITY", "too_slow, TIMED_OUT", "no_route, CONNECT_FAILED",
-        "cut, RESET", "undone, CANCELLED", "stale_send, NOT_SENT"}) void eachVerdictHasItsOutcome(String verdict,
+        "cut, RESET", "undone, CANCELLED", "stale_send, NOT_SENT"}) void eachVerdictMapsToAnOutcome(String verdict,
             AttemptOutcome outcome) throws Exception {
         AttemptEnded ended = (AttemptEnded) read("[\"RESULT\",\"id\",true,1,\"n\",18.5,\"" + verdict + "\"]");
 
         assertEquals(new AttemptEnded("id", 1, "n", outcome, 18.5, true, false, 0, -1, Map.of()), ended);
     }
 
-    @Test void usageAndLoadReportComeWithTheEndOfAnAttempt() throws Exception {
+    @Test void usageAndLoadReportOfAResultAreDecoded() throws Exception {
         AttemptEnded ended = (AttemptEnded) read("[\"RESULT\",\"id\",false,0,\"n\",18.5,\"pass\",7.5,41,"
             + "{\"busy_reqs\":3,\"svc_ms\":12.5,\"other\":1}]");
 
@@ -65,31 +65,32 @@
         assertEquals(Map.of("inFlight", 3.0, "serviceTime", 12.5), ended.loadReport());
     }
 
-    @Test void theOtherEventsOfARequestAreRead() throws Exception {
+    @Test void disconnectsResponseStartsAndTimersAreDecoded() throws Exception {
         assertEquals(new ClientDisconnected("id"), read("[\"VANISHED\",\"id\"]"));
         assertEquals(new ResponseStarted("id", 2), read("[\"OPENED\",\"id\",null,null,2]"));
         assertEquals(new TimerFired("wake"), read("[\"REMINDER\",\"wake\"]"));
     }
 
-    @Test void eventsThatConcernNoDecisionGiveNone() throws Exception {
+    @Test void eventsThatTheModuleDoesNotHandleAreSkipped() throws Exception {
         assertNull(read("[\"INBOX\"]"));
         assertNull(read("[\"PROBED\"]"));
     }
 
     @ParameterizedTest
     @CsvSource({"Partial, false, false", "Complete, true, false",
-        "Persisted, true, true"}) void aListIsReferredToByItsNumber(String form, boolean complete, boolean cached)
+        "Persisted, true, true"}) void eachFormRefersToAStoredListByNumber(String form, boolean complete, boolean cached)
             throws Exception {
-        reader.keepList(message("[\"ROSTER\",5,[[\"10.0.0.1:1\",\"a\",\"k\",3,\"cordoned\",1,77.5]]]"));
+        reader.storeEndpointList(message("[\"ROSTER\",5,[[\"10.0.0.1:1\",\"a\",\"k\",3,\"cordoned\",1,77.5]]]"));
 
         assertEquals(new EndpointsReceived(List.of(new Endpoint("10.0.0.1:1", "a", 3, EndpointState.DRAINING, 77.5)),
             complete, cached), read("[\"ENDPOINTS\",5,1,\"" + form + "\"]"));
     }
 
     @ParameterizedTest
-    @CsvSource({"healthy, HEALTHY", "cordoned, DRAINING", "deregistered, REMOVED"}) void eachPhaseHasItsState(String phase,
+    @CsvSource({"healthy, HEALTHY", "cordoned, DRAINING", "deregistered, REMOVED"}) void eachPhaseMapsToAnEndpointState(
+        String phase,
         EndpointState state) throws Exception {
-        reader.keepList(message("[\"ROSTER\",5,[[\"n\",null,\"k\",0,\"" + phase + "\"]]]"));
+        reader.storeEndpointList(message("[\"ROSTER\",5,[[\"n\",null,\"k\",0,\"" + phase + "\"]]]"));
 
         EndpointsReceived list = (EndpointsReceived) read("[\"ENDPOINTS\",5,1,\"Complete\"]");
         assertEquals(List.of(new Endpoint("n", null, 0, state, 0)), list.endpoints());
@@ -101,21 +102,22 @@
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"[\"ODD\"]|unknown event ODD",
-        "[\"ENDPOINTS\",9,1,\"Complete\"]|ENDPOINTS names list 9.0, which was not sent",
-        "[\"RESULT\",\"id\",true,1,\"n\",1,\"odd\"]|unknown verdict odd", "[\"VANISHED\",7]|corr is not a text",
-        "[\"RESULT\",\"id\",true,\"x\",\"n\",1,\"pass\"]|send_no is not a number",
-        "[\"RESULT\",\"id\",true,1,\"n\",1,\"pass\",0,0,5]|metrics is not an object"}) void aMalformedMessageNamesItsFault(
-            String json, String fault) {
-        assertEquals(fault, assertThrows(MalformedMessageException.class, () -> read(json)).getMessage());
+        "[\"ENDPOINTS\",9,1,\"Complete\"]|ENDPOINTS refers to list 9.0, which no ROSTER has defined",
+        "[\"RESULT\",\"id\",true,1,\"n\",1,\"odd\"]|unknown verdict odd",
+        "[\"VANISHED\",7]|corr must be a string, found 7.0",
+        "[\"RESULT\",\"id\",true,\"x\",\"n\",1,\"pass\"]|send_no must be a number, found x",
+        "[\"RESULT\",\"id\",true,1,\"n\",1,\"pass\",0,0,5]|metrics must be an object, found 5.0"}) void errorNamesTheValue(
+            String json, String error) {
+        assertEquals(error, assertThrows(MalformedMessageException.class, () -> read(json)).getMessage());
     }
 
-    @Test void aMalformedListNamesItsFault() throws Exception {
+    @Test void errorOnAListNamesTheValue() throws Exception {
         List<?> phase = message("[\"ROSTER\",5,[[\"n\",null,\"k\",0,\"odd\"]]]");
         List<?> rows = message("[\"ROSTER\",5,7]");
 
         assertEquals("unknown phase odd",
-            assertThrows(MalformedMessageException.class, () -> reader.keepList(phase)).getMessage());
-        assertEquals("rows is not an array",
-            assertThrows(MalformedMessageException.class, () -> reader.keepList(rows)).getMessage());
+            assertThrows(MalformedMessageException.class, () -> reader.storeEndpointList(phase)).getMessage());
+        assertEquals("rows must be an array, found 7.0",
+            assertThrows(MalformedMessageException.class, () -> reader.storeEndpointList(rows)).getMessage());
     }
 }
--- a/src/test/java/kelphollow/adapter/SettingsReaderTest.java
+++ b/src/test/java/kelphollow/adapter/SettingsReaderTest.java
@@ -14,13 +14,13 @@
 import kelphollow.protocol.json.Json;
 import org.junit.jupiter.api.Test;
 
-/** Settings of an instance by the keys of the wire. */
+/** Decoding of an instance's settings from the keys of the wire. */
 class SettingsReaderTest {
     private static ControlSettings read(String json) throws Exception {
         return SettingsReader.read((Map<?, ?>) Json.parse(json.replace('\'', '"')));
     }
 
-    @Test void eachKeyHasItsSetting() throws Exception {
+    @Test void eachKeyMapsToItsSetting() throws Exception {
         ControlSettings settings = read("{'me':1,'fleet_size':2,'my_zone':'z','tick':3,'discovery':'subscribe',"
             + "'ceilings':{'most_tries':4,'open_cap':5,'cancel':true,'retry_after':true,'max_retry_after':6},"
             + "'extra':{'unit_mean':7,'share_worth':8,'beyond_share':9,'young_limit':10},"
@@ -46,18 +46,18 @@
             List.of(new Plan("g", 0, 0, 0, 0, 0, 0, 0)), new Rules(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0)), settings);
     }
 
-    @Test void theLongestRetryAfterCountsOnlyWhereClientsHeedIt() throws Exception {
+    @Test void maxRetryAfterIsZeroUnlessRetryAfterIsEnabled() throws Exception {
         assertEquals(0, read("{'ceilings':{'max_retry_after':6}}").maxRetryAfter());
     }
 
-    @Test void unknownWordsAndMissingNamesAreFaults() {
-        assertEquals("unknown effect odd", fault("{'request_classes':[{'name':'c','effect':'odd'}]}"));
-        assertEquals("unknown dedup_scope odd", fault("{'request_classes':[{'name':'c','dedup_scope':'odd'}]}"));
-        assertEquals("request_classes name is not a text", fault("{'request_classes':[{}]}"));
-        assertEquals("grades is not an object", fault("{'grades':[7]}"));
+    @Test void unknownNamesAndWrongTypesAreRejected() {
+        assertEquals("unknown effect odd", error("{'request_classes':[{'name':'c','effect':'odd'}]}"));
+        assertEquals("unknown dedup_scope odd", error("{'request_classes':[{'name':'c','dedup_scope':'odd'}]}"));
+        assertEquals("request_classes name must be a string, found null", error("{'request_classes':[{}]}"));
+        assertEquals("grades element must be an object, found 7.0", error("{'grades':[7]}"));
     }
 
-    private static String fault(String json) {
+    private static String error(String json) {
         return assertThrows(MalformedMessageException.class, () -> read(json)).getMessage();
     }
 }
--- a/src/test/java/kelphollow/adapter/WireNamesTest.java
+++ b/src/test/java/kelphollow/adapter/WireNamesTest.java
@@ -21,18 +21,18 @@
 import kelphollow.protocol.json.Json;
 import org.junit.jupiter.api.Test;
 
-/** Names on the simulator's wire: what is sent there in the platform's words is answered in them, byte for byte. */
+/** Names in the simulator's wire format: recorded input must give the recorded replies, byte for byte. */
 class WireNamesTest {
-    private static final Path FORM = Path.of("deploy/sites/wire.json");
-    private static final String UNKNOWN_WORD = "no-such-word";
-    private static final String GOOD = "0";
-    private static final String FAULTY = "1";
-    /** The line of the input that starts an instance on its first list. */
-    private static final int START = 1;
+    private static final Path WIRE_FORMAT = Path.of("deploy/sites/wire.json");
+    private static final String UNKNOWN_NAME = "no-such-name";
+    private static final String EXIT_OK = "0";
+    private static final String EXIT_ERROR = "1";
+    /** Index of the input line that starts an instance and sends its first endpoint list. */
+    private static final int START_LINE = 1;
     private static final Pattern REPLY_NAME = Pattern.compile("\\[\"([A-Z_]+)\"");
 
-    /** Exit code, replies and what was told of a fault. */
-    private record Run(String code, String replies, String told) {}
+    /** Exit code, replies and error output of a run. */
+    private record Run(String code, String replies, String error) {}
 
     private static Run run(List<String> lines) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -46,25 +46,26 @@
         return "{\"at_time\":40.0,\"parts\":[{\"initiator_id\":\"initiator_0\",\"input\":[" + events + "]}]}";
     }
 
-    private static SortedSet<String> form(String key) throws IOException {
-        Map<?, ?> form = (Map<?, ?>) Json.parse(Files.readString(FORM));
-        SortedSet<String> words = new TreeSet<>();
-        ((Map<?, ?>) form.get(key)).values().forEach(word -> words.add(word instanceof Map<?, ?> message
-            ? (String) message.get("name") : (String) word));
-        return words;
+    /** The wire names listed in {@link #WIRE_FORMAT} under a key. */
+    private static SortedSet<String> namesOf(String key) throws IOException {
+        Map<?, ?> format = (Map<?, ?>) Json.parse(Files.readString(WIRE_FORMAT));
+        SortedSet<String> names = new TreeSet<>();
+        ((Map<?, ?>) format.get(key)).values().forEach(name -> names.add(name instanceof Map<?, ?> message
+            ? (String) message.get("name") : (String) name));
+        return names;
     }
 
     @Test void eachMessageIsAnsweredAsRecorded() throws Exception {
         Run run = run(RecordedNames.lines("wire-input.txt"));
 
-        assertEquals(GOOD, run.code, run.told);
+        assertEquals(EXIT_OK, run.code, run.error);
         assertEquals(String.join("\n", RecordedNames.lines("wire-replies.txt")) + "\n", run.replies);
     }
 
-    /** Guards the recording itself: what is not in it is not held. */
-    @Test void theRecordingHasAllMessagesThatAreReadOrWritten() throws Exception {
+    /** Ensures that the recording covers every event and action, since names missing from it are not tested. */
+    @Test void theRecordingContainsEveryEventAndAction() throws Exception {
         String input = String.join("\n", RecordedNames.lines("wire-input.txt"));
-        for (String event : form("events")) {
+        for (String event : namesOf("events")) {
             assertTrue(input.contains("[\"" + event + '"'), event);
         }
         SortedSet<String> written = new TreeSet<>();
@@ -72,95 +73,94 @@
             written.add(name.group(1));
         }
         assertEquals(new TreeSet<>(RecordedNames.read("wire-actions.txt")), written);
-        assertTrue(form("actions").containsAll(written), "the platform knows them");
+        assertTrue(namesOf("actions").containsAll(written), "the wire format defines them");
     }
 
-    @Test void aFaultOfAnInstanceIsReportedByItsName() throws Exception {
-        String broken = RecordedNames.lines("wire-input.txt").get(START).replace("\"rate\":50.0", "\"rate\":-1.0");
+    @Test void anExceptionOfTheModuleIsReportedWithTheInstanceId() throws Exception {
+        String invalid = RecordedNames.lines("wire-input.txt").get(START_LINE).replace("\"rate\":50.0", "\"rate\":-1.0");
 
-        Run run = run(List.of(broken));
+        Run run = run(List.of(invalid));
 
-        assertEquals(GOOD, run.code, run.told);
+        assertEquals(EXIT_OK, run.code, run.error);
         assertTrue(run.replies.startsWith("{\"parts\":[{\"initiator_id\":\"initiator_0\",\"out\":[["
             + "\"BUG\",\"initiator_0 ENLIST: "), run.replies);
     }
 
-    // ---------------------------------------------------------------- words
-
-    /** Lines hold the verdict and what the instance answers when an attempt ended so. */
+    /** Each recorded line holds a verdict, a request class and the replies to an attempt that ends with the verdict. */
     @Test void eachVerdictIsAnsweredAsRecorded() throws Exception {
         List<String> lines = new ArrayList<>();
-        for (String verdict : form("status")) {
+        for (String verdict : namesOf("status")) {
             for (String requestClass : List.of("read", "write")) {
                 Run run = verdict(verdict, requestClass);
-                assertEquals(GOOD, run.code, verdict + ": " + run.told);
+                assertEquals(EXIT_OK, run.code, verdict + ": " + run.error);
                 lines.add(verdict + ' ' + requestClass + ' ' + run.replies.strip().replace("\n", " "));
             }
         }
         assertEquals(String.join("\n", RecordedNames.read("wire-verdicts.txt")), String.join("\n", lines));
-        assertRefused(verdict(UNKNOWN_WORD, "read"));
+        assertRefused(verdict(UNKNOWN_NAME, "read"));
     }
 
-    private static Run verdict(String word, String requestClass) throws IOException {
-        return run(List.of(RecordedNames.lines("wire-input.txt").get(START),
+    private static Run verdict(String name, String requestClass) throws IOException {
+        return run(List.of(RecordedNames.lines("wire-input.txt").get(START_LINE),
             batch("[\"NEW_REQUEST\",\"rq\",\"" + requestClass + "\",\"basic\",null,2040.0,\"v1\",2,0,2,0]"),
-            batch("[\"RESULT\",\"rq\",false,0,\"10.0.0.1:1\",20.0,\"" + word + "\"]"),
+            batch("[\"RESULT\",\"rq\",false,0,\"10.0.0.1:1\",20.0,\"" + name + "\"]"),
             batch("[\"REMINDER\",\"wake\"]").replace("40.0", "90.0")));
     }
 
-    /** Lines hold the phase that a node takes on and what requests for its cell are answered, at once and past the grace. */
-    @Test void eachPhaseIsUnderstoodAsRecorded() throws Exception {
+    /** Each recorded line holds a node's phase and the replies to requests for its cell, now and after the drain grace. */
+    @Test void eachPhaseIsHandledAsRecorded() throws Exception {
         List<String> lines = new ArrayList<>();
-        for (String phase : form("state")) {
+        for (String phase : namesOf("state")) {
             Run run = phase(phase);
-            assertEquals(GOOD, run.code, phase + ": " + run.told);
+            assertEquals(EXIT_OK, run.code, phase + ": " + run.error);
             lines.add(phase + ' ' + run.replies.strip().replace("\n", " "));
         }
         assertEquals(String.join("\n", RecordedNames.read("wire-phases.txt")), String.join("\n", lines));
-        assertRefused(phase(UNKNOWN_WORD));
+        assertRefused(phase(UNKNOWN_NAME));
     }
 
-    private static Run phase(String word) throws IOException {
-        return run(List.of(RecordedNames.lines("wire-input.txt").get(START),
-            batch(list("healthy", "Partial")), batch(list(word, "Partial")), batch(request("rq-1", 9)),
+    private static Run phase(String name) throws IOException {
+        return run(List.of(RecordedNames.lines("wire-input.txt").get(START_LINE),
+            batch(list("healthy", "Partial")), batch(list(name, "Partial")), batch(request("rq-1", 9)),
             batch(request("rq-2", 9)).replace("\"at_time\":40.0", "\"at_time\":400.0")));
     }
 
-    /** Lines hold the form of a list of one further node, and what requests for an old node and for it are answered. */
-    @Test void eachFormOfAListIsUnderstoodAsRecorded() throws Exception {
+    /** Each recorded line holds a list form and the replies to requests for an old node and for the one that the list adds. */
+    @Test void eachFormOfAListIsHandledAsRecorded() throws Exception {
         List<String> lines = new ArrayList<>();
-        for (String form : form("list_kind")) {
+        for (String form : namesOf("list_kind")) {
             Run run = listForm(form);
-            assertEquals(GOOD, run.code, form + ": " + run.told);
+            assertEquals(EXIT_OK, run.code, form + ": " + run.error);
             lines.add(form + ' ' + run.replies.strip().replace("\n", " "));
         }
         assertEquals(String.join("\n", RecordedNames.read("wire-forms.txt")), String.join("\n", lines));
-        assertRefused(listForm(UNKNOWN_WORD));
+        assertRefused(listForm(UNKNOWN_NAME));
     }
 
-    private static Run listForm(String word) throws IOException {
-        return run(List.of(RecordedNames.lines("wire-input.txt").get(START),
-            batch(list("healthy", word)), batch(request("rq-1", 3)), batch(request("rq-2", 9)),
+    private static Run listForm(String name) throws IOException {
+        return run(List.of(RecordedNames.lines("wire-input.txt").get(START_LINE),
+            batch(list("healthy", name)), batch(request("rq-1", 3)), batch(request("rq-2", 9)),
             batch("[\"REMINDER\",\"wake\"]").replace("\"at_time\":40.0", "\"at_time\":90.0")));
     }
 
-    /** A list of one node, the only one of its cell. */
+    /** Messages that define and deliver a list of one node, the only one of its cell. */
     private static String list(String phase, String form) {
         return "[\"ROSTER\",1,[[\"10.0.0.9:1\",\"a\",\"k\",9,\"" + phase + "\",1,null]]],"
             + "[\"ENDPOINTS\",1,2,\"" + form + "\"]";
     }
 
-    /** A read of what lies in a cell. */
+    /** A read request for data in a cell. */
     private static String request(String id, int cell) {
         return "[\"NEW_REQUEST\",\"" + id + "\",\"read\",\"basic\",null,2040.0,\"v1\",2," + cell + ",2,0]";
     }
 
     @Test void anUnknownMessageIsRefused() throws Exception {
-        assertRefused(run(List.of(RecordedNames.lines("wire-input.txt").get(START), batch("[\"" + UNKNOWN_WORD + "\"]"))));
+        assertRefused(run(List.of(RecordedNames.lines("wire-input.txt").get(START_LINE), batch("[\"" + UNKNOWN_NAME
+            + "\"]"))));
     }
 
     private static void assertRefused(Run run) {
-        assertEquals(FAULTY, run.code);
-        assertTrue(run.told.contains(UNKNOWN_WORD), run.told);
+        assertEquals(EXIT_ERROR, run.code);
+        assertTrue(run.error.contains(UNKNOWN_NAME), run.error);
     }
 }
