--- a/src/bench/java/kelphollow/decision/ColdNodeFigures.java
+++ b/src/bench/java/kelphollow/decision/ColdNodeFigures.java
@@ -22,7 +22,7 @@
                 double worst = 0;
                 double served = 0;
                 for (int seed = 0; seed < SEEDS; seed++) {
-                    SlowStartSimulation.Result result = SlowStartSimulation.play(instances, demand, seed);
+                    SlowStartSimulation.Result result = SlowStartSimulation.run(instances, demand, seed);
                     worst = Math.max(worst, result.worst());
                     served += result.served() / SEEDS;
                 }
--- a/src/test/java/kelphollow/adapter/WireNamesTest.java
+++ b/src/test/java/kelphollow/adapter/WireNamesTest.java
@@ -125,7 +125,7 @@
             batch(request("rq-2", 9)).replace("\"at_time\":40.0", "\"at_time\":400.0")));
     }
 
-    /** Each recorded line holds a list form and the replies to requests for an old node and for the one that the list adds. */
+    /** Each recorded line holds a list form and the replies to requests for an old node and for the added one. */
     @Test void eachFormOfAListIsHandledAsRecorded() throws Exception {
         List<String> lines = new ArrayList<>();
         for (String form : namesOf("list_kind")) {
--- a/src/test/java/kelphollow/decision/ManyInstancesTest.java
+++ b/src/test/java/kelphollow/decision/ManyInstancesTest.java
@@ -22,7 +22,7 @@
 import kelphollow.decision.ControlSettings.Rules;
 import org.junit.jupiter.api.Test;
 
-/** Many instances of the real module on one test clock: what is harmless for one and harmful when all do it. */
+/** Many instances of the module on one test clock: guards against behaviour that is harmful only if all show it. */
 class ManyInstancesTest {
     private static final long SEED = 20261201;
     private static final int HOSTS = 40;
@@ -44,8 +44,11 @@
         return fleet;
     }
 
-    /** A lost discovery service fails all watches at one instant; a crowd that comes back as one fails them again. */
-    @Test void pollsAfterACommonFailureAreSpread() {
+    /**
+     * Guards against a thundering herd: an outage of the discovery service fails all watches at once, and instances that all
+     * poll again at the same time would overload it.
+     */
+    @Test void pollsAfterACommonFailureAreSpreadOverTime() {
         List<Control> fleet = fleet(true);
         fleet.forEach(Control::start);
         fleet.forEach(c -> c.on(START, new EndpointPollFailed(EndpointPollFailure.UNREACHABLE)));
@@ -67,14 +70,14 @@
             all += n;
         }
         assertTrue(most <= HOSTS / 4, most + " of " + HOSTS + " calls within 100 ms, seed " + SEED);
-        // A change counts as notified 6 s after the service is back, so nobody may stay away for long.
+        // A change must reach every instance within 6 s of the service's return, which bounds the backoff.
         double mean = EndpointPollSchedule.BASE_BACKOFF_MS * (1 + EndpointPollSchedule.LEAST_BACKOFF_SHARE) / 2;
         assertEquals(HOSTS * 4_000 / mean, all, HOSTS, "calls in 4 s, seed " + SEED);
     }
 
-    @Test void allInstancesTogetherSendNodesInSlowStartLessThanTheRuleBears() {
+    @Test void totalLoadOnNodesInSlowStartStaysBelowTheLimit() {
         for (double demand : new double[] {0.75, 1.0}) {      // as a share of the nodes' full capacity
-            double[] load = new NodesInSlowStart(demand).play();
+            double[] load = new NodesInSlowStart(demand).run();
             for (int s = 0; s < load.length; s++) {
                 String where = "second " + s + " at " + demand + " of the capacity: " + load[s] + ", seed " + SEED;
                 assertTrue(load[s] < 1, where);
@@ -83,9 +86,9 @@
         }
     }
 
-    /** A surge of half as much again as warm nodes could bear: the rule leaves a little for chance, and no more. */
-    @Test void aSurgeOnNodesInSlowStartIsHeldBackByTheirAnswers() {
-        double[] load = new NodesInSlowStart(1.5).play();
+    /** A surge of 1.5 times the capacity of warm nodes: the limit may be exceeded by 5 % in the first second only. */
+    @Test void aSurgeOnNodesInSlowStartIsLimited() {
+        double[] load = new NodesInSlowStart(1.5).run();
         for (int s = 0; s < load.length; s++) {
             assertTrue(load[s] < (s == 0 ? 1.05 : 1), "second " + s + ": " + load[s] + ", seed " + SEED);
         }
@@ -93,14 +96,14 @@
 
     private record Answer(double at, Control to, AttemptEnded event) {}
 
-    /** Twenty nodes that start at one instant; each works off in turn what it was sent. Times are milliseconds. */
+    /** Simulation of twenty nodes that start at the same time; each serves its requests in order. Times are milliseconds. */
     private static final class NodesInSlowStart {
         private static final int NODES = 20;
         private static final int SECONDS = 12;
         private static final int STEP = 2;
-        /** Units a second of one node at full capacity. */
+        /** Units per second of one node at full capacity. */
         private static final double CAPACITY = 20;
-        private static final double LEAST_LATENCY = 150;
+        private static final double MIN_LATENCY = 150;
         private static final double UNITS = 2;
 
         private final double demand;
@@ -109,13 +112,14 @@
         private final double[] freeAt = new double[NODES];
         private final double[] sent = new double[SECONDS];
         private final PriorityQueue<Answer> answers = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
+        /** Instances that returned {@link #actions}, at the same index. */
         private final List<Control> actors = new ArrayList<>();
         private final List<List<ControlAction>> actions = new ArrayList<>();
         private int step;
         private double now;
         private int requests;
 
-        /** {@code demand}: the load of clients, as a share of their full capacity. */
+        /** @param demand load of the clients as a share of the nodes' full capacity */
         NodesInSlowStart(double demand) {
             this.demand = demand;
             List<Endpoint> list = new ArrayList<>();
@@ -125,8 +129,8 @@
             fleet.forEach(c -> c.on(START, new EndpointsReceived(list, true, false)));
         }
 
-        /** Units sent in each second, as a share of what the rule bears. */
-        double[] play() {
+        /** Runs the simulation and returns the units sent in each second as a share of the slow start limit. */
+        double[] run() {
             for (step = 0; step < SECONDS * 1_000; step += STEP) {
                 now = START + step;
                 actors.clear();
@@ -153,7 +157,7 @@
             actions.add(control.on(now, event));
         }
 
-        /** A third of the instances get half of the traffic. */
+        /** Draws an arrival; half of the traffic goes to a third of the instances only. */
         private void arrive() {
             if (random.nextDouble() < NODES * CAPACITY / UNITS * demand * STEP / 1_000) {
                 int host = random.nextInt(random.nextBoolean() ? HOSTS / 3 : HOSTS);
@@ -178,7 +182,7 @@
             int n = Integer.parseInt(send.node().substring(1));
             double capacity = CAPACITY * (0.2 + 0.8 * step / 18_000);
             freeAt[n] = Math.max(freeAt[n], now) + UNITS / capacity * 1_000;
-            double at = Math.max(freeAt[n], now + LEAST_LATENCY);
+            double at = Math.max(freeAt[n], now + MIN_LATENCY);
             answers.add(new Answer(at, from, new AttemptEnded(send.id(), 0, send.node(), AttemptOutcome.SERVED, at - now,
                 true, false, 0, -1, Map.of())));
         }
--- a/src/test/java/kelphollow/decision/NodeHealthTest.java
+++ b/src/test/java/kelphollow/decision/NodeHealthTest.java
@@ -9,13 +9,13 @@
 import kelphollow.decision.NodeHealth.State;
 import org.junit.jupiter.api.Test;
 
-/** The transitions of a node's health. */
+/** State transitions of a node's health. */
 class NodeHealthTest {
     private static final double NOW = 1_000;
 
     private final NodeHealth health = new NodeHealth(new Random(1));
 
-    @Test void aRefusedConnectionCountsAtOnce() {
+    @Test void aRefusedConnectionMakesANodeUnresponsive() {
         assertTrue(health.failed(AttemptOutcome.CONNECT_FAILED, NOW));
 
         assertEquals(State.UNRESPONSIVE, health.state());
@@ -31,7 +31,7 @@
         }
     }
 
-    @Test void oneLossIsForgivenUntilTheNextAnswer() {
+    @Test void oneLossIsIgnoredUntilTheNextAnswer() {
         assertFalse(health.failed(AttemptOutcome.TIMED_OUT, NOW));
         assertEquals(State.RESPONSIVE, health.state());
 
@@ -42,7 +42,7 @@
         assertEquals(State.UNRESPONSIVE, health.state());
     }
 
-    @Test void anErrorIsNoSignOfAFaultyNodeButKeepsNewObjectsAway() {
+    @Test void anErrorKeepsNewObjectsAwayButNotOtherRequests() {
         assertFalse(health.failed(AttemptOutcome.ERROR, NOW));
 
         assertEquals(State.RESPONSIVE, health.state());
@@ -78,7 +78,7 @@
         assertEquals(State.RESPONSIVE, health.state(), "the same report counts once");
     }
 
-    @Test void aReportThatNamesItNoLongerClearsOnlyASuspicion() {
+    @Test void aReportWithoutTheNodeClearsOnlyASuspicion() {
         health.reported(true, NOW);
         health.reported(false, NOW);
         assertEquals(State.RESPONSIVE, health.state());
@@ -88,10 +88,10 @@
         health.reported(true, NOW);
         health.reported(false, NOW);
 
-        assertEquals(State.UNRESPONSIVE, health.state(), "it is this instance's own finding");
+        assertEquals(State.UNRESPONSIVE, health.state(), "this instance itself found the node unresponsive");
     }
 
-    @Test void aSuspicionMakesTheFirstLossCount() {
+    @Test void theFirstLossOfASuspectedNodeCounts() {
         health.reported(true, NOW);
 
         assertTrue(health.failed(AttemptOutcome.TIMED_OUT, NOW));
@@ -100,7 +100,7 @@
         assertEquals(NOW + 160, health.sendableAt(), "the report was the first failure");
     }
 
-    @Test void aRestartLetsRequestsGoOn() {
+    @Test void aRestartEndsProbing() {
         health.failed(AttemptOutcome.CONNECT_FAILED, NOW);
         health.restarted();
         assertEquals(State.RESPONSIVE, health.state());
--- a/src/test/java/kelphollow/decision/NodeLoadTest.java
+++ b/src/test/java/kelphollow/decision/NodeLoadTest.java
@@ -11,19 +11,19 @@
 import kelphollow.decision.ControlEvent.ShutdownStarted;
 import org.junit.jupiter.api.Test;
 
-/** How many requests a node is sent at once, by its latency and by what is in flight there. */
+/** Number of concurrent requests sent to a node, by its latency and its requests in flight. */
 class NodeLoadTest {
-    @Test void theWindowShrinksWithTheLatencyAndStaysUnderTheCeiling() {
+    @Test void theWindowShrinksAsLatencyGrowsAndStaysBelowTheCeiling() {
         ControlHarness fast = ControlHarness.ready();
         int most = flood(fast, 20);
         ControlHarness slow = ControlHarness.ready();
         int few = flood(slow, 900);
         assertTrue(most > few, most + " against " + few);
         assertTrue(most <= 32);
-        assertTrue(few <= 1, "one at most, or less than one as a pace");
+        assertTrue(few <= 1, "at most one request; a window below one only limits the rate");
     }
 
-    /** Serves a steady backlog at a latency; returns how many are in flight at the end. */
+    /** Serves a constant backlog at the given latency and returns the requests in flight at the end. */
     private static int flood(ControlHarness scheduler, double latency) {
         int id = 0;
         int out = 0;
@@ -43,9 +43,9 @@
         return out;
     }
 
-    @Test void newObjectsAvoidANodeThatStandsStill() {
+    @Test void newObjectsAvoidAStalledNode() {
         ControlHarness scheduler = ControlHarness.ready();
-        scheduler.request("stuck", "write", "free", "v", 1, 0);    // one attempt without an answer may be lost, two are not
+        scheduler.request("stuck", "write", "free", "v", 1, 0);    // a single unanswered attempt may be lost, two are not
         scheduler.request("too", "write", "free", "v", 1, 0);
         scheduler.advanceTo(scheduler.now + 900);
         for (int i = 0; i < 3; i++) {
@@ -54,7 +54,7 @@
         }
     }
 
-    @Test void theSameEventsGiveTheSameActions() {
+    @Test void decisionsAreDeterministic() {
         List<List<ControlAction>> runs = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             ControlHarness scheduler = ControlHarness.ready();
@@ -64,7 +64,7 @@
         assertEquals(runs.get(0), runs.get(1));
     }
 
-    /** Guards against late requests that take every second turn at a busy node. */
+    /** Guards against late requests that take every second slot of a busy node. */
     @Test void aLateRequestWaitsUntilTheNodeHasBeenIdle() {
         ControlHarness scheduler = ControlHarness.ready();
         int filled = scheduler.fill();
@@ -79,14 +79,14 @@
         assertFalse(scheduler.sent().contains("queued"));
     }
 
-    @Test void anAnswerThatIsSurelyLostTakesNoPlaceAtTheNodeButASecondDoes() {
+    @Test void oneLostAnswerFreesItsSlotForOneFurtherRequest() {
         ControlHarness scheduler = ControlHarness.ready();
         for (int i = 0; i < 12; i++) {         // the node answers in 20 ms, one request at a time
             scheduler.request("w" + i, "read", "free", "v" + i, 1, 0);
             scheduler.advanceTo(scheduler.now + 20);
             scheduler.serve("w" + i, 20);
         }
-        for (int i = 0; i < 4; i++) {          // then slowly, until its window is down to one
+        for (int i = 0; i < 4; i++) {          // then in 150 ms, until its window has shrunk to one
             scheduler.request("s" + i, "write", "free", "s" + i, 1, 0);
             scheduler.advanceTo(scheduler.now + 150);
             scheduler.serve("s" + i, 150);
@@ -95,17 +95,17 @@
         int out = scheduler.sent().size();
         scheduler.advanceTo(scheduler.now + 50);
         scheduler.request("early", "read", "free", "e", 1, 0);
-        assertEquals(out, scheduler.sent().size(), "an answer that may still come keeps all else queued");
+        assertEquals(out, scheduler.sent().size(), "while the answer may still come, further requests stay queued");
         scheduler.advanceTo(scheduler.now + 800);
         for (int i = 0; i < 3; i++) {
             scheduler.request("after" + i, "read", "free", "a" + i, 1, 0);
         }
-        assertEquals(out + 1, scheduler.sent().size(), "one more goes out, and none beside that");
+        assertEquals(out + 1, scheduler.sent().size(), "exactly one more request is sent");
         assertTrue(scheduler.answered().stream().noneMatch(a -> a.contains("after0")),
-            "it is not rejected for the lost one");
+            "a request queued behind a lost answer is not rejected");
     }
 
-    @Test void aResponseThatHasStartedTakesNoPlaceAtTheNode() {
+    @Test void aStreamedResponseThatHasStartedOccupiesNoSlot() {
         ControlHarness scheduler = ControlHarness.ready();
         for (int i = 0; i < 3; i++) {
             scheduler.request("r" + i, "read", "free", "v" + i, 1, 0);
@@ -115,9 +115,9 @@
         scheduler.on(new ResponseStarted("r1", 0));
         assertEquals(List.of("r0", "r1", "r2", "more"), scheduler.sent());
         scheduler.advanceTo(scheduler.now + 5_000);
-        assertTrue(scheduler.answered().stream().noneMatch(a -> a.endsWith(" r1")), "no deadline runs for what flows");
+        assertTrue(scheduler.answered().stream().noneMatch(a -> a.endsWith(" r1")), "a started response has no deadline");
         scheduler.on(new ShutdownStarted(scheduler.now + 100));
         scheduler.advanceTo(scheduler.now + 100);
-        assertTrue(scheduler.answered().stream().anyMatch(a -> a.endsWith(" r1")), "but it ends with the instance");
+        assertTrue(scheduler.answered().stream().anyMatch(a -> a.endsWith(" r1")), "a shutdown ends it");
     }
 }
--- a/src/test/java/kelphollow/decision/NodeTableTest.java
+++ b/src/test/java/kelphollow/decision/NodeTableTest.java
@@ -14,7 +14,7 @@
 import kelphollow.decision.ControlEvent.EndpointsReceived;
 import org.junit.jupiter.api.Test;
 
-/** The endpoint list and what is known of all nodes together. */
+/** Updates of the endpoint list, its lease, and values computed over all nodes. */
 class NodeTableTest {
     private final StateHarness harness = new StateHarness();
     private final NodeTable nodes = harness.state.nodes;
@@ -28,7 +28,7 @@
         return nodes.all().stream().map(n -> n.id).toList();
     }
 
-    @Test void changesAddAndRemoveSingleNodes() {
+    @Test void incrementalUpdatesAddAndRemoveNodes() {
         apply(false, EndpointState.HEALTHY, "b", "a");
         apply(false, EndpointState.HEALTHY, "c");
         apply(false, EndpointState.REMOVED, "a");
@@ -36,7 +36,7 @@
         assertEquals(List.of("b", "c"), ids(), "in the order of their first entry");
     }
 
-    @Test void aCompleteListRemovesWhatItLeavesOut() {
+    @Test void aCompleteListRemovesNodesItDoesNotContain() {
         apply(false, EndpointState.HEALTHY, "a", "b");
 
         apply(true, EndpointState.HEALTHY, "b");
@@ -45,7 +45,7 @@
         assertEquals(1, nodes.size());
     }
 
-    @Test void aNodeWithAnAttemptInFlightStaysUntilThatHasEnded() {
+    @Test void aRemovedNodeIsKeptUntilItsLastAttemptEnds() {
         Node node = harness.node("a", 0);
         harness.send(harness.request("r", ControlHarness.READ, "v", 1, 0), node);
         apply(true, EndpointState.HEALTHY, "b");
@@ -59,7 +59,7 @@
         assertEquals(List.of("b"), ids());
     }
 
-    @Test void theLeaseBoundsTheUseOfTheList() {
+    @Test void theLeaseExpires() {
         assertTrue(nodes.isLeaseValid());
 
         nodes.renewLease(harness.now() + 1);
@@ -69,7 +69,7 @@
         assertFalse(nodes.isLeaseValid());
     }
 
-    @Test void onlyThisInstancesFindingsAreReportedWithTheirProbes() {
+    @Test void onlyNodesThatFailedThisInstanceAreReportedWithTheirProbes() {
         Node a = harness.node("a", 0);
         harness.node("b", 1);
         nodes.suspected(Set.of("b"));
@@ -82,7 +82,7 @@
         assertEquals(Map.of("a", 1), nodes.unresponsive());
     }
 
-    @Test void theMedianOfTheBestLatenciesIsOfWarmNodesThatHaveAnswered() {
+    @Test void theMedianOfBestLatenciesCoversWarmNodesThatHaveAnswered() {
         harness.node("unknown", 9);
         assertEquals(OptionalDouble.empty(), nodes.medianBestLatency());
         double[] latencies = {30, 10, 20, 40};
@@ -91,6 +91,6 @@
         }
         harness.serve(harness.node("cold", 5, harness.now()), 1, 500);
 
-        assertEquals(30, nodes.medianBestLatency().orElseThrow(), "the upper one of two in the middle");
+        assertEquals(30, nodes.medianBestLatency().orElseThrow(), "the upper of the two middle values");
     }
 }
--- a/src/test/java/kelphollow/decision/NodeTest.java
+++ b/src/test/java/kelphollow/decision/NodeTest.java
@@ -10,7 +10,7 @@
 import kelphollow.decision.ControlEvent.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Whether, and how many, requests a node may be sent. */
+/** Conditions under which, and number in which, requests may be sent to a node. */
 class NodeTest {
     private final StateHarness harness = new StateHarness();
     private final Node node = harness.node("n0", 0);
@@ -23,7 +23,7 @@
         node.updateEndpoint(new Endpoint("n0", "a", 0, state, 0));
     }
 
-    @Test void itTakesRequestsUpToItsWindow() {
+    @Test void requestsAreTakenUpToTheWindow() {
         for (int i = 0; i < 3; i++) {
             assertTrue(node.hasCapacity(), i + " in flight");
             send("r" + i);
@@ -35,12 +35,12 @@
         assertEquals(2, node.inFlight());
     }
 
-    @Test void theAttemptThatFillsTheWindowIsMarked() {
+    @Test void theAttemptThatFillsTheWindowIsFlagged() {
         assertEquals(List.of(false, false, true), List.of(send("a").filledWindow, send("b").filledWindow,
             send("c").filledWindow));
     }
 
-    @Test void itTakesNothingWhileItIsNotHealthy() {
+    @Test void noRequestIsTakenWhileDraining() {
         list(EndpointState.DRAINING);
         assertFalse(node.isEligible());
         assertFalse(node.hasCapacity());
@@ -51,7 +51,7 @@
         assertTrue(node.hasCapacity());
     }
 
-    @Test void itTakesNothingAfterTheLeaseOnTheListHasEnded() {
+    @Test void noRequestIsTakenAfterTheLeaseExpires() {
         harness.state.nodes.renewLease(harness.now() + 10);
         assertTrue(node.hasCapacity());
 
@@ -60,7 +60,7 @@
         assertFalse(node.hasCapacity());
     }
 
-    @Test void itIsGoneWithItsLastAttempt() {
+    @Test void aRemovedNodeIsGoneAfterItsLastAttempt() {
         send("r");
         node.markRemoved();
         assertFalse(node.isGone());
@@ -84,7 +84,7 @@
         assertFalse(node.hasCapacity());
     }
 
-    @Test void aFailureHalvesTheWindowAndALossOrAnErrorDoesNot() {
+    @Test void aFailureHalvesTheWindowButALossOrAnErrorDoesNot() {
         harness.end(send("error"), AttemptOutcome.ERROR);
         harness.end(send("lost"), AttemptOutcome.TIMED_OUT);
         harness.end(send("cancelled"), AttemptOutcome.CANCELLED);
@@ -96,7 +96,7 @@
         assertEquals(1.5, node.window.size());
     }
 
-    @Test void aLossThatAnAnswerHasOvertakenTellsNothing() {
+    @Test void aLossIsIgnoredIfALaterAttemptWasServed() {
         InFlightAttempt lost = send("lost");
         harness.advance(1);
         harness.end(send("served"), AttemptOutcome.SERVED);
@@ -104,13 +104,13 @@
         harness.end(lost, AttemptOutcome.TIMED_OUT);
         harness.end(send("second"), AttemptOutcome.RESET);
 
-        assertEquals(NodeHealth.State.RESPONSIVE, node.health.state(), "only the second one counts as a loss");
+        assertEquals(NodeHealth.State.RESPONSIVE, node.health.state(), "only the second loss counts");
     }
 
-    @Test void lateRequestsAreForAnIdleNode() {
+    @Test void aNodeIsIdleAfterTwelveLatenciesWithoutASend() {
         harness.serve(node, 1, 50);
         harness.advance(500);
-        assertFalse(node.isIdle(), "eleven latencies after the send");
+        assertFalse(node.isIdle(), "only eleven latencies after the send");
         harness.advance(300);
 
         assertTrue(node.isIdle());
@@ -118,7 +118,7 @@
         assertFalse(node.isIdle());
     }
 
-    @Test void nearTheObjectiveExcessYieldsAndPastItAllDo() {
+    @Test void excessYieldsNearTheObjectiveAndAllRequestsYieldPastIt() {
         PendingRequest calm = harness.request("calm", ControlHarness.READ, "v", 5, 0);
         PendingRequest excess = harness.request("excess", ControlHarness.READ, "w", 5, 0);
         excess.startTag = excess.arrivedAt + 2_000;
--- a/src/test/java/kelphollow/decision/OpenRequestsTest.java
+++ b/src/test/java/kelphollow/decision/OpenRequestsTest.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Requests by their ids, and attempts that may outlive them. */
+/** Lookup of open requests by id, and of attempts that outlive their requests. */
 class OpenRequestsTest {
     private final StateHarness harness = new StateHarness();
     private final OpenRequests requests = harness.state.requests;
@@ -26,7 +26,7 @@
         assertNull(requests.attempt("r#0"));
     }
 
-    @Test void anIdThatComesAgainIsAnotherRequest() {
+    @Test void aReusedIdIsAnotherRequest() {
         PendingRequest first = harness.request("r", ControlHarness.READ, "v", 1, 0);
         requests.remove(first);
         PendingRequest second = harness.request("r", ControlHarness.READ, "v", 1, 0);
--- a/src/test/java/kelphollow/decision/OrderedKeyTest.java
+++ b/src/test/java/kelphollow/decision/OrderedKeyTest.java
@@ -9,9 +9,9 @@
 import kelphollow.decision.ControlEvent.ClientDisconnected;
 import org.junit.jupiter.api.Test;
 
-/** Requests of one key in an ordered class. */
+/** Requests with the same key in an ordered class. */
 class OrderedKeyTest {
-    @Test void anOrderedKeyExecutesOneAtATimeAndIsQuietAfterAnUnknownOutcome() {
+    @Test void oneRequestPerOrderedKeyIsSentAndTheKeyRestsAfterAnUnknownOutcome() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.request("t1", "turns", "free", "v", 1, 0, "k", scheduler.now + 2500, 1);
         scheduler.request("t2", "turns", "free", "v", 1, 0, "k", scheduler.now + 2500, 1);
@@ -26,13 +26,13 @@
         assertEquals(List.of("t1", "x", "t2"), scheduler.sent());
     }
 
-    @Test void anOrderedKeyWaitsForAnAttemptWhoseRequestIsClosed() {
+    @Test void anOrderedKeyWaitsForTheAttemptOfADisconnectedClient() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.request("t1", "turns", "free", "v", 1, 0, "k", scheduler.now + 2500, 1);
         scheduler.request("t2", "turns", "free", "v", 1, 0, "k", scheduler.now + 2500, 1);
         scheduler.on(new ClientDisconnected("t1"));
         scheduler.advanceTo(scheduler.now + 100);
-        assertTrue(scheduler.actions.contains(new CancelAttempt("t1", 0)), "nobody waits for it any more");
+        assertTrue(scheduler.actions.contains(new CancelAttempt("t1", 0)), "its client has disconnected");
         assertEquals(List.of("t1"), scheduler.sent());
         double at = scheduler.now;
         scheduler.end("t1", AttemptOutcome.CANCELLED, 100);
--- a/src/test/java/kelphollow/decision/PendingQueuesTest.java
+++ b/src/test/java/kelphollow/decision/PendingQueuesTest.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which queue a request waits in, and in what order. */
+/** Assignment of requests to queues, and their order there. */
 class PendingQueuesTest {
     private final StateHarness harness = new StateHarness();
     private final PendingQueues queues = harness.state.queues;
 
-    @Test void requestsWaitByTheirFinishTagsAndThenByArrival() {
+    @Test void requestsAreOrderedByFinishTagAndThenByArrival() {
         PendingRequest second = harness.request("second", ControlHarness.WRITE, "v", 1, 0);
         PendingRequest third = harness.request("third", ControlHarness.WRITE, "v", 1, 0);
         PendingRequest first = harness.request("first", ControlHarness.READ, "v", 1, 0);
@@ -29,7 +29,7 @@
         assertEquals(List.of(first, second, third), List.copyOf(queues.ofCell(0).onTime));
     }
 
-    @Test void lateRequestsWaitApart() {
+    @Test void lateRequestsAreQueuedSeparately() {
         PendingRequest request = harness.request("r", ControlHarness.READ, "v", 1, 0);
         request.late = true;
 
@@ -48,7 +48,7 @@
         assertSame(queues.ofCell(PendingQueues.NEW_OBJECTS), queues.of(request));
     }
 
-    @Test void aNewObjectStaysWithTheCellThatRecognisesItsKey() {
+    @Test void aPossiblyExecutedNewObjectStaysInTheCellThatRecognisesItsKey() {
         PendingRequest keyed = harness.request("k", ControlHarness.KEYED, "v", 1, -1);
         PendingRequest anywhere = harness.request("r", ControlHarness.READ, "v", 1, -1);
         keyed.possiblyExecutedNode = harness.node("n3", 3);
@@ -57,10 +57,10 @@
         queues.of(keyed).add(keyed);
 
         assertEquals(1, queues.ofCell(3).size());
-        assertSame(queues.of(anywhere), queues.ofCell(PendingQueues.NEW_OBJECTS), "every node recognises its repeat");
+        assertSame(queues.of(anywhere), queues.ofCell(PendingQueues.NEW_OBJECTS), "every node recognises a retry");
     }
 
-    @Test void emptyQueuesAreForgotten() {
+    @Test void emptyQueuesAreRemoved() {
         PendingRequest request = harness.request("r", ControlHarness.READ, "v", 1, 0);
         queues.of(request).add(request);
         queues.removeEmpty();
--- a/src/test/java/kelphollow/decision/PolicyFilesTest.java
+++ b/src/test/java/kelphollow/decision/PolicyFilesTest.java
@@ -11,17 +11,17 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file names the files of the decision module, and the module names its interface. */
+/** The deploy file lists the source files of the decision module, and the first of them mentions its interface. */
 class PolicyFilesTest {
     private static final Path DEPLOY_FILE = Path.of("deploy/balancer.toml");
     private static final Pattern POLICY = Pattern.compile("(?m)^policy = \\[(.*)]");
-    /** Lines of the module, imports left out, within which its interface is named. */
+    /** Number of first lines, without imports, that must mention the interface. */
     private static final int HEAD_LINES = 30;
-    private static final int FEWEST_LINES = 300;
+    private static final int MIN_LINES = 300;
 
     private static List<String> policyLines() throws IOException {
         Matcher policy = POLICY.matcher(Files.readString(DEPLOY_FILE));
-        assertTrue(policy.find(), "the deploy file names the module's files");
+        assertTrue(policy.find(), "the deploy file has a policy line");
         List<String> lines = new ArrayList<>();
         for (String file : policy.group(1).split(",")) {
             lines.addAll(Files.readAllLines(Path.of(file.strip().replace("\"", ""))));
@@ -31,11 +31,11 @@
     }
 
     @Test void policyFilesExistAndHoldTheModule() throws Exception {
-        assertTrue(policyLines().size() > FEWEST_LINES, "the module is there");
+        assertTrue(policyLines().size() > MIN_LINES, "policy files hold more than " + MIN_LINES + " lines");
     }
 
     @Test void moduleNamesItsInterface() throws Exception {
         assertTrue(policyLines().stream().limit(HEAD_LINES).anyMatch(line -> line.contains("ControlEvent")),
-            "names its interface");
+            "the first lines mention ControlEvent");
     }
 }
--- a/src/test/java/kelphollow/decision/QueueShedderTest.java
+++ b/src/test/java/kelphollow/decision/QueueShedderTest.java
@@ -9,7 +9,7 @@
 import kelphollow.decision.ControlAction.RejectRequest;
 import org.junit.jupiter.api.Test;
 
-/** What is shed where a node cannot serve its queue in time. A node that is not known yet takes 100 ms. */
+/** Load shedding at a node that cannot serve its queue in time. The expected latency of an unknown node is 100 ms. */
 class QueueShedderTest {
     private final StateHarness harness = new StateHarness();
     private final SchedulerState state = harness.state;
@@ -25,7 +25,7 @@
             .map(a -> ((RejectRequest) a).id()).toList();
     }
 
-    @Test void nothingIsShedWhileAllCanBeServedInTime() {
+    @Test void nothingIsShedIfAllCanBeServedInTime() {
         for (int i = 0; i < 6; i++) {
             queue("r" + i, ControlHarness.READ, "v" + i);
         }
@@ -36,7 +36,7 @@
         assertEquals(6, state.queues.ofCell(0).onTime.size());
     }
 
-    @Test void theLeastValuableRequestsGiveWay() {
+    @Test void theLeastValuableRequestsAreShed() {
         for (int i = 0; i < 6; i++) {
             queue("read" + i, ControlHarness.READ, "v" + i);
         }
@@ -49,10 +49,10 @@
         List<String> shed = rejected();
         assertFalse(shed.isEmpty());
         assertTrue(shed.stream().allMatch(id -> id.startsWith("read")), "writes weigh more: " + shed);
-        assertEquals("read5", shed.get(0), "the youngest of equal weight");
+        assertEquals("read5", shed.get(0), "the latest arrival among equal weights");
     }
 
-    @Test void aRequestThatWasSentBeforeStaysQueuedBehindTheOthers() {
+    @Test void aRequestThatWasSentBeforeIsQueuedAsLateInsteadOfRejected() {
         PendingRequest sent = queue("sent", ControlHarness.READ, "v");
         PendingRequest fresh = queue("fresh", ControlHarness.READ, "w");
         sent.attempts = 1;
--- a/src/test/java/kelphollow/decision/RateLimitTest.java
+++ b/src/test/java/kelphollow/decision/RateLimitTest.java
@@ -11,19 +11,22 @@
 import kelphollow.decision.ControlSettings.Plan;
 import org.junit.jupiter.api.Test;
 
-/** Rate limits that several instances share and that outlast restarts. */
+/** Rate limits across several instances and restarts. */
 class RateLimitTest {
     @Test void retryAfterIsTheTimeUntilTheLimitHoldsTheUnits() {
         ControlHarness scheduler = ControlHarness.ready();
-        scheduler.request("a", "read", "limited", "v", 15, 0);      // 4.5 of the slack are lent; it fills at 20 a second
+        scheduler.request("a", "read", "limited", "v", 15, 0);      // 4.5 borrowed from the slack; refills at 20 per second
         assertEquals(List.of("rejected a"), scheduler.answered());
-        double wait = (10.5 + 10.5 / 3) / 20 * 1000;      // a quarter of what flows in pays back
+        double wait = (10.5 + 10.5 / 3) / 20 * 1000;      // a quarter of the refill repays borrowed tokens
         RejectRequest rejected = new RejectRequest("a", wait, Reason.RATE_LIMITED);
         assertTrue(scheduler.actions.contains(rejected), scheduler.actions.toString());
     }
 
-    /** The bucket of the rule beside two instances that spend all they may and are killed together, twice. */
-    @Test void restartsOfAllInstancesTogetherOverrunALimitByItsSlackAtMost() {
+    /**
+     * Compares the sends of two instances, which use all they may and are killed together twice, with a reference bucket of
+     * the limit.
+     */
+    @Test void simultaneousRestartsOverrunALimitByAtMostItsSlack() {
         Plan plan = ControlHarness.LIMITED;
         double now = 50_000;
         double tokens = plan.limitBurst();
@@ -50,24 +53,25 @@
                 tokens = Math.min(plan.limitBurst(), tokens + plan.limitRate() / 200);
             }
         }
-        assertTrue(least >= -plan.limitSlack(), "the bucket went down to " + least);
-        assertTrue(first > 0, "an instance that starts need not reject its first request");
+        assertTrue(least >= -plan.limitSlack(), "the bucket fell to " + least);
+        assertTrue(first > 0, "a restarted instance can serve its first request");
     }
 
-    @Test void aLoanStillOwedIsTakenOffWhatIsHandedOver() {
+    @Test void handedOverTokensExcludeThoseNotYetRepaid() {
         ControlHarness scheduler = ControlHarness.ready();
-        scheduler.request("a", "read", "limited", "v", 2, 0);       // 4.5 lent, 2 spent
-        assertEquals(-2.0, scheduler.control.limitTokens().get("v"), 1e-9, "or the next process would keep what was lent");
+        scheduler.request("a", "read", "limited", "v", 2, 0);       // 4.5 borrowed, 2 consumed
+        assertEquals(-2.0, scheduler.control.limitTokens().get("v"), 1e-9,
+            "the next process must not keep the borrowed tokens");
     }
 
-    @Test void aLimitFillsFromTheStartOfTheProcess() {
+    @Test void aLimitRefillsFromTheStartOfTheProcess() {
         Control c = new Control(ControlHarness.settings(false, ControlHarness.RULES), 1, 49_600);   // 8 units at 20 a second
         c.on(50_000, new RequestArrived("a", "read", "limited", null, 52_000, "v", 1, 0, 1));
-        assertEquals(8.0, c.limitTokens().get("v"), 1e-9, "with the loan, less what is owed of it");
+        assertEquals(8.0, c.limitTokens().get("v"), 1e-9, "borrowed tokens included, those not yet repaid deducted");
     }
 
-    @Test void aLimitIsKeptByItsEvenShareAndARestartBeginsWithALoan() {
-        ControlHarness scheduler = ControlHarness.ready();   // burst 24 and 20 a second over two instances
+    @Test void anInstanceKeepsItsEvenShareOfALimitAndStartsWithBorrowedTokens() {
+        ControlHarness scheduler = ControlHarness.ready();   // burst 24 and 20 units per second over two instances
         double start = scheduler.now;
         double sent = 0;
         for (int i = 0; i < 400; i++) {
@@ -80,8 +84,8 @@
         assertTrue(sent > 8, "the share is used: " + sent);
     }
 
-    /** The first request of a volume may tell of fewer instances than share it later: the newest number binds, both ways. */
-    @Test void aLimitsEvenShareFollowsTheNewestNumberOfInstances() {
+    /** The number of instances in a volume's requests can grow or shrink: the latest number applies. */
+    @Test void theShareOfALimitFollowsTheLatestNumberOfInstances() {
         for (int[] counts : new int[][] {{1, 4}, {4, 1}, {2, 4}, {4, 2}}) {
             ControlHarness scheduler = ControlHarness.ready();
             scheduler.request("first", "read", "limited", "v", 0, 0, null, scheduler.now + 2000, counts[0]);
@@ -98,8 +102,11 @@
         }
     }
 
-    /** Instances join and leave under load, each notified by its own next request: together they keep the one limit. */
-    @Test void sharesNeverSumPastALimitWhileTheNumberOfInstancesChanges() {
+    /**
+     * Instances join and leave under load, and each learns the new number only from its own next request: their sum must
+     * stay within the limit.
+     */
+    @Test void theSumOfSharesStaysWithinALimitWhileTheNumberOfInstancesChanges() {
         Plan plan = ControlHarness.LIMITED;
         ControlHarness[] hosts = new ControlHarness[6];
         double now = 50_000;
@@ -116,7 +123,7 @@
                 ControlHarness host = hosts[h];
                 host.now = now;
                 int before = host.sent().size();
-                boolean idle = step % 250 < 75;     // so that levels fill up before the next burst
+                boolean idle = step % 250 < 75;     // lets the buckets refill before the next burst
                 if (!idle) {
                     host.request("l" + step, "read", "limited", "v", 1, step % 2, null, now + 2000, count);
                     host.sent().stream().filter(l -> !host.hasEnded(l)).forEach(l -> host.serve(l, 20));
@@ -128,7 +135,7 @@
             now += 20;
             tokens = Math.min(plan.limitBurst(), tokens + plan.limitRate() / 50);
         }
-        assertTrue(least >= -plan.limitSlack(), "the bucket went down to " + least);
+        assertTrue(least >= -plan.limitSlack(), "the bucket fell to " + least);
         assertTrue(sent > 0.5 * plan.limitRate() * 30, "the limit is used: " + sent);
     }
 }
--- a/src/test/java/kelphollow/decision/RateLimiterTest.java
+++ b/src/test/java/kelphollow/decision/RateLimiterTest.java
@@ -7,33 +7,33 @@
 import kelphollow.decision.ControlSettings.Plan;
 import org.junit.jupiter.api.Test;
 
-/** A bucket of 24 units that fills at 20 units a second, with a slack of 6 units. */
+/** Token bucket of 24 units that refills at 20 units per second, with a slack of 6 units. */
 class RateLimiterTest {
     private static final double START = 1_000;
-    private static final double LOAN = 0.75 * 6;
+    private static final double BORROWED = 0.75 * 6;
 
     private final RateLimiter limiter = new RateLimiter(ControlHarness.LIMITED, 1, START);
 
-    @Test void itStartsWithALoanOnTheSlack() {
-        assertTrue(limiter.allows(LOAN, START));
-        assertFalse(limiter.allows(LOAN + 0.01, START));
+    @Test void aBucketStartsWithTokensBorrowedFromTheSlack() {
+        assertTrue(limiter.allows(BORROWED, START));
+        assertFalse(limiter.allows(BORROWED + 0.01, START));
         assertEquals(0, limiter.tokensNetOfBorrowed(START));
     }
 
-    @Test void aQuarterOfTheInflowPaysTheLoanBack() {
+    @Test void aQuarterOfTheRefillRepaysBorrowedTokens() {
         double tokens = limiter.tokensNetOfBorrowed(START + 100);
 
-        assertEquals(2.0, tokens, 1e-9, "the inflow, of which 0.5 units were paid back");
-        assertTrue(limiter.allows(LOAN + 1.5, START + 100));
-        assertFalse(limiter.allows(LOAN + 1.51, START + 100));
+        assertEquals(2.0, tokens, 1e-9, "2 units refilled, of which 0.5 repay borrowed tokens");
+        assertTrue(limiter.allows(BORROWED + 1.5, START + 100));
+        assertFalse(limiter.allows(BORROWED + 1.51, START + 100));
     }
 
-    @Test void itNeverHoldsMoreThanTheBurst() {
+    @Test void aBucketNeverHoldsMoreThanTheBurst() {
         assertTrue(limiter.allows(24, START + 60_000));
         assertFalse(limiter.allows(24.01, START + 60_000));
     }
 
-    @Test void consumedUnitsAreMissingUntilTheyFlowInAgain() {
+    @Test void consumedUnitsAreAvailableAgainAfterTheRefill() {
         limiter.restore(10, START);
 
         limiter.consume(10);
@@ -43,8 +43,8 @@
         assertTrue(limiter.allows(1, START + 50));
     }
 
-    @Test void theWaitIncludesWhatIsPaidBackMeanwhile() {
-        limiter.consume(LOAN);
+    @Test void theWaitIncludesTheRepaymentInTheMeantime() {
+        limiter.consume(BORROWED);
 
         double wait = limiter.waitFor(3, START);
 
@@ -52,7 +52,7 @@
         assertTrue(limiter.allows(3 - 1e-9, START + wait));
     }
 
-    @Test void unitsAreLateWhenTheyFlowInAfterTheGivenTime() {
+    @Test void holdsOnlyAfterComparesTheRefillWithTheGivenTime() {
         limiter.restore(0, START);
 
         assertTrue(limiter.holdsOnlyAfter(START + 99, 2, START));
@@ -65,7 +65,7 @@
         limiter.setInstances(4, START);
 
         assertEquals(4, limiter.instances());
-        assertEquals(6, limiter.tokensNetOfBorrowed(START), 1e-9, "a smaller share is cut at once");
+        assertEquals(6, limiter.tokensNetOfBorrowed(START), 1e-9, "a smaller share caps the tokens at once");
         limiter.consume(6);
         assertEquals(200, limiter.waitFor(1, START), 1e-9, "a quarter of the rate");
     }
--- a/src/test/java/kelphollow/decision/RecordedDecisionsTest.java
+++ b/src/test/java/kelphollow/decision/RecordedDecisionsTest.java
@@ -16,16 +16,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The module's decisions are those that were recorded on commit 968e9fd, to the last bit of each number and in the order
- * of the random draws. The recordings are never renewed by a change that is meant to keep behaviour. On a difference, the
- * traces in {@code target/decisions} of the two builds show its first place.
+ * Compares the module's decisions with those recorded on commit 968e9fd: every bit of each number and the order of the
+ * random draws must match. A change that is meant to keep behaviour must not update the recordings. To locate a difference,
+ * compare the traces that the two builds write to {@code target/decisions}.
  */
 class RecordedDecisionsTest {
     private static final Path RECORDINGS = Path.of("src/test/resources/decisions");
     private static final Path TRACES = Path.of("target/decisions");
-    private static final int FEWEST_EVENTS = 10_000;
+    private static final int MIN_EVENTS = 10_000;
 
-    /** A list that is polled, classes that repeat safely or not at all, no marked retries. */
+    /** A polled endpoint list, classes that are idempotent or may not be retried, and no marked retries. */
     private static ControlSettings polled() {
         return new ControlSettings(2, 4, "hall-a", 2, 3, 4_000, true, true, 1_000, 2.4, 0.35, 0.05,
             List.of(new RequestClass("read", 250, 1_200, 2, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false,
@@ -39,7 +39,7 @@
             new Rules(250, 0.25, 12_000, 2, 1_000, 8, 0, 3, 0.15, 4_000, 2_500));
     }
 
-    /** A list that is pushed, classes with idempotency keys in each scope and in order, marked retries. */
+    /** A pushed endpoint list, classes with idempotency keys of each scope and with ordered keys, and marked retries. */
     private static ControlSettings pushed() {
         return new ControlSettings(0, 3, "hall-b", 2, 4, 4_000, true, false, 500, 2.1, 0.35, 0.08,
             List.of(new RequestClass("lookup", 400, 2_500, 2, 0.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false,
@@ -80,13 +80,13 @@
         Files.writeString(TRACES.resolve(name + ".trace"), recorder.trace());
         Files.write(TRACES.resolve(name + ".txt"), recorder.checkpoints());
 
-        assertTrue(recorder.events() >= FEWEST_EVENTS, "events: " + recorder.events());
+        assertTrue(recorder.events() >= MIN_EVENTS, "events: " + recorder.events());
         Set<String> kinds = workload.kinds();
         for (String kind : List.of("arrival", "retry", "disconnect", "send", "cancel", "reload", "shutdown", "lease",
             "suspected", "moved", "retry-budget", "limits", "complete-list", "changed-list", "cached-list")) {
             assertTrue(kinds.contains(kind), kind + " did not occur");
         }
         List<String> recorded = Files.readAllLines(RECORDINGS.resolve(name + ".txt"));
-        assertEquals(recorded, recorder.checkpoints(), "first difference: see " + TRACES);
+        assertEquals(recorded, recorder.checkpoints(), "the first difference is in the traces in " + TRACES);
     }
 }
--- a/src/test/java/kelphollow/decision/RequestArrivalsTest.java
+++ b/src/test/java/kelphollow/decision/RequestArrivalsTest.java
@@ -12,7 +12,7 @@
 import kelphollow.decision.ControlEvent.RetryBudgetChanged;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of a request as it arrives: a read's latency objective is 300 ms, its deadline 2,000 ms. */
+/** Handling of arriving requests. The latency objective of a read is 300 ms, its deadline 2,000 ms. */
 class RequestArrivalsTest {
     private final StateHarness harness = new StateHarness();
     private final SchedulerState state = harness.state;
@@ -37,7 +37,7 @@
         assertEquals(List.of(), state.actions.drain());
     }
 
-    @Test void eachRequestThatIsKnownDrawsOnceInTheOrderOfArrival() {
+    @Test void eachAcceptedRequestDrawsOneRandomNumberInOrderOfArrival() {
         Random random = new Random(7 * 0x9E3779B97F4A7C15L);
 
         arrive("unknown", "nothing", 2, 2_000, false);
@@ -48,7 +48,7 @@
         assertEquals(random.nextDouble(), second.admissionDraw);
     }
 
-    @Test void unknownPlansAndSizesThatAreNoNumbersAreRejected() {
+    @Test void unknownPlansAndInvalidSizesAreRejected() {
         arrive("plan", "nothing", 2, 2_000, false);
         arrive("negative", "free", -1, 2_000, false);
         arrive("nan", "free", Double.NaN, 2_000, false);
@@ -57,7 +57,7 @@
         assertEquals(0, state.requests.size());
     }
 
-    @Test void anIdThatIsOpenIsIgnored() {
+    @Test void aDuplicateOfAnOpenIdIsIgnored() {
         PendingRequest first = arrive("r", "free", 2, 2_000, false);
 
         arrive("r", "free", 5, 2_000, false);
@@ -66,7 +66,7 @@
         assertEquals(1, state.queues.ofCell(0).size());
     }
 
-    @Test void whatTheLimitHoldsTooLateIsRejected() {
+    @Test void aRequestThatTheLimitCannotAdmitInTimeIsRejected() {
         arrive("soon", "limited", 4, 2_000, false);
         arrive("late", "limited", 15, 2_000, false);
 
@@ -85,16 +85,16 @@
         assertTrue(state.requests.contains("first"));
     }
 
-    @Test void aRequestPastItsObjectiveIsForAnIdleNodeAtOnce() {
+    @Test void aRequestPastItsObjectiveWaitsOneTickForAnIdleNode() {
         PendingRequest request = arrive("r", "free", 2, 1_500, true);
 
         assertTrue(request.late && request.queued);
         assertFalse(request.tokensSpent);
-        assertEquals(harness.now() + 1, request.queuedUntil, "a tick");
+        assertEquals(harness.now() + 1, request.queuedUntil, "one tick");
         assertEquals(List.of(request), List.copyOf(state.queues.ofCell(0).late));
     }
 
-    @Test void afterAShutdownHasBegunItIsAnsweredByThen() {
+    @Test void aRequestDuringShutdownIsAnsweredBeforeItEnds() {
         state.requests.shutDownAt(harness.now() + 100);
 
         PendingRequest request = arrive("r", "free", 2, 2_000, false);
--- a/src/test/java/kelphollow/decision/RetryBudgetTest.java
+++ b/src/test/java/kelphollow/decision/RetryBudgetTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Retries against first attempts within a sliding window. */
+/** Retries as a share of first attempts within a sliding window. */
 class RetryBudgetTest {
     private static final double WINDOW = 1_000;
     private static final double TICK = 2;
@@ -22,7 +22,7 @@
         assertFalse(budget.allows(0));
     }
 
-    @Test void aFirstAttemptIsForgottenATickEarly() {
+    @Test void aFirstAttemptExpiresOneTickEarly() {
         RetryBudget budget = new RetryBudget(WINDOW, 0, 1, TICK);
         budget.addFirstAttempt(0);
 
@@ -30,7 +30,7 @@
         assertFalse(budget.allows(WINDOW - TICK));
     }
 
-    @Test void aRetryIsForgottenATickLate() {
+    @Test void aRetryExpiresOneTickLate() {
         RetryBudget budget = new RetryBudget(WINDOW, 1, 0, TICK);
         budget.addRetry(0);
 
@@ -38,7 +38,7 @@
         assertTrue(budget.allows(WINDOW + TICK + 0.1));
     }
 
-    @Test void aWindowOfZeroBoundsNothing() {
+    @Test void aWindowOfZeroDisablesTheBudget() {
         RetryBudget budget = new RetryBudget(0, 0, 0, TICK);
         budget.addRetry(0);
 
--- a/src/test/java/kelphollow/decision/RetryPolicyTest.java
+++ b/src/test/java/kelphollow/decision/RetryPolicyTest.java
@@ -9,14 +9,14 @@
 import kelphollow.decision.ControlEvent.RetryBudgetChanged;
 import org.junit.jupiter.api.Test;
 
-/** Whether, when and where a request may be attempted again. */
+/** Rules on whether, when and where a request may be retried. */
 class RetryPolicyTest {
     private final StateHarness harness = new StateHarness();
     private final RetryPolicy retries = harness.state.retries;
     private final Node node = harness.node("n0", 0);
     private final Node other = harness.node("n1", 1);
 
-    private PendingRequest executed(ControlSettings.RequestClass requestClass) {
+    private PendingRequest possiblyExecuted(ControlSettings.RequestClass requestClass) {
         PendingRequest request = harness.request("r", requestClass, "v", 1, 0);
         request.possiblyExecutedSince = harness.now();
         request.possiblyExecutedNode = node;
@@ -24,19 +24,19 @@
         return request;
     }
 
-    @Test void whatMayHaveBeenExecutedIsRetriedOnlyWhereThatIsSafe() {
-        assertTrue(retries.mayRetry(executed(ControlHarness.READ)));
-        assertTrue(retries.mayRetry(executed(ControlHarness.KEYED)));
-        assertFalse(retries.mayRetry(executed(ControlHarness.WRITE)));
+    @Test void aPossiblyExecutedRequestIsRetriedOnlyIfThatIsSafe() {
+        assertTrue(retries.mayRetry(possiblyExecuted(ControlHarness.READ)));
+        assertTrue(retries.mayRetry(possiblyExecuted(ControlHarness.KEYED)));
+        assertFalse(retries.mayRetry(possiblyExecuted(ControlHarness.WRITE)));
 
-        PendingRequest notExecuted = executed(ControlHarness.WRITE);
+        PendingRequest notExecuted = possiblyExecuted(ControlHarness.WRITE);
         notExecuted.possiblyExecutedSince = -1;
 
         assertTrue(retries.mayRetry(notExecuted));
     }
 
-    @Test void aKeyIsRecognisedInItsCellWithinItsWindowLessATick() {
-        PendingRequest keyed = executed(ControlHarness.KEYED);
+    @Test void aKeyIsRecognisedInItsCellUntilOneTickBeforeItsWindowEnds() {
+        PendingRequest keyed = possiblyExecuted(ControlHarness.KEYED);
 
         assertEquals(harness.now() + 4_000 - 1, retries.writeBy(keyed));
         assertTrue(retries.isSafeAt(keyed, node));
@@ -46,28 +46,28 @@
         assertFalse(retries.isSafeAt(keyed, node));
     }
 
-    @Test void onlyAKeyThatMayHaveBeenExecutedBoundsTheWriting() {
+    @Test void onlyAPossiblyExecutedKeyBoundsTheTimeOfWriting() {
         PendingRequest fresh = harness.request("fresh", ControlHarness.KEYED, "v", 1, 0);
 
         assertEquals(0, retries.writeBy(fresh));
-        assertEquals(0, retries.writeBy(executed(ControlHarness.READ)));
+        assertEquals(0, retries.writeBy(possiblyExecuted(ControlHarness.READ)));
         assertTrue(retries.isSafeAt(fresh, other));
-        assertTrue(retries.isSafeAt(executed(ControlHarness.READ), other));
-        assertFalse(retries.isSafeAt(executed(ControlHarness.WRITE), node));
+        assertTrue(retries.isSafeAt(possiblyExecuted(ControlHarness.READ), other));
+        assertFalse(retries.isSafeAt(possiblyExecuted(ControlHarness.WRITE), node));
     }
 
     @Test void aRetryMustBeginWithinTheWindow() {
-        PendingRequest keyed = executed(ControlHarness.KEYED);
+        PendingRequest keyed = possiblyExecuted(ControlHarness.KEYED);
         keyed.possiblyExecutedSince = harness.now() - 3_959;
         assertTrue(retries.mayRetry(keyed));
 
         keyed.possiblyExecutedSince = harness.now() - 3_960;
 
-        assertFalse(retries.mayRetry(keyed), "its backoff of 40 ms ends with the window");
+        assertFalse(retries.mayRetry(keyed), "the backoff of 40 ms ends when the window does");
     }
 
     @Test void attemptsAndTimeAreBounded() {
-        PendingRequest request = executed(ControlHarness.READ);
+        PendingRequest request = possiblyExecuted(ControlHarness.READ);
         request.attempts = 4;
         assertFalse(retries.mayRetry(request));
 
@@ -81,17 +81,17 @@
         assertFalse(retries.mayRetry(request));
     }
 
-    @Test void theBackoffGrowsWithTheAttemptsButATimeoutHasWaitedAlready() {
-        PendingRequest request = executed(ControlHarness.READ);
+    @Test void theBackoffGrowsWithTheAttemptsExceptAfterATimeout() {
+        PendingRequest request = possiblyExecuted(ControlHarness.READ);
         request.attempts = 3;
 
         assertEquals(harness.now() + 120, retries.retryAt(request, AttemptOutcome.RESET));
         assertEquals(harness.now(), retries.retryAt(request, AttemptOutcome.TIMED_OUT));
     }
 
-    @Test void bothBudgetsBoundRetriesAndNoFirstAttempt() {
+    @Test void bothBudgetsLimitRetriesButNotFirstAttempts() {
         PendingRequest first = harness.request("first", ControlHarness.READ, "v", 1, 0);
-        PendingRequest retry = executed(ControlHarness.READ);
+        PendingRequest retry = possiblyExecuted(ControlHarness.READ);
         assertTrue(retries.budgetsAllow(retry, node), "three retries are free");
 
         harness.state.nodes.limitRetries(new RetryBudgetChanged(0.1, 10_000));
@@ -107,7 +107,7 @@
     }
 
     @Test void theInstancesOwnBudgetIsSharedByAllNodes() {
-        PendingRequest retry = executed(ControlHarness.READ);
+        PendingRequest retry = possiblyExecuted(ControlHarness.READ);
 
         for (int i = 0; i < 3; i++) {
             assertTrue(retries.budgetsAllow(retry, other));
@@ -121,7 +121,7 @@
         assertTrue(retries.budgetsAllow(retry, other), "ten requests allow one more");
     }
 
-    @Test void aClientsRetryCountsInTheBudgetOfItsNodesAsItArrives() {
+    @Test void aClientsRetryCountsInTheBudgetsOfItsNodesOnArrival() {
         harness.state.nodes.limitRetries(new RetryBudgetChanged(0.5, 10_000));
         PendingRequest first = harness.request("first", ControlHarness.READ, "v", 1, 0);
         retries.sent(first, node);
@@ -135,7 +135,8 @@
     @Test void theTimeoutOfASafeAttemptLeavesTimeForARetry() {
         PendingRequest read = harness.request("read", ControlHarness.READ, "v", 2, 0);
         PendingRequest write = harness.request("write", ControlHarness.WRITE, "v", 2, 0);
-        assertEquals(0, retries.attemptTimeout(read, node), "nodes are thought too slow for that");
+        assertEquals(0, retries.attemptTimeout(read, node),
+            "the expected latency of an unknown node leaves no time for a retry");
         harness.serve(node, 1, 20);
         PendingRequest later = harness.request("later", ControlHarness.READ, "v", 2, 0);
 
@@ -145,16 +146,17 @@
         assertEquals(0, retries.attemptTimeout(later, node));
     }
 
-    @Test void aClientMayRetryWhatWasNotExecutedOrIsRecognisedEverywhere() {
-        PendingRequest write = executed(ControlHarness.WRITE);
+    @Test void aClientMayRetryIfNothingWasExecutedOrTheRequestIsIdempotent() {
+        PendingRequest write = possiblyExecuted(ControlHarness.WRITE);
         assertFalse(retries.isSafeForClient(write));
-        assertFalse(retries.isSafeForClient(executed(ControlHarness.KEYED)), "only its cell knows the key");
-        assertTrue(retries.isSafeForClient(executed(ControlHarness.READ)));
+        assertFalse(retries.isSafeForClient(possiblyExecuted(ControlHarness.KEYED)),
+            "only the nodes of its cell recognise the key");
+        assertTrue(retries.isSafeForClient(possiblyExecuted(ControlHarness.READ)));
         write.possiblyExecutedSince = -1;
         assertTrue(retries.isSafeForClient(write));
 
         harness.send(write, node);
 
-        assertFalse(retries.isSafeForClient(write), "it may be executed yet");
+        assertFalse(retries.isSafeForClient(write), "the attempt in flight may still be executed");
     }
 }
--- a/src/test/java/kelphollow/decision/RetryTest.java
+++ b/src/test/java/kelphollow/decision/RetryTest.java
@@ -10,9 +10,9 @@
 import kelphollow.decision.ControlEvent.RetryBudgetChanged;
 import org.junit.jupiter.api.Test;
 
-/** What is retried, where, and how often. */
+/** Retries: which requests, at which nodes and how often. */
 class RetryTest {
-    @Test void aWriteThatMayHaveBeenExecutedIsNeitherRetriedNorRejected() {
+    @Test void aPossiblyExecutedWriteFailsWithoutRetry() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.request("w", "write", "free", "v", 1, 0);
         scheduler.end("w", AttemptOutcome.ERROR, 5);
@@ -44,11 +44,12 @@
             ControlHarness scheduler = ControlHarness.ready();
             scheduler.request("k", "keyed", "free", "v", 1, 0, "chunk", scheduler.now + 20_000, 1);
             scheduler.advanceTo(scheduler.now + gone);
-            scheduler.end("k", AttemptOutcome.RESET, gone);             // it may have run; nodes forget its key at 4,000 ms
+            scheduler.end("k", AttemptOutcome.RESET, gone);             // possibly executed; nodes drop its key at 4,000 ms
             scheduler.advanceTo(scheduler.now + 500);
             assertEquals(gone < 3_900 ? 2 : 1, scheduler.sent().size(), "reset after " + gone);
             if (gone > 3_900) {
-                assertEquals(List.of("failed k"), scheduler.answered(), "it may not be called harmless");
+                assertEquals(List.of("failed k"), scheduler.answered(),
+                    "a rejection would tell the client that a retry is safe");
             }
         }
     }
@@ -67,11 +68,11 @@
             }
         }
         int further = scheduler.sent().size() - scheduler.attempts.size();
-        assertTrue(further > 0, "some are retried");
+        assertTrue(further > 0, "some requests are retried");
         assertTrue(further <= 3 + 0.1 * 12, further + " retries");
     }
 
-    @Test void aReadWithALostAnswerIsRetriedWithinItsObjective() {
+    @Test void aReadWhoseAnswerIsLostIsRetriedWithinItsObjective() {
         ControlHarness scheduler = ControlHarness.ready();
         for (int i = 0; i < 30; i++) {
             scheduler.request("s" + i, "read", "free", "v" + i, 1, 0);
@@ -90,7 +91,7 @@
         assertEquals(1, scheduler.attempts.get("unsafe"));
     }
 
-    @Test void retriesAtANodeAreAtMostTheirShareOfItsFirstAttemptsAndTheRestIsAnsweredAtOnce() {
+    @Test void retriesBeyondTheBudgetOfANodeAreRejectedAtOnce() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.on(new RetryBudgetChanged(0.1, 10_000));
         for (int i = 0; i < 25; i++) {
@@ -113,10 +114,10 @@
         scheduler.now += 10_100;
         scheduler.request("later", "read", "free", "l", 1, 0);
         scheduler.end("later", AttemptOutcome.ERROR, 10);
-        assertTrue(scheduler.answered().contains("rejected later"), "the first attempts are past the window");
+        assertTrue(scheduler.answered().contains("rejected later"), "the first attempts have left the window");
     }
 
-    @Test void retriesThatClientsMarkCountInTheBudgetOfTheirNode() {
+    @Test void retriesMarkedByClientsCountInTheBudgetOfTheirNode() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.on(new RetryBudgetChanged(0.1, 10_000));
         for (int i = 0; i < 20; i++) {
@@ -130,11 +131,14 @@
                 scheduler.serve("a" + i, 20);
             }
         }
-        assertEquals(List.of("rejected a2", "rejected a3"), scheduler.answered(), "at once: a tenth of twenty is spent");
+        assertEquals(List.of("rejected a2", "rejected a3"), scheduler.answered(),
+            "rejected at once, as two retries per twenty first attempts are used up");
         scheduler.request("e", "read", "free", "e", 1, 0);
         scheduler.end("e", AttemptOutcome.ERROR, 10);
-        assertEquals(List.of("rejected a2", "rejected a3", "rejected e"), scheduler.answered(), "one budget for both");
+        assertEquals(List.of("rejected a2", "rejected a3", "rejected e"), scheduler.answered(),
+            "retries of clients and of the instance share one budget");
         scheduler.on(new RequestArrived("other", "read", "free", null, scheduler.now + 2_000, "o", 1, 1, 1, true));
-        assertTrue(scheduler.answered().contains("rejected other"), "another node has its own, and no first attempts yet");
+        assertTrue(scheduler.answered().contains("rejected other"),
+            "another node has its own budget, without first attempts so far");
     }
 }
--- a/src/test/java/kelphollow/decision/SettingsCatalogTest.java
+++ b/src/test/java/kelphollow/decision/SettingsCatalogTest.java
@@ -10,7 +10,7 @@
 import kelphollow.decision.ControlSettings.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** Checked classes and plans by name. */
+/** Validation of settings, and lookup of classes and plans by name. */
 class SettingsCatalogTest {
     private static final ControlSettings SETTINGS = ControlHarness.settings(false, ControlHarness.RULES);
 
@@ -19,7 +19,7 @@
             SETTINGS.rules());
     }
 
-    private static String fault(int hosts, int maxAttempts, List<RequestClass> classes, List<Plan> plans) {
+    private static String error(int hosts, int maxAttempts, List<RequestClass> classes, List<Plan> plans) {
         ControlSettings settings = with(hosts, maxAttempts, classes, plans);
         return assertThrows(IllegalArgumentException.class, () -> new SettingsCatalog(settings)).getMessage();
     }
@@ -34,7 +34,7 @@
         assertEquals(300, catalog.shortestObjective());
     }
 
-    @Test void reloadedClassesReplaceThoseOfTheirNamesOnly() {
+    @Test void reloadedClassesReplaceOnlyThoseWithTheSameName() {
         SettingsCatalog catalog = new SettingsCatalog(SETTINGS);
         RequestClass read = new RequestClass("read", 100, 2000, 2, 0.1, ControlHarness.READ.idempotency(),
             ControlHarness.READ.deduplicationScope(), 0, false, false);
@@ -46,20 +46,20 @@
         assertEquals(300, catalog.shortestObjective());
     }
 
-    @Test void theFaultNamesTheSetting() {
+    @Test void theErrorNamesTheSettingAndItsValue() {
         List<RequestClass> classes = SETTINGS.classes();
         List<Plan> plans = SETTINGS.plans();
         RequestClass noObjective = new RequestClass("r", 0, 2000, 2, 0.1, ControlHarness.READ.idempotency(),
             ControlHarness.READ.deduplicationScope(), 0, false, false);
 
-        assertEquals("settings: hosts is 0, must be at least 1", fault(0, 1, classes, plans));
-        assertEquals("settings: maxAttempts is 0, must be at least 1", fault(1, 0, classes, plans));
-        assertEquals("settings: classes is empty", fault(1, 1, List.of(), plans));
-        assertEquals("settings: plans is empty", fault(1, 1, classes, List.of()));
-        assertEquals("settings: aim of class r is 0.0, must be above 0", fault(1, 1, List.of(noObjective), plans));
+        assertEquals("settings: hosts is 0, must be at least 1", error(0, 1, classes, plans));
+        assertEquals("settings: maxAttempts is 0, must be at least 1", error(1, 0, classes, plans));
+        assertEquals("settings: classes is empty", error(1, 1, List.of(), plans));
+        assertEquals("settings: plans is empty", error(1, 1, classes, List.of()));
+        assertEquals("settings: aim of class r is 0.0, must be above 0", error(1, 1, List.of(noObjective), plans));
         assertEquals("settings: rate of plan p is 0.0, must be above 0",
-            fault(1, 1, classes, List.of(new Plan("p", 0, 0, 1, 1, 0, 0, 0))));
+            error(1, 1, classes, List.of(new Plan("p", 0, 0, 1, 1, 0, 0, 0))));
         assertEquals("settings: limit of plan p is negative: rate -1.0, burst 0.0",
-            fault(1, 1, classes, List.of(new Plan("p", 1, 0, 1, 1, -1, 0, 0))));
+            error(1, 1, classes, List.of(new Plan("p", 1, 0, 1, 1, -1, 0, 0))));
     }
 }
--- a/src/test/java/kelphollow/decision/SlowStartSimulation.java
+++ b/src/test/java/kelphollow/decision/SlowStartSimulation.java
@@ -21,9 +21,9 @@
 import kelphollow.decision.ControlSettings.Rules;
 
 /**
- * Many instances and one node that starts under their load. Each instance knows only its own events; some learn of the start
- * late, some are restarted in the middle, a few have several times the traffic of others. The clock and all draws come from
- * the seed. Times are milliseconds.
+ * Simulation of many instances and one node that starts under their load. Each instance sees only its own events. Some
+ * learn of the node's start late, some restart during the run, and a few have several times the traffic of others. All
+ * random draws come from the seed. Times are milliseconds.
  */
 final class SlowStartSimulation {
     private static final double START = 50_000;
@@ -32,9 +32,9 @@
     private static final double SHARE = 0.2;
     private static final double MULTIPLE = 2;
     private static final double MEAN_UNITS = 2;
-    /** Requests of mean work a second that the node serves when warm. */
+    /** Mean requests per second that the node serves when warm. */
     private static final double CAPACITY = 12;
-    private static final double LEAST_LATENCY = 150;
+    private static final double MIN_LATENCY = 150;
     private static final int VOLUMES = 20;
     private static final int HOSTS_OF_A_VOLUME = 3;
     private static final int FIRST_STEP = -5_000;
@@ -49,7 +49,12 @@
 
     private record Answer(double at, int host, int incarnation, AttemptEnded event) {}
 
-    /** The most that was sent in a span, as a share of what the rule bears; and what was sent of what arrived. */
+    /**
+     * Result of a run.
+     *
+     * @param worst most requests sent within a span, as a share of the limit
+     * @param served share of the arrived requests that were sent
+     */
     record Result(double worst, double served) {}
 
     private final long seed;
@@ -63,6 +68,7 @@
     private final Endpoint other = ControlHarness.node("other", 1, EndpointState.HEALTHY, 0);
     private final PriorityQueue<Answer> answers = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
     private final ArrayDeque<Double> sentInSpan = new ArrayDeque<>();
+    /** Instances that returned {@link #actions}, at the same index. */
     private final List<Integer> actors = new ArrayList<>();
     private final List<List<ControlAction>> actions = new ArrayList<>();
     private int step;
@@ -94,17 +100,21 @@
             List.of(READ, WRITE), List.of(new Plan("usual", rate, rate / 2, 1, 1, 0, 0, 0)), rules);
     }
 
-    /** {@code demand}: the load of clients, as a share of its full capacity, from before its start on. */
-    static Result play(int hosts, double demand, long seed) {
+    /**
+     * Runs a simulation.
+     *
+     * @param demand load of the clients as a share of the node's full capacity, beginning before its start
+     */
+    static Result run(int hosts, double demand, long seed) {
         SlowStartSimulation simulation = new SlowStartSimulation(hosts, demand, seed);
         for (int step = FIRST_STEP; step < LAST_STEP; step += STEP) {
-            simulation.play(step);
+            simulation.runStep(step);
         }
         int arrived = simulation.arrived;
         return new Result(simulation.worst, arrived == 0 ? 0 : (double) simulation.sent / arrived);
     }
 
-    private void play(int atStep) {
+    private void runStep(int atStep) {
         step = atStep;
         now = START + step;
         actors.clear();
@@ -147,7 +157,7 @@
         }
     }
 
-    /** A third of the instances start again, from the list. */
+    /** Restarts a third of the instances, which then read a cached endpoint list. */
     private void restartAThird() {
         for (int h = 0; h < fleet.size(); h += 3) {
             incarnation[h]++;
@@ -156,7 +166,7 @@
         }
     }
 
-    /** Each volume comes through some instances, and two thirds of it through one of them. */
+    /** Draws an arrival; each volume uses three instances, and two thirds of its requests go to one of them. */
     private void arrive() {
         if (random.nextDouble() >= demand * CAPACITY * STEP / 1_000) {
             return;
@@ -186,7 +196,7 @@
         sentInSpan.add(now);
         double capacity = CAPACITY * Math.min(1, SHARE + (1 - SHARE) * step / SLOW_START_TIME) / 1_000;
         freeAt = Math.max(freeAt, now) + 1 / capacity;
-        double at = Math.max(freeAt, now + LEAST_LATENCY);
+        double at = Math.max(freeAt, now + MIN_LATENCY);
         answers.add(new Answer(at, host, incarnation[host], new AttemptEnded(send.id(), 0, "n", AttemptOutcome.SERVED,
             at - now, true, false, 0, -1, Map.of())));
     }
@@ -201,7 +211,7 @@
         }
     }
 
-    /** What the settings allow in a span: N. Beyond it 2 x root of N + 2 are put down to chance. */
+    /** Requests N that the settings allow within a span; {@link #measure} adds 2 * sqrt(N) + 2 for random variation. */
     private static double allowed(double age) {
         return MULTIPLE * CAPACITY * SPAN / 1_000 * Math.min(1, SHARE + (1 - SHARE) * age / SLOW_START_TIME);
     }
--- a/src/test/java/kelphollow/decision/StateHarness.java
+++ b/src/test/java/kelphollow/decision/StateHarness.java
@@ -10,7 +10,7 @@
 import kelphollow.decision.ControlEvent.RequestArrived;
 import kelphollow.decision.ControlSettings.RequestClass;
 
-/** The state of one instance without the steps that change it, for tests of single parts. */
+/** State of one instance without the classes that drive it, for unit tests of single parts. */
 final class StateHarness {
     static final double START = 50_000;
 
@@ -24,7 +24,7 @@
         state.context.clock().advanceTo(state.now() + milliseconds);
     }
 
-    /** A node that is healthy and has been up for long. */
+    /** Adds a healthy node that started long ago. */
     Node node(String id, int cell) {
         return node(id, cell, 0);
     }
@@ -35,7 +35,7 @@
         return state.nodes.all().stream().filter(n -> n.id.equals(id)).findFirst().orElseThrow();
     }
 
-    /** An open request with all of its class's time, neither tagged nor queued. */
+    /** Adds an open request with the full deadline of its class, neither tagged nor queued. */
     PendingRequest request(String id, RequestClass requestClass, String volume, double units, int cell) {
         return request(id, requestClass, volume, null, units, cell, 0);
     }
@@ -51,7 +51,7 @@
         return request;
     }
 
-    /** Tags a request and queues it. */
+    /** Assigns tags to a request and queues it. */
     PendingRequest queue(PendingRequest request) {
         state.tagger.tag(request);
         state.queues.of(request).add(request);
@@ -68,7 +68,7 @@
         return attempt;
     }
 
-    /** Ends an attempt at its node after the time that has passed since it was sent. */
+    /** Ends an attempt now with the given outcome. */
     void end(InFlightAttempt attempt, AttemptOutcome outcome) {
         PendingRequest request = attempt.request;
         int number = request.attempts - 1;
@@ -78,7 +78,7 @@
         request.inFlight = null;
     }
 
-    /** Sends requests to a node one after the other, each served after the same time. */
+    /** Sends requests to a node one at a time, each served after the given latency. */
     void serve(Node node, int requests, double latency) {
         for (int i = 0; i < requests; i++) {
             InFlightAttempt attempt = send(request("served-" + node.id + "-" + now(), ControlHarness.READ, "served", 2,
--- a/src/test/java/kelphollow/decision/UsageShareTest.java
+++ b/src/test/java/kelphollow/decision/UsageShareTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The share of a volume's arrival curve by the usage here and elsewhere. */
+/** Share of a volume's arrival curve by the usage through this instance and through others. */
 class UsageShareTest {
     private static final double START = 1_000;
     private static final double EVEN = 0.2;
@@ -13,13 +13,13 @@
 
     private final UsageShare usage = new UsageShare(START);
 
-    @Test void theShareIsEvenBeforeThereAreReports() {
+    @Test void theShareIsEvenUntilUsageIsReported() {
         usage.served(100);
 
         assertEquals(EVEN, usage.share(EVEN, MEAN_UNITS));
     }
 
-    @Test void theShareIsThePartOfAllUsage() {
+    @Test void theShareIsThePartOfTheTotalUsage() {
         usage.served(30);
         usage.reported(START, 10, UNKNOWN, 50);
 
@@ -40,10 +40,10 @@
         assertEquals(0.5, usage.share(EVEN, MEAN_UNITS), 1e-12);
     }
 
-    @Test void aReportInPercentReplacesWhatWasCounted() {
+    @Test void aReportInPercentReplacesTheCountedUnits() {
         usage.served(50);
         usage.reported(START, 1_000, 80, 50);
 
-        assertEquals(50 / 200.0, usage.share(EVEN, MEAN_UNITS), 1e-12, "80 % of 50 units a second over 5 seconds");
+        assertEquals(50 / 200.0, usage.share(EVEN, MEAN_UNITS), 1e-12, "80 % of 50 units per second over 5 seconds");
     }
 }
--- a/src/test/java/kelphollow/decision/VolumeTableTest.java
+++ b/src/test/java/kelphollow/decision/VolumeTableTest.java
@@ -8,7 +8,7 @@
 import kelphollow.decision.ControlEvent.RequestArrived;
 import org.junit.jupiter.api.Test;
 
-/** Which volumes are kept, and what they start with. */
+/** Creation, token restoration and eviction of volumes. */
 class VolumeTableTest {
     private final StateHarness harness = new StateHarness();
     private final VolumeTable volumes = harness.state.volumes;
@@ -18,13 +18,13 @@
         return volumes.of(arrival, ControlHarness.LIMITED);
     }
 
-    @Test void requestsOfOneNameShareAVolume() {
+    @Test void requestsWithTheSameNameShareAVolume() {
         assertSame(of("v", 1), of("v", 1));
         assertNotSame(of("v", 1), of("w", 1));
         assertSame(of(null, 1), of("", 1));
     }
 
-    @Test void theNewestRequestTellsTheNumberOfInstances() {
+    @Test void theLatestRequestSetsTheNumberOfInstances() {
         Volume volume = of("v", 1);
         assertEquals(1, volume.limiter.instances());
 
@@ -35,7 +35,7 @@
         assertEquals(1, volume.limiter.instances(), "at least one");
     }
 
-    @Test void restoredTokensAreUsedOnce() {
+    @Test void restoredTokensAreAppliedOnce() {
         volumes.restore(Map.of("v", 3.0, "w", 1.0));
 
         Volume volume = of("v", 1);
@@ -52,7 +52,7 @@
         assertEquals(Map.of(), volumes.limitTokens());
     }
 
-    @Test void idleVolumesAreForgottenOnceThereAreMany() {
+    @Test void idleVolumesAreEvictedAboveTheThreshold() {
         for (int i = 0; i < VolumeTable.IDLE_EVICTION_THRESHOLD; i++) {
             of("v" + i, 1);
         }
--- a/src/test/java/kelphollow/decision/VolumeTest.java
+++ b/src/test/java/kelphollow/decision/VolumeTest.java
@@ -7,7 +7,7 @@
 import kelphollow.decision.ControlSettings.Plan;
 import org.junit.jupiter.api.Test;
 
-/** The arrival curve and the reserve of a volume with a plan of 10 units a second, 5 of them reserved. */
+/** Arrival curve and reserve of a volume whose plan has 10 units per second, 5 of them reserved. */
 class VolumeTest {
     private final StateHarness harness = new StateHarness();
 
@@ -15,16 +15,16 @@
         return new Volume(plan, instances, harness.state.context, harness.state.sizes);
     }
 
-    @Test void theCurveIsSharedEvenlyByInstances() {
+    @Test void instancesShareTheCurveEvenly() {
         Volume volume = volume(ControlHarness.FREE, 2);
 
         assertEquals(5, volume.rho());
         assertEquals(5, volume.sigma());
-        assertEquals(5, volume.numTokens, "it starts full");
+        assertEquals(5, volume.numTokens, "the curve starts with all tokens");
         assertEquals(harness.now(), volume.maxS);
     }
 
-    @Test void theCurveIsAtLeastOneLargestRequestDeep() {
+    @Test void theDepthOfTheCurveIsAtLeastTheLargestRequest() {
         Volume volume = volume(ControlHarness.FREE, 2);
         harness.state.sizes.arrived(7);
 
@@ -32,10 +32,10 @@
         assertEquals(5, volume.rho());
     }
 
-    @Test void aRequestFarBeyondTheCurveIsExcessOnceTheReserveIsSpent() {
+    @Test void aRequestFarBeyondTheCurveIsExcessOnceTheReserveIsUsedUp() {
         PendingRequest request = harness.request("r", ControlHarness.READ, "v", 5, 0);
         request.startTag = request.arrivedAt + 1_000.1;
-        assertFalse(request.volume.isExcess(request), "the reserve is left");
+        assertFalse(request.volume.isExcess(request), "the reserve is not used up");
 
         request.volume.consumeReserve(5);
         assertTrue(request.volume.isExcess(request));
@@ -44,7 +44,7 @@
         assertFalse(request.volume.isExcess(request), "within the quota");
     }
 
-    @Test void theReserveIsOverdrawnByOneRequestAtMostAndFillsAtItsRate() {
+    @Test void theReserveIsOverdrawnByAtMostOneRequestAndRefillsAtItsRate() {
         PendingRequest request = harness.request("r", ControlHarness.READ, "v", 5, 0);
         request.startTag = request.arrivedAt + 60_000;
         for (int i = 0; i < 10; i++) {
@@ -52,13 +52,13 @@
         }
 
         harness.advance(1_000);
-        assertTrue(request.volume.isExcess(request), "five units are paid back, none is left");
+        assertTrue(request.volume.isExcess(request), "the refill of five units only covers the overdraft");
         harness.advance(1);
 
         assertFalse(request.volume.isExcess(request));
     }
 
-    @Test void aPlanWithoutReserveHasNone() {
+    @Test void aPlanWithoutReserveGivesNoReserve() {
         Volume volume = volume(new Plan("p", 10, 0, 1, 1, 0, 0, 0), 1);
         PendingRequest request = harness.request("r", ControlHarness.READ, "v", 1, 0);
         request.startTag = request.arrivedAt + 2_000;
@@ -71,9 +71,9 @@
         request.startTag = request.arrivedAt;
 
         assertEquals(1, request.volume.sheddingShare(request, 1));
-        assertEquals(0.4, request.volume.sheddingShare(request, 1), "the pass has used the reserve up");
+        assertEquals(0.4, request.volume.sheddingShare(request, 1), "the pass has used up the reserve");
         request.startTag = request.arrivedAt + 1_001;
         assertEquals(0.05, request.volume.sheddingShare(request, 1));
-        assertEquals(1, request.volume.sheddingShare(request, 2), "the next pass begins anew");
+        assertEquals(1, request.volume.sheddingShare(request, 2), "the next pass starts with the whole reserve again");
     }
 }
--- a/src/test/java/kelphollow/decision/WakeTimerTest.java
+++ b/src/test/java/kelphollow/decision/WakeTimerTest.java
@@ -6,7 +6,7 @@
 import kelphollow.decision.ControlAction.SetTimer;
 import org.junit.jupiter.api.Test;
 
-/** When the module wants to be woken; a tick is 1 ms. */
+/** Times for which the module sets its timer; a tick is 1 ms. */
 class WakeTimerTest {
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
@@ -27,7 +27,7 @@
         assertEquals(List.of(), set(NEVER));
     }
 
-    @Test void queuedRequestsAreSweptOftenAndNothingElseIsKept() {
+    @Test void theTimerSweepsQueuedRequestsAndStopsOnceNoneAreLeft() {
         PendingRequest request = harness.queue(harness.request("r", ControlHarness.READ, "v", 1, 0));
 
         assertEquals(at(harness.now() + 10), set(NEVER));
@@ -38,24 +38,24 @@
         assertEquals(List.of(), set(NEVER));
     }
 
-    @Test void theEarliestOfPollAndDeadlineCounts() {
+    @Test void theTimerIsSetForTheEarliestPollOrDeadline() {
         state.deadlines.add(harness.now() + 70, harness.request("r", ControlHarness.READ, "v", 1, 0));
 
         assertEquals(at(harness.now() + 70), set(harness.now() + 90));
-        assertEquals(List.of(), set(harness.now() + 80), "the timer that is set comes first");
+        assertEquals(List.of(), set(harness.now() + 80), "the timer is already set for an earlier time");
         assertEquals(at(harness.now() + 60), set(harness.now() + 60));
     }
 
-    @Test void itIsSetAtLeastATickAhead() {
+    @Test void theTimerIsSetAtLeastOneTickAhead() {
         assertEquals(at(harness.now() + 1), set(harness.now() - 5));
     }
 
-    @Test void aTimerThatFiresUpToATickEarlyIsSetAgain() {
+    @Test void aTimerThatFiresUpToOneTickEarlyCountsAsFired() {
         double due = harness.now() + 50;
         set(due);
         harness.advance(48.9);
         timer.fired();
-        assertEquals(List.of(), set(due), "too early: the timer is still to come");
+        assertEquals(List.of(), set(due), "more than one tick early: the timer still counts as set");
 
         harness.advance(0.2);
         timer.fired();
--- a/src/test/java/kelphollow/decision/WarmingUpNodeTest.java
+++ b/src/test/java/kelphollow/decision/WarmingUpNodeTest.java
@@ -17,9 +17,9 @@
 import kelphollow.decision.ControlSettings.Rules;
 import org.junit.jupiter.api.Test;
 
-/** What a node that has just started is sent. */
+/** Requests sent to a node that has just started. */
 class WarmingUpNodeTest {
-    @Test void aNodeInSlowStartGetsOnlyThisInstancesShareOfItsUnits() {
+    @Test void anInstanceSendsOnlyItsShareToANodeInSlowStart() {
         ControlHarness scheduler = new ControlHarness(false, 50_000);
         scheduler.on(new EndpointsReceived(List.of(node("n0", 0, EndpointState.HEALTHY, 49_990)), true, true));
         for (int i = 0; i < 20; i++) {
@@ -33,8 +33,8 @@
         assertTrue(scheduler.sent().size() <= 4, "still within one span");
     }
 
-    /** Guards against nodes that stay nearly unused after a release, since one unit an instance admits no request. */
-    @Test void aNodeInSlowStartMayTakeWhatTheOthersBestLatencyShows() {
+    /** Guards against nodes that stay nearly idle after a rollout, as a quota of one unit per instance admits no request. */
+    @Test void theBestLatencyOfOtherNodesRaisesTheQuotaInSlowStart() {
         ControlHarness scheduler = ControlHarness.ready();
         for (int i = 0; i < 10; i++) {
             scheduler.request("w" + i, "read", "free", "v" + i, 2, 1);
@@ -52,10 +52,10 @@
         assertEquals(5, scheduler.sent().size() - before);
     }
 
-    /** Two hundred instances, one node just restarted: some of what arrives is sent, within what the rule bears. */
-    @Test void manyInstancesShareANodeInSlowStartByRandomAdmission() {
+    /** With 200 instances and one node that has just restarted, some requests are sent and their sum stays in the limit. */
+    @Test void manyInstancesShareANodeInSlowStartThroughRandomAdmission() {
         int hosts = 200;
-        Rules rules = ControlHarness.RULES;                              // bears 2 x a quarter of its capacity at first
+        Rules rules = ControlHarness.RULES;                              // tolerates 2 x a quarter of its capacity at first
         ControlSettings s = ControlHarness.settings(false, rules);
         ControlSettings many = new ControlSettings(0, hosts, "a", s.tick(), 4, 10_000, true, false, 1000, 2, 0.4, 0.05, s
             .classes(),
@@ -78,7 +78,7 @@
             }
         }
         assertTrue(units > 0, "a node in slow start is used");
-        assertTrue(units < 2 * 0.25 * 80, "the rule bears 40 units in this second, sent " + units);
+        assertTrue(units < 2 * 0.25 * 80, "the limit is 40 units in this second, sent " + units);
     }
 
     private static int sentToANodeInSlowStart(boolean answered) {
@@ -105,7 +105,7 @@
         return sent;
     }
 
-    /** Of many instances some get several times the mean: what those may not send, no other sends in their place. */
+    /** Some instances get several times the mean traffic; requests that they may not send are sent by no other instance. */
     @Test void aNodeInSlowStartTakesASecondRequestOnceTheFirstIsAnswered() {
         assertEquals(1, sentToANodeInSlowStart(false));
         assertEquals(2, sentToANodeInSlowStart(true));
