--- a/src/main/java/kelphollow/adapter/ActionWriter.java
+++ b/src/main/java/kelphollow/adapter/ActionWriter.java
@@ -10,7 +10,7 @@
 import kelphollow.decision.ControlAction.SendAttempt;
 import kelphollow.decision.ControlAction.SetTimer;
 
-/** Writes each action as a message of the wire: an array of its word and its values. */
+/** Writes each action as a wire message: an array of the message name and its values. */
 final class ActionWriter implements ControlAction.Handler<IOException> {
     private final JsonGenerator out;
 
@@ -19,7 +19,7 @@
     }
 
     @Override public void sendAttempt(SendAttempt action) throws IOException {
-        begin(WireWords.SEND_ATTEMPT);
+        begin(WireNames.SEND_ATTEMPT);
         out.writeString(action.id());
         out.writeString(action.node());
         if (action.timeout() > 0) {
@@ -29,47 +29,47 @@
     }
 
     @Override public void setTimer(SetTimer action) throws IOException {
-        begin(WireWords.SET_TIMER);
+        begin(WireNames.SET_TIMER);
         out.writeNumber(action.at());
         out.writeString(action.name());
         out.writeEndArray();
     }
 
     @Override public void rejectRequest(RejectRequest action) throws IOException {
-        begin(WireWords.REJECT_REQUEST);
+        begin(WireNames.REJECT_REQUEST);
         out.writeString(action.id());
         out.writeNumber(action.retryAfter());
         out.writeEndArray();
     }
 
     @Override public void failRequest(FailRequest action) throws IOException {
-        begin(WireWords.FAIL_REQUEST);
+        begin(WireNames.FAIL_REQUEST);
         out.writeString(action.id());
         out.writeEndArray();
     }
 
     @Override public void cancelAttempt(CancelAttempt action) throws IOException {
-        begin(WireWords.CANCEL_ATTEMPT);
+        begin(WireNames.CANCEL_ATTEMPT);
         out.writeString(action.id());
         out.writeNumber(action.attempt());
         out.writeEndArray();
     }
 
     @Override public void pollEndpoints(PollEndpoints action) throws IOException {
-        begin(WireWords.POLL_ENDPOINTS);
+        begin(WireNames.POLL_ENDPOINTS);
         out.writeBoolean(true);
         out.writeEndArray();
     }
 
-    /** Reports that the module failed with an exception. */
-    void internalError(String fault) throws IOException {
-        begin(WireWords.INTERNAL_ERROR);
-        out.writeString(fault);
+    /** Writes a message that reports an exception of the decision module. */
+    void internalError(String error) throws IOException {
+        begin(WireNames.INTERNAL_ERROR);
+        out.writeString(error);
         out.writeEndArray();
     }
 
-    private void begin(String word) throws IOException {
+    private void begin(String name) throws IOException {
         out.writeStartArray();
-        out.writeString(word);
+        out.writeString(name);
     }
 }
--- a/src/main/java/kelphollow/adapter/EventReader.java
+++ b/src/main/java/kelphollow/adapter/EventReader.java
@@ -24,18 +24,19 @@
 import kelphollow.decision.ControlEvent.TimerFired;
 
 /**
- * Reads the messages that are events of the decision module. Keeps the endpoint lists, since the wire sends each once and
- * then refers to it by number. For one thread.
+ * Decodes wire messages into events of the decision module. Stores endpoint lists, since the wire sends each list once and
+ * then refers to it by number. Not thread-safe.
  */
 final class EventReader {
+    /** Endpoint lists by the number assigned on the wire. */
     private final Map<Integer, List<Endpoint>> lists = new LinkedHashMap<>();
 
-    /** Keeps an endpoint list under its number. */
-    void keepList(List<?> message) throws MalformedMessageException {
+    /** Stores an endpoint list under its number. */
+    void storeEndpointList(List<?> message) throws MalformedMessageException {
         List<Endpoint> endpoints = new ArrayList<>();
         int number = (int) number(at(message, 1), "page");
         for (Object row : list(at(message, 2), "rows")) {
-            endpoints.add(endpoint(list(row, "row")));
+            endpoints.add(endpoint(list(row, "rows element")));
         }
         lists.put(number, List.copyOf(endpoints));
     }
@@ -43,20 +44,20 @@
     private static Endpoint endpoint(List<?> row) throws MalformedMessageException {
         String state = text(at(row, 4), "phase");
         return new Endpoint(text(at(row, 0), "target"), textOr(at(row, 1), null), (int) number(at(row, 3), "cohort"),
-            WireWords.endpointState(state), numberOr(at(row, 6), 0));
+            WireNames.endpointState(state), numberOr(at(row, 6), 0));
     }
 
-    /** The event that a message stands for; null for one that concerns no decision. */
+    /** The event that a message encodes, or null if the decision module does not handle it. */
     ControlEvent read(String kind, List<?> message) throws MalformedMessageException {
         return switch (kind) {
-            case WireWords.ENDPOINTS_RECEIVED -> endpointList(message);
-            case WireWords.REQUEST_ARRIVED -> requestArrived(message);
-            case WireWords.CLIENT_DISCONNECTED -> new ClientDisconnected(requestId(message));
-            case WireWords.RESPONSE_STARTED ->
+            case WireNames.ENDPOINTS_RECEIVED -> endpointList(message);
+            case WireNames.REQUEST_ARRIVED -> requestArrived(message);
+            case WireNames.CLIENT_DISCONNECTED -> new ClientDisconnected(requestId(message));
+            case WireNames.RESPONSE_STARTED ->
                 new ResponseStarted(requestId(message), (int) number(at(message, 4), "send_no"));
-            case WireWords.TIMER_FIRED -> new TimerFired(text(at(message, 1), "cookie"));
-            case WireWords.ATTEMPT_ENDED -> attemptEnded(message);
-            case WireWords.MESSAGE_RECEIVED, WireWords.NODE_PROBED -> null;
+            case WireNames.TIMER_FIRED -> new TimerFired(text(at(message, 1), "cookie"));
+            case WireNames.ATTEMPT_ENDED -> attemptEnded(message);
+            case WireNames.MESSAGE_RECEIVED, WireNames.NODE_PROBED -> null;
             default -> throw new MalformedMessageException("unknown event " + kind);
         };
     }
@@ -67,18 +68,19 @@
 
     private ControlEvent endpointList(List<?> message) throws MalformedMessageException {
         String form = text(at(message, 3), "form");
-        if (form.equals(WireWords.POLL_FAILED)) {
+        if (form.equals(WireNames.POLL_FAILED)) {
             return new EndpointPollFailed(EndpointPollFailure.WATCH_BROKEN);
         }
         List<Endpoint> endpoints = lists.get((int) number(at(message, 1), "page"));
         if (endpoints == null) {
-            throw new MalformedMessageException("ENDPOINTS names list " + at(message, 1) + ", which was not sent");
+            throw new MalformedMessageException("ENDPOINTS refers to list " + at(message, 1)
+                + ", which no ROSTER has defined");
         }
         return switch (form) {
-            case WireWords.CHANGED_ENTRIES -> new EndpointsReceived(endpoints, false, false);
-            case WireWords.COMPLETE_LIST -> new EndpointsReceived(endpoints, true, false);
-            case WireWords.CACHED_LIST -> new EndpointsReceived(endpoints, true, true);
-            default -> throw new MalformedMessageException("unknown form " + form);
+            case WireNames.CHANGED_ENTRIES -> new EndpointsReceived(endpoints, false, false);
+            case WireNames.COMPLETE_LIST -> new EndpointsReceived(endpoints, true, false);
+            case WireNames.CACHED_LIST -> new EndpointsReceived(endpoints, true, true);
+            default -> throw new MalformedMessageException("unknown form " + form + " of an endpoint list");
         };
     }
 
@@ -89,10 +91,10 @@
     }
 
     private static ControlEvent attemptEnded(List<?> message) throws MalformedMessageException {
-        // The wire gives usage as 1 + percent, and 0 for unknown.
+        // The wire encodes usage as 1 + percent, and unknown usage as 0.
         double usagePercent = numberOr(at(message, 8), 0) - 1;
         return new AttemptEnded(requestId(message), (int) number(at(message, 3), "send_no"),
-            text(at(message, 4), "target"), WireWords.outcome(text(at(message, 6), "verdict")),
+            text(at(message, 4), "target"), WireNames.outcome(text(at(message, 6), "verdict")),
             number(at(message, 5), "took"), Boolean.TRUE.equals(at(message, 2)), false, numberOr(at(message, 7), 0),
             usagePercent, loadReport(at(message, 9)));
     }
@@ -103,9 +105,9 @@
         }
         Map<String, Double> report = new LinkedHashMap<>();
         for (Map.Entry<?, ?> entry : object(value, "metrics").entrySet()) {
-            String figure = WireWords.loadFigure(String.valueOf(entry.getKey()));
-            if (figure != null && entry.getValue() instanceof Double d) {
-                report.put(figure, d);
+            String metric = WireNames.loadMetric(String.valueOf(entry.getKey()));
+            if (metric != null && entry.getValue() instanceof Double d) {
+                report.put(metric, d);
             }
         }
         return report;
