--- a/src/main/java/kelphollow/decision/Control.java
+++ b/src/main/java/kelphollow/decision/Control.java
@@ -35,7 +35,7 @@
      */
     public Control(ControlSettings settings, long seed, double now) {
         state = new SchedulerState(settings, seed, now);
-        pollSchedule = new EndpointPollSchedule(settings.hosts(), settings.rules().pollInterval(),
+        pollSchedule = new EndpointPollSchedule(settings.instances(), settings.rules().pollInterval(),
             new SplittableRandom(seed));
         wakeTimer = new WakeTimer(state);
         FinalAnswers answers = new FinalAnswers(state);
--- a/src/main/java/kelphollow/decision/ControlEvent.java
+++ b/src/main/java/kelphollow/decision/ControlEvent.java
@@ -176,19 +176,19 @@
      * @param volume its volume; may be null
      * @param units its size
      * @param cell where its data lies, negative for a new object
-     * @param hosts number of instances over which its volume is spread
+     * @param instances number of instances over which its volume is spread
      * @param isRetry whether its client marks it as a retry of its own
      */
     record RequestArrived(String id, String requestClass, String plan, String key, double deadline, String volume,
-                          double units, int cell, int hosts, boolean isRetry) implements ControlEvent {
+                          double units, int cell, int instances, boolean isRetry) implements ControlEvent {
         @Override public void accept(Handler handler) {
             handler.requestArrived(this);
         }
 
         /** A request that is not marked as a retry. */
         public RequestArrived(String id, String requestClass, String plan, String key, double deadline, String volume,
-            double units, int cell, int hosts) {
-            this(id, requestClass, plan, key, deadline, volume, units, cell, hosts, false);
+            double units, int cell, int instances) {
+            this(id, requestClass, plan, key, deadline, volume, units, cell, instances, false);
         }
     }
 
@@ -220,14 +220,14 @@
      * @param attempt number of the attempt, from 0
      * @param node the node it went to
      * @param outcome how it ended
-     * @param took time from the sending to the answer
+     * @param latency time from the sending of the attempt to its answer
      * @param requestFinished whether the request has had its final answer with it
      * @param bodyConsumed whether the request's body is used up, so that it cannot be sent again
      * @param unitsElsewhere units that the node has served for the volume through other instances since its last answer
      * @param usagePercent use of the volume over all instances in percent of its plan's rate, negative when unknown
      * @param loadReport the node's load report, or empty
      */
-    record AttemptEnded(String id, int attempt, String node, AttemptOutcome outcome, double took, boolean requestFinished,
+    record AttemptEnded(String id, int attempt, String node, AttemptOutcome outcome, double latency, boolean requestFinished,
                         boolean bodyConsumed, double unitsElsewhere, double usagePercent,
                         Map<String, Double> loadReport) implements ControlEvent {
         @Override public void accept(Handler handler) {
--- a/src/main/java/kelphollow/decision/ControlSettings.java
+++ b/src/main/java/kelphollow/decision/ControlSettings.java
@@ -6,8 +6,8 @@
  * What an instance of the decision module is configured with at its start. Times are milliseconds on the host's clock,
  * work is in units. Immutable.
  *
- * @param host index of this instance, from 0
- * @param hosts number of instances that share the nodes and the limits, at least 1
+ * @param instanceIndex index of this instance, from 0
+ * @param instances number of instances that share the nodes and the limits, at least 1
  * @param zone availability zone of this instance
  * @param tick granularity of the host's timers
  * @param maxAttempts attempts that a request may have in all, at least 1
@@ -22,7 +22,8 @@
  * @param plans the plans, at least one
  * @param rules figures of the service rules
  */
-public record ControlSettings(int host, int hosts, String zone, double tick, int maxAttempts, int maxOpen, boolean mayCancel,
+public record ControlSettings(int instanceIndex, int instances, String zone, double tick, int maxAttempts, int maxOpen,
+                              boolean mayCancel,
                               boolean endpointsPolled, double maxRetryAfter, double meanUnits, double quotaWeight,
                               double excessWeight, List<RequestClass> classes, List<Plan> plans, Rules rules) {
     /** Whether a request of a class may be executed more than once. */
--- a/src/main/java/kelphollow/decision/Node.java
+++ b/src/main/java/kelphollow/decision/Node.java
@@ -151,7 +151,7 @@
     void learn(InFlightAttempt attempt, AttemptEnded ended) {
         AttemptOutcome outcome = ended.outcome();
         if (outcome == AttemptOutcome.SERVED) {
-            served(attempt, ended.took());
+            served(attempt, ended.latency());
         } else if (outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT) {
             boolean answeredSince = latency.servedAt() >= attempt.sentAt;
             if (!(outcome.mayBeIsolated() && answeredSince) && health.failed(outcome, context.now())) {
--- a/src/main/java/kelphollow/decision/SettingsCatalog.java
+++ b/src/main/java/kelphollow/decision/SettingsCatalog.java
@@ -14,7 +14,7 @@
 
     /** @throws IllegalArgumentException naming the first setting that cannot be used */
     SettingsCatalog(ControlSettings settings) {
-        require(settings.hosts() > 0, "hosts must be at least 1");
+        require(settings.instances() > 0, "instances must be at least 1");
         require(settings.maxAttempts() > 0, "maxAttempts must be at least 1");
         require(!settings.classes().isEmpty(), "classes is empty");
         require(!settings.plans().isEmpty(), "plans is empty");
--- a/src/main/java/kelphollow/decision/SlowStart.java
+++ b/src/main/java/kelphollow/decision/SlowStart.java
@@ -107,7 +107,7 @@
         double shown = best.isEmpty() ? 0
             : rules.overloadMultiple() * rules.overloadSpan() * settings.meanUnits() / best.getAsDouble();
         double granted = rules.slowStartUnits() / Math.max(LEAST_SHARE, rules.slowStartShare());
-        return Math.max(granted, shown) * ramp() / settings.hosts();
+        return Math.max(granted, shown) * ramp() / settings.instances();
     }
 
     private double sentWithinSpan() {
--- a/src/main/java/kelphollow/decision/VolumeTable.java
+++ b/src/main/java/kelphollow/decision/VolumeTable.java
@@ -33,7 +33,7 @@
     /** The volume of a request, with its limit shared by the number of instances that the request names. */
     Volume of(RequestArrived arrival, Plan plan) {
         String name = arrival.volume() == null ? "" : arrival.volume();
-        int instances = Math.max(1, arrival.hosts());
+        int instances = Math.max(1, arrival.instances());
         double now = context.now();
         if (byName.size() >= IDLE_KEPT_BELOW && !byName.containsKey(name)) {
             forgetIdle();
--- a/src/main/java/kelphollow/fleet/SheddingFilter.java
+++ b/src/main/java/kelphollow/fleet/SheddingFilter.java
@@ -69,7 +69,7 @@
     }
 
     private boolean isReserved(RequestArrived arrival) {
-        double rate = plans.get(arrival.plan()).reserve() / Math.max(1, arrival.hosts());
+        double rate = plans.get(arrival.plan()).reserve() / Math.max(1, arrival.instances());
         return rate > 0 && reserves.take(ticker.now(), arrival.volume(), rate, arrival.units());
     }
 
--- a/src/main/java/kelphollow/program/ObjectConfig.java
+++ b/src/main/java/kelphollow/program/ObjectConfig.java
@@ -84,7 +84,7 @@
                     + "', which settings.grades does not name");
             }
             buckets.put(name, new ObjectOptions.Bucket(plan,
-                (int) bucket.number("gateways", (double) settings.hosts(), 1)));
+                (int) bucket.number("gateways", (double) settings.instances(), 1)));
         }
         if (buckets.isEmpty()) {
             throw new ConfigurationException("buckets is empty");
--- a/src/main/java/kelphollow/program/PlatformScheduler.java
+++ b/src/main/java/kelphollow/program/PlatformScheduler.java
@@ -67,7 +67,7 @@
     private static EndpointListLease lease(ControlSettings settings) {
         return settings.endpointsPolled()
             ? EndpointListLease.polled(EndpointUpdateBudget.NOTIFIED_AFTER, EndpointUpdateBudget.LOCAL_DELAY, settings
-                .hosts())
+                .instances())
             : EndpointListLease.pushed(EndpointUpdateBudget.NOTIFIED_AFTER, EndpointUpdateBudget.LOCAL_DELAY);
     }
 
--- a/src/main/java/kelphollow/routing/RequestLifecycle.java
+++ b/src/main/java/kelphollow/routing/RequestLifecycle.java
@@ -51,7 +51,7 @@
     private RequestArrived numbered(RequestArrived arrival) {
         String id = Long.toString(nextId++, ID_RADIX);
         return new RequestArrived(id, arrival.requestClass(), arrival.plan(), arrival.key(), arrival.deadline(),
-            arrival.volume(), arrival.units(), arrival.cell(), arrival.hosts(), arrival.isRetry());
+            arrival.volume(), arrival.units(), arrival.cell(), arrival.instances(), arrival.isRetry());
     }
 
     /** The open request of this id, or null. */
--- a/src/test/java/kelphollow/decision/ControlHarness.java
+++ b/src/test/java/kelphollow/decision/ControlHarness.java
@@ -97,8 +97,8 @@
     }
 
     List<ControlAction> request(String id, String requestClass, String plan, String volume, double units, int cell,
-        String key, double deadline, int hosts) {
-        return on(new RequestArrived(id, requestClass, plan, key, deadline, volume, units, cell, hosts));
+        String key, double deadline, int instances) {
+        return on(new RequestArrived(id, requestClass, plan, key, deadline, volume, units, cell, instances));
     }
 
     /** Fills the window of node n0 so that what follows is queued, and returns how many requests it took. */
--- a/src/test/java/kelphollow/decision/DecisionWorkload.java
+++ b/src/test/java/kelphollow/decision/DecisionWorkload.java
@@ -167,7 +167,7 @@
         if (retry) {
             arrival = new RequestArrived(id, earlier.requestClass(), earlier.plan(), earlier.key(), deadline, earlier
                 .volume(),
-                earlier.units(), earlier.cell(), earlier.hosts(), true);
+                earlier.units(), earlier.cell(), earlier.instances(), true);
         }
         open.put(id, arrival);
         tell((retry ? "retry " : "arrival ") + id, arrival);
--- a/src/test/java/kelphollow/decision/SettingsCatalogTest.java
+++ b/src/test/java/kelphollow/decision/SettingsCatalogTest.java
@@ -52,7 +52,7 @@
         RequestClass noObjective = new RequestClass("r", 0, 2000, 2, 0.1, ControlHarness.READ.idempotency(),
             ControlHarness.READ.deduplicationScope(), 0, false, false);
 
-        assertEquals("settings: hosts must be at least 1", fault(0, 1, classes, plans));
+        assertEquals("settings: instances must be at least 1", fault(0, 1, classes, plans));
         assertEquals("settings: maxAttempts must be at least 1", fault(1, 0, classes, plans));
         assertEquals("settings: classes is empty", fault(1, 1, List.of(), plans));
         assertEquals("settings: plans is empty", fault(1, 1, classes, List.of()));
--- a/src/test/java/kelphollow/decision/SlowStartQuotaTest.java
+++ b/src/test/java/kelphollow/decision/SlowStartQuotaTest.java
@@ -113,7 +113,7 @@
 
     private static ControlSettings sharedBy(int hosts) {
         ControlSettings s = ControlHarness.settings(false, ControlHarness.RULES);
-        return new ControlSettings(s.host(), hosts, s.zone(), s.tick(), s.maxAttempts(), s.maxOpen(), s.mayCancel(),
+        return new ControlSettings(s.instanceIndex(), hosts, s.zone(), s.tick(), s.maxAttempts(), s.maxOpen(), s.mayCancel(),
             s.endpointsPolled(), s.maxRetryAfter(), s.meanUnits(), s.quotaWeight(), s.excessWeight(), s.classes(), s.plans(),
             s.rules());
     }
