--- a/src/main/java/kelphollow/decision/ActionBuffer.java
+++ b/src/main/java/kelphollow/decision/ActionBuffer.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * The actions that the event at hand has led to, in order. Confined to the thread that drives
+ * Collects the actions that result from the current event, in order. Confined to the thread that drives
  * {@link Control}.
  */
 final class ActionBuffer {
@@ -14,7 +14,7 @@
         actions.add(action);
     }
 
-    /** Hands over what was added since the last call. */
+    /** Returns the actions added since the last call and empties the buffer. */
     List<ControlAction> drain() {
         List<ControlAction> drained = actions;
         actions = new ArrayList<>();
--- a/src/main/java/kelphollow/decision/ArrivalCurveTagger.java
+++ b/src/main/java/kelphollow/decision/ArrivalCurveTagger.java
@@ -1,10 +1,10 @@
 package kelphollow.decision;
 
 /**
- * Arrival-curve tags after pClock (Gulati, Merchant and Varman, "pClock: an arrival curve based approach for
- * QoS guarantees in shared storage systems", SIGMETRICS 2007). A flow is a {@link Volume}; its curve has the
- * rate rho and the depth sigma, its delay bound is the request's latency objective. Times are milliseconds,
- * rates units a second. Confined to the thread that drives {@link Control}.
+ * Assigns arrival-curve tags as in pClock (Gulati, Merchant and Varman, "pClock: an arrival curve based
+ * approach for QoS guarantees in shared storage systems", SIGMETRICS 2007). A flow is a {@link Volume}; its
+ * curve has the rate rho and the depth sigma, and its delay bound is the request's latency objective. Times
+ * are in milliseconds, rates in units per second. Confined to the thread that drives {@link Control}.
  */
 final class ArrivalCurveTagger {
     private static final double MS_PER_SECOND = 1000;
@@ -19,7 +19,7 @@
         this.queues = queues;
     }
 
-    /** Tags a request at its arrival. */
+    /** Sets the start and finish tags of a request at its arrival. */
     void tag(PendingRequest request) {
         double now = context.now();
         Volume v = request.volume;
@@ -40,8 +40,9 @@
     }
 
     /**
-     * ComputeTags: a request within the curve starts now. Beyond it, start tag = max(MaxS, t), and the next
-     * one may start when the curve has gained this request's units: MaxS = start tag + units / rho.
+     * ComputeTags: a request within the curve gets start tag = t. Beyond the curve, start tag = max(MaxS, t),
+     * and the next request may start once the curve has gained this request's units:
+     * MaxS = start tag + units / rho.
      */
     private void assignStartTag(PendingRequest request, double rho) {
         double now = context.now();
@@ -55,8 +56,9 @@
     }
 
     /**
-     * AdjustTags: when MinS of every backlogged flow lies ahead of the clock, all their tags move back by the
-     * smallest gap. All requests on time move alike, so their order in the queues stands.
+     * AdjustTags: when MinS of every backlogged flow is later than the clock, subtracts the smallest
+     * difference from all tags of these flows. All requests that are not late shift by the same amount, so
+     * the queues stay sorted.
      */
     private void adjustTags() {
         double gap = Double.POSITIVE_INFINITY;
@@ -84,7 +86,7 @@
         }
     }
 
-    /** A request that left its queue to be sent moves MinS up to its own start tag. */
+    /** Raises MinS to the start tag of a request that was taken from its queue and sent. */
     void sent(PendingRequest request) {
         if (!request.late) {
             request.volume.minS = request.startTag;
@@ -92,15 +94,16 @@
         request.volume.tagged.remove(request);
     }
 
-    /** A request that was sent is queued again on time: it is back among the tags that shift together. */
+    /** Makes a request that is queued for a retry and not late subject to tag adjustment again. */
     void requeued(PendingRequest request) {
         request.volume.tagged.add(request);
     }
 
     /**
-     * Exception to pClock: a request that leaves the order of the tags unserved returns its tokens, and the
-     * later ones of its flow move up by what it had added to MaxS. Otherwise the given-up requests of a surge
-     * keep MaxS ahead of the clock, and what arrives within the curve misses its objective too.
+     * Exception to pClock: a request that leaves the tag order without being served returns its tokens, and
+     * the start tags of later requests of its flow move earlier by what it had added to MaxS. Otherwise the
+     * abandoned requests of a burst keep MaxS ahead of the clock, and later requests within the curve miss
+     * their objective too.
      */
     void returnTokens(PendingRequest request) {
         Volume v = request.volume;
--- a/src/main/java/kelphollow/decision/AttemptCompletions.java
+++ b/src/main/java/kelphollow/decision/AttemptCompletions.java
@@ -4,7 +4,10 @@
 import kelphollow.decision.ControlEvent.AttemptEnded;
 import kelphollow.decision.ControlEvent.AttemptOutcome;
 
-/** Learns from the end of an attempt and retries, answers or closes its request. */
+/**
+ * Handles the end of an attempt: updates the node's and the volume's statistics, then retries, answers or
+ * closes the request.
+ */
 final class AttemptCompletions {
     private final SchedulerState state;
     private final FinalAnswers answers;
@@ -23,18 +26,18 @@
         PendingRequest request = attempt.request;
         attempt.node.release(key);
         state.nodes.removeIfGone(attempt.node);
-        learn(attempt, event);
+        updateStatistics(attempt, event);
         state.keyOrders.attemptEnded(request, event.outcome());
         request.inFlight = null;
-        noteExecution(attempt, event.outcome());
+        recordPossibleExecution(attempt, event.outcome());
         if (state.requests.isOpen(request)) {
-            continueRequest(attempt, event);
+            retryOrAnswer(attempt, event);
         } else {
             state.keyOrders.closed(request);
         }
     }
 
-    private void learn(InFlightAttempt attempt, AttemptEnded event) {
+    private void updateStatistics(InFlightAttempt attempt, AttemptEnded event) {
         Volume volume = attempt.request.volume;
         volume.usage.reported(state.now(), event.unitsElsewhere(), event.usagePercent(), volume.plan.rate());
         attempt.node.learn(attempt, event);
@@ -43,7 +46,7 @@
         }
     }
 
-    private static void noteExecution(InFlightAttempt attempt, AttemptOutcome outcome) {
+    private static void recordPossibleExecution(InFlightAttempt attempt, AttemptOutcome outcome) {
         PendingRequest request = attempt.request;
         boolean possiblyExecuted = !outcome.provesNotExecuted();
         request.reachedNode |= outcome == AttemptOutcome.AT_CAPACITY || possiblyExecuted;
@@ -53,10 +56,10 @@
         }
     }
 
-    private void continueRequest(InFlightAttempt attempt, AttemptEnded event) {
+    private void retryOrAnswer(InFlightAttempt attempt, AttemptEnded event) {
         PendingRequest request = attempt.request;
         double now = state.now();
-        if (request.streaming) {     // cut short: its deadline runs again
+        if (request.streaming) {     // the response was truncated: the deadline applies again
             request.streaming = false;
             state.deadlines.add(request.answerAt, request);
         }
--- a/src/main/java/kelphollow/decision/Control.java
+++ b/src/main/java/kelphollow/decision/Control.java
@@ -6,16 +6,16 @@
 import kelphollow.decision.ControlAction.PollEndpoints;
 
 /**
- * All decisions of one instance: takes an event and gives the actions that it leads to. The interface is
- * {@code ControlSettings.java}, {@code ControlEvent.java} and {@code ControlAction.java}. It does no I/O and
- * has no thread and no clock of its own: the same settings, seed and events give the same actions. For one
- * thread.
+ * Makes all decisions of one instance: takes an event and returns the actions that it results in. The
+ * interface is {@link ControlSettings}, {@link ControlEvent} and {@link ControlAction}. It does no I/O and
+ * has no thread or clock of its own, so the same settings, seed and events always give the same actions. Not
+ * thread-safe.
  *
  * <p>Reading order: {@link #on}; {@link EventHandler}, which takes every event; {@link SchedulerState}, which
  * owns the state; {@link RequestArrivals} and {@link ArrivalCurveTagger} (the tags of pClock);
- * {@link Dispatcher} (what leaves next, and where to); {@link RateLimiter} (limits); {@link Node} (health,
- * concurrency window, slow start); {@link AttemptCompletions} and {@link RetryPolicy} (outcomes, retries);
- * {@link DeadlineMonitor} (answers before the deadline).
+ * {@link Dispatcher} (which request is sent next, and to which node); {@link RateLimiter} (limits);
+ * {@link Node} (health, concurrency window, slow start); {@link AttemptCompletions} and {@link RetryPolicy}
+ * (outcomes, retries); {@link DeadlineMonitor} (answers before the deadline).
  */
 public final class Control {
     private final SchedulerState state;
@@ -26,10 +26,11 @@
     private final EventHandler handler;
 
     /**
-     * An instance that knows nothing but its settings; limits fill from now on. Call {@link #start} next.
+     * Creates an instance with no endpoints; rate limits accrue tokens from {@code now} on. Call
+     * {@link #start} next.
      *
-     * @param settings what it is configured with
-     * @param seed of all random draws
+     * @param settings configuration of the instance
+     * @param seed seed of all random draws
      * @param now clock time in milliseconds
      * @throws IllegalArgumentException naming the first setting that cannot be used
      */
@@ -46,13 +47,14 @@
     }
 
     /**
-     * Whether the endpoint list comes only when it is polled; {@link #start} then says when to poll first.
+     * Whether this instance polls the endpoint list; otherwise the list is pushed. {@link #start} then
+     * schedules the first poll.
      */
     public boolean pollsEndpoints() {
         return state.context.settings().endpointsPolled();
     }
 
-    /** The first actions of the instance. */
+    /** Starts the instance and returns its first actions. */
     public List<ControlAction> start() {
         if (pollsEndpoints()) {
             pollSchedule.started(state.now());
@@ -62,7 +64,7 @@
         return state.actions.drain();
     }
 
-    /** Takes one event at time {@code now} and answers with the actions that it leads to, in order. */
+    /** Handles one event at time {@code now} and returns the resulting actions, in order. */
     public List<ControlAction> on(double now, ControlEvent event) {
         state.context.clock().advanceTo(now);
         event.accept(handler);
@@ -80,25 +82,25 @@
     }
 
     /**
-     * The units left in this instance's share of each limited volume, by volume, less what is owed of its
-     * loan.
+     * Units left in this instance's share of each volume's rate limit, by volume, less the outstanding part
+     * of its loan. Volumes without a limit are left out.
      */
     public Map<String, Double> limitTokens() {
         return state.volumes.limitTokens();
     }
 
-    /** Nodes that failed to answer this instance itself, and how often it has probed each since. */
+    /** Nodes that this instance itself found unresponsive, with the number of probes sent to each since. */
     public Map<String, Integer> unresponsiveNodes() {
         return state.nodes.unresponsive();
     }
 
-    /** The number of nodes of which anything is kept. */
-    int nodesKnown() {
+    /** Number of nodes in memory, removed ones with attempts in flight included. */
+    int nodeCount() {
         return state.nodes.size();
     }
 
-    /** The number of volumes of which anything is kept. */
-    int volumesKnown() {
+    /** Number of volumes in memory. */
+    int volumeCount() {
         return state.volumes.size();
     }
 }
--- a/src/main/java/kelphollow/decision/ControlAction.java
+++ b/src/main/java/kelphollow/decision/ControlAction.java
@@ -1,23 +1,23 @@
 package kelphollow.decision;
 
-/** What the decision module wants done. Times are milliseconds on the host's clock. */
+/** An action that {@link Control} requests from its caller. Times are milliseconds on the caller's clock. */
 public sealed interface ControlAction {
-    /** Calls the method of {@code handler} for this kind of action. */
+    /** Calls the method of {@code handler} for this type of action. */
     <E extends Exception> void accept(Handler<E> handler) throws E;
 
     /** Why a request got a final answer without being served. */
     enum Reason {
         /** Its class or plan is not known. */
         UNKNOWN_CLASS,
-        /** Its volume's rate limit has its units too late for it. */
+        /** Its volume's rate limit grants its units too late. */
         RATE_LIMITED,
         /** It is a client's retry, and the node's retry budget is spent. */
         RETRY_BUDGET_EXHAUSTED,
-        /** It would be served too late behind requests of a higher priority weight. */
+        /** It would be served too late, behind requests with a higher priority weight. */
         LOAD_SHED,
-        /** No node could take it within the part of its time for which it may be queued. */
+        /** No node accepted it within the time for which it may be queued. */
         NO_ENDPOINT_IN_TIME,
-        /** Its deadline has passed, or this instance shuts down. */
+        /** Its deadline has passed, or this instance is shutting down. */
         DEADLINE_EXCEEDED,
         /** Its last attempt ended without an answer, and it may not be retried. */
         NOT_RETRYABLE
@@ -26,10 +26,10 @@
     /**
      * Send the next attempt of a request to a node.
      *
-     * @param id the request
-     * @param node where to
+     * @param id id of the request
+     * @param node id of the node
      * @param timeout how long to wait for an answer; 0: until the request's deadline
-     * @param writeBy clock time by which writing must have begun; 0: no such bound
+     * @param writeBy clock time by which writing must have begun; 0: no bound
      */
     record SendAttempt(String id, String node, double timeout, double writeBy) implements ControlAction {
         @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Final answer: rejected. The client may safely retry, best after {@code retryAfter} (0: no advice). */
+    /** Final answer: rejected. The client may safely retry after {@code retryAfter} (0: no recommended delay). */
     record RejectRequest(String id, double retryAfter, Reason reason) implements ControlAction {
         @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
             handler.rejectRequest(this);
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Notify this instance by {@link ControlEvent.TimerFired} at a time. */
+    /** Deliver {@link ControlEvent.TimerFired} with this name at time {@code at}. */
     record SetTimer(double at, String name) implements ControlAction {
         @Override public <E extends Exception> void accept(Handler<E> handler) throws E {
             handler.setTimer(this);
@@ -73,27 +73,27 @@
     }
 
     /**
-     * One method for each kind of action, so that the compiler finds a kind that is not carried out.
+     * Executes actions. It has one method per type, so that a type without an implementation is a compile error.
      *
-     * @param <E> what carrying out an action may throw
+     * @param <E> exception that executing an action may throw
      */
     interface Handler<E extends Exception> {
-        /** Handles {@link SendAttempt}. */
+        /** Executes {@link SendAttempt}. */
         void sendAttempt(SendAttempt action) throws E;
 
-        /** Handles {@link RejectRequest}. */
+        /** Executes {@link RejectRequest}. */
         void rejectRequest(RejectRequest action) throws E;
 
-        /** Handles {@link FailRequest}. */
+        /** Executes {@link FailRequest}. */
         void failRequest(FailRequest action) throws E;
 
-        /** Handles {@link CancelAttempt}. */
+        /** Executes {@link CancelAttempt}. */
         void cancelAttempt(CancelAttempt action) throws E;
 
-        /** Handles {@link SetTimer}. */
+        /** Executes {@link SetTimer}. */
         void setTimer(SetTimer action) throws E;
 
-        /** Handles {@link PollEndpoints}. */
+        /** Executes {@link PollEndpoints}. */
         void pollEndpoints(PollEndpoints action) throws E;
     }
 }
--- a/src/main/java/kelphollow/decision/ControlEvent.java
+++ b/src/main/java/kelphollow/decision/ControlEvent.java
@@ -6,19 +6,19 @@
 import kelphollow.decision.ControlSettings.RequestClass;
 
 /**
- * What the decision module is notified of. Times are milliseconds on the host's clock, work is in units.
+ * An event that {@link Control} is notified of. Times are milliseconds on the caller's clock, work is in units.
  */
 public sealed interface ControlEvent {
-    /** Calls the method of {@code handler} for this kind of event. */
+    /** Calls the method of {@code handler} for this type of event. */
     void accept(Handler handler);
 
-    /** State of a node by the endpoint list. */
+    /** State of a node in the endpoint list. */
     enum EndpointState {
-        /** It accepts requests. */
+        /** The node accepts new requests. */
         HEALTHY,
-        /** It accepts nothing new. */
+        /** The node accepts no new requests. */
         DRAINING,
-        /** The list names it no longer. */
+        /** The node is no longer in the list. */
         REMOVED
     }
 
@@ -27,9 +27,9 @@
      *
      * @param node unique id of the node
      * @param zone its availability zone; may be null
-     * @param cell the cell whose data it holds
-     * @param state its state by the list
-     * @param startedAt clock time of its last start, 0 when long past
+     * @param cell the cell whose data the node stores
+     * @param state state of the node
+     * @param startedAt clock time of its last start; 0 if that was long ago
      */
     record Endpoint(String node, String zone, int cell, EndpointState state, double startedAt) {}
 
@@ -39,11 +39,11 @@
         SERVED,
         /** The node answered with an error. */
         ERROR,
-        /** The node rejected the attempt because it was at its capacity. */
+        /** The node rejected the attempt because it was at capacity. */
         AT_CAPACITY,
         /** No answer came in time. */
         TIMED_OUT,
-        /** No connection came up. */
+        /** No connection could be established. */
         CONNECT_FAILED,
         /** The connection broke while the attempt was in flight. */
         RESET,
@@ -57,7 +57,7 @@
             return this == AT_CAPACITY || this == CONNECT_FAILED || this == NOT_SENT;
         }
 
-        /** Whether a single lost answer or connection may explain this outcome: by itself it is no sign of a faulty node. */
+        /** Whether one lost answer or connection may explain this outcome; alone it is no evidence of a faulty node. */
         public boolean mayBeIsolated() {
             return this == TIMED_OUT || this == RESET;
         }
@@ -67,8 +67,8 @@
      * The endpoint list was received.
      *
      * @param endpoints the entries
-     * @param complete whether these are all entries, or changes only
-     * @param cached whether this is a cached list rather than an answer of the service
+     * @param complete true for the complete list, false for changes only
+     * @param cached whether the list comes from a cache rather than from the service
      */
     record EndpointsReceived(List<Endpoint> endpoints, boolean complete, boolean cached) implements ControlEvent {
         @Override public void accept(Handler handler) {
@@ -79,7 +79,7 @@
     /**
      * The settings were reloaded.
      *
-     * @param classes the classes known from now on; requests under way keep the class they came with
+     * @param classes the classes of new requests; open requests keep the class that they arrived with
      * @param maxAttempts attempts that a request may have, at least 1
      */
     record SettingsChanged(List<RequestClass> classes, int maxAttempts) implements ControlEvent {
@@ -90,15 +90,15 @@
 
     /** How a poll of the endpoint list failed. */
     enum EndpointPollFailure {
-        /** An established watch has broken, or it is not known what failed. */
+        /** An established watch broke, or the cause is unknown. */
         WATCH_BROKEN,
-        /** A call that was to begin a watch was refused or reset. */
+        /** The connection for the call that starts a watch was refused or reset. */
         UNREACHABLE,
-        /** A call that was to begin a watch reached its service, and nothing came back in time. */
+        /** The call that starts a watch reached the service, but no response arrived in time. */
         TIMED_OUT,
-        /** The service answered that it would not serve the call that was to begin a watch. */
+        /** The service rejected the call that starts a watch. */
         REJECTED,
-        /** The service is there, but its answer cannot be used. */
+        /** The service responded, but the response cannot be used. */
         INVALID_RESPONSE
     }
 
@@ -110,8 +110,8 @@
     }
 
     /**
-     * The lease on the endpoint list was renewed: nothing is sent after {@code validUntil} until the next such event. Where
-     * none ever comes, the list has no such bound.
+     * The lease on the endpoint list was renewed: nothing is sent after {@code validUntil} until the next renewal. Without
+     * any such event the list never expires.
      */
     record EndpointLeaseRenewed(double validUntil) implements ControlEvent {
         @Override public void accept(Handler handler) {
@@ -119,7 +119,7 @@
         }
     }
 
-    /** This instance shuts down gracefully: what is open at {@code deadline} gets its final answer then. */
+    /** This instance shuts down gracefully: requests still open at {@code deadline} get their final answer then. */
     record ShutdownStarted(double deadline) implements ControlEvent {
         @Override public void accept(Handler handler) {
             handler.shutdownStarted(this);
@@ -127,8 +127,8 @@
     }
 
     /**
-     * The nodes that other instances found unresponsive, all of them each time: each gets only a health check's rate of
-     * requests until it answers here, or until it is no longer named.
+     * The complete set of nodes that other instances currently find unresponsive. Each of them gets requests only at the
+     * probe rate until it answers this instance or is no longer in the set.
      */
     record NodesSuspected(Set<String> nodes) implements ControlEvent {
         @Override public void accept(Handler handler) {
@@ -137,9 +137,9 @@
     }
 
     /**
-     * Retries at a node make up at most {@code share} of the first attempts that went there within {@code window}; a request
-     * that finds the budget spent gets its final answer at once. Retries that clients mark count like others. The budgets of
-     * several instances add up. A window of 0: no bound.
+     * The retry budget was set: retries sent to a node are at most {@code share} of the first attempts sent to it within
+     * {@code window}. A request whose retry exceeds the budget gets its final answer at once. Requests that clients mark as
+     * retries count as retries. Each instance has its own budget, so the budgets add up. A window of 0 means no bound.
      */
     record RetryBudgetChanged(double share, double window) implements ControlEvent {
         @Override public void accept(Handler handler) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /** The endpoint list comes from another service from now on. */
+    /** The service that provides the endpoint list was replaced by another one. */
     record EndpointSourceChanged() implements ControlEvent {
         @Override public void accept(Handler handler) {
             handler.endpointSourceChanged(this);
@@ -155,7 +155,7 @@
     }
 
     /**
-     * What an earlier process has left of volumes' limits.
+     * The rate limits' remaining tokens were restored from an earlier process.
      *
      * @param tokens by volume: units that this instance's share of the limit starts with
      */
@@ -169,15 +169,15 @@
      * A request has arrived.
      *
      * @param id unique among the open requests
-     * @param requestClass name of its class
+     * @param requestClass name of the request's class
      * @param plan name of its volume's plan
      * @param key idempotency or ordering key; may be null
-     * @param deadline clock time by which it needs its final answer
-     * @param volume its volume; may be null
-     * @param units its size
-     * @param cell where its data lies, negative for a new object
-     * @param instances number of instances over which its volume is spread
-     * @param isRetry whether its client marks it as a retry of its own
+     * @param deadline clock time by which the request needs its final answer
+     * @param volume name of the volume; may be null
+     * @param units size of the request
+     * @param cell cell that stores the data; negative for a new object
+     * @param instances number of instances that serve the volume
+     * @param isRetry whether the client marks the request as a retry
      */
     record RequestArrived(String id, String requestClass, String plan, String key, double deadline, String volume,
                           double units, int cell, int instances, boolean isRetry) implements ControlEvent {
@@ -192,21 +192,21 @@
         }
     }
 
-    /** The client has disconnected or cancelled; no answer is owed any more. */
+    /** The client has disconnected or cancelled the request; it gets no answer. */
     record ClientDisconnected(String id) implements ControlEvent {
         @Override public void accept(Handler handler) {
             handler.clientDisconnected(this);
         }
     }
 
-    /** A streamed response has started; the request has no deadline from here on. */
+    /** A streamed response has started; the request has no deadline from now on. */
     record ResponseStarted(String id, int attempt) implements ControlEvent {
         @Override public void accept(Handler handler) {
             handler.responseStarted(this);
         }
     }
 
-    /** A body makes progress to or from the node: the node is alive, however long the whole transfer may last. */
+    /** Body bytes were transferred to or from the node: the node is alive, however long the whole transfer takes. */
     record AttemptProgressed(String id, int attempt) implements ControlEvent {
         @Override public void accept(Handler handler) {
             handler.attemptProgressed(this);
@@ -216,15 +216,15 @@
     /**
      * An attempt ended.
      *
-     * @param id the request
+     * @param id id of the request
      * @param attempt number of the attempt, from 0
-     * @param node the node it went to
-     * @param outcome how it ended
+     * @param node id of the node that the attempt was sent to
+     * @param outcome how the attempt ended
      * @param latency time from the sending of the attempt to its answer
-     * @param requestFinished whether the request has had its final answer with it
-     * @param bodyConsumed whether the request's body is used up, so that it cannot be sent again
+     * @param requestFinished whether the client has received its final answer with this attempt
+     * @param bodyConsumed whether the request's body has been consumed, so that it cannot be sent again
      * @param unitsElsewhere units that the node has served for the volume through other instances since its last answer
-     * @param usagePercent use of the volume over all instances in percent of its plan's rate, negative when unknown
+     * @param usagePercent usage of the volume over all instances, in percent of its plan's rate; negative if unknown
      * @param loadReport the node's load report, or empty
      */
     record AttemptEnded(String id, int attempt, String node, AttemptOutcome outcome, double latency, boolean requestFinished,
@@ -235,7 +235,7 @@
         }
     }
 
-    /** A timer that was set by {@link ControlAction.SetTimer} is due. */
+    /** A timer set by {@link ControlAction.SetTimer} has fired. */
     record TimerFired(String name) implements ControlEvent {
         @Override public void accept(Handler handler) {
             handler.timerFired(this);
@@ -243,7 +243,7 @@
     }
 
     /**
-     * One method for each kind of event, so that the compiler finds a kind that is not handled.
+     * Handles events. It has one method per type, so that a type without an implementation is a compile error.
      */
     interface Handler {
         /** Handles {@link EndpointsReceived}. */
--- a/src/main/java/kelphollow/decision/ControlSettings.java
+++ b/src/main/java/kelphollow/decision/ControlSettings.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * What an instance of the decision module is configured with at its start. Times are milliseconds on the host's clock,
- * work is in units. Immutable.
+ * Configuration of an instance of the decision module at its start. Times are milliseconds on the caller's clock, work is
+ * in units. Immutable.
  *
  * @param instanceIndex index of this instance, from 0
  * @param instances number of instances that share the nodes and the limits, at least 1
  * @param zone availability zone of this instance
- * @param tick granularity of the host's timers
- * @param maxAttempts attempts that a request may have in all, at least 1
- * @param maxOpen requests that may be open at once
+ * @param tick granularity of the caller's timers
+ * @param maxAttempts total number of attempts that a request may have, at least 1
+ * @param maxOpen number of requests that may be open at once
  * @param mayCancel whether an attempt in flight may be cancelled
- * @param endpointsPolled whether the endpoint list is polled from a shared service; otherwise it is pushed
- * @param maxRetryAfter the longest Retry-After; 0 when clients ignore it
- * @param meanUnits units of an average request
- * @param quotaWeight share of the priority weight that a request beyond its reserve but within its quota keeps
- * @param excessWeight share of the priority weight that a request beyond its quota keeps
+ * @param endpointsPolled true if the endpoint list is polled from a shared service, false if it is pushed
+ * @param maxRetryAfter upper bound of Retry-After; 0 if clients ignore it
+ * @param meanUnits average size of a request, in units
+ * @param quotaWeight factor on the priority weight of a request beyond its volume's reserve but within its quota
+ * @param excessWeight factor on the priority weight of a request beyond its volume's quota
  * @param classes the request classes, at least one
  * @param plans the plans, at least one
- * @param rules figures of the service rules
+ * @param rules parameters of the service rules
  */
 public record ControlSettings(int instanceIndex, int instances, String zone, double tick, int maxAttempts, int maxOpen,
                               boolean mayCancel,
@@ -28,37 +28,37 @@
                               double excessWeight, List<RequestClass> classes, List<Plan> plans, Rules rules) {
     /** Whether a request of a class may be executed more than once. */
     public enum Idempotency {
-        /** It may, at any time. */
+        /** It may be executed any number of times. */
         IDEMPOTENT,
-        /** Its idempotency key makes nodes drop duplicates while they remember it. */
+        /** It carries an idempotency key: nodes drop duplicates while they remember the key. */
         IDEMPOTENCY_KEY,
-        /** It may not: an attempt that may have been executed is the last one. */
+        /** It may be executed once only: after an attempt that may have been executed it is not retried. */
         NOT_IDEMPOTENT
     }
 
-    /** Which nodes recognise the idempotency key of a request that one of them has executed. */
+    /** The nodes that recognise the idempotency key of a request that one of them has executed. */
     public enum DeduplicationScope {
         /** Every node. */
         ALL,
-        /** The nodes of the same zone. */
+        /** Nodes of the same zone. */
         ZONE,
-        /** The nodes of the same cell. */
+        /** Nodes of the same cell. */
         CELL
     }
 
     /**
-     * A class of requests.
+     * Settings of a request class.
      *
      * @param name unique among the classes
-     * @param latencyObjective time within which an answer earns the full priority weight, above 0
-     * @param deadline time after which no answer is waited for
+     * @param latencyObjective latency up to which an answer has the full priority weight, above 0
+     * @param deadline time after which the client no longer waits for an answer
      * @param priorityWeight value of an answer within the latency objective
-     * @param lateShare share of the value that an answer after the objective keeps
-     * @param idempotency whether a request may be executed more than once
-     * @param deduplicationScope which nodes recognise an idempotency key
-     * @param idempotencyWindow how long nodes remember an idempotency key
-     * @param ordered whether requests of one key are executed one after the other
-     * @param streaming whether answers are streamed
+     * @param lateShare factor on the value of an answer after the latency objective
+     * @param idempotency whether requests may be executed more than once
+     * @param deduplicationScope nodes that recognise an idempotency key
+     * @param idempotencyWindow time for which nodes remember an idempotency key
+     * @param ordered whether requests with the same key are executed one at a time, in order of arrival
+     * @param streaming whether responses are streamed
      */
     public record RequestClass(String name, double latencyObjective, double deadline, double priorityWeight,
                                double lateShare,
@@ -66,34 +66,34 @@
                                boolean ordered, boolean streaming) {}
 
     /**
-     * A plan of a volume; figures hold per volume over all instances.
+     * Settings of a plan. They apply to each volume on the plan, summed over all instances.
      *
      * @param name unique among the plans
-     * @param rate units a second of the arrival curve, above 0
-     * @param reserve units a second that are served ahead of everything else
-     * @param weight relative weight of the plan
+     * @param rate rate of the arrival curve in units per second, above 0
+     * @param reserve units per second that are served before everything else
+     * @param weight weight relative to other plans
      * @param price factor on the priority weight of a request
-     * @param limitRate units a second that may be sent at most; 0: no limit
-     * @param limitBurst units that may be sent at once beyond the limit's rate
-     * @param limitSlack units by which the limit may be overrun before it counts as broken
+     * @param limitRate maximum units per second that may be sent; 0: no limit
+     * @param limitBurst units that may be sent in a burst above the limit's rate
+     * @param limitSlack units by which the limit may be exceeded before that counts as a violation
      */
     public record Plan(String name, double rate, double reserve, double weight, double price, double limitRate,
                        double limitBurst, double limitSlack) {}
 
     /**
-     * Figures of the service rules.
+     * Parameters of the service rules.
      *
-     * @param drainGrace time after which nothing may be sent to a node that drains
-     * @param slowStartShare share of its capacity that a node has at its start
-     * @param slowStartTime time that a node takes to reach full capacity
-     * @param overloadMultiple multiple of its capacity at which a node in slow start collapses
-     * @param overloadSpan time over which that load is counted
-     * @param slowStartUnits units that a node at its start is sure to bear within that time
-     * @param keyQuietTime time for which an ordered key rests after an attempt of unknown outcome
-     * @param retryBudgetFree retries that are allowed beside the share
-     * @param retryBudgetShare retries that are allowed for each first attempt
-     * @param retryBudgetWindow sliding window in which both are counted; 0: retries are not counted
-     * @param pollInterval time for which an instance without a watch need not poll the endpoint list
+     * @param drainGrace time after the start of a drain from which nothing may be sent to the node
+     * @param slowStartShare share of its full capacity that a node has when it starts
+     * @param slowStartTime time from a node's start until it has full capacity
+     * @param overloadMultiple multiple of its current capacity at which a node in slow start collapses under its load
+     * @param overloadSpan time over which that load is measured
+     * @param slowStartUnits units within {@code overloadSpan} that a node is guaranteed to tolerate at its start
+     * @param keyQuietTime time for which an ordered key is blocked after an attempt with unknown outcome
+     * @param retryBudgetFree number of retries allowed in addition to the share
+     * @param retryBudgetShare number of retries allowed per first attempt
+     * @param retryBudgetWindow sliding window in which both are counted; 0: no retry budget
+     * @param pollInterval longest time that an instance without a watch may go without polling the endpoint list
      */
     public record Rules(double drainGrace, double slowStartShare, double slowStartTime, double overloadMultiple,
                         double overloadSpan, double slowStartUnits, double keyQuietTime, double retryBudgetFree,
--- a/src/main/java/kelphollow/decision/DeadlineMonitor.java
+++ b/src/main/java/kelphollow/decision/DeadlineMonitor.java
@@ -3,8 +3,8 @@
 import kelphollow.decision.ControlAction.Reason;
 
 /**
- * Acts on times that have passed: a missed objective leaves the order of the tags, a deadline gets its
- * answer.
+ * Handles expired times of requests: a request that misses its latency objective leaves the tag order, and
+ * one that reaches its deadline gets its final answer.
  */
 final class DeadlineMonitor {
     private final SchedulerState state;
@@ -17,6 +17,7 @@
         this.shedder = shedder;
     }
 
+    /** Handles all times that have expired by now. */
     void expire() {
         PendingRequest request = state.deadlines.pollDue(state.now());
         while (request != null) {
@@ -46,7 +47,8 @@
     }
 
     /**
-     * This instance shuts down: what is open gets its answer by then, a streamed response at that very time.
+     * Starts a graceful shutdown: open requests get their final answer by {@code deadline}; streamed
+     * responses are ended exactly at {@code deadline}.
      */
     void shutDownAt(double deadline) {
         state.requests.shutDownAt(deadline);
--- a/src/main/java/kelphollow/decision/DeadlineQueue.java
+++ b/src/main/java/kelphollow/decision/DeadlineQueue.java
@@ -4,9 +4,9 @@
 import java.util.PriorityQueue;
 
 /**
- * Times at which a request is to be looked at, the earliest first. An entry stays when its request is
- * answered before; who polls it checks that it is still open. Confined to the thread that drives
- * {@link Control}.
+ * Priority queue of the times at which requests must be checked, the earliest first. Entries of requests that
+ * were answered in the meantime are not removed: callers of {@link #pollDue} must check that the request is
+ * still open. Confined to the thread that drives {@link Control}.
  */
 final class DeadlineQueue {
     private record Entry(double at, PendingRequest request) {}
@@ -18,7 +18,7 @@
         entries.add(new Entry(at, request));
     }
 
-    /** Removes and returns the request of the earliest entry that is due; null when none is. */
+    /** Removes the earliest entry if it is due and returns its request; null if no entry is due. */
     PendingRequest pollDue(double now) {
         Entry first = entries.peek();
         if (first == null || first.at > now) {
@@ -27,7 +27,7 @@
         return entries.poll().request;
     }
 
-    /** Time of the earliest entry; infinite when there is none. */
+    /** Time of the earliest entry; positive infinity if there is none. */
     double nextAt() {
         Entry first = entries.peek();
         return first == null ? Double.POSITIVE_INFINITY : first.at;
--- a/src/main/java/kelphollow/decision/DecayingLatency.java
+++ b/src/main/java/kelphollow/decision/DecayingLatency.java
@@ -1,11 +1,11 @@
 package kelphollow.decision;
 
 /**
- * A latency average that counts for less the older it is. Times and latencies are milliseconds. Constant
- * memory; confined to the thread that drives {@link Control}.
+ * A moving average of latencies whose weight decays exponentially with its age. Times and latencies are
+ * milliseconds. Constant memory; confined to the thread that drives {@link Control}.
  */
 final class DecayingLatency {
-    /** Time constant of the decay: the queues of nodes change within seconds. */
+    /** Time constant of the decay; short, because the queues of nodes change within seconds. */
     private static final double DECAY_MS = 2_000;
 
     private double value;
@@ -16,24 +16,24 @@
         this.sampledAt = sampledAt;
     }
 
-    /** Begins anew with a single sample. */
+    /** Replaces the average by a single sample. */
     void reset(double sample, double now) {
         value = sample;
         sampledAt = now;
     }
 
-    /** Averages a sample with the earlier ones, as they have decayed since. */
+    /** Adds a sample; the earlier average counts by what is left of it after the decay. */
     void add(double sample, double now) {
-        value = sample + (1 - LatencyEstimate.SAMPLE_WEIGHT) * (decayedInto(sample, now) - sample);
+        value = sample + (1 - LatencyEstimate.SAMPLE_WEIGHT) * (decayedToward(sample, now) - sample);
         sampledAt = now;
     }
 
-    /** The average, decaying into {@code other} with age. */
-    double decayedInto(double other, double now) {
+    /** The average at time {@code now}, decayed toward {@code other} according to its age. */
+    double decayedToward(double other, double now) {
         return other + (value - other) * Math.exp(-(now - sampledAt) / DECAY_MS);
     }
 
-    /** The average as of its last sample. */
+    /** The average at the time of its last sample, without decay. */
     double value() {
         return value;
     }
--- a/src/main/java/kelphollow/decision/DecisionClock.java
+++ b/src/main/java/kelphollow/decision/DecisionClock.java
@@ -1,7 +1,7 @@
 package kelphollow.decision;
 
 /**
- * The module's time in milliseconds on the host's clock: that of the newest event. It never goes back.
+ * Monotonic time of the decision module: the latest event time, in milliseconds on the caller's clock.
  * Confined to the thread that drives {@link Control}.
  */
 final class DecisionClock {
@@ -11,7 +11,7 @@
         this.now = now;
     }
 
-    /** Takes over an event's time, unless a later one was seen already. */
+    /** Advances to an event's time; ignores times before the current one. */
     void advanceTo(double time) {
         now = Math.max(now, time);
     }
--- a/src/main/java/kelphollow/decision/DecisionContext.java
+++ b/src/main/java/kelphollow/decision/DecisionContext.java
@@ -4,13 +4,14 @@
 import kelphollow.decision.ControlSettings.Rules;
 
 /**
- * What all parts of one instance of the module share. Confined to the thread that drives {@link Control}.
+ * Settings, clock and randomness shared by all components of one {@link Control}. Confined to the thread that
+ * drives it.
  *
- * @param settings what the instance was configured with
- * @param shortestObjective the smallest latency objective of the configured classes, milliseconds
+ * @param settings configuration of the instance
+ * @param shortestObjective smallest latency objective of the configured classes, in milliseconds
  * @param startedAt clock time of the instance's start
- * @param clock the time
- * @param random the source of all random draws but those of the endpoint poll's schedule
+ * @param clock current time
+ * @param random source of all random draws except those of {@link EndpointPollSchedule}
  */
 record DecisionContext(ControlSettings settings, double shortestObjective, double startedAt,
                        DecisionClock clock, Random random) {
@@ -18,7 +19,7 @@
         return clock.now();
     }
 
-    /** Granularity of the host's timers, milliseconds. */
+    /** Granularity of the caller's timers, in milliseconds. */
     double tick() {
         return settings.tick();
     }
--- a/src/main/java/kelphollow/decision/Dispatcher.java
+++ b/src/main/java/kelphollow/decision/Dispatcher.java
@@ -4,7 +4,8 @@
 import kelphollow.decision.ControlAction.SendAttempt;
 
 /**
- * Sends what may leave now: at each node the smallest finish tag first, new objects where they wait least.
+ * Sends the queued requests that may be sent now: at each node in order of their finish tags, new objects to
+ * the node with the shortest expected wait.
  */
 final class Dispatcher {
     private final SchedulerState state;
@@ -17,6 +18,7 @@
         this.selector = new EndpointSelector(state);
     }
 
+    /** Sends requests to each node until it has no more capacity or nothing may be sent to it. */
     void dispatch() {
         PendingQueue newObjects = state.queues.ofCell(PendingQueues.NEW_OBJECTS);
         for (Node node : state.nodes.all()) {
@@ -35,7 +37,7 @@
         return queue != null && queue.size() > 0;
     }
 
-    /** Either queue may be null. */
+    /** Sends requests of both queues to a node; either queue may be null. */
     private void dispatchTo(Node node, PendingQueue own, PendingQueue newObjects) {
         while (hasAny(own) || hasAny(newObjects)) {
             PendingRequest next = next(node, own, newObjects);
@@ -64,14 +66,14 @@
         return next;
     }
 
-    /** The first request in the order of the tags that may leave for a node now; null when there is none. */
+    /** The first request in tag order that may be sent to a node now; null if there is none. */
     private PendingRequest first(SortedSet<PendingRequest> queue, Node node) {
         if (!node.hasCapacity()) {
             return null;
         }
         for (PendingRequest request : queue) {
-            if (!node.isUnderPressure(request) && (isUseful(request, node) || node.isIdle())
-                && node.hasCapacityFor(request) && mayLeave(request, node)) {
+            if (!node.isUnderPressure(request) && (canBeAnsweredInTime(request, node) || node.isIdle())
+                && node.hasCapacityFor(request) && maySend(request, node)) {
                 return request;
             }
         }
@@ -79,16 +81,19 @@
     }
 
     /**
-     * Whether an answer can be expected in time: within the objective, or, while it is not late, by the
-     * deadline.
+     * Whether the expected answer is in time: within the latency objective or, for a request that is not
+     * late, by the time of its final answer.
      */
-    private boolean isUseful(PendingRequest request, Node node) {
+    private boolean canBeAnsweredInTime(PendingRequest request, Node node) {
         double answeredAt = state.now() + node.latency.expected(request.units());
         return answeredAt <= request.objectiveAt || !request.late && answeredAt <= request.answerAt;
     }
 
-    /** Whether no rule holds a request back at a node. */
-    private boolean mayLeave(PendingRequest request, Node node) {
+    /**
+     * Whether backoff, key order, rate limit, retry budget and retry safety allow sending a request to a
+     * node.
+     */
+    private boolean maySend(PendingRequest request, Node node) {
         double now = state.now();
         if (now < request.retryAt || !state.keyOrders.hasTurn(request)) {
             return false;
--- a/src/main/java/kelphollow/decision/EndpointListLease.java
+++ b/src/main/java/kelphollow/decision/EndpointListLease.java
@@ -3,110 +3,115 @@
 import kelphollow.decision.ControlEvent.EndpointPollFailure;
 
 /**
- * A lease on the endpoint list: until when an instance may act on the list that it holds. Guards against
- * sending by a list that nobody has confirmed for longer than the time after which a change counts as
- * notified, whatever the reason: a process that has just started and has only the list of its configuration,
- * a service that rejects its calls, a watch that is silent.
+ * Lease on the endpoint list: determines until when an instance may act on the list that it holds. It
+ * prevents sending by a list that was last confirmed longer ago than the time after which a change counts as
+ * notified. That happens when a process has just started and has only the list of its configuration, when the
+ * service rejects its calls, or when a watch is silent.
  *
- * <p>The lease runs for a fixed term from the latest moment of which this is sure: nothing unreceived can
- * have begun to count as notified by then. Such a moment is one up to which the received list is complete, or
- * one at which the service could not be reached, since a change counts as notified only once it can be
- * received. Failures that show a service which is there do not renew the lease.
+ * <p>The lease runs for a fixed term from the latest time at which certainly no change that this instance has
+ * not received had begun to count as notified. That is either the time up to which the received list is
+ * complete, or a time at which the service could not be reached, since a change counts as notified only once
+ * it can be received. Failures that show that the service is up do not renew the lease.
  *
- * <p>Times are milliseconds. Constant memory; for one thread; no clock of its own.
+ * <p>Times are milliseconds. Constant memory. Not thread-safe. Callers pass the time.
  */
 public final class EndpointListLease {
-    /** What the lease rests on. */
+    /** What the validity of the lease is based on. */
     public enum State {
         /**
-         * Nothing was received since the start, and the service was not found down: the list may not be used.
+         * No list was received since the start, and the service was not found down: the list must not be
+         * used.
          */
         NEVER_HEARD,
         /** The received list is recent enough. */
         CURRENT,
-        /** The service was found down a short while ago: the last list stands. */
+        /** The service was recently found down: the last list may still be used. */
         SERVICE_DOWN,
-        /** The service is there for all that is known, and the last list is too old: it may not be used. */
+        /** The last list is too old, and the service was not found down: the list must not be used. */
         EXPIRED
     }
 
-    /** Failures in a row that show an instance which has just started that the service is down. */
+    /** Consecutive failures after which an instance that has just started takes the service as down. */
     static final int FAILURES_AT_START = 2;
     /**
-     * A crowd of all instances is over in this multiple of the time over which their first calls are spread.
+     * Duration of the burst of calls after a start of all instances, as a multiple of the time over which
+     * their first calls are spread.
      */
-    static final double SPREADS_PER_CROWD = 2;
-    /** The longest time for which a crowd is reckoned with. */
-    static final double LONGEST_CROWD_MS = 30_000;
-    /** After a move to another service a change there counts as notified after this time. */
-    static final double NOTIFIED_AFTER_MOVE_MS = 4_000;
+    static final double SPREADS_PER_STARTUP_BURST = 2;
+    /** Upper bound of the assumed duration of a startup burst. */
+    static final double MAX_STARTUP_BURST_MS = 30_000;
+    /** Time after which a change counts as notified once the list comes from another service. */
+    static final double NEW_SOURCE_NOTIFIED_AFTER_MS = 4_000;
 
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     private final double term;
     private final double notifiedAfter;
     private final boolean pushed;
-    private final double crowdLasts;
+    private final double startupBurst;
     private double confirmedUpTo = NEVER;
     private double downAt = NEVER;
     /**
-     * Bound on the moment that the lease runs from, until the new source has answered; infinite without a
-     * move.
+     * Upper bound of the time from which the lease runs, until the new source has answered; positive infinity
+     * if the source has not changed.
      */
     private double sourceChangeBound = Double.POSITIVE_INFINITY;
     private int failures;
     private double firstFailureAt;
 
-    private EndpointListLease(double notifiedAfter, double ownLateness, boolean pushed, double crowdLasts) {
+    private EndpointListLease(double notifiedAfter, double localDelay, boolean pushed, double startupBurst) {
         this.notifiedAfter = notifiedAfter;
-        this.term = notifiedAfter - ownLateness;
+        this.term = notifiedAfter - localDelay;
         this.pushed = pushed;
-        this.crowdLasts = crowdLasts;
+        this.startupBurst = startupBurst;
     }
 
     /**
-     * For a list that instances poll: nothing is sent before the service has answered.
+     * Creates a lease for a list that instances poll: nothing is sent before the service has answered or was
+     * found down.
      *
      * @param notifiedAfter time after which a change at the service counts as notified
-     * @param ownLateness time by which this instance may act late
-     * @param instances number of instances that poll the service
+     * @param localDelay time by which this instance may act late; shortens the lease
+     * @param instances number of instances that poll the service; determines the duration of a startup burst
      */
-    public static EndpointListLease polled(double notifiedAfter, double ownLateness, int instances) {
-        double spread = SPREADS_PER_CROWD * instances * EndpointPollSchedule.SPREAD_PER_INSTANCE_MS;
-        return new EndpointListLease(notifiedAfter, ownLateness, false, Math.min(LONGEST_CROWD_MS, spread));
+    public static EndpointListLease polled(double notifiedAfter, double localDelay, int instances) {
+        double burst = SPREADS_PER_STARTUP_BURST * instances * EndpointPollSchedule.SPREAD_PER_INSTANCE_MS;
+        return new EndpointListLease(notifiedAfter, localDelay, false, Math.min(MAX_STARTUP_BURST_MS, burst));
     }
 
     /**
-     * For a list that an agent on the same machine is sent and gives out at once. It is silent only while the
-     * service is down; a refused connection shows at once that there is none.
+     * Creates a lease for a list that an agent on the same machine receives and forwards at once. The agent
+     * is silent only while the service is down; a refused connection shows at once that there is no agent.
      */
-    public static EndpointListLease pushed(double notifiedAfter, double ownLateness) {
-        return new EndpointListLease(notifiedAfter, ownLateness, true, 0);
+    public static EndpointListLease pushed(double notifiedAfter, double localDelay) {
+        return new EndpointListLease(notifiedAfter, localDelay, true, 0);
     }
 
-    /** For a list without a source that must be obeyed, such as one of the configuration: it never ends. */
+    /**
+     * Creates a lease that never ends, for a list without an authoritative source, such as a configured list.
+     */
     public static EndpointListLease unbounded() {
         EndpointListLease lease = new EndpointListLease(0, 0, true, 0);
         lease.confirmedUpTo = Double.POSITIVE_INFINITY;
         return lease;
     }
 
-    /** A list has come that is complete up to {@code asOf}. */
+    /** A list was received that is complete up to time {@code asOf}. */
     public void confirmed(double asOf) {
         confirmedUpTo = Math.max(confirmedUpTo, asOf);
         sourceChangeBound = Double.POSITIVE_INFINITY;
         failures = 0;
     }
 
-    /** A call that was made at {@code calledAt} failed after {@code took}. */
-    public void failed(EndpointPollFailure failure, double calledAt, double took) {
-        if (!showsServiceDown(failure, took)) {
+    /** A call made at {@code calledAt} failed after {@code duration}. */
+    public void failed(EndpointPollFailure failure, double calledAt, double duration) {
+        if (!showsServiceDown(failure, duration)) {
             failures = failure == EndpointPollFailure.WATCH_BROKEN ? failures : 0;
             return;
         }
         firstFailureAt = failures == 0 ? calledAt : firstFailureAt;
         failures++;
-        if (confirmedUpTo > NEVER || showsServiceDownAtStart(failure, calledAt + took)) {
+        if (confirmedUpTo > NEVER || showsServiceDownAtStart(failure, calledAt + duration)) {
             downAt = Math.max(downAt, calledAt);
         }
     }
@@ -115,41 +120,42 @@
         if (pushed && failure == EndpointPollFailure.UNREACHABLE) {
             return true;
         }
-        return failures >= FAILURES_AT_START && now - firstFailureAt >= crowdLasts;
+        return failures >= FAILURES_AT_START && now - firstFailureAt >= startupBurst;
     }
 
     /**
-     * A call to begin a watch that was refused, reset, or rejected after it had been queued; and silence,
-     * where the list is pushed. Elsewhere silence is a broken watch, and a call that is rejected at once has
-     * met a full queue: the service is there, and its changes count as notified.
+     * Whether a failure shows that the service is down: the call that starts a watch was refused, reset, or
+     * rejected after it had been queued; or it timed out, if the list is pushed. For a polled list a timeout
+     * counts as a broken watch, and a call that is rejected immediately has found a full queue: the service
+     * is up, and its changes count as notified.
      */
-    private boolean showsServiceDown(EndpointPollFailure failure, double took) {
+    private boolean showsServiceDown(EndpointPollFailure failure, double duration) {
         return switch (failure) {
             case UNREACHABLE -> true;
             case TIMED_OUT -> pushed;
-            case REJECTED -> took >= EndpointPollSchedule.QUEUED_AFTER_MS;
+            case REJECTED -> duration >= EndpointPollSchedule.IMMEDIATE_REJECTION_MS;
             case WATCH_BROKEN, INVALID_RESPONSE -> false;
         };
     }
 
-    /** The list comes from another service from now on, whose changes count as notified sooner. */
+    /** The list comes from another service from {@code now} on, whose changes count as notified sooner. */
     public void sourceChanged(double now) {
-        sourceChangeBound = Math.min(sourceChangeBound, now + NOTIFIED_AFTER_MOVE_MS - notifiedAfter);
+        sourceChangeBound = Math.min(sourceChangeBound, now + NEW_SOURCE_NOTIFIED_AFTER_MS - notifiedAfter);
         downAt = Math.min(downAt, sourceChangeBound);
         failures = 0;
     }
 
-    /** Until when the list may be acted on. */
+    /** Time until which the list may be used. */
     public double validUntil() {
         return Math.min(Math.max(confirmedUpTo, downAt), Math.max(sourceChangeBound, downAt)) + term;
     }
 
-    /** Whether the list may be acted on now. */
+    /** Whether the list may be used at time {@code now}. */
     public boolean isValid(double now) {
         return now < validUntil();
     }
 
-    /** What the lease rests on now. */
+    /** What the validity of the lease is based on at time {@code now}. */
     public State state(double now) {
         if (isValid(now)) {
             boolean current = now < Math.min(confirmedUpTo, sourceChangeBound) + term;
--- a/src/main/java/kelphollow/decision/EndpointSelector.java
+++ b/src/main/java/kelphollow/decision/EndpointSelector.java
@@ -1,6 +1,6 @@
 package kelphollow.decision;
 
-/** Chooses the node for a new object, which any node could take. */
+/** Chooses the node for a new object, which may be stored on any node. */
 final class EndpointSelector {
     private final SchedulerState state;
 
@@ -9,8 +9,9 @@
     }
 
     /**
-     * The node where the object waits least: expected latency by what this instance has there already; or
-     * null.
+     * Returns the node with the shortest expected wait, or null if no node may take the object. The wait is
+     * the node's expected latency times one plus the number of requests that this instance has in flight or
+     * queued there.
      */
     Node bestFor(PendingRequest request) {
         Node best = null;
--- a/src/main/java/kelphollow/decision/EventHandler.java
+++ b/src/main/java/kelphollow/decision/EventHandler.java
@@ -17,7 +17,7 @@
 import kelphollow.decision.ControlEvent.ShutdownStarted;
 import kelphollow.decision.ControlEvent.TimerFired;
 
-/** Passes each event to the part of the module that it concerns. */
+/** Passes each event to the components that handle it. */
 final class EventHandler implements ControlEvent.Handler {
     private final SchedulerState state;
     private final EndpointPollSchedule pollSchedule;
--- a/src/main/java/kelphollow/decision/FinalAnswers.java
+++ b/src/main/java/kelphollow/decision/FinalAnswers.java
@@ -5,7 +5,7 @@
 import kelphollow.decision.ControlAction.Reason;
 import kelphollow.decision.ControlAction.RejectRequest;
 
-/** Ends requests, with or without an answer. Times are milliseconds. */
+/** Closes requests, with or without a final answer. Times are milliseconds. */
 final class FinalAnswers {
     private final SchedulerState state;
 
@@ -13,7 +13,7 @@
         this.state = state;
     }
 
-    /** Rejects a request where the client may safely retry, and fails it otherwise. */
+    /** Rejects a request if the client may safely retry it, and fails it otherwise. */
     void answer(PendingRequest request, Reason reason) {
         ControlAction answer = state.retries.isSafeForClient(request)
             ? new RejectRequest(request.id(), retryAfter(request), reason)
@@ -22,7 +22,7 @@
         cancelAndClose(request);
     }
 
-    /** Ends a request that is owed no answer any more. */
+    /** Closes a request and cancels its attempt in flight if the settings allow it. */
     void cancelAndClose(PendingRequest request) {
         if (request.inFlight != null && state.context.settings().mayCancel()) {
             state.actions.add(new CancelAttempt(request.id(), request.attempts - 1));
@@ -30,7 +30,7 @@
         close(request);
     }
 
-    /** Forgets a request that has had its answer. */
+    /** Removes a finished request and returns its tokens if it is queued and not late. */
     void close(PendingRequest request) {
         state.requests.remove(request);
         if (request.queued) {
@@ -42,11 +42,14 @@
         state.keyOrders.closed(request);
     }
 
-    /** When a retry may be of use: the limit holds its units, and what is queued here may have left. */
+    /**
+     * Time after which a retry may succeed: the rate limit allows the request's units, and the requests
+     * queued ahead of it may have been sent.
+     */
     private double retryAfter(PendingRequest request) {
         double now = state.now();
         double longest = state.context.settings().maxRetryAfter();
-        // Whatever is queued ahead now has left or was given up once a latency objective is over.
+        // After one latency objective every request that is queued now was either sent or abandoned.
         double wait = request.requestClass.latencyObjective();
         double queued = state.queues.of(request).size();
         for (Node node : state.nodes.all()) {
--- a/src/main/java/kelphollow/decision/FleetLatency.java
+++ b/src/main/java/kelphollow/decision/FleetLatency.java
@@ -1,30 +1,30 @@
 package kelphollow.decision;
 
 /**
- * The latency over all nodes of late, in milliseconds. Confined to the thread that drives {@link Control}.
+ * Recent average latency over all nodes, in milliseconds. Confined to the thread that drives {@link Control}.
  */
 final class FleetLatency {
-    /** The first guess is the shortest latency objective divided by this. */
-    private static final double OBJECTIVE_TO_GUESS = 3;
+    /** The initial estimate is the shortest latency objective divided by this. */
+    private static final double OBJECTIVE_DIVISOR = 3;
 
     private final DecisionContext context;
     private final DecayingLatency recent;
 
     FleetLatency(DecisionContext context) {
         this.context = context;
-        recent = new DecayingLatency(guess(), context.now());
+        recent = new DecayingLatency(initialEstimate(), context.now());
     }
 
     void served(double latency) {
         recent.add(latency, context.now());
     }
 
-    /** The latest average, decaying into a guess while no answer comes. */
+    /** The current average; without new answers it decays toward the initial estimate. */
     double current() {
-        return recent.decayedInto(guess(), context.now());
+        return recent.decayedToward(initialEstimate(), context.now());
     }
 
-    private double guess() {
-        return context.shortestObjective() / OBJECTIVE_TO_GUESS;
+    private double initialEstimate() {
+        return context.shortestObjective() / OBJECTIVE_DIVISOR;
     }
 }
--- a/src/main/java/kelphollow/decision/InFlightAttempt.java
+++ b/src/main/java/kelphollow/decision/InFlightAttempt.java
@@ -7,9 +7,9 @@
     final PendingRequest request;
     final Node node;
     final double sentAt;
-    /** Whether it filled the node's concurrency window when it was sent. */
+    /** Whether it filled the node's concurrency window when it was sent; only then may the window grow. */
     final boolean filledWindow;
-    /** When it was sent, or last made progress. */
+    /** Time at which it was sent or last made progress. */
     private double progressAt;
 
     InFlightAttempt(PendingRequest request, Node node, double sentAt, boolean filledWindow) {
@@ -20,7 +20,7 @@
         this.progressAt = sentAt;
     }
 
-    /** Key of an attempt in maps of attempts. */
+    /** Map key of an attempt: the request's id and the attempt's number, from 0. */
     static String key(String request, int number) {
         return request + '#' + number;
     }
--- a/src/main/java/kelphollow/decision/KeyOrders.java
+++ b/src/main/java/kelphollow/decision/KeyOrders.java
@@ -5,13 +5,15 @@
 import kelphollow.decision.ControlEvent.AttemptOutcome;
 
 /**
- * Executes requests of one key of an ordered class one after the other. After an attempt whose outcome is
- * unknown the key is quiet for a time, since that attempt may still be executing. Confined to the thread that
- * drives {@link Control}.
+ * Ensures that requests with the same key in an ordered class are executed one at a time. After an attempt
+ * with unknown outcome nothing is sent for the key during a quiet period, because that attempt may still be
+ * executing. Confined to the thread that drives {@link Control}.
  */
 final class KeyOrders {
-    /** Keys are swept when there are more of them than this and twice the open requests. */
-    private static final int KEYS_KEPT = 64;
+    /**
+     * Unused keys are removed once the number of keys exceeds this plus twice the number of open requests.
+     */
+    private static final int KEYS_BEFORE_SWEEP = 64;
 
     private final DecisionContext context;
     private final Map<String, KeyOrder> byKey = new LinkedHashMap<>();
@@ -20,18 +22,18 @@
         this.context = context;
     }
 
-    /** A request has arrived; {@code open} is the number of open requests. */
+    /** Appends an arrived request to the order of its key; {@code open} is the number of open requests. */
     void arrived(PendingRequest request, int open) {
         if (!request.isOrdered()) {
             return;
         }
-        if (byKey.size() > 2 * open + KEYS_KEPT) {     // quiet keys would pile up over the weeks
-            byKey.values().removeIf(order -> order.isOver(context.now()));
+        if (byKey.size() > 2 * open + KEYS_BEFORE_SWEEP) {     // else keys accumulate over weeks
+            byKey.values().removeIf(order -> order.isUnused(context.now()));
         }
         byKey.computeIfAbsent(request.arrival.key(), k -> new KeyOrder()).waiting.add(request);
     }
 
-    /** Whether a request need not wait for others of its key. */
+    /** Whether a request need not wait for other requests or attempts of its key. */
     boolean hasTurn(PendingRequest request) {
         if (!request.isOrdered()) {
             return true;
@@ -63,7 +65,7 @@
             || outcome == AttemptOutcome.CANCELLED;
     }
 
-    /** A request is closed: the next one of its key has its turn. */
+    /** Removes a closed request, so that the next one of its key may be sent. */
     void closed(PendingRequest request) {
         if (!request.isOrdered()) {
             return;
@@ -71,7 +73,7 @@
         KeyOrder order = byKey.get(request.arrival.key());
         if (order != null) {
             order.waiting.remove(request);
-            if (order.isOver(context.now())) {
+            if (order.isUnused(context.now())) {
                 byKey.remove(request.arrival.key());
             }
         }
--- a/src/main/java/kelphollow/decision/Node.java
+++ b/src/main/java/kelphollow/decision/Node.java
@@ -163,7 +163,7 @@
     private void served(InFlightAttempt attempt, double took) {
         health.served();
         latency.served(attempt.request.units(), took, attempt.sentAt);
-        double target = window.size() <= 1 ? latency.targetOfSingleRequest() : latency.target();
+        double target = window.size() <= 1 ? latency.singleRequestTarget() : latency.target();
         window.served(latency.mean(), target, attempt.filledWindow, context.now());
     }
 }
--- a/src/main/java/kelphollow/decision/RetryPolicy.java
+++ b/src/main/java/kelphollow/decision/RetryPolicy.java
@@ -127,7 +127,7 @@
         double expected = node.latency.expected(request.units());
         double spare = request.objectiveAt - context.now() - expected - 2 * context.tick();
         boolean safe = request.requestClass.idempotency() == Idempotency.IDEMPOTENT && !request.late;
-        return safe && spare > LatencyEstimate.LOST_AFTER * expected ? spare : 0;
+        return safe && spare > LatencyEstimate.LOST_LATENCY_MULTIPLE * expected ? spare : 0;
     }
 
     /** Whether the client may safely send the request again after its final answer. */
--- a/src/main/java/kelphollow/decision/SlowStart.java
+++ b/src/main/java/kelphollow/decision/SlowStart.java
@@ -21,7 +21,7 @@
     /** Lower bound of the rule's share of full capacity, so that it can divide. */
     private static final double LEAST_SHARE = 0.01;
     /** From this number of entries on each new one drops those that are past the span. */
-    private static final int MOST_ENTRIES = 4 * ConcurrencyWindow.CEILING;
+    private static final int MOST_ENTRIES = 4 * ConcurrencyWindow.MAX_SIZE;
 
     private record Sent(double at, double units) {}
 
--- a/src/test/java/kelphollow/decision/ConcurrencyWindowTest.java
+++ b/src/test/java/kelphollow/decision/ConcurrencyWindowTest.java
@@ -20,7 +20,7 @@
             window.served(TARGET, TARGET, true, 1_000);
         }
 
-        assertEquals(ConcurrencyWindow.CEILING, window.size());
+        assertEquals(ConcurrencyWindow.MAX_SIZE, window.size());
     }
 
     @Test void itDoesNotGrowWhileItIsNotFilled() {
--- a/src/test/java/kelphollow/decision/ControlHarness.java
+++ b/src/test/java/kelphollow/decision/ControlHarness.java
@@ -29,7 +29,7 @@
         DeduplicationScope.CELL, 0, false, false);
     static final RequestClass KEYED = new RequestClass("keyed", 400, 2500, 3, 0.1, Idempotency.IDEMPOTENCY_KEY,
         DeduplicationScope.CELL, 4000, false, false);
-    static final RequestClass TURNS = new RequestClass("turns", 400, 2500, 3, 0.1, Idempotency.NOT_IDEMPOTENT,
+    static final RequestClass ORDERED = new RequestClass("ordered", 400, 2500, 3, 0.1, Idempotency.NOT_IDEMPOTENT,
         DeduplicationScope.CELL, 0, true, false);
     static final Plan FREE = new Plan("free", 10, 5, 1, 1, 0, 0, 0);
     static final Plan LIMITED = new Plan("limited", 10, 0, 1, 1, 20, 24, 6);
@@ -50,7 +50,7 @@
 
     static ControlSettings settings(boolean endpointsPolled, Rules rules) {
         return new ControlSettings(0, 2, "a", 1, 4, 10_000, true, endpointsPolled, 1000, 2, 0.4, 0.05,
-            List.of(READ, WRITE, KEYED, TURNS), List.of(FREE, LIMITED), rules);
+            List.of(READ, WRITE, KEYED, ORDERED), List.of(FREE, LIMITED), rules);
     }
 
     /** An instance with a healthy node for each of the cells 0 and 1. */
--- a/src/test/java/kelphollow/decision/ControlTest.java
+++ b/src/test/java/kelphollow/decision/ControlTest.java
@@ -38,9 +38,9 @@
             scheduler.on(new RequestArrived(name, "read", "free", "k", scheduler.now + 1, name, 1, 99, 1));
         }
         scheduler.advanceTo(scheduler.now + 10);
-        assertEquals(VolumeTable.IDLE_KEPT_BELOW, scheduler.control.volumesKnown());
+        assertEquals(VolumeTable.IDLE_KEPT_BELOW, scheduler.control.volumeCount());
         scheduler.now += VolumeTable.IDLE_AFTER_MS + 100;
         scheduler.request("r", "read", "free", "v", 1, 0);
-        assertEquals(1, scheduler.control.volumesKnown());
+        assertEquals(1, scheduler.control.volumeCount());
     }
 }
--- a/src/test/java/kelphollow/decision/DecayingLatencyTest.java
+++ b/src/test/java/kelphollow/decision/DecayingLatencyTest.java
@@ -9,8 +9,8 @@
     private final DecayingLatency latency = new DecayingLatency(40, 1_000);
 
     @Test void itDecaysIntoAnotherValue() {
-        assertEquals(40, latency.decayedInto(100, 1_000));
-        assertEquals(100 - 60 / Math.E, latency.decayedInto(100, 3_000), 1e-9);
+        assertEquals(40, latency.decayedToward(100, 1_000));
+        assertEquals(100 - 60 / Math.E, latency.decayedToward(100, 3_000), 1e-9);
         assertEquals(40, latency.value(), "its own value stays");
     }
 
@@ -26,6 +26,6 @@
     @Test void aResetForgetsWhatWasBefore() {
         latency.reset(70, 2_000);
 
-        assertEquals(70, latency.decayedInto(0, 2_000));
+        assertEquals(70, latency.decayedToward(0, 2_000));
     }
 }
--- a/src/test/java/kelphollow/decision/DecisionWorkload.java
+++ b/src/test/java/kelphollow/decision/DecisionWorkload.java
@@ -122,7 +122,7 @@
         }
         recorder.recordState(control.limitTokens().toString());
         recorder.recordState(control.unresponsiveNodes().toString());
-        recorder.recordState(control.nodesKnown() + " nodes, " + control.volumesKnown() + " volumes");
+        recorder.recordState(control.nodeCount() + " nodes, " + control.volumeCount() + " volumes");
         return recorder;
     }
 
--- a/src/test/java/kelphollow/decision/DispatcherTest.java
+++ b/src/test/java/kelphollow/decision/DispatcherTest.java
@@ -76,7 +76,7 @@
 
     @Test void oneOfAKeyLeavesAtATime() {
         for (String id : List.of("first", "second")) {
-            PendingRequest request = harness.request(id, ControlHarness.TURNS, "v", "k", 2, 0, 0);
+            PendingRequest request = harness.request(id, ControlHarness.ORDERED, "v", "k", 2, 0, 0);
             state.keyOrders.arrived(request, 1);
             harness.queue(request);
         }
--- a/src/test/java/kelphollow/decision/EndpointListLeaseTest.java
+++ b/src/test/java/kelphollow/decision/EndpointListLeaseTest.java
@@ -90,12 +90,12 @@
     @Test void changesAtAnotherServiceCountSooner() {
         polled.confirmed(10_000);
         polled.sourceChanged(11_000);
-        assertEquals(11_000 + EndpointListLease.NOTIFIED_AFTER_MOVE_MS - LATENESS, polled.validUntil());
+        assertEquals(11_000 + EndpointListLease.NEW_SOURCE_NOTIFIED_AFTER_MS - LATENESS, polled.validUntil());
         polled.confirmed(12_000);
         assertEquals(12_000 + TERM, polled.validUntil());
         polled.failed(EndpointPollFailure.UNREACHABLE, 13_000, 1);
         polled.sourceChanged(13_100);
-        double notified = 13_100 + EndpointListLease.NOTIFIED_AFTER_MOVE_MS;
+        double notified = 13_100 + EndpointListLease.NEW_SOURCE_NOTIFIED_AFTER_MS;
         assertEquals(notified - LATENESS, polled.validUntil(), "the old one's outage says nothing");
         polled.sourceChanged(15_000);
         assertEquals(notified - LATENESS, polled.validUntil(), "a second move puts off nothing that the first one owes");
--- a/src/test/java/kelphollow/decision/EndpointListTest.java
+++ b/src/test/java/kelphollow/decision/EndpointListTest.java
@@ -64,11 +64,11 @@
         scheduler.request("r", "read", "free", "v", 1, 0);
         scheduler.on(new EndpointsReceived(List.of(node("n0", 0, EndpointState.REMOVED, 0), node(
             "n1", 1, EndpointState.REMOVED, 0)), false, false));
-        assertEquals(1, scheduler.control.nodesKnown(), "an attempt is in flight at n0");
+        assertEquals(1, scheduler.control.nodeCount(), "an attempt is in flight at n0");
         scheduler.end("r", AttemptOutcome.SERVED, 20);
-        assertEquals(0, scheduler.control.nodesKnown());
+        assertEquals(0, scheduler.control.nodeCount());
         scheduler.endpoints(healthy("n2", 0));
         scheduler.endpoints(healthy("n3", 0));
-        assertEquals(1, scheduler.control.nodesKnown(), "a complete list leaves out what was removed");
+        assertEquals(1, scheduler.control.nodeCount(), "a complete list leaves out what was removed");
     }
 }
--- a/src/test/java/kelphollow/decision/KeyOrdersTest.java
+++ b/src/test/java/kelphollow/decision/KeyOrdersTest.java
@@ -14,7 +14,7 @@
     private final PendingRequest second = arrived("second", "k");
 
     private PendingRequest arrived(String id, String key) {
-        PendingRequest request = harness.request(id, ControlHarness.TURNS, "v", key, 1, 0, 0);
+        PendingRequest request = harness.request(id, ControlHarness.ORDERED, "v", key, 1, 0, 0);
         orders.arrived(request, 1);
         return request;
     }
@@ -29,7 +29,7 @@
 
     @Test void requestsWithoutOrderOrKeyNeverWait() {
         PendingRequest keyed = harness.request("keyed", ControlHarness.KEYED, "v", "k", 1, 0, 0);
-        PendingRequest keyless = harness.request("keyless", ControlHarness.TURNS, "v", null, 1, 0, 0);
+        PendingRequest keyless = harness.request("keyless", ControlHarness.ORDERED, "v", null, 1, 0, 0);
         orders.arrived(keyless, 1);
 
         assertTrue(orders.hasTurn(keyed));
--- a/src/test/java/kelphollow/decision/LatencyEstimateTest.java
+++ b/src/test/java/kelphollow/decision/LatencyEstimateTest.java
@@ -95,7 +95,7 @@
     @Test void theTargetIsTwiceTheBestAndAtMostHalfOfTheObjective() {
         harness.serve(node, 1, 40);
         assertEquals(80, node.latency.target());
-        assertEquals(300, node.latency.targetOfSingleRequest());
+        assertEquals(300, node.latency.singleRequestTarget());
 
         harness.serve(node, 300, 200);
 
--- a/src/test/java/kelphollow/decision/ManyInstancesTest.java
+++ b/src/test/java/kelphollow/decision/ManyInstancesTest.java
@@ -68,7 +68,7 @@
         }
         assertTrue(most <= HOSTS / 4, most + " of " + HOSTS + " calls within 100 ms, seed " + SEED);
         // A change counts as notified 6 s after the service is back, so nobody may stay away for long.
-        double mean = EndpointPollSchedule.BASE_BACKOFF_MS * (1 + EndpointPollSchedule.LEAST_BACKOFF_SHARE) / 2;
+        double mean = EndpointPollSchedule.BASE_BACKOFF_MS * (1 + EndpointPollSchedule.MIN_BACKOFF_SHARE) / 2;
         assertEquals(HOSTS * 4_000 / mean, all, HOSTS, "calls in 4 s, seed " + SEED);
     }
 
--- a/src/test/java/kelphollow/decision/OrderedKeyTest.java
+++ b/src/test/java/kelphollow/decision/OrderedKeyTest.java
@@ -13,9 +13,9 @@
 class OrderedKeyTest {
     @Test void anOrderedKeyExecutesOneAtATimeAndIsQuietAfterAnUnknownOutcome() {
         ControlHarness scheduler = ControlHarness.ready();
-        scheduler.request("t1", "turns", "free", "v", 1, 0, "k", scheduler.now + 2500, 1);
-        scheduler.request("t2", "turns", "free", "v", 1, 0, "k", scheduler.now + 2500, 1);
-        scheduler.request("x", "turns", "free", "v", 1, 0, "other", scheduler.now + 2500, 1);
+        scheduler.request("t1", "ordered", "free", "v", 1, 0, "k", scheduler.now + 2500, 1);
+        scheduler.request("t2", "ordered", "free", "v", 1, 0, "k", scheduler.now + 2500, 1);
+        scheduler.request("x", "ordered", "free", "v", 1, 0, "other", scheduler.now + 2500, 1);
         assertEquals(List.of("t1", "x"), scheduler.sent());
         scheduler.end("x", AttemptOutcome.SERVED, 5);
         double at = scheduler.now;
@@ -28,8 +28,8 @@
 
     @Test void anOrderedKeyWaitsForAnAttemptWhoseRequestIsClosed() {
         ControlHarness scheduler = ControlHarness.ready();
-        scheduler.request("t1", "turns", "free", "v", 1, 0, "k", scheduler.now + 2500, 1);
-        scheduler.request("t2", "turns", "free", "v", 1, 0, "k", scheduler.now + 2500, 1);
+        scheduler.request("t1", "ordered", "free", "v", 1, 0, "k", scheduler.now + 2500, 1);
+        scheduler.request("t2", "ordered", "free", "v", 1, 0, "k", scheduler.now + 2500, 1);
         scheduler.on(new ClientDisconnected("t1"));
         scheduler.advanceTo(scheduler.now + 100);
         assertTrue(scheduler.actions.contains(new CancelAttempt("t1", 0)), "nobody waits for it any more");
