--- a/src/main/java/kelphollow/decision/Node.java
+++ b/src/main/java/kelphollow/decision/Node.java
@@ -150,7 +150,7 @@
     void recordOutcome(InFlightAttempt attempt, AttemptEnded ended) {
         AttemptOutcome outcome = ended.outcome();
         if (outcome == AttemptOutcome.SERVED) {
-            served(attempt, ended.took());
+            served(attempt, ended.latency());
         } else if (outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT) {
             boolean answeredSince = latency.servedAt() >= attempt.sentAt;
             if (!(outcome.mayBeIsolated() && answeredSince) && health.failed(outcome, context.now())) {
@@ -162,7 +162,7 @@
     private void served(InFlightAttempt attempt, double took) {
         health.served();
         latency.served(attempt.request.units(), took, attempt.sentAt);
-        double target = window.size() <= 1 ? latency.targetOfSingleRequest() : latency.target();
+        double target = window.size() <= 1 ? latency.singleRequestTarget() : latency.target();
         window.served(latency.mean(), target, attempt.filledWindow, context.now());
     }
 }
--- a/src/main/java/kelphollow/decision/SettingsCatalog.java
+++ b/src/main/java/kelphollow/decision/SettingsCatalog.java
@@ -14,7 +14,7 @@
 
     /** @throws IllegalArgumentException naming the first invalid setting */
     SettingsCatalog(ControlSettings settings) {
-        require(settings.hosts() > 0, "hosts is " + settings.hosts() + ", must be at least 1");
+        require(settings.instances() > 0, "instances is " + settings.instances() + ", must be at least 1");
         require(settings.maxAttempts() > 0,
             "maxAttempts is " + settings.maxAttempts() + ", must be at least 1");
         require(!settings.classes().isEmpty(), "classes is empty");
--- a/src/main/java/kelphollow/decision/SlowStart.java
+++ b/src/main/java/kelphollow/decision/SlowStart.java
@@ -21,7 +21,7 @@
     /** Lower bound of the initial share of full capacity, which is used as a divisor. */
     private static final double MIN_SHARE = 0.01;
     /** Number of entries above which each new one evicts those older than the span. */
-    private static final int EVICTION_THRESHOLD = 4 * ConcurrencyWindow.CEILING;
+    private static final int EVICTION_THRESHOLD = 4 * ConcurrencyWindow.MAX_SIZE;
 
     private record Sent(double at, double units) {}
 
@@ -111,7 +111,7 @@
         double estimated = best.isEmpty() ? 0
             : rules.overloadMultiple() * rules.overloadSpan() * settings.meanUnits() / best.getAsDouble();
         double configured = rules.slowStartUnits() / Math.max(MIN_SHARE, rules.slowStartShare());
-        return Math.max(configured, estimated) * ramp() / settings.hosts();
+        return Math.max(configured, estimated) * ramp() / settings.instances();
     }
 
     private double sentWithinSpan() {
--- a/src/main/java/kelphollow/decision/VolumeTable.java
+++ b/src/main/java/kelphollow/decision/VolumeTable.java
@@ -36,7 +36,7 @@
     /** The volume of a request; its limit is shared by the number of instances given in the request. */
     Volume of(RequestArrived arrival, Plan plan) {
         String name = arrival.volume() == null ? "" : arrival.volume();
-        int instances = Math.max(1, arrival.hosts());
+        int instances = Math.max(1, arrival.instances());
         double now = context.now();
         if (byName.size() >= IDLE_EVICTION_THRESHOLD && !byName.containsKey(name)) {
             evictIdle();
--- a/src/main/java/kelphollow/program/PlatformScheduler.java
+++ b/src/main/java/kelphollow/program/PlatformScheduler.java
@@ -67,7 +67,7 @@
     private static EndpointListLease lease(ControlSettings settings) {
         return settings.endpointsPolled()
             ? EndpointListLease.polled(EndpointUpdateBudget.NOTIFIED_AFTER_MS, EndpointUpdateBudget.LOCAL_DELAY_MS, settings
-                .hosts())
+                .instances())
             : EndpointListLease.pushed(EndpointUpdateBudget.NOTIFIED_AFTER_MS, EndpointUpdateBudget.LOCAL_DELAY_MS);
     }
 
--- a/src/test/java/kelphollow/decision/DecisionWorkload.java
+++ b/src/test/java/kelphollow/decision/DecisionWorkload.java
@@ -122,7 +122,7 @@
         }
         recorder.recordState(control.limitTokens().toString());
         recorder.recordState(control.unresponsiveNodes().toString());
-        recorder.recordState(control.nodesKnown() + " nodes, " + control.volumesKnown() + " volumes");
+        recorder.recordState(control.nodeCount() + " nodes, " + control.volumeCount() + " volumes");
         return recorder;
     }
 
@@ -167,7 +167,7 @@
         if (retry) {
             arrival = new RequestArrived(id, earlier.requestClass(), earlier.plan(), earlier.key(), deadline, earlier
                 .volume(),
-                earlier.units(), earlier.cell(), earlier.hosts(), true);
+                earlier.units(), earlier.cell(), earlier.instances(), true);
         }
         open.put(id, arrival);
         tell((retry ? "retry " : "arrival ") + id, arrival);
