--- a/src/main/java/kelphollow/fleet/Fleet.java
+++ b/src/main/java/kelphollow/fleet/Fleet.java
@@ -33,7 +33,7 @@
     private static final double RETRY_WINDOW = 10_000;
 
     /** Makes the transport of an instance; {@code epoch} is read for each packet. */
-    public interface Transports {
+    public interface TransportFactory {
         /** The transport of the instance of that name; what it receives goes to {@code listener}, on its loop. */
         PeerTransport open(String name, LongSupplier epoch, PeerListener listener);
     }
@@ -66,7 +66,7 @@
     }
 
     /** The same over another transport. */
-    public Fleet(FleetOptions options, ControlSettings settings, long epoch, Transports transports, Ticker ticker,
+    public Fleet(FleetOptions options, ControlSettings settings, long epoch, TransportFactory transports, Ticker ticker,
         FleetRouting routing, Random random, EventLog events, LongConsumer epochRaised) {
         this.options = options;
         this.ticker = ticker;
--- a/src/main/java/kelphollow/scale/FleetHost.java
+++ b/src/main/java/kelphollow/scale/FleetHost.java
@@ -14,7 +14,7 @@
     Ticker ticker(int instance, SuspendableExecutor process);
 
     /** What carries an instance's packets, all that arrives through its executor. */
-    Fleet.Transports transports(int instance, SuspendableExecutor process, byte[] key, int mostMembers);
+    Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key, int mostMembers);
 
     /** Opens the transport; not on a loop. */
     void open(int instance, Fleet fleet) throws IOException;
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -69,7 +69,8 @@
         };
     }
 
-    @Override public Fleet.Transports transports(int instance, SuspendableExecutor process, byte[] key, int mostMembers) {
+    @Override public Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key,
+        int mostMembers) {
         return (name, epoch, peers) -> new Line(instance, process, new PacketSealer(name, epoch, key), name, peers);
     }
 
--- a/src/main/java/kelphollow/scale/SimulatedInstance.java
+++ b/src/main/java/kelphollow/scale/SimulatedInstance.java
@@ -90,7 +90,8 @@
         host.run(index, () -> {
             Ticker ticker = host.ticker(index, newProcess);
             nodes = new SimulatedNodes(scenario, index, ticker, ejected -> observer.ejected(index, ticker.now(), ejected));
-            Fleet.Transports transports = host.transports(index, newProcess, KEY, MembershipSettings.DEFAULTS.maxMembers());
+            Fleet.TransportFactory transports = host.transports(index, newProcess, KEY, MembershipSettings.DEFAULTS
+                .maxMembers());
             fleet = new Fleet(options(), settings(), epoch, transports,
                 ticker, nodes, drawn, new EventLog(new EventReader(ticker)), raised -> epoch = raised);
         });
--- a/src/main/java/kelphollow/scale/SocketHost.java
+++ b/src/main/java/kelphollow/scale/SocketHost.java
@@ -87,7 +87,8 @@
         };
     }
 
-    @Override public Fleet.Transports transports(int instance, SuspendableExecutor process, byte[] key, int mostMembers) {
+    @Override public Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key,
+        int mostMembers) {
         return (name, epoch, peers) -> new PeerLine(loop(instance), name, epoch, key, mostMembers,
             new SuspendablePeers(instance, process, peers), new NetworkDelays(network, instance, isProcess));
     }
--- a/src/test/java/kelphollow/scale/ScaleSimulationTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSimulationTest.java
@@ -209,9 +209,9 @@
             return packet;
         }
 
-        @Override public Fleet.Transports transports(int instance, SuspendableExecutor process, byte[] key,
+        @Override public Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key,
             int mostMembers) {
-            Fleet.Transports intact = host.transports(instance, process, key, mostMembers);
+            Fleet.TransportFactory intact = host.transports(instance, process, key, mostMembers);
             return instance != faulty ? intact
                 : (name, epoch, peers) -> new FaultyLine(this, intact.open(name, epoch, new FaultyPeers(this, peers)));
         }
