--- a/src/main/java/kelphollow/ledger/CompletionRecords.java
+++ b/src/main/java/kelphollow/ledger/CompletionRecords.java
@@ -11,13 +11,13 @@
     /** How long a record is kept, in milliseconds. */
     static final long TIME_TO_LIVE = 24L * 3600 * 1000;
 
-    /** A recorded response; {@code print} is the digest of the list of parts that it was given for. */
-    public record Answer(String print, int status, String type, String body) {}
+    /** A recorded response; {@code partListDigest} is the digest of the list of parts that it was given for. */
+    public record RecordedResponse(String partListDigest, int status, String type, String body) {}
 
     /** Receives what is recorded. */
     public interface Reader {
-        /** One record; {@code answer} is null for an intent. */
-        void completion(String upload, RecoveredOutcomes.Found found, long epoch, Answer answer);
+        /** One record; {@code response} is null for an intent. */
+        void completion(String upload, RecoveredOutcomes.Found found, long epoch, RecordedResponse response);
     }
 
     private final Ledger ledger;
@@ -29,41 +29,41 @@
     /** Reads all records; blocks on the disk, so only before the event loop serves. */
     public void read(Reader reader) throws IOException, StoreFault {
         ledger.read(StoredNames.COMPLETIONS, (upload, stored) -> {
-            Answer answer = answer(stored);
+            RecordedResponse response = response(stored);
             reader.completion(upload,
-                answer == null ? RecoveredOutcomes.Found.INTENT : RecoveredOutcomes.Found.OUTCOME,
-                stored.integer(StoredNames.EPOCH), answer);
+                response == null ? RecoveredOutcomes.Found.INTENT : RecoveredOutcomes.Found.OUTCOME,
+                stored.integer(StoredNames.EPOCH), response);
         });
     }
 
-    private static Answer answer(StoredRecord stored) {
+    private static RecordedResponse response(StoredRecord stored) {
         String body = stored.text(StoredNames.BODY);
-        return body == null ? null : new Answer(stored.text(StoredNames.PART_LIST_DIGEST),
+        return body == null ? null : new RecordedResponse(stored.text(StoredNames.PART_LIST_DIGEST),
             (int) stored.number(StoredNames.STATUS), stored.text(StoredNames.CONTENT_TYPE), body);
     }
 
     /** Records that a completion may go out; {@code then} receives null on the loop once that is synced. */
-    public void intent(String upload, double now, Consumer<StoreFault> then) {
+    public void recordIntent(String upload, double now, Consumer<StoreFault> then) {
         byte[] intent = RecordCodec.encode(json -> json.writeNumberField(StoredNames.EPOCH, ledger.epoch()));
         ledger.writeSynced(
             new Batch().put(StoredNames.COMPLETIONS, RecordCodec.key(upload), intent, (long) now + TIME_TO_LIVE), then);
     }
 
     /** Records the response, so that a client that retries the same completion gets it again. */
-    public void ran(String upload, Answer answer, double now) {
+    public void recordResponse(String upload, RecordedResponse response, double now) {
         byte[] outcome = RecordCodec.encode(json -> {
             json.writeNumberField(StoredNames.EPOCH, ledger.epoch());
-            RecordCodec.writeOptional(json, StoredNames.PART_LIST_DIGEST, answer.print);
-            json.writeNumberField(StoredNames.STATUS, answer.status);
-            RecordCodec.writeOptional(json, StoredNames.CONTENT_TYPE, answer.type);
-            RecordCodec.writeOptional(json, StoredNames.BODY, answer.body);
+            RecordCodec.writeOptional(json, StoredNames.PART_LIST_DIGEST, response.partListDigest);
+            json.writeNumberField(StoredNames.STATUS, response.status);
+            RecordCodec.writeOptional(json, StoredNames.CONTENT_TYPE, response.type);
+            RecordCodec.writeOptional(json, StoredNames.BODY, response.body);
         });
         ledger.writeBuffered(
             new Batch().put(StoredNames.COMPLETIONS, RecordCodec.key(upload), outcome, (long) now + TIME_TO_LIVE));
     }
 
     /** Removes the record of a completion that is proved never to have run. */
-    public void neverRan(String upload) {
+    public void removeIntent(String upload) {
         ledger.writeBuffered(new Batch().remove(StoredNames.COMPLETIONS, RecordCodec.key(upload)));
     }
 }
--- a/src/main/java/kelphollow/ledger/Ledger.java
+++ b/src/main/java/kelphollow/ledger/Ledger.java
@@ -67,7 +67,7 @@
      *
      * @param at Unix milliseconds
      */
-    public static void noteLoss(Store store, long at) throws IOException, StoreFault {
+    public static void recordLoss(Store store, long at) throws IOException, StoreFault {
         // The lost records may be those of the epoch's own number, and of incarnations that a backup does not know.
         long epoch = lastEpoch(store) + MAX_UNSEEN_EPOCHS;
         byte[] loss = RecordCodec.encode(json -> {
@@ -98,7 +98,7 @@
     }
 
     /** Makes the next epoch higher than this number. */
-    public void keepAbove(long number) {
+    public void reserveEpochsUpTo(long number) {
         writeBuffered(new Batch().put(StoredNames.INCARNATIONS, EPOCH_KEY, epochRecord(Math.max(number, epoch))));
     }
 
--- a/src/main/java/kelphollow/ledger/LimitRecords.java
+++ b/src/main/java/kelphollow/ledger/LimitRecords.java
@@ -38,7 +38,7 @@
     }
 
     /** Records the tokens by volume at the end of this incarnation, after which nothing is sent any more. */
-    public void end(Map<String, Double> tokensByVolume, double now) {
+    public void recordFinalTokens(Map<String, Double> tokensByVolume, double now) {
         Batch batch = new Batch();
         tokensByVolume.forEach((volume, tokens) -> batch.put(StoredNames.LIMITS, RecordCodec.key(volume),
             encode(tokens, now), (long) now + TIME_TO_LIVE));
--- a/src/main/java/kelphollow/ledger/OutcomeRecords.java
+++ b/src/main/java/kelphollow/ledger/OutcomeRecords.java
@@ -27,14 +27,14 @@
      *
      * @param window how long the record is kept, in milliseconds
      */
-    public void intent(String identity, double now, double window, Consumer<StoreFault> then) {
+    public void recordIntent(String identity, double now, double window, Consumer<StoreFault> then) {
         byte[] intent = RecordCodec.encode(json -> json.writeNumberField(StoredNames.EPOCH, ledger.epoch()));
         ledger.writeSynced(
             new Batch().put(StoredNames.OUTCOMES, RecordCodec.key(identity), intent, (long) (now + window)), then);
     }
 
     /** Records the outcome; {@code then} receives null on the loop once it is synced. */
-    public void ran(String identity, String outcome, double now, double window, Consumer<StoreFault> then) {
+    public void recordOutcome(String identity, String outcome, double now, double window, Consumer<StoreFault> then) {
         byte[] stored = RecordCodec.encode(json -> {
             json.writeNumberField(StoredNames.EPOCH, ledger.epoch());
             RecordCodec.writeOptional(json, StoredNames.OUTCOME, outcome);
@@ -44,7 +44,7 @@
     }
 
     /** Removes the record of a request that is proved never to have run. */
-    public void neverRan(String identity) {
+    public void removeIntent(String identity) {
         ledger.writeBuffered(new Batch().remove(StoredNames.OUTCOMES, RecordCodec.key(identity)));
     }
 
--- a/src/main/java/kelphollow/ledger/PartRecords.java
+++ b/src/main/java/kelphollow/ledger/PartRecords.java
@@ -52,19 +52,19 @@
     }
 
     /** Records that an upload was begun here. */
-    public void begun(String upload, double now) {
+    public void recordUpload(String upload, double now) {
         ledger.writeBuffered(new Batch().put(StoredNames.UPLOADS, RecordCodec.key(upload), epochRecord(),
             (long) now + TIME_TO_LIVE));
     }
 
     /** Records that a part may go out; {@code then} receives null on the loop once that is synced. */
-    public void intent(String upload, int number, double now, Consumer<StoreFault> then) {
+    public void recordIntent(String upload, int number, double now, Consumer<StoreFault> then) {
         ledger.writeSynced(new Batch().put(StoredNames.PARTS, key(upload, number), epochRecord(),
             (long) now + TIME_TO_LIVE), then);
     }
 
     /** Records that a part was stored. */
-    public void stored(String upload, int number, long size, String md5, String etag, double now) {
+    public void recordStored(String upload, int number, long size, String md5, String etag, double now) {
         byte[] outcome = RecordCodec.encode(json -> {
             json.writeNumberField(StoredNames.EPOCH, ledger.epoch());
             json.writeNumberField(StoredNames.SIZE, size);
@@ -76,17 +76,17 @@
     }
 
     /** Removes the record of a part that is proved not to have been stored. */
-    public void neverRan(String upload, int number) {
+    public void removeIntent(String upload, int number) {
         ledger.writeBuffered(new Batch().remove(StoredNames.PARTS, key(upload, number)));
     }
 
     /** Removes all records of an upload that has ended; {@code parts} are the numbers that were recorded of it. */
-    public void over(String upload, Iterable<Integer> parts) {
+    public void removeUpload(String upload, Iterable<Integer> parts) {
         ledger.writeBuffered(removals(upload, parts));
     }
 
-    /** Like {@link #over} before an upload is aborted; {@code then} receives null on the loop once that is synced. */
-    public void aborting(String upload, Iterable<Integer> parts, Consumer<StoreFault> then) {
+    /** Like {@link #removeUpload} before an upload is aborted; {@code then} receives null on the loop once that is synced. */
+    public void removeUploadSynced(String upload, Iterable<Integer> parts, Consumer<StoreFault> then) {
         ledger.writeSynced(removals(upload, parts), then);
     }
 
@@ -97,7 +97,7 @@
     }
 
     /** Records that not all parts of an upload are in memory any more: a missing record proves nothing from now on. */
-    public void incomplete(String upload) {
+    public void markIncomplete(String upload) {
         ledger.writeBuffered(new Batch().remove(StoredNames.UPLOADS, RecordCodec.key(upload)));
     }
 }
--- a/src/main/java/kelphollow/program/ObjectScheduler.java
+++ b/src/main/java/kelphollow/program/ObjectScheduler.java
@@ -139,7 +139,7 @@
         EventLog events = config.fleet().openEvents();
         loop().submit(() -> {
             fleet = new Fleet(config.fleet().options(), config.settings(), ledger.epoch(), loop(), ticker(), router(),
-                new Random(config.seed() ^ ledger.epoch()), events, ledger::keepAbove);
+                new Random(config.seed() ^ ledger.epoch()), events, ledger::reserveEpochsUpTo);
         }).sync();
         try {
             InetSocketAddress at = fleet.transport().listen(config.fleet().options().listen());
@@ -179,7 +179,8 @@
 
     @Override void end() {
         if (ledger != null) {
-            loop().submit(() -> ledger.limits().end(router().limitTokens(), ticker().now())).syncUninterruptibly();
+            loop().submit(() -> ledger.limits().recordFinalTokens(router().limitTokens(), ticker().now()))
+                .syncUninterruptibly();
         }
         close();
     }
--- a/src/main/java/kelphollow/program/StoreCommand.java
+++ b/src/main/java/kelphollow/program/StoreCommand.java
@@ -145,7 +145,7 @@
             try (Store store = acceptLoss ? openAcceptingLoss(progress) : open(progress)) {
                 print(out, store.report());
                 if (acceptLoss) {
-                    Ledger.noteLoss(store, System.currentTimeMillis());
+                    Ledger.recordLoss(store, System.currentTimeMillis());
                 }
                 out.println("state=" + (store.report().isDamaged() ? "repaired_with_loss" : "sound") + " repaired="
                     + store.report().repairedFiles());
--- a/src/main/java/kelphollow/protocol/object/CompletionForwarding.java
+++ b/src/main/java/kelphollow/protocol/object/CompletionForwarding.java
@@ -6,7 +6,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import javax.xml.stream.XMLStreamException;
-import kelphollow.ledger.CompletionRecords.Answer;
+import kelphollow.ledger.CompletionRecords.RecordedResponse;
 
 /**
  * Forwards a client's completion of an upload. It is sent only if it cannot have run yet: one that ran gets the same
@@ -50,8 +50,8 @@
     }
 
     private void answerAgain() {
-        Answer recorded = completion.answer();
-        if (!recorded.print().equals(documentDigest)) {
+        RecordedResponse recorded = completion.answer();
+        if (!recorded.partListDigest().equals(documentDigest)) {
             exchange.answer(new S3Error(404, "NoSuchUpload", "This upload was completed with other parts."));
             return;
         }
@@ -96,7 +96,7 @@
         String type = response.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (response.isSuccess() && !isError(response)) {
             String body = new String(response.body(), StandardCharsets.UTF_8);
-            completion.ran(new Answer(documentDigest, response.status(), type, body), services.now());
+            completion.ran(new RecordedResponse(documentDigest, response.status(), type, body), services.now());
             services.parts().finished(UploadParts.upload(exchange.call()));
         } else if (response.isClientError()) {
             completion.neverRan();
--- a/src/main/java/kelphollow/protocol/object/Completions.java
+++ b/src/main/java/kelphollow/protocol/object/Completions.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import kelphollow.ledger.CompletionRecords;
-import kelphollow.ledger.CompletionRecords.Answer;
+import kelphollow.ledger.CompletionRecords.RecordedResponse;
 import kelphollow.recovery.RecoveredOutcome;
 import kelphollow.recovery.RecoveredOutcome.Kind;
 import kelphollow.recovery.RecoveredOutcomes;
@@ -21,7 +21,7 @@
     final class Completion {
         private final String upload;
         private RecoveredOutcome outcome;
-        private Answer answer;
+        private RecordedResponse answer;
         private double unknownSince;
 
         private Completion(String upload) {
@@ -33,7 +33,7 @@
         }
 
         /** The recorded response, or null unless it ran. */
-        Answer answer() {
+        RecordedResponse answer() {
             return answer;
         }
 
@@ -48,16 +48,16 @@
             if (records == null) {
                 then.accept(null);
             } else {
-                records.intent(upload, now, then);
+                records.recordIntent(upload, now, then);
             }
         }
 
         /** It ran, with this response. */
-        void ran(Answer response, double now) {
+        void ran(RecordedResponse response, double now) {
             outcome = new RecoveredOutcome(Kind.RAN, 0);
             answer = response;
             if (records != null) {
-                records.ran(upload, response, now);
+                records.recordResponse(upload, response, now);
             }
         }
 
@@ -71,7 +71,7 @@
         void neverRan() {
             completions.remove(upload, this);
             if (records != null) {
-                records.neverRan(upload);
+                records.removeIntent(upload);
             }
         }
     }
--- a/src/main/java/kelphollow/protocol/object/UploadPart.java
+++ b/src/main/java/kelphollow/protocol/object/UploadPart.java
@@ -100,7 +100,7 @@
             then.accept(null);
         } else {
             isRecorded = true;
-            records.intent(upload, number, now, then);
+            records.recordIntent(upload, number, now, then);
         }
     }
 
@@ -118,7 +118,7 @@
         etag = tag;
         if (records != null) {
             isRecorded = true;
-            records.stored(upload, number, stored.size(), stored.md5(), tag, now);
+            records.recordStored(upload, number, stored.size(), stored.md5(), tag, now);
         }
         notifyListeners(PartOutcome.stored(stored, tag));
     }
@@ -134,7 +134,7 @@
     void forget(S3Error error) {
         parts.remove(this);
         if (isRecorded) {
-            records.neverRan(upload, number);
+            records.removeIntent(upload, number);
         }
         notifyListeners(PartOutcome.failed(error));
     }
--- a/src/main/java/kelphollow/protocol/object/UploadParts.java
+++ b/src/main/java/kelphollow/protocol/object/UploadParts.java
@@ -83,7 +83,7 @@
     void begun(String upload, double now) {
         complete.add(upload);
         if (records != null) {
-            records.begun(upload, now);
+            records.recordUpload(upload, now);
         }
         if (complete.size() > capacity) {
             markIncomplete(complete.iterator().next());
@@ -92,7 +92,7 @@
 
     private void markIncomplete(String upload) {
         if (complete.remove(upload) && records != null) {
-            records.incomplete(upload);
+            records.markIncomplete(upload);
         }
     }
 
@@ -100,7 +100,7 @@
     void finished(String upload) {
         List<Integer> forgotten = forget(upload);
         if (records != null) {
-            records.over(upload, forgotten);
+            records.removeUpload(upload, forgotten);
         }
     }
 
@@ -114,7 +114,7 @@
         if (records == null) {
             then.accept(null);
         } else {
-            records.aborting(upload, forgotten, then);
+            records.removeUploadSynced(upload, forgotten, then);
         }
     }
 
--- a/src/test/java/kelphollow/ledger/RecordBytesTest.java
+++ b/src/test/java/kelphollow/ledger/RecordBytesTest.java
@@ -64,7 +64,7 @@
     }
 
     @Test void aLossIsStoredWithItsTimeAndTheEpochsThatItMayConcern() throws Exception {
-        Ledger.noteLoss(store, 5);
+        Ledger.recordLoss(store, 5);
 
         assertEquals(Map.of("epoch", "{\"n\":1000001}", "lost", "{\"at\":5,\"epoch\":1000001}"), table("life"));
         Ledger next = Ledger.open(store, Runnable::run);
@@ -73,9 +73,9 @@
     }
 
     @Test void anUploadAndItsPartsAreStoredWithTheirEpoch() throws Exception {
-        ledger.parts().begun("u1", NOW);
-        ledger.parts().intent("u1", 1, NOW, fault -> assertNull(fault));
-        ledger.parts().stored("u1", 2, 12_345_678_901L, "md5", "\"etag\"", NOW);
+        ledger.parts().recordUpload("u1", NOW);
+        ledger.parts().recordIntent("u1", 1, NOW, fault -> assertNull(fault));
+        ledger.parts().recordStored("u1", 2, 12_345_678_901L, "md5", "\"etag\"", NOW);
 
         assertEquals(Map.of("u1", "{\"epoch\":1}"), table("uploads"));
         assertEquals(Map.of("u1#1", "{\"epoch\":1}",
@@ -83,9 +83,10 @@
     }
 
     @Test void aCompletionIsStoredWithItsResponse() throws Exception {
-        ledger.completions().intent("u1", NOW, fault -> assertNull(fault));
-        ledger.completions().ran("u2", new CompletionRecords.Answer("print", 200, "application/xml", "<a/>"), NOW);
-        ledger.completions().ran("u3", new CompletionRecords.Answer("print", 200, null, "<a/>"), NOW);
+        ledger.completions().recordIntent("u1", NOW, fault -> assertNull(fault));
+        ledger.completions().recordResponse("u2", new CompletionRecords.RecordedResponse("print", 200, "application/xml",
+            "<a/>"), NOW);
+        ledger.completions().recordResponse("u3", new CompletionRecords.RecordedResponse("print", 200, null, "<a/>"), NOW);
 
         assertEquals(Map.of("u1", "{\"epoch\":1}",
             "u2", "{\"epoch\":1,\"print\":\"print\",\"status\":200,\"type\":\"application/xml\",\"body\":\"<a/>\"}",
@@ -93,14 +94,14 @@
     }
 
     @Test void limitsAreStoredWithTheEpochAtWhoseEndTheyHeld() throws Exception {
-        ledger.limits().end(Map.of("v1", 12.5), NOW);
+        ledger.limits().recordFinalTokens(Map.of("v1", 12.5), NOW);
 
         assertEquals(Map.of("v1", "{\"endOf\":1,\"level\":12.5,\"at\":1000000.0}"), table("limits"));
     }
 
     @Test void anUnsafeRequestIsStoredWithItsOutcome() throws Exception {
-        ledger.outcomes().intent("a/1/1", NOW, 1_000, fault -> assertNull(fault));
-        ledger.outcomes().ran("a/1/2", "stored", NOW, 1_000, fault -> assertNull(fault));
+        ledger.outcomes().recordIntent("a/1/1", NOW, 1_000, fault -> assertNull(fault));
+        ledger.outcomes().recordOutcome("a/1/2", "stored", NOW, 1_000, fault -> assertNull(fault));
 
         assertEquals(Map.of("a/1/1", "{\"epoch\":1}", "a/1/2", "{\"epoch\":1,\"outcome\":\"stored\"}"),
             table("ingests"));
--- a/src/test/java/kelphollow/ledger/StoredRecordsTest.java
+++ b/src/test/java/kelphollow/ledger/StoredRecordsTest.java
@@ -89,60 +89,63 @@
             writeCompletions(first.completions());
             writeOutcomes(first.outcomes());
             writeNodes(first.endpoints());
-            first.limits().end(new TreeMap<>(Map.of("volume-1", 12.5, "volume-2", -3.0, "volume-3", 0.0)), NOW);
+            first.limits().recordFinalTokens(new TreeMap<>(Map.of("volume-1", 12.5, "volume-2", -3.0, "volume-3", 0.0)),
+                NOW);
         }
         try (Ledger second = Ledger.open(open(store), Runnable::run)) {
             second.limits().take();
-            second.parts().begun("upload-of-life-2", NOW);
-            second.parts().intent("upload-of-life-2", 1, NOW, NOT_AWAITED);
-            second.keepAbove(41);
+            second.parts().recordUpload("upload-of-life-2", NOW);
+            second.parts().recordIntent("upload-of-life-2", 1, NOW, NOT_AWAITED);
+            second.reserveEpochsUpTo(41);
         }
         try (Store withLoss = open(store)) {
-            Ledger.noteLoss(withLoss, NOW);
+            Ledger.recordLoss(withLoss, NOW);
         }
         try (Ledger third = Ledger.open(open(store), Runnable::run)) {
-            third.completions().intent("upload-of-life-3", NOW, NOT_AWAITED);
-            third.outcomes().intent("request-of-life-3", NOW, OUTCOME_WINDOW, NOT_AWAITED);
-            third.limits().end(new TreeMap<>(Map.of("volume-1", 7.25, "volume-4", 1.0e6)), NOW + 0.5);
+            third.completions().recordIntent("upload-of-life-3", NOW, NOT_AWAITED);
+            third.outcomes().recordIntent("request-of-life-3", NOW, OUTCOME_WINDOW, NOT_AWAITED);
+            third.limits().recordFinalTokens(new TreeMap<>(Map.of("volume-1", 7.25, "volume-4", 1.0e6)), NOW + 0.5);
         }
     }
 
     private static void writeParts(PartRecords parts) {
-        parts.begun("upload-a", NOW);
-        parts.intent("upload-a", 1, NOW, NOT_AWAITED);
-        parts.stored("upload-a", 1, 5_242_880, "0cc175b9c0f1b6a831c399e269772661", "\"tag-1\"", NOW);
-        parts.intent("upload-a", 10_000, NOW, NOT_AWAITED);
-        parts.intent("upload-a", 3, NOW, NOT_AWAITED);
-        parts.neverRan("upload-a", 3);
-        parts.begun("upload-b", NOW);
-        parts.stored("upload-b", 1, 1, "92eb5ffee6ae2fec3ad71c777531578f", "\"tag-2\"", NOW);
-        parts.over("upload-b", List.of(1));
-        parts.begun("upload-c", NOW);
-        parts.intent("upload-c", 1, NOW, NOT_AWAITED);
-        parts.aborting("upload-c", List.of(1), NOT_AWAITED);
-        parts.begun("upload-d", NOW);
-        parts.stored("upload-d", 7, 9_007_199_254_740_991L, null, "\"größe\"", NOW);
-        parts.incomplete("upload-d");
-        parts.begun("upload#e", NOW);
-        parts.intent("upload#e", 2, NOW, NOT_AWAITED);
+        parts.recordUpload("upload-a", NOW);
+        parts.recordIntent("upload-a", 1, NOW, NOT_AWAITED);
+        parts.recordStored("upload-a", 1, 5_242_880, "0cc175b9c0f1b6a831c399e269772661", "\"tag-1\"", NOW);
+        parts.recordIntent("upload-a", 10_000, NOW, NOT_AWAITED);
+        parts.recordIntent("upload-a", 3, NOW, NOT_AWAITED);
+        parts.removeIntent("upload-a", 3);
+        parts.recordUpload("upload-b", NOW);
+        parts.recordStored("upload-b", 1, 1, "92eb5ffee6ae2fec3ad71c777531578f", "\"tag-2\"", NOW);
+        parts.removeUpload("upload-b", List.of(1));
+        parts.recordUpload("upload-c", NOW);
+        parts.recordIntent("upload-c", 1, NOW, NOT_AWAITED);
+        parts.removeUploadSynced("upload-c", List.of(1), NOT_AWAITED);
+        parts.recordUpload("upload-d", NOW);
+        parts.recordStored("upload-d", 7, 9_007_199_254_740_991L, null, "\"größe\"", NOW);
+        parts.markIncomplete("upload-d");
+        parts.recordUpload("upload#e", NOW);
+        parts.recordIntent("upload#e", 2, NOW, NOT_AWAITED);
     }
 
     private static void writeCompletions(CompletionRecords completions) {
-        completions.intent("upload-f", NOW, NOT_AWAITED);
-        completions.ran("upload-f", new CompletionRecords.Answer("digest-of-parts", 200, "application/xml",
+        completions.recordIntent("upload-f", NOW, NOT_AWAITED);
+        completions.recordResponse("upload-f", new CompletionRecords.RecordedResponse("digest-of-parts", 200,
+            "application/xml",
             "<Result>\n  <ETag>&quot;größe&quot;</ETag>\n</Result>"), NOW);
-        completions.ran("upload-g", new CompletionRecords.Answer("digest-of-parts", 409, null, ""), NOW);
-        completions.intent("upload-h", NOW, NOT_AWAITED);
-        completions.intent("upload-i", NOW, NOT_AWAITED);
-        completions.neverRan("upload-i");
+        completions.recordResponse("upload-g", new CompletionRecords.RecordedResponse("digest-of-parts", 409, null, ""),
+            NOW);
+        completions.recordIntent("upload-h", NOW, NOT_AWAITED);
+        completions.recordIntent("upload-i", NOW, NOT_AWAITED);
+        completions.removeIntent("upload-i");
     }
 
     private static void writeOutcomes(OutcomeRecords outcomes) {
-        outcomes.intent("request-1", NOW, OUTCOME_WINDOW, NOT_AWAITED);
-        outcomes.intent("request-2", NOW, OUTCOME_WINDOW, NOT_AWAITED);
-        outcomes.ran("request-2", "201 \"tag-3\"", NOW + 0.75, OUTCOME_WINDOW, NOT_AWAITED);
-        outcomes.intent("request-3", NOW, OUTCOME_WINDOW, NOT_AWAITED);
-        outcomes.neverRan("request-3");
+        outcomes.recordIntent("request-1", NOW, OUTCOME_WINDOW, NOT_AWAITED);
+        outcomes.recordIntent("request-2", NOW, OUTCOME_WINDOW, NOT_AWAITED);
+        outcomes.recordOutcome("request-2", "201 \"tag-3\"", NOW + 0.75, OUTCOME_WINDOW, NOT_AWAITED);
+        outcomes.recordIntent("request-3", NOW, OUTCOME_WINDOW, NOT_AWAITED);
+        outcomes.removeIntent("request-3");
     }
 
     private static void writeNodes(EndpointRecords nodes) {
@@ -167,7 +170,7 @@
             lines.add("life epoch=" + ledger.epoch() + " lost_up_to=" + ledger.lostUpTo());
             readParts(ledger.parts(), lines);
             ledger.completions().read((upload, found, epoch, answer) -> lines.add("completion " + upload + " "
-                + word(found) + " epoch=" + epoch + (answer == null ? "" : " print=" + answer.print() + " status="
+                + word(found) + " epoch=" + epoch + (answer == null ? "" : " print=" + answer.partListDigest() + " status="
                     + answer.status() + " type=" + answer.type() + " body=" + answer.body().replace("\n", "\\n"))));
             readOutcomes(ledger, lines);
             readNodes(ledger.endpoints(), lines);
--- a/src/test/java/kelphollow/program/StoredNamesTest.java
+++ b/src/test/java/kelphollow/program/StoredNamesTest.java
@@ -45,14 +45,15 @@
     @Test void recordsAreWrittenAsRecorded() throws Exception {
         try (Ledger ledger = open()) {
             ledger.endpoints().received(members(), NOW);
-            ledger.limits().end(Map.of("volume", 7.5), NOW);
-            ledger.parts().begun("upload", NOW);
-            ledger.parts().intent("upload", 1, NOW, fault -> assertNull(fault));
-            ledger.parts().stored("upload", 2, 99, "an md5", "an etag", NOW);
-            ledger.completions().intent("upload", NOW, fault -> assertNull(fault));
-            ledger.completions().ran("other", new CompletionRecords.Answer("print", 200, "text/xml", "body"), NOW);
-            ledger.outcomes().intent("first", NOW, WINDOW, fault -> assertNull(fault));
-            ledger.outcomes().ran("second", "done", NOW, WINDOW, fault -> assertNull(fault));
+            ledger.limits().recordFinalTokens(Map.of("volume", 7.5), NOW);
+            ledger.parts().recordUpload("upload", NOW);
+            ledger.parts().recordIntent("upload", 1, NOW, fault -> assertNull(fault));
+            ledger.parts().recordStored("upload", 2, 99, "an md5", "an etag", NOW);
+            ledger.completions().recordIntent("upload", NOW, fault -> assertNull(fault));
+            ledger.completions().recordResponse("other", new CompletionRecords.RecordedResponse("print", 200, "text/xml",
+                "body"), NOW);
+            ledger.outcomes().recordIntent("first", NOW, WINDOW, fault -> assertNull(fault));
+            ledger.outcomes().recordOutcome("second", "done", NOW, WINDOW, fault -> assertNull(fault));
         }
 
         String[] dump = CommandNamesTest.run("store", "dump", folder.resolve("first").toString(),
