--- a/src/bench/java/kelphollow/fleet/DisseminationFigures.java
+++ b/src/bench/java/kelphollow/fleet/DisseminationFigures.java
@@ -37,7 +37,7 @@
     private static void run(DisseminationWorld.Setup setup, double loss, double warm, double measured, long seed) {
         DisseminationWorld world = new DisseminationWorld(seed, setup);
         world.loss = loss;
-        world.fleet();
+        world.startFleet();
         world.run(warm);
         world.clearCounters();
         long cpu = java.lang.management.ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
@@ -49,7 +49,7 @@
                 world.drain(DisseminationWorld.name((int) (world.drains.size() * 37L % setup.size())), "drained-"
                     + world.drains.size());
             }
-            fresh += world.fresh();
+            fresh += world.freshFraction();
             looks++;
         }
         cpu = java.lang.management.ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu;
--- a/src/bench/java/kelphollow/fleet/FaultFigures.java
+++ b/src/bench/java/kelphollow/fleet/FaultFigures.java
@@ -27,7 +27,7 @@
         System.out.println(
             "| second | fresh | right views | membership B/s | parts | compare | exchange | all: mean | max "
                 + "| drains kept |");
-        world.fleet();
+        world.startFleet();
         if (args[0].equals("cold")) {
             play(world, after, "cold");
             return;
@@ -35,12 +35,12 @@
         world.run(calm - 3_000);
         play(world, 3_000, "calm");
         if (args[0].equals("cut")) {
-            world.passes = (from, to) -> DisseminationWorld.region(from) == DisseminationWorld.region(to);
+            world.connected = (from, to) -> DisseminationWorld.region(from) == DisseminationWorld.region(to);
             for (int i = 0; i < 3; i++) {
                 world.drain(DisseminationWorld.name(i + 3), "drained-" + i);
             }
             play(world, fault, "cut");
-            world.passes = (from, to) -> true;
+            world.connected = (from, to) -> true;
             play(world, after, "healed");
             return;
         }
@@ -68,7 +68,8 @@
             double[] totals = world.totals(since);
             long kept = Arrays.stream(world.drainDelays(null)).filter(Double::isFinite).count();
             System.out.printf(Locale.ROOT, "| %s %.0f | %.4f | %d | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %d |%n", phase,
-                world.now / 1_000, world.fresh(), world.correctViews(), kinds.get(DisseminationWorld.Kind.MEMBERSHIP),
+                world.now / 1_000, world.freshFraction(), world.correctViews(), kinds.get(
+                    DisseminationWorld.Kind.MEMBERSHIP),
                 kinds.get(DisseminationWorld.Kind.STATES), kinds.get(DisseminationWorld.Kind.COMPARISON),
                 kinds.get(DisseminationWorld.Kind.EXCHANGE), Arrays.stream(totals).average().orElse(0),
                 totals[totals.length - 1], kept);
--- a/src/test/java/kelphollow/fleet/DisseminationSimulationTest.java
+++ b/src/test/java/kelphollow/fleet/DisseminationSimulationTest.java
@@ -30,7 +30,7 @@
 
     private static DisseminationWorld settled(long seed, int size) {
         DisseminationWorld world = new DisseminationWorld(seed, DisseminationWorld.Setup.of(size, false));
-        world.fleet();
+        world.startFleet();
         world.run(SETTLED);
         return world;
     }
@@ -41,7 +41,7 @@
 
     /** What must hold of a fleet at rest; the planted faults below must not pass it. */
     private static void assertComplete(DisseminationWorld world) {
-        assertEquals(1.0, world.fresh(), 0, "fresh states, seed " + world.seed);
+        assertEquals(1.0, world.freshFraction(), 0, "fresh states, seed " + world.seed);
         double[] delays = world.drainDelays(null);
         assertTrue(delays.length == 0 || delays[delays.length - 1] < Double.POSITIVE_INFINITY,
             "a drain did not reach all, seed " + world.seed);
@@ -99,7 +99,7 @@
         DisseminationWorld world = settled(5, SMALL);
         world.drain(DisseminationWorld.name(1), "before");
         world.run(world.now + 2_000);
-        world.passes = (from, to) -> DisseminationWorld.region(from) == DisseminationWorld.region(to);
+        world.connected = (from, to) -> DisseminationWorld.region(from) == DisseminationWorld.region(to);
         world.run(world.now + 30_000);
         world.running.get(DisseminationWorld.name(1)).withdraw(Subject.DRAIN, "before");
         DisseminationWorld.Drain own = world.drain(DisseminationWorld.name(2), "cut");
@@ -107,7 +107,7 @@
         world.running.keySet().stream().filter(name -> !name.equals(own.reporter)).forEach(name -> assertEquals(
             DisseminationWorld.region(name) == DisseminationWorld.region(own.reporter), own.receivedAt.containsKey(name),
             name + ", seed 5"));
-        world.passes = (from, to) -> true;
+        world.connected = (from, to) -> true;
         double healed = world.now;
         world.clearCounters();
         world.run(healed + 10_000);
@@ -143,7 +143,7 @@
         world.kill(DisseminationWorld.name(9));
         world.start(DisseminationWorld.name(9), false);
         world.run(world.now + 15_000);
-        assertEquals(1.0, world.fresh(), 0, "seed 7");
+        assertEquals(1.0, world.freshFraction(), 0, "seed 7");
         for (SimulatedPeer viewer : world.running.values()) {
             assertEquals(2, viewer.state(DisseminationWorld.name(9)).epoch(), "seed 7");
             assertFalse(viewer.state(DisseminationWorld.name(9)).subjects().containsKey(Subject.DRAIN.wireName()), "seed 7");
@@ -154,7 +154,7 @@
 
     @Test void relaysThatDropForwardedStatesAreDetected() {
         DisseminationWorld world = settled(8, SMALL);
-        world.swallows = (from, packet) -> packet instanceof Packet.Comparison
+        world.drops = (from, packet) -> packet instanceof Packet.Comparison
             || packet instanceof Packet.Membership membership
                 && membership.states().stream().anyMatch(s -> !s.instance().equals(from));
         world.drain(DisseminationWorld.name(3), "n");
@@ -164,7 +164,7 @@
 
     @Test void aStateThatIsNeverRenewedIsDetected() {
         DisseminationWorld world = new DisseminationWorld(9, DisseminationWorld.Setup.of(SMALLEST, false));
-        world.fleet();
+        world.startFleet();
         world.run(SETTLED);
         assertComplete(world);
         ((SimulatedPeer.Current) world.running.get(DisseminationWorld.name(3))).stopRenewing();
--- a/src/test/java/kelphollow/fleet/DisseminationWorld.java
+++ b/src/test/java/kelphollow/fleet/DisseminationWorld.java
@@ -77,8 +77,8 @@
     final Map<String, long[]> bytes = new HashMap<>();
     final Map<String, TreeMap<Double, InstanceState>> history = new HashMap<>();
     final List<Drain> drains = new ArrayList<>();
-    BiPredicate<String, String> passes = (from, to) -> true;
-    BiPredicate<String, Packet> swallows = (from, packet) -> false;
+    BiPredicate<String, String> connected = (from, to) -> true;
+    BiPredicate<String, Packet> drops = (from, packet) -> false;
     double now;
     double loss;
     long datagrams;
@@ -107,7 +107,7 @@
 
     // ---------------------------------------------------------------- instances
 
-    void fleet() {
+    void startFleet() {
         for (int i = 0; i < setup.size; i++) {
             start(name(i), setup.previous);
         }
@@ -225,10 +225,10 @@
         } else {
             charge(from, Kind.COMPARISON, header + all);
         }
-        if (random.nextDouble() >= loss && running.containsKey(to) && !swallows.test(from, packet)) {
+        if (random.nextDouble() >= loss && running.containsKey(to) && !drops.test(from, packet)) {
             at(now + delay(from, to), () -> {
                 SimulatedPeer peer = running.get(to);
-                if (peer != null && passes.test(from, to)) {
+                if (peer != null && connected.test(from, to)) {
                     peer.received(now, from, packet);
                     recordDrains(to, peer);
                     wake(to, peer);
@@ -244,7 +244,8 @@
         charge(from, Kind.EXCHANGE, 60);
         at(now + 2 * there, () -> {
             SimulatedPeer called = running.get(with);
-            if (called == null || running.get(from) != caller || !passes.test(from, with) || !passes.test(with, from)) {
+            if (called == null || running.get(from) != caller || !connected.test(from, with) || !connected.test(with,
+                from)) {
                 return;
             }
             charge(from, Kind.EXCHANGE, CONNECTION + PacketSizes.SEAL + PacketSizes.of(ours));
@@ -294,7 +295,7 @@
     }
 
     /** Fraction of current states that running instances have of each other, no older than the time to live. */
-    double fresh() {
+    double freshFraction() {
         long fresh = 0;
         long all = 0;
         for (String owner : running.keySet()) {
