--- a/src/main/java/kelphollow/fleet/EventLog.java
+++ b/src/main/java/kelphollow/fleet/EventLog.java
@@ -8,13 +8,13 @@
 import java.util.logging.Logger;
 
 /**
- * The events of the fleet, one JSON object a line, through the JDK's logging: a further logging library in the jar would be
- * found and started by Netty on the platform too. Written where the operator configures, else to the program's log.
+ * Writes the fleet's events, one JSON object per line, to the file that the operator configures, or else to the program's
+ * log. Uses the JDK's logging, since Netty would also find and initialize any other logging library in the jar.
  */
 public final class EventLog {
     private final Logger log;
 
-    /** {@code handler} gets each line; null: the program's own log has it. */
+    /** Creates a log that writes each line to {@code handler}, or to the program's log if {@code handler} is null. */
     public EventLog(Handler handler) {
         log = Logger.getAnonymousLogger();
         if (handler != null) {
@@ -35,12 +35,12 @@
         write(event, instance, epoch, reason, Map.of());
     }
 
-    /** Writes an event of an instance and its epoch; {@code lists} holds lists of names by key. */
+    /** Writes an event of an instance in an epoch; {@code lists} holds lists of names by their JSON key. */
     void write(FleetEvent event, String instance, long epoch, String reason,
         Map<String, ? extends Collection<String>> lists) {
         log.info(JsonLine.of(out -> {
-            out.writeNumberField("wall_ms", System.currentTimeMillis());   // for readers; nothing is decided by it
-            out.writeStringField("event", event.word());
+            out.writeNumberField("wall_ms", System.currentTimeMillis());   // for human readers only, no decision uses it
+            out.writeStringField("event", event.eventName());
             out.writeStringField("instance", instance);
             out.writeNumberField("epoch", epoch);
             if (!reason.isEmpty()) {
--- a/src/main/java/kelphollow/fleet/Fleet.java
+++ b/src/main/java/kelphollow/fleet/Fleet.java
@@ -22,19 +22,23 @@
 import kelphollow.routing.Ticker;
 
 /**
- * This instance's participation in the fleet: drives membership and gossip by the ticker, carries packets between them
- * and the transport, and observations of nodes between the digest and the routing. Confined to the routing's event
- * loop.
+ * This instance's participation in the fleet: drives membership and gossip with the ticker, passes packets between them and
+ * the transport, and passes observations of nodes between the digest and the routing. Confined to the routing's event loop.
  */
 public final class Fleet implements PeerListener, Gossip.Outbound {
-    // How often observations of nodes are published and expired states are dropped, in milliseconds.
-    private static final double OBSERVATION_INTERVAL = 50;
-    // The span in which retries are counted against first attempts, in milliseconds.
-    private static final double RETRY_WINDOW = 10_000;
+    // Interval at which observations of nodes are published and expired states are dropped.
+    private static final double OBSERVATION_INTERVAL_MS = 50;
+    // Window in which retries are compared with first attempts.
+    private static final double RETRY_WINDOW_MS = 10_000;
 
-    /** Makes the transport of an instance; {@code epoch} is read for each packet. */
+    /** Creates the transport of an instance. */
     public interface TransportFactory {
-        /** The transport of the instance of that name; what it receives goes to {@code listener}, on its loop. */
+        /**
+         * Creates the transport of the named instance.
+         *
+         * @param epoch read for each packet
+         * @param listener receives the packets, on the transport's event loop
+         */
         PeerTransport open(String name, LongSupplier epoch, PeerListener listener);
     }
 
@@ -55,8 +59,10 @@
     private boolean left;
 
     /**
-     * @param epoch number of this process, higher than that of any before
-     * @param epochRaised is notified when this process goes on under a higher number, which is to be stored
+     * Creates a fleet member over UDP and TCP.
+     *
+     * @param epoch epoch of this process, higher than that of any earlier process of this instance
+     * @param epochRaised called with the higher epoch under which this process continues, which must be stored
      */
     public Fleet(FleetOptions options, ControlSettings settings, long epoch, EventLoop loop, Ticker ticker,
         FleetRouting routing, Random random, EventLog events, LongConsumer epochRaised) {
@@ -65,7 +71,7 @@
             options.membership().maxMembers(), listener), ticker, routing, random, events, epochRaised);
     }
 
-    /** The same over another transport. */
+    /** Creates a fleet member over the transport that {@code transports} creates. */
     public Fleet(FleetOptions options, ControlSettings settings, long epoch, TransportFactory transports, Ticker ticker,
         FleetRouting routing, Random random, EventLog events, LongConsumer epochRaised) {
         this.options = options;
@@ -86,24 +92,24 @@
         this.status = new StatusReport(options.name(), membership, digest, observations, shedding, transport);
     }
 
-    /** The transport, to be opened from outside the loop before {@link #start}. */
+    /** Returns the transport, which must be opened from outside the event loop before {@link #start}. */
     public PeerTransport transport() {
         return transport;
     }
 
-    /** Joins the fleet. On the loop. */
+    /** Joins the fleet. Call on the event loop. */
     public void start() {
-        routing.limitRetries(options.retryShare(), RETRY_WINDOW);
+        routing.limitRetries(options.retryShare(), RETRY_WINDOW_MS);
         if (shedding != null) {
             routing.setAdmissionFilter(shedding);
         }
         routing.onEndpointsReceived(this::endpointsReceived);
         events.write(FleetEvent.STARTED, options.name(), membership.epoch(), "");
-        observe();
+        tickObservations();
         tickMembership();
     }
 
-    /** Leaves the fleet gracefully and closes the transport. On the loop. */
+    /** Leaves the fleet gracefully and closes the transport. Call on the event loop. */
     public void leave() {
         if (!left) {
             gossip.leave(ticker.now());
@@ -136,7 +142,7 @@
         }
     }
 
-    private void observe() {
+    private void tickObservations() {
         if (left) {
             return;
         }
@@ -149,7 +155,7 @@
         }
         gossip.tickDissemination(now);
         observations.apply(ticker.now());
-        ticker.after(OBSERVATION_INTERVAL, this::observe);
+        ticker.after(OBSERVATION_INTERVAL_MS, this::tickObservations);
     }
 
     private void endpointsReceived(List<Endpoint> endpoints) {
@@ -217,18 +223,18 @@
 
     // ---------------------------------------------------------------- operators
 
-    /** Calls for each known instance with its state and the state's age in milliseconds. On the loop. */
+    /** Calls {@code reader} with the state of each known instance and its age in milliseconds. Call on the event loop. */
     public void forEachState(BiConsumer<InstanceState, Double> reader) {
         digest.forEach(ticker.now(), reader);
     }
 
-    /** Names of the other members that are present. On the loop. */
+    /** Returns the names of the other members that are present. Call on the event loop. */
     public List<String> presentMembers() {
         return membership.presentMembers();
     }
 
-    /** The report of {@code fleet status}, as JSON on one line. On the loop. */
+    /** Returns the report of {@code fleet status}, one line of JSON. Call on the event loop. */
     public String status() {
-        return status.at(ticker.now());
+        return status.toJson(ticker.now());
     }
 }
--- a/src/main/java/kelphollow/fleet/FleetEvent.java
+++ b/src/main/java/kelphollow/fleet/FleetEvent.java
@@ -2,15 +2,15 @@
 
 import kelphollow.membership.MembershipOutput;
 
-/** Kinds of events in the fleet's event log, with the word that stands for each in a line. */
+/** Kinds of events in the fleet's event log, each with its name in a log line. */
 enum FleetEvent {
     /** This instance has started. */
     STARTED("started"),
-    /** This instance goes on under a higher epoch. */
+    /** This instance continues under a higher epoch. */
     EPOCH_RAISED("raised"),
-    /** The set of nodes that are draining by the notices of others has changed. */
+    /** The set of nodes that other instances report as draining has changed. */
     NODES_DRAINING("cordoned"),
-    /** The set of nodes that are left to others to health-check has changed. */
+    /** The set of nodes whose health check is delegated to other instances has changed. */
     NODES_DELEGATED("rested"),
     /** The set of shards at which requests are shed has changed. */
     SHEDDING_CHANGED("gives_way"),
@@ -31,15 +31,15 @@
     /** See {@link MembershipOutput.Kind#STOOD_STILL}. */
     STOOD_STILL("stood_still");
 
-    private final String word;
+    private final String eventName;
 
-    FleetEvent(String word) {
-        this.word = word;
+    FleetEvent(String eventName) {
+        this.eventName = eventName;
     }
 
-    /** The word in the event log. */
-    String word() {
-        return word;
+    /** Returns the event's name in the event log, which operators' tools match. */
+    String eventName() {
+        return eventName;
     }
 
     static FleetEvent of(MembershipOutput.Kind kind) {
--- a/src/main/java/kelphollow/fleet/Gossip.java
+++ b/src/main/java/kelphollow/fleet/Gossip.java
@@ -18,32 +18,33 @@
 import kelphollow.protocol.peer.Packet;
 
 /**
- * Membership, the digest and its dissemination, wired to each other but not to sockets or to routing: packets from others go
- * in, packets for others go out by the {@link Outbound}. The simulation runs this class as the program does. For one thread.
+ * Wires membership, the digest and its dissemination to each other, without sockets or routing: takes packets from other
+ * instances and sends packets to them through {@link Outbound}. The simulation and the program run the same class. Not
+ * thread-safe.
  */
 final class Gossip {
-    /** Sends packets for this instance, and is notified of changes. */
+    /** Sends this instance's packets and is notified of changes. */
     interface Outbound {
         /** Sends a datagram; returns its cost in bytes. */
         long send(String to, Packet packet);
 
-        /** Starts a full exchange by a connection. */
+        /** Starts a full exchange over a connection. */
         void exchange(String with, Packet.FullExchange ours);
 
-        /** Takes an output of membership that is not for sending. */
+        /** Handles a membership output that is not sent to another instance. */
         void membershipChanged(MembershipOutput output);
 
-        /** States of other instances have changed. */
+        /** Called after states of other instances have changed. */
         void statesChanged();
     }
 
-    /** States above this size, in bytes, go by full exchanges, since no datagram holds them. */
+    /** Larger states are sent in full exchanges, since they do not fit in a datagram. */
     private static final int LARGE_STATE_BYTES = 6_000;
-    // A full exchange's cost beside its states and updates, and that of an update, in bytes, approximately.
+    // Approximate cost of a full exchange without its states and updates, and of one update.
     private static final int EXCHANGE_BYTES = 400;
     private static final int UPDATE_BYTES = 60;
-    // How often membership renews states, in milliseconds: well under the shortest time to live.
-    private static final double RENEWAL_INTERVAL = 250;
+    // Interval at which membership renews states: well below the shortest time to live.
+    private static final double RENEWAL_INTERVAL_MS = 250;
 
     private final String self;
     private final Membership membership;
@@ -52,7 +53,10 @@
     private final Outbound outbound;
     private double nextRenewalAt;
 
-    /** {@code peers}: names to try when nobody else is known; {@code timeToLive}: see {@link Digest}. */
+    /**
+     * @param peers names of instances to contact when no other is known
+     * @param timeToLive see {@link Digest}
+     */
     Gossip(MembershipSettings membershipSettings, DisseminationSettings disseminationSettings, String self, String address,
         long epoch, Collection<String> peers, double timeToLive, RandomGenerator random, double now, Outbound outbound) {
         this.self = self;
@@ -72,22 +76,25 @@
 
     // ---------------------------------------------------------------- time
 
-    /** Runs what membership has due; to be called at its {@link Membership#nextTickAt}. */
+    /** Runs due membership work; must be called at {@link Membership#nextTickAt}. */
     void tickMembership(double now) {
         carryOut(now, membership.tick(now));
     }
 
-    /** To be called every few tens of milliseconds, and after a change of the own state that should be known at once. */
+    /**
+     * Renews, commits and sends states; must be called every few tens of milliseconds, and after a change to this instance's
+     * state that others should learn immediately.
+     */
     void tickDissemination(double now) {
         if (now >= nextRenewalAt) {
-            nextRenewalAt = now + RENEWAL_INTERVAL;
+            nextRenewalAt = now + RENEWAL_INTERVAL_MS;
             renewStates(now);
         }
         dissemination.commit(now);
         sendAll(now, dissemination.tick(now));
     }
 
-    /** States of members that are alive count on; those of others expire. */
+    /** Renews the states of members that are alive; all other states expire. */
     private void renewStates(double now) {
         for (MemberUpdate member : membership.snapshot()) {
             if (member.state() == MemberUpdate.State.ALIVE) {
@@ -120,7 +127,7 @@
         }
     }
 
-    /** Views of present members are compared by summaries; an absent one is sent all by a connection. */
+    /** Starts a full exchange with an absent member, or if there are large states; other views are compared by summaries. */
     private void startExchange(double now, String with) {
         if (membership.isPresent(with) && !hasLargeStates()) {
             return;
@@ -153,13 +160,13 @@
 
     // ---------------------------------------------------------------- input
 
-    /** A membership message with piggybacked states. */
+    /** Handles a membership message with piggybacked states. */
     void received(double now, String from, Packet.Membership packet) {
         mergeStates(now, packet.states());
         carryOut(now, membership.received(now, from, packet.message()));
     }
 
-    /** A step of a comparison of views. */
+    /** Handles a step of a comparison of views. */
     void comparisonReceived(double now, String from, AntiEntropy message) {
         sendAll(now, dissemination.answer(now, from, message));
         if (message instanceof AntiEntropy.Delta delta) {
@@ -170,15 +177,15 @@
         }
     }
 
-    /** The other side of an exchange that {@code from} started; returns this side's. */
+    /** Handles a full exchange that {@code from} started and returns this side's part. */
     Packet.FullExchange exchangeRequested(double now, String from, Packet.FullExchange theirs) {
-        // An instance of the previous version sends all states in an exchange and learns most of them only by one.
+        // An instance of the previous version sends all states in an exchange, and learns most states only from exchanges.
         Packet.FullExchange ours = fullExchange(now, theirs.states().size() > 1);
         exchangeAnswered(now, from, theirs);
         return ours;
     }
 
-    /** The other side of an exchange that was started here. */
+    /** Handles the other side's part of an exchange that this instance started. */
     void exchangeAnswered(double now, String from, Packet.FullExchange theirs) {
         mergeStates(now, theirs.states());
         carryOut(now, membership.merge(now, from, theirs.updates()));
@@ -191,7 +198,7 @@
                 states.add(state);
             }
         }
-        // In debt this side sends its own update alone: that it is present is what the other must learn first.
+        // Over budget, this side sends only its own update: its presence is what the other side must learn first.
         List<MemberUpdate> snapshot = membership.snapshot();
         List<MemberUpdate> updates = dissemination.allowsExchange(now) ? snapshot : snapshot.subList(0, 1);
         dissemination.sent(now, EXCHANGE_BYTES + (long) UPDATE_BYTES * updates.size()
@@ -202,7 +209,7 @@
     private void mergeStates(double now, List<InstanceState> states) {
         if (dissemination.received(now, states)) {
             outbound.statesChanged();
-            // Urgent changes are passed on at once: a round's wait at each hop would be most of the time they take.
+            // Forward urgent changes immediately: waiting a round at each hop would be most of their propagation delay.
             if (dissemination.hasUrgent()) {
                 sendAll(now, dissemination.tick(now));
             }
--- a/src/main/java/kelphollow/fleet/JsonLine.java
+++ b/src/main/java/kelphollow/fleet/JsonLine.java
@@ -25,12 +25,12 @@
             fields.write(out);
             out.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("a StringWriter does not fail", e);
+            throw new IllegalStateException("writing JSON to a StringWriter failed", e);
         }
         return text.toString();
     }
 
-    /** A field with a sorted array of names. */
+    /** Writes a field whose value is a sorted array of names. */
     static void names(JsonGenerator out, String key, Collection<String> names) throws IOException {
         out.writeArrayFieldStart(key);
         for (String name : new TreeSet<>(names)) {
--- a/src/main/java/kelphollow/fleet/PeerAddresses.java
+++ b/src/main/java/kelphollow/fleet/PeerAddresses.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import kelphollow.membership.Membership;
 
-/** Resolves names of instances: configured addresses override those that the instances announce. */
+/** Resolves instance names to addresses; configured addresses override announced ones. */
 final class PeerAddresses {
     private final Map<String, InetSocketAddress> configured;
     private final Membership membership;
@@ -14,13 +14,13 @@
         this.membership = membership;
     }
 
-    /** Null if the instance is not known or announces no usable address. */
+    /** Returns the address of an instance, or null if it is unknown or announces no valid address. */
     InetSocketAddress resolve(String name) {
         InetSocketAddress known = configured.get(name);
         return known != null ? known : parse(membership.addressOf(name));
     }
 
-    /** What an instance that listens there announces. */
+    /** Returns the announced form of a listen address, {@code IP:PORT}. */
     static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/src/main/java/kelphollow/fleet/PeerObservations.java
+++ b/src/main/java/kelphollow/fleet/PeerObservations.java
@@ -16,13 +16,13 @@
 import kelphollow.routing.FleetRouting;
 
 /**
- * Carries observations of nodes between this instance's routing and the digest: what is seen here is published, and
- * what others publish is applied to the routing as far as it changed. For one thread.
+ * Transfers observations of nodes between this instance's routing and the digest: publishes what this instance observes, and
+ * applies changes in what other instances publish to the routing. Not thread-safe.
  */
 final class PeerObservations {
-    // An attempt at an unresponsive node is due every second (the decision module's probe rate); three that do not come show
-    // that nobody tries. In milliseconds.
-    private static final double HEALTH_CHECK_PATIENCE = 3_000;
+    // The decision module attempts an unresponsive node every second (its probe rate): three missing attempts show that the
+    // instance no longer attempts it.
+    private static final double ATTEMPT_PROGRESS_TIMEOUT_MS = 3_000;
 
     private final FleetOptions options;
     private final FleetRouting routing;
@@ -42,10 +42,10 @@
         this.digest = digest;
         this.events = events;
         this.drainNotices = new DrainNotices(options.name());
-        this.delegation = new ProbeDelegation(options.name(), HEALTH_CHECK_PATIENCE);
+        this.delegation = new ProbeDelegation(options.name(), ATTEMPT_PROGRESS_TIMEOUT_MS);
     }
 
-    /** Takes what this instance's own discovery reports. */
+    /** Updates the drain notices from this instance's own discovery. */
     void endpointsReceived(double now, List<Endpoint> endpoints) {
         for (Endpoint endpoint : endpoints) {
             drainNotices.discovered(now, endpoint.node(), endpoint.state() == EndpointState.DRAINING,
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Publishes which nodes do not respond to this instance. */
+    /** Publishes the nodes that do not respond to this instance, and withdraws those that respond again. */
     void publishFindings(double now) {
         Map<String, Integer> unresponsive = options.sharesFindings() ? routing.unresponsiveNodes() : Map.of();
         Set<String> recovered = new TreeSet<>(digest.committedKeys(Subject.UNRESPONSIVE_NODE));
@@ -62,7 +62,7 @@
         recovered.forEach(node -> digest.withdraw(Subject.UNRESPONSIVE_NODE, node));
     }
 
-    /** Applies what other instances publish to the routing. */
+    /** Applies the drain notices and findings of other instances to the routing. */
     void apply(double now) {
         Set<String> drainingNow = drainNotices.drainingByOthers(now, digest);
         List<NodeFinding> findings = options.sharesFindings() ? digest.nodeFindings(now) : List.of();
@@ -107,17 +107,17 @@
         }
     }
 
-    /** Nodes that are draining by the notices of others. */
+    /** Returns the nodes that other instances report as draining. */
     Set<String> draining() {
         return draining;
     }
 
-    /** Nodes that others found unresponsive. */
+    /** Returns the nodes that other instances found unresponsive. */
     Set<String> suspected() {
         return suspected;
     }
 
-    /** Which instance health-checks each unresponsive node. */
+    /** Returns the instance that health-checks each unresponsive node, by node. */
     Map<String, String> healthCheckers() {
         return delegation.healthCheckers();
     }
--- a/src/main/java/kelphollow/fleet/SheddingFilter.java
+++ b/src/main/java/kelphollow/fleet/SheddingFilter.java
@@ -20,9 +20,9 @@
 import kelphollow.routing.Ticker;
 
 /**
- * Wires {@link LoadShedder} to the routing and the digest: a request's priority weight is its class's weight times its
- * plan's price; what is inside this instance's part of its volume's reserve is never shed, and what a rate limit or the
- * retry budget may have rejected is no overload. For one thread.
+ * Connects {@link LoadShedder} to the routing and the digest. A request's priority weight is its class's weight times its
+ * plan's price. Requests within this instance's part of their volume's reserve are never shed, and rejections that a rate
+ * limit or the retry budget may have caused do not count as overload. Not thread-safe.
  */
 final class SheddingFilter implements AdmissionFilter {
     private static final double UNKNOWN_WEIGHT = -1;
@@ -55,13 +55,13 @@
             || shedder.admits(ticker.now(), arrival.cell(), weight, admissionHash(arrival.key()))) {
             return OptionalDouble.empty();
         }
-        // Full jitter: what is shed together must not be retried together.
+        // Full jitter, so that requests that are shed together are not retried together.
         return OptionalDouble.of(random.nextDouble() * maxRetryAfter);
     }
 
     @Override public void rejected(RequestArrived arrival) {
         Plan plan = plans.get(arrival.plan());
-        // A retry may have exhausted its node's retry budget, which proves nothing of the node's capacity.
+        // A retry may have been rejected by its node's retry budget, which says nothing about the node's capacity.
         if (plan != null && plan.limitRate() <= 0 && !arrival.isRetry() && arrival.cell() >= 0
             && priorityWeight(arrival) >= 0) {
             shedder.rejected(ticker.now(), arrival.cell(), priorityWeight(arrival));
@@ -73,14 +73,14 @@
         return rate > 0 && reserves.take(ticker.now(), arrival.volume(), rate, arrival.units());
     }
 
-    /** From 0 to 1, the same for the same object on all instances. */
+    /** Returns a hash from 0 to 1 that is the same for the same object on all instances. */
     private static double admissionHash(String key) {
         CRC32C checksum = new CRC32C();
         checksum.update(String.valueOf(key).getBytes(StandardCharsets.UTF_8));
         return checksum.getValue() / 0x1p32;
     }
 
-    /** Publishes this instance's overload reports and follows all; true if a threshold was set or removed. */
+    /** Publishes this instance's overload reports and applies all; returns whether a threshold was set or removed. */
     boolean update(double now, Digest digest, String self) {
         Map<Integer, Double> own = shedder.overloadReports(now);
         for (String shard : digest.committedKeys(Subject.OVERLOAD)) {
@@ -98,7 +98,7 @@
         return shedder.adjust(now, highest);
     }
 
-    /** The current thresholds by shard. */
+    /** Returns the current thresholds by shard. */
     Map<Integer, AdmissionThreshold> thresholds() {
         return shedder.thresholds();
     }
--- a/src/main/java/kelphollow/fleet/StatusReport.java
+++ b/src/main/java/kelphollow/fleet/StatusReport.java
@@ -14,7 +14,7 @@
 import kelphollow.protocol.peer.PeerTransport;
 import kelphollow.protocol.peer.Traffic;
 
-/** Makes the report of {@code fleet status}: JSON on one line. Its keys are read by others and stay as they are. */
+/** Builds the report of {@code fleet status}, one line of JSON. Operators' tools read its keys, so these must not change. */
 final class StatusReport {
     private static final String NAME = "name";
     private static final String LOCAL_HEALTH = "ill_health";
@@ -41,7 +41,7 @@
     private final SheddingFilter shedding;
     private final PeerTransport transport;
 
-    /** {@code shedding}: null if this instance sheds no load. */
+    /** {@code shedding} is null if this instance does not shed load. */
     StatusReport(String name, Membership membership, Digest digest, PeerObservations observations, SheddingFilter shedding,
         PeerTransport transport) {
         this.name = name;
@@ -52,7 +52,7 @@
         this.transport = transport;
     }
 
-    String at(double now) {
+    String toJson(double now) {
         return JsonLine.of(out -> {
             out.writeStringField(NAME, name);
             out.writeNumberField(LOCAL_HEALTH, membership.localHealthScore());
@@ -83,7 +83,7 @@
         for (MemberView member : membership.view()) {
             out.writeStartObject();
             out.writeStringField(NAME, member.name());
-            out.writeStringField(MEMBER_STATE, wordOf(member));
+            out.writeStringField(MEMBER_STATE, stateName(member));
             out.writeNumberField(EPOCH, member.epoch());
             out.writeNumberField(STATE_AGE, member.since() == 0 ? 0 : Math.round(now - member.since()));
             InstanceState state = states.get(member.name());
@@ -96,7 +96,7 @@
         out.writeEndArray();
     }
 
-    private static String wordOf(MemberView member) {
+    private static String stateName(MemberView member) {
         return switch (member.state()) {
             case ALIVE -> "alive";
             case SUSPECT -> "suspect";
@@ -140,7 +140,7 @@
         out.writeNumberField(BYTES_SENT, bytes);
     }
 
-    /** By kind: packets out, bytes out, packets in, bytes in, all since the start. */
+    /** Writes, by kind: packets out, bytes out, packets in and bytes in since the start. */
     private void writeTraffic(JsonGenerator out) throws IOException {
         Traffic traffic = transport.traffic();
         out.writeObjectFieldStart(TRAFFIC);
--- a/src/main/java/kelphollow/fleet/VolumeReserves.java
+++ b/src/main/java/kelphollow/fleet/VolumeReserves.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * Token buckets of this instance's part of the volumes' reserves, each of a second's depth. Buckets that are full again are
- * forgotten once there are many. Times are in milliseconds. For one thread.
+ * Token buckets for this instance's part of the volumes' reserves, each one second deep. Above {@link #EVICTION_THRESHOLD}
+ * buckets, those that are full again are evicted. Times are in milliseconds. Not thread-safe.
  */
 final class VolumeReserves {
-    private static final int MANY_VOLUMES = 1_000;
-    private static final double FULL_AFTER = 1_000;
+    private static final int EVICTION_THRESHOLD = 1_000;
+    private static final double FULL_AFTER_MS = 1_000;
 
     private static final class Bucket {
         private double units;
@@ -18,10 +18,10 @@
 
     private final Map<String, Bucket> byVolume = new HashMap<>();
 
-    /** Takes units from a volume's reserve of {@code rate} units a second; false if there are fewer. */
+    /** Takes units from a volume's reserve of {@code rate} units per second; returns false if too few are left. */
     boolean take(double now, String volume, double rate, double units) {
-        if (byVolume.size() > MANY_VOLUMES) {
-            byVolume.values().removeIf(b -> now - b.updatedAt > FULL_AFTER);
+        if (byVolume.size() > EVICTION_THRESHOLD) {
+            byVolume.values().removeIf(b -> now - b.updatedAt > FULL_AFTER_MS);
         }
         Bucket bucket = byVolume.computeIfAbsent(volume, v -> new Bucket());
         bucket.units = bucket.updatedAt == 0 ? rate
--- a/src/main/java/kelphollow/fleet/package-info.java
+++ b/src/main/java/kelphollow/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One instance's participation in the fleet: wires membership, digest, dissemination and overload decisions to the transport
- * between instances, to the routing of requests and to the operators. Decides nothing itself.
+ * One instance's participation in the fleet: connects membership, digest, dissemination and overload decisions to the
+ * transport between instances, the routing of requests and the operators' interface. Makes no decisions itself.
  */
 package kelphollow.fleet;
--- a/src/main/java/kelphollow/ledger/PartRecords.java
+++ b/src/main/java/kelphollow/ledger/PartRecords.java
@@ -85,7 +85,7 @@
         ledger.writeBuffered(removals(upload, parts));
     }
 
-    /** Like {@link #removeUpload} before an upload is aborted; {@code then} receives null on the loop once that is synced. */
+    /** Like {@link #removeUpload}, before an upload is aborted; {@code then} receives null on the loop once it is synced. */
     public void removeUploadSynced(String upload, Iterable<Integer> parts, Consumer<StoreFault> then) {
         ledger.writeSynced(removals(upload, parts), then);
     }
--- a/src/main/java/kelphollow/overload/DemandWindow.java
+++ b/src/main/java/kelphollow/overload/DemandWindow.java
@@ -1,13 +1,13 @@
 package kelphollow.overload;
 
 /**
- * Counts the requests of one shard and priority weight over the current window and the one before. Long against chance,
- * short against a surge.
+ * Counts the requests of one shard and priority weight in the current and the previous window. A window is long enough to
+ * average out random variation and short enough to react to a surge. Not thread-safe.
  */
 final class DemandWindow {
-    /** Length of a window, in milliseconds. */
-    static final double WINDOW = 500;
-    // An overload report needs so many rejections, and this fraction of what was admitted: one late request is no overload.
+    static final double WINDOW_MS = 500;
+    // An overload is reported if there are at least this many rejections, and at least this fraction of the admissions: a
+    // single late request is not an overload.
     private static final int MIN_REJECTIONS = 2;
     private static final double MIN_REJECTED_FRACTION = 0.05;
 
@@ -19,10 +19,10 @@
     private int admittedBefore;
     private int rejectedBefore;
 
-    /** Begins a new window if the current one is over. */
+    /** Starts a new window if the current one has ended. */
     void advance(double now) {
-        if (now - startedAt >= WINDOW) {
-            boolean adjacent = now - startedAt < 2 * WINDOW;
+        if (now - startedAt >= WINDOW_MS) {
+            boolean adjacent = now - startedAt < 2 * WINDOW_MS;
             arrivedBefore = adjacent ? arrived : 0;
             admittedBefore = adjacent ? admitted : 0;
             rejectedBefore = adjacent ? rejected : 0;
@@ -45,9 +45,9 @@
         rejected++;
     }
 
-    /** Arrivals a second. */
+    /** Returns arrivals per second over both windows. */
     double arrivalRate(double now) {
-        return (arrived + arrivedBefore) / (now - startedAt + WINDOW) * 1_000;
+        return (arrived + arrivedBefore) / (now - startedAt + WINDOW_MS) * 1_000;
     }
 
     boolean isOverloaded() {
--- a/src/main/java/kelphollow/overload/LoadShedder.java
+++ b/src/main/java/kelphollow/overload/LoadShedder.java
@@ -7,46 +7,48 @@
 import java.util.TreeMap;
 
 /**
- * Which requests are shed when a shard's node is asked for more than its capacity. Each instance reports by shard the
- * highest priority weight that it had to reject of late; where one rejects a higher weight, all instances admit fewer
- * requests of lower weight. Without it an instance whose clients have a low weight takes a node's capacity from one
- * whose clients have a high weight, since each sees only its own queue.
+ * Selects the requests to shed when demand at a shard's node exceeds its capacity. Each instance reports, by shard, the
+ * highest priority weight that it recently had to reject; when any instance rejects a higher weight, all instances admit
+ * fewer requests of lower weight. Without these reports an instance whose clients have a low weight would take a node's
+ * capacity from one whose clients have a high weight, since each instance sees only its own queue.
  *
- * <p>The admitted fraction goes down and up by factors, once in the time that the reports take to show the effect
- * (multiplicative steps as in DAGOR, Zhou et al., SoCC 2018, on the fraction instead of the level). Which requests are in it
- * follows from a hash of the request, so that all instances admit the same ones (as DAGOR's user priority). Reports of an
- * instance that is gone expire with its state in the digest; without reports nothing is shed after some 8 s.
+ * <p>The admitted fraction decreases and increases by constant factors, at most once in the time that the reports take to
+ * show the effect (multiplicative steps as in DAGOR, Zhou et al., SoCC 2018, applied to the fraction instead of the level).
+ * A hash of the request decides whether it is admitted, so that all instances admit the same requests (as with DAGOR's user
+ * priority). The reports of a failed instance expire with its state in the digest. About 8 s after the last report nothing
+ * is shed.
  *
- * <p>For one thread. Memory: a few numbers for each shard and weight that occurred within a second. Times are in
+ * <p>Not thread-safe. Memory: a few numbers for each shard and weight that occurred within the last second. Times are in
  * milliseconds.
  */
 public final class LoadShedder {
-    /** How often thresholds are adjusted, in milliseconds. */
-    public static final double ADJUSTMENT_INTERVAL = 200;
+    /** Minimum time between two adjustments of the thresholds. */
+    public static final double ADJUSTMENT_INTERVAL_MS = 200;
     /** Smallest admitted fraction. */
     static final double MIN_FRACTION = 0.01;
-    // Down once in the time in which a report shows whether the step before was enough; up in proportion, since at ten times
-    // a node's capacity the fraction is a few hundredths; faster once no report has come for some such times.
+    // The fraction decreases at most once per settling time, in which a report shows whether the previous step was enough.
+    // It increases by a factor instead of a constant, since at ten times a node's capacity it is only a few hundredths, and
+    // faster after a quiet period without a report.
     private static final double DECREASE_FACTOR = 0.7;
     private static final double INCREASE_FACTOR = 1.08;
-    private static final double CALM_INCREASE_FACTOR = 1.3;
-    private static final double SETTLING_TIME = 2 * DemandWindow.WINDOW + ADJUSTMENT_INTERVAL;
-    private static final double CALM_TIME = 2 * SETTLING_TIME;
-    // A weight nearly as high as the one that is rejected elsewhere is not shed: it would be no gain.
+    private static final double QUIET_INCREASE_FACTOR = 1.3;
+    private static final double SETTLING_TIME_MS = 2 * DemandWindow.WINDOW_MS + ADJUSTMENT_INTERVAL_MS;
+    private static final double QUIET_PERIOD_MS = 2 * SETTLING_TIME_MS;
+    // Weights within this factor of the rejected weight are not shed: trading one for the other gains nothing.
     private static final double LOWER_WEIGHT_FACTOR = 0.9;
 
     private final Map<Integer, NavigableMap<Double, DemandWindow>> demand = new HashMap<>();
     private final Map<Integer, AdmissionThreshold> thresholds = new TreeMap<>();
     private double adjustedAt = Double.NEGATIVE_INFINITY;
 
-    private DemandWindow demand(double now, int shard, double weight) {
+    private DemandWindow demandWindow(double now, int shard, double weight) {
         DemandWindow window = demand.computeIfAbsent(shard, s -> new TreeMap<>())
             .computeIfAbsent(weight, w -> new DemandWindow());
         window.advance(now);
         return window;
     }
 
-    /** Arrivals a second at this instance whose weight is lower than the given one. */
+    /** Returns the arrivals per second at this instance with a weight clearly lower than the given one. */
     private double rateBelow(double now, int shard, double weight) {
         double rate = 0;
         NavigableMap<Double, DemandWindow> byWeight = demand.getOrDefault(shard, new TreeMap<>());
@@ -58,13 +60,13 @@
     }
 
     /**
-     * Whether a request goes on to the decision module.
+     * Returns whether a request may proceed to the decision module.
      *
-     * @param weight its priority weight
+     * @param weight the request's priority weight
      * @param admissionHash from 0 to 1, the same for the same request on all instances
      */
     public boolean admits(double now, int shard, double weight, double admissionHash) {
-        DemandWindow window = demand(now, shard, weight);
+        DemandWindow window = demandWindow(now, shard, weight);
         window.countArrival();
         AdmissionThreshold threshold = thresholds.get(shard);
         boolean admitted = threshold == null || weight >= LOWER_WEIGHT_FACTOR * threshold.weight()
@@ -75,12 +77,12 @@
         return admitted;
     }
 
-    /** A request that was admitted here was rejected later for lack of capacity at the shard's node. */
+    /** Counts an admitted request that was later rejected for lack of capacity at the shard's node. */
     public void rejected(double now, int shard, double weight) {
-        demand(now, shard, weight).countRejection();
+        demandWindow(now, shard, weight).countRejection();
     }
 
-    /** What this instance reports to the others: by shard the highest priority weight that it rejects. */
+    /** Returns what this instance reports to the others: by shard, the highest priority weight that it rejects. */
     public Map<Integer, Double> overloadReports(double now) {
         demand.values().removeIf(byWeight -> {
             byWeight.values().forEach(window -> window.advance(now));
@@ -94,19 +96,19 @@
     }
 
     /**
-     * Adjusts the thresholds once in {@link #ADJUSTMENT_INTERVAL}.
+     * Adjusts the thresholds, at most once per {@link #ADJUSTMENT_INTERVAL_MS}.
      *
-     * @param highest by shard the highest weight of all overload reports, this instance's included
+     * @param highest by shard, the highest weight of all overload reports, including this instance's
      * @return whether a threshold was set or removed
      */
     public boolean adjust(double now, Map<Integer, Double> highest) {
-        if (now - adjustedAt < ADJUSTMENT_INTERVAL) {
+        if (now - adjustedAt < ADJUSTMENT_INTERVAL_MS) {
             return false;
         }
         adjustedAt = now;
         Set<Integer> before = Set.copyOf(thresholds.keySet());
         highest.forEach((shard, weight) -> applyReport(now, shard, weight));
-        // Where only lower weights are rejected by now, the threshold has served its purpose: the fraction grows again.
+        // Once only lower weights are rejected, the threshold's weight is protected: its fraction increases again.
         thresholds.replaceAll((shard, threshold) -> highest.getOrDefault(shard, 0.0) >= threshold.weight() ? threshold
             : threshold.withFraction(threshold.fraction() * increaseFactor(now, threshold)));
         thresholds.values().removeIf(threshold -> threshold.fraction() >= 1);
@@ -114,22 +116,22 @@
     }
 
     private static double increaseFactor(double now, AdmissionThreshold threshold) {
-        return now - threshold.reportedAt() > CALM_TIME ? CALM_INCREASE_FACTOR : INCREASE_FACTOR;
+        return now - threshold.reportedAt() > QUIET_PERIOD_MS ? QUIET_INCREASE_FACTOR : INCREASE_FACTOR;
     }
 
     private void applyReport(double now, int shard, double weight) {
         AdmissionThreshold threshold = thresholds.get(shard);
-        if (threshold == null || weight >= threshold.weight() && now - threshold.loweredAt() >= SETTLING_TIME) {
+        if (threshold == null || weight >= threshold.weight() && now - threshold.loweredAt() >= SETTLING_TIME_MS) {
             double rate = rateBelow(now, shard, weight);
             double fraction = threshold == null ? 1 : threshold.admittedFraction(rate);
             thresholds.put(shard,
                 new AdmissionThreshold(weight, Math.max(MIN_FRACTION, fraction * DECREASE_FACTOR), rate, now, now));
         } else if (weight >= threshold.weight()) {
-            thresholds.put(shard, threshold.reported(now, weight));
+            thresholds.put(shard, threshold.withReport(now, weight));
         }
     }
 
-    /** The current thresholds by shard. */
+    /** Returns the current thresholds by shard. */
     public Map<Integer, AdmissionThreshold> thresholds() {
         return thresholds;
     }
--- a/src/main/java/kelphollow/overload/ProbeDelegation.java
+++ b/src/main/java/kelphollow/overload/ProbeDelegation.java
@@ -14,43 +14,46 @@
 import java.util.TreeSet;
 
 /**
- * Which instance health-checks a node that does not respond: one at a time, so that the rate of attempts which the node sees
- * does not grow with the fleet. All others delegate, that is, send it no new requests.
+ * Selects the one instance that health-checks an unresponsive node, so that the rate of attempts at the node does not grow
+ * with the fleet. All other instances delegate to it, that is, send the node no new requests.
  *
- * <p>Highest random weight (Thaler, Ravishankar: "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on
- * Networking, 1998) over those that found the node unresponsive themselves and show that they try it: each reports how often
- * it has tried since, and one whose count stands still for the patience has no requests for the node, or is stopped or cut
- * off. An instance delegates only to one of a higher weight, and weights are the same for all. So whatever views they have,
- * also wrong ones, delegation forms no cycle, and at the end of each chain somebody tries.
+ * <p>The health checker is chosen by highest random weight (Thaler, Ravishankar: "Using name-based mappings to increase hit
+ * rates", IEEE/ACM Transactions on Networking, 1998) among the instances that found the node unresponsive themselves and are
+ * still attempting it. Each reports its number of attempts since then; an instance whose count does not change within the
+ * progress timeout has no requests for the node, is stopped, or is partitioned. An instance delegates only to one with a
+ * higher weight, and all instances compute the same weights. Delegation therefore never forms a cycle, even when the
+ * instances' views differ or are wrong, and the last instance of each chain attempts the node.
  *
- * <p>For one thread. Memory: one record for each node and reporter.
+ * <p>Not thread-safe. Memory: one record for each node and reporter.
  */
 public final class ProbeDelegation {
     private record ReportKey(String node, String reporter) {}
 
-    /** The last count of attempts in a report, and when it changed. */
+    /** The attempt count of the last report, and when it last changed. */
     private record Progress(double attempts, double changedAt) {}
 
     private final String self;
-    private final double patience;
+    private final double progressTimeout;
     private Map<ReportKey, Progress> progress = new HashMap<>();
     private Map<String, String> healthCheckers = Map.of();
 
     /**
-     * {@code patience}: milliseconds after which a count that stands still shows that nobody tries; several attempts'
-     * time.
+     * Creates the delegation state of one instance.
+     *
+     * @param progressTimeout milliseconds after which an unchanged attempt count shows that its reporter no longer attempts
+     *     the node; must cover several attempts
      */
-    public ProbeDelegation(String self, double patience) {
+    public ProbeDelegation(String self, double progressTimeout) {
         this.self = self;
-        this.patience = patience;
+        this.progressTimeout = progressTimeout;
     }
 
     /**
-     * The nodes that this instance leaves to others to try. It delegates if it found the node unresponsive itself, or if two
-     * others did: one alone may be faulty, or cut off from the node.
+     * Returns the nodes whose health check this instance delegates to others. It delegates a node that it found unresponsive
+     * itself, or that two others did: a single other instance may be faulty, or partitioned from the node.
      *
      * @param present the other members that are present
-     * @param reports of all instances, this one included
+     * @param reports reports of all instances, including this one
      */
     public Set<String> delegatedNodes(double now, Collection<String> present, List<AttemptReport> reports) {
         Map<String, Set<String>> reporters = recordProgress(now, present, reports);
@@ -69,7 +72,7 @@
         return delegated;
     }
 
-    /** Returns the present reporters by node. */
+    /** Updates the progress of all reporters and returns the present reporters by node. */
     private Map<String, Set<String>> recordProgress(double now, Collection<String> present, List<AttemptReport> reports) {
         Map<String, Set<String>> reporters = new TreeMap<>();
         Map<ReportKey, Progress> current = new HashMap<>();
@@ -88,30 +91,30 @@
         return reporters;
     }
 
-    /** Null if the reports are not enough to act on. */
+    /** Returns the health checker of a node, or null if there are too few reports to delegate. */
     private String healthChecker(double now, String node, Set<String> reporters) {
-        boolean foundHere = reporters.contains(self);
-        if (!foundHere && reporters.size() < 2) {
+        boolean foundBySelf = reporters.contains(self);
+        if (!foundBySelf && reporters.size() < 2) {
             return null;
         }
-        String best = foundHere ? self : null;
+        String best = foundBySelf ? self : null;
         for (String reporter : reporters) {
-            boolean tries = now - progress.get(new ReportKey(node, reporter)).changedAt < patience;
-            if (tries && (best == null || weight(node, reporter) > weight(node, best))) {
+            boolean stillAttempting = now - progress.get(new ReportKey(node, reporter)).changedAt < progressTimeout;
+            if (stillAttempting && (best == null || weight(node, reporter) > weight(node, best))) {
                 best = reporter;
             }
         }
         return best;
     }
 
-    /** The health checker of each unresponsive node, as this instance saw it last. */
+    /** Returns the health checker of each unresponsive node, as of the last {@link #delegatedNodes}. */
     public Map<String, String> healthCheckers() {
         return healthCheckers;
     }
 
     /**
-     * The same on all instances; equal weights are as unlikely as 64 bits make them and only cost a second health
-     * checker.
+     * Returns the weight of an instance for a node, which is the same on all instances. Two equal 64-bit weights are
+     * unlikely, and would only add a second health checker.
      */
     static long weight(String node, String instance) {
         try {
@@ -119,7 +122,7 @@
             byte[] hash = MessageDigest.getInstance("SHA-256").digest(key);
             return ByteBuffer.wrap(hash).getLong();
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every JDK has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available, although every JDK must provide it", e);
         }
     }
 }
