--- a/src/test/java/kelphollow/fleet/DisseminationWorld.java
+++ b/src/test/java/kelphollow/fleet/DisseminationWorld.java
@@ -25,17 +25,16 @@
 import kelphollow.protocol.peer.PeerLine;
 
 /**
- * The gossip of a fleet on one clock by seed: 3 regions of 2 zones, a network that delays, loses and partitions, all packets
- * encoded by the codec and counted with header and seal. Guards against dissemination whose cost or delay grows unseen with
- * size.
+ * Seeded simulation of a fleet's gossip on one clock: 3 regions of 2 zones each, and a network that delays, loses and
+ * partitions. All packets are encoded by the codec and counted with header and seal. Guards against dissemination whose cost
+ * or delay grows unnoticed with the fleet's size.
  */
 final class DisseminationWorld implements SimulatedPeer.Network {
-    /** Kinds of traffic. */
     enum Kind { MEMBERSHIP, STATES, COMPARISON, EXCHANGE }
 
     /**
-     * @param previous whether all are of the previous version
-     * @param keys values in each state
+     * @param previous whether all instances are of the previous version
+     * @param keys number of values in each state
      * @param changeInterval mean milliseconds between changes of an instance's state; infinite for none
      */
     record Setup(int size, boolean previous, int keys, double changeInterval, double timeToLive,
@@ -66,9 +65,9 @@
 
     private record ScheduledTask(double at, long order, Runnable task) {}
 
-    private static final double TICK = 50;
-    // A connection's packets beside the two sides: handshakes, challenge, close, with their headers.
-    private static final int CONNECTION = 400;
+    private static final double TICK_MS = 50;
+    // Bytes of a connection without the two exchanged parts: handshakes, challenge and close, with their headers.
+    private static final int CONNECTION_BYTES = 400;
     final long seed;
     final Setup setup;
     final Random random;
@@ -125,9 +124,9 @@
             peer.publish(Subject.UNRESPONSIVE_NODE, String.format("node-%04d", (i * 37 + name.hashCode() & 0xffff) % 1000),
                 1);
         }
-        at(now + random.nextDouble() * TICK, () -> tick(name, peer));
-        change(name, peer);
-        wake(name, peer);
+        at(now + random.nextDouble() * TICK_MS, () -> tick(name, peer));
+        scheduleChange(name, peer);
+        scheduleMembershipTick(name, peer);
     }
 
     void kill(String name) {
@@ -137,12 +136,12 @@
     private void tick(String name, SimulatedPeer peer) {
         if (running.get(name) == peer) {
             peer.tickDissemination(now);
-            remember(name, peer);
-            at(now + TICK, () -> tick(name, peer));
+            recordHistory(name, peer);
+            at(now + TICK_MS, () -> tick(name, peer));
         }
     }
 
-    private void remember(String name, SimulatedPeer peer) {
+    private void recordHistory(String name, SimulatedPeer peer) {
         InstanceState own = peer.state(name);
         TreeMap<Double, InstanceState> past = history.computeIfAbsent(name, n -> new TreeMap<>());
         if (own != null && (past.isEmpty() || past.lastEntry().getValue() != own)) {
@@ -150,24 +149,24 @@
         }
     }
 
-    private void change(String name, SimulatedPeer peer) {
+    private void scheduleChange(String name, SimulatedPeer peer) {
         if (setup.changeInterval < Double.POSITIVE_INFINITY) {
             at(now + setup.changeInterval * 2 * random.nextDouble(), () -> {
                 if (running.get(name) == peer) {
                     peer.publish(Subject.UNRESPONSIVE_NODE, "node-changing", now);
-                    change(name, peer);
+                    scheduleChange(name, peer);
                 }
             });
         }
     }
 
-    /** One instance is notified of a drain; all that run must learn it. */
+    /** Notifies one instance of a drain, which all running instances must learn. */
     Drain drain(String reporter, String node) {
         Drain drain = new Drain(reporter, node, now);
         drains.add(drain);
         running.get(reporter).publish(Subject.DRAIN, node, 5);
         running.get(reporter).tickDissemination(now);
-        remember(reporter, running.get(reporter));
+        recordHistory(reporter, running.get(reporter));
         return drain;
     }
 
@@ -188,7 +187,7 @@
         schedule.add(new ScheduledTask(time, nextOrder++, task));
     }
 
-    private void wake(String name, SimulatedPeer peer) {
+    private void scheduleMembershipTick(String name, SimulatedPeer peer) {
         double when = Math.max(now, peer.membership().nextTickAt());
         if (when >= wakeUps.getOrDefault(peer, Double.POSITIVE_INFINITY)) {
             return;
@@ -198,7 +197,7 @@
             if (running.get(name) == peer && wakeUps.get(peer) == when) {
                 wakeUps.remove(peer);
                 peer.tickMembership(now);
-                wake(name, peer);
+                scheduleMembershipTick(name, peer);
             }
         });
     }
@@ -208,7 +207,7 @@
         return base * (0.75 + 0.5 * random.nextDouble());
     }
 
-    private void charge(String name, Kind kind, long cost) {
+    private void countBytes(String name, Kind kind, long cost) {
         bytes.get(name)[kind.ordinal()] += cost;
     }
 
@@ -220,10 +219,10 @@
             boolean statesOnly = membership.message() instanceof Message.Gossip && membership.message().updates().isEmpty();
             int message = statesOnly ? 0 : header + (membership.states().isEmpty() ? all : PacketSizes.of(PacketSizes.bare(
                 packet)));
-            charge(from, Kind.MEMBERSHIP, message);
-            charge(from, Kind.STATES, header + all - message);
+            countBytes(from, Kind.MEMBERSHIP, message);
+            countBytes(from, Kind.STATES, header + all - message);
         } else {
-            charge(from, Kind.COMPARISON, header + all);
+            countBytes(from, Kind.COMPARISON, header + all);
         }
         if (random.nextDouble() >= loss && running.containsKey(to) && !drops.test(from, packet)) {
             at(now + delay(from, to), () -> {
@@ -231,7 +230,7 @@
                 if (peer != null && connected.test(from, to)) {
                     peer.received(now, from, packet);
                     recordDrains(to, peer);
-                    wake(to, peer);
+                    scheduleMembershipTick(to, peer);
                 }
             });
         }
@@ -240,24 +239,24 @@
 
     @Override public void exchange(String from, String with, Packet.FullExchange ours) {
         SimulatedPeer caller = running.get(from);
-        double there = delay(from, with);
-        charge(from, Kind.EXCHANGE, 60);
-        at(now + 2 * there, () -> {
+        double oneWayDelay = delay(from, with);
+        countBytes(from, Kind.EXCHANGE, 60);
+        at(now + 2 * oneWayDelay, () -> {
             SimulatedPeer called = running.get(with);
             if (called == null || running.get(from) != caller || !connected.test(from, with) || !connected.test(with,
                 from)) {
                 return;
             }
-            charge(from, Kind.EXCHANGE, CONNECTION + PacketSizes.SEAL + PacketSizes.of(ours));
+            countBytes(from, Kind.EXCHANGE, CONNECTION_BYTES + PacketSizes.SEAL + PacketSizes.of(ours));
             Packet.FullExchange theirs = called.exchangeRequested(now, from, ours);
-            charge(with, Kind.EXCHANGE, CONNECTION + PacketSizes.SEAL + PacketSizes.of(theirs));
+            countBytes(with, Kind.EXCHANGE, CONNECTION_BYTES + PacketSizes.SEAL + PacketSizes.of(theirs));
             recordDrains(with, called);
-            wake(with, called);
-            at(now + there, () -> {
+            scheduleMembershipTick(with, called);
+            at(now + oneWayDelay, () -> {
                 if (running.get(from) == caller) {
                     caller.exchangeAnswered(now, with, theirs);
                     recordDrains(from, caller);
-                    wake(from, caller);
+                    scheduleMembershipTick(from, caller);
                 }
             });
         });
@@ -274,7 +273,7 @@
 
     // ---------------------------------------------------------------- what is measured
 
-    /** Mean bytes a second sent by a running instance since the counters were cleared, by kind. */
+    /** Mean bytes per second sent by a running instance since the counters were cleared, by kind of traffic. */
     Map<Kind, Double> bytesPerSecond(double since) {
         Map<Kind, Double> sums = new EnumMap<>(Kind.class);
         for (Kind kind : Kind.values()) {
@@ -284,7 +283,7 @@
         return sums;
     }
 
-    /** The same of each instance, all kinds together, in order of size. */
+    /** Bytes per second sent by each running instance, all kinds together, in ascending order. */
     double[] totals(double since) {
         return running.keySet().stream().mapToDouble(n -> Arrays.stream(bytes.get(n)).sum() / (now - since) * 1_000)
             .sorted().toArray();
@@ -294,7 +293,7 @@
         bytes.values().forEach(b -> Arrays.fill(b, 0));
     }
 
-    /** Fraction of current states that running instances have of each other, no older than the time to live. */
+    /** Fraction of the running instances' views of each other that are at most one time to live out of date. */
     double freshFraction() {
         long fresh = 0;
         long all = 0;
@@ -310,7 +309,7 @@
         return (double) fresh / all;
     }
 
-    /** How many running instances see exactly the other running ones as present. */
+    /** Number of running instances that see exactly the other running ones as present. */
     long correctViews() {
         return running.entrySet().stream().filter(e -> new HashSet<>(e.getValue().membership().presentMembers())
             .equals(
@@ -319,9 +318,9 @@
     }
 
     /**
-     * Sorted milliseconds until each running instance learned each drain, infinite if it did not.
+     * Milliseconds until each running instance learned each drain, in ascending order; infinite if it did not.
      *
-     * @param within whether the instances are in the reporter's region; null for all
+     * @param within whether to include instances in the reporter's region, or those outside; null for all
      */
     double[] drainDelays(Boolean within) {
         List<Double> delays = new ArrayList<>();
@@ -335,8 +334,8 @@
         return delays.stream().mapToDouble(Double::doubleValue).sorted().toArray();
     }
 
-    static double percentile(double[] sorted, double share) {
-        return sorted.length == 0 ? Double.NaN : sorted[(int) Math.min(sorted.length - 1, Math.floor(share
+    static double percentile(double[] sorted, double fraction) {
+        return sorted.length == 0 ? Double.NaN : sorted[(int) Math.min(sorted.length - 1, Math.floor(fraction
             * sorted.length))];
     }
 }
--- a/src/test/java/kelphollow/fleet/GossipProperties.java
+++ b/src/test/java/kelphollow/fleet/GossipProperties.java
@@ -20,10 +20,10 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Whatever order, loss and duplicates: once packets pass, all have the same states of each other. */
+/** After any reordering, loss and duplication, all instances converge to the same states once packets are delivered. */
 class GossipProperties {
     private static final int SIZE = 5;
-    private static final double STEP = 25;
+    private static final double STEP_MS = 25;
 
     private record Sent(String from, String to, Packet packet) {}
 
@@ -74,7 +74,7 @@
     }
 
     private void step(double loss, double duplication) {
-        now += STEP;
+        now += STEP_MS;
         for (Gossip gossip : all) {
             if (gossip.membership().nextTickAt() <= now) {
                 gossip.tickMembership(now);
@@ -84,7 +84,7 @@
         for (int due = inFlight.size(); due > 0; due--) {
             Sent sent = inFlight.poll();
             if (random.nextDouble() < 0.3) {
-                inFlight.add(sent);                          // it is reordered
+                inFlight.add(sent);                          // delivered later than newer packets
                 continue;
             }
             if (random.nextDouble() < duplication) {
--- a/src/test/java/kelphollow/fleet/RenewingDigest.java
+++ b/src/test/java/kelphollow/fleet/RenewingDigest.java
@@ -9,17 +9,17 @@
 import kelphollow.digest.Subject;
 
 /**
- * The digest of the previous version, before states lived by their owner's membership: each state is renewed every half
- * of its time to live and transmitted four times. Kept for comparison, and to play an instance of the previous version
- * in a mixed fleet.
+ * The digest of the previous version, in which membership did not renew states: each instance renews its state every half of
+ * the time to live, and each state is transmitted four times. Kept for comparison, and to simulate an instance of the
+ * previous version in a mixed fleet.
  */
 final class RenewingDigest {
-    // Fresh states are transmitted so often; full exchanges carry all.
+    // A state is fresh until it has been transmitted this many times; full exchanges carry all states.
     private static final int TRANSMISSIONS = 4;
 
     private static final class CachedEntry {
         private final InstanceState state;
-        /** When the instance published it, on this instance's clock; the latest that any copy of this version proves. */
+        /** When the instance published it, on this instance's clock: the latest time that any received copy proves. */
         private double publishedAt;
         private int transmissions;
 
@@ -40,8 +40,8 @@
     private double committedAt = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param timeToLive milliseconds for which a state counts that is not published again
-     * @param maxInstances states that are kept; those of further instances are dropped
+     * @param timeToLive milliseconds for which a state is valid unless it is published again
+     * @param maxInstances maximum number of states; those of further instances are dropped
      */
     RenewingDigest(String self, long epoch, double timeToLive, int maxInstances) {
         this.self = self;
@@ -50,7 +50,7 @@
         this.maxInstances = maxInstances;
     }
 
-    /** Goes on under another epoch; the own state is published again. */
+    /** Continues under another epoch; this instance's state is published again. */
     void raiseEpoch(long to) {
         epoch = to;
         changed = true;
@@ -58,7 +58,7 @@
 
     // ---------------------------------------------------------------- this instance's state
 
-    /** Sets a value. A subject that has its most keys takes no further one. */
+    /** Sets a value. Ignored if the key is new and the subject already has the maximum number of keys. */
     void publish(Subject subject, String key, double value) {
         Map<String, Double> values = own.computeIfAbsent(subject.wireName(), s -> new HashMap<>());
         if (values.size() < InstanceState.MAX_KEYS || values.containsKey(key)) {
@@ -77,7 +77,7 @@
         changed |= removed;
     }
 
-    /** Makes a new version of the own state if something changed, or if the last one has lived half of its time. */
+    /** Publishes a new version of this instance's state if it changed or has reached half of its time to live. */
     boolean commit(double now) {
         if (!changed && now - committedAt < timeToLive / 2) {
             return false;
@@ -90,11 +90,11 @@
 
     // ---------------------------------------------------------------- merging
 
-    /** Takes states from other instances; the one with the higher epoch and version wins as a whole. */
+    /** Merges states from other instances; the state with the higher epoch and version replaces the other as a whole. */
     void merge(double now, List<InstanceState> received) {
         for (InstanceState state : received) {
             if (state.instance().equals(self)) {
-                // An earlier process of this epoch can only be this one: its versions go on from there.
+                // Only this process publishes in this epoch, so its versions continue from the received one.
                 if (state.epoch() == epoch && state.version() > version) {
                     version = state.version();
                     changed = true;
@@ -117,14 +117,14 @@
         }
     }
 
-    /** Removes what has passed its time to live. */
+    /** Removes states that have passed their time to live. */
     void expire(double now) {
         entries.entrySet().removeIf(e -> !e.getKey().equals(self) && now - e.getValue().publishedAt >= timeToLive);
     }
 
     // ---------------------------------------------------------------- what is sent
 
-    /** Up to {@code max} states that are fresh here, least transmitted first; each counts as transmitted once more. */
+    /** Returns up to {@code max} fresh states, least transmitted first, and counts each as transmitted once more. */
     List<InstanceState> fresh(double now, int max) {
         List<CachedEntry> waiting = new ArrayList<>(entries.values());
         waiting.removeIf(entry -> entry.transmissions >= TRANSMISSIONS);
@@ -142,12 +142,12 @@
         return entries.values().stream().anyMatch(entry -> entry.transmissions < TRANSMISSIONS);
     }
 
-    /** All states with their ages, for a full exchange. */
+    /** Returns all states with their ages, for a full exchange. */
     List<InstanceState> snapshot(double now) {
         return entries.values().stream().map(e -> e.state.withAge(Math.max(0, now - e.publishedAt))).toList();
     }
 
-    /** The state of one instance, or null. */
+    /** Returns the state of one instance, or null. */
     InstanceState state(String instance) {
         CachedEntry entry = entries.get(instance);
         return entry == null ? null : entry.state;
--- a/src/test/java/kelphollow/fleet/SheddingFilterTest.java
+++ b/src/test/java/kelphollow/fleet/SheddingFilterTest.java
@@ -17,7 +17,7 @@
 import kelphollow.routing.Ticker;
 import org.junit.jupiter.api.Test;
 
-/** Which rejections an instance reports to the others. */
+/** Only rejections for lack of capacity are reported to the other instances as overload. */
 class SheddingFilterTest {
     private static List<OverloadReport> reportsAfterRejections(String plan, boolean isRetry) {
         ControlSettings settings = new ControlSettings(0, 2, "a", 1, 4, 10_000, true, false, 1_000, 2, 0.4, 0.05,
@@ -36,7 +36,7 @@
         }, new Random(1));
         for (int i = 0; i < 10; i++) {
             RequestArrived arrival = new RequestArrived("r" + i, "read", plan, "k" + i, 3_000, "v", 1, 7, 2, isRetry);
-            assertTrue(filter.retryAfter(arrival).isEmpty(), "goes on to the decision module");
+            assertTrue(filter.retryAfter(arrival).isEmpty(), "shed before the decision module");
             filter.rejected(arrival);
         }
         Digest digest = new Digest("i0", 1, 10_000, 10);
@@ -47,7 +47,7 @@
 
     @Test void onlyRejectionsForLackOfCapacityAreReported() {
         assertEquals(List.of(new OverloadReport("i0", 7, 6)), reportsAfterRejections("free", false));
-        assertEquals(List.of(), reportsAfterRejections("limited", false), "its rate limit may have rejected it");
-        assertEquals(List.of(), reportsAfterRejections("free", true), "the retry budget may have");
+        assertEquals(List.of(), reportsAfterRejections("limited", false), "rejected by the rate limit");
+        assertEquals(List.of(), reportsAfterRejections("free", true), "rejected by the retry budget");
     }
 }
--- a/src/test/java/kelphollow/fleet/SimulatedPeer.java
+++ b/src/test/java/kelphollow/fleet/SimulatedPeer.java
@@ -11,10 +11,10 @@
 import kelphollow.membership.Message;
 import kelphollow.protocol.peer.Packet;
 
-/** One instance in {@link DisseminationWorld}: of this version or of the previous one. */
+/** One instance in {@link DisseminationWorld}, of the current or of the previous version. */
 interface SimulatedPeer {
-    /** Sends for an instance; returns the bytes. */
     interface Network {
+        /** Sends a datagram; returns its size in bytes. */
         long send(String from, String to, Packet packet);
 
         void exchange(String from, String with, Packet.FullExchange ours);
@@ -24,14 +24,14 @@
 
     void tickMembership(double now);
 
-    /** Every 50 ms. */
+    /** Called every 50 ms. */
     void tickDissemination(double now);
 
     void publish(Subject subject, String key, double value);
 
     void withdraw(Subject subject, String key);
 
-    /** Its state of one instance that counts, or null. */
+    /** Returns this peer's copy of an instance's state, or null if it has none or the copy has expired. */
     InstanceState state(String instance);
 
     void received(double now, String from, Packet packet);
@@ -40,7 +40,7 @@
 
     void exchangeAnswered(double now, String from, Packet.FullExchange theirs);
 
-    /** The production classes as {@link Fleet} runs them. */
+    /** Runs the production classes as {@link Fleet} does. */
     final class Current implements SimulatedPeer, Gossip.Outbound {
         private final String self;
         private final Gossip gossip;
@@ -66,7 +66,7 @@
         @Override public void tickDissemination(double now) {
             gossip.tickDissemination(now);
             if (!renews) {
-                gossip.digest().expire(now + 1e9);        // planted: as if no state had been renewed
+                gossip.digest().expire(now + 1e9);        // planted fault: all states expire, as if never renewed
             }
         }
 
@@ -115,7 +115,10 @@
         @Override public void statesChanged() {}
     }
 
-    /** The previous version: fresh states to three members every 50 ms, four a datagram; full exchanges carry all. */
+    /**
+     * The previous version: sends fresh states to three members every 50 ms, four per datagram. Full exchanges carry all
+     * states.
+     */
     final class Previous implements SimulatedPeer {
         private static final int STATES_PER_DATAGRAM = 4;
         private final DisseminationWorld.Setup setup;
