--- a/src/main/java/kelphollow/site/DuplicateFilter.java
+++ b/src/main/java/kelphollow/site/DuplicateFilter.java
@@ -6,28 +6,28 @@
 import java.util.Map;
 
 /**
- * The remote side's register of unsafe requests: each identity runs at most once, and later queries get the truth. It guards
- * three things. A request that arrives twice runs once. One that was queried before it arrived is fenced: the local site was
- * told that it never ran, so it must not run when it arrives late after all. And what was forgotten, since memory is
- * bounded, is neither run again nor reported as never run: of each incarnation of a gateway it is known up to which number
- * something was forgotten.
+ * The remote side's register of unsafe requests, which runs each identity at most once and answers queries for its outcome.
+ * A request that arrives twice runs once. A request that is queried before it arrives is fenced: the local site is told that
+ * it never ran, so it must not run if it arrives late. Entries are evicted, since memory is bounded; an evicted request is
+ * neither run again nor reported as never run, since the filter keeps the highest evicted number of each incarnation of a
+ * gateway.
  *
- * <p>After a restart {@link #restore} brings back what the store holds: intents without an outcome are unknown. What is not
- * there never arrived, unless the store has lost something: then that holds only of numbers assigned since the gateway's
- * first hello in this incarnation. Confined to one event loop; some 200 bytes per identity beside its outcome.
+ * <p>After a restart {@link #restore} loads the stored records; an intent without an outcome is unknown. A request without a
+ * record never arrived. If the store has lost records, that holds only for numbers assigned since the gateway's first hello
+ * to this incarnation. Confined to one event loop. Uses about 200 bytes per identity in addition to its outcome.
  */
 public final class DuplicateFilter {
-    /** What to do with a request. */
+    /** How to handle an arriving request. */
     public enum Verdict {
-        /** Run it: write its intent, and begin once that is synced. */
+        /** Run it: write its intent, and start it once the intent is synced. */
         RUN,
         /** It ran before: respond with the outcome that {@link #query} returns. */
         REPLAY,
-        /** It is running already; this copy is not run, and its response is that of the first. */
+        /** It is already running: do not run this copy, which gets the response of the first one. */
         IN_PROGRESS,
-        /** Do not run it: it was fenced, or forgotten, or its outcome is unknown. */
+        /** Do not run it: it was fenced or evicted, or its outcome is unknown. */
         REJECT,
-        /** Too many are running already: it is not run now and, under this identity, never. */
+        /** Too many requests are running: it is not run now, nor later under this identity. */
         AT_CAPACITY
     }
 
@@ -43,12 +43,12 @@
         }
     }
 
-    /** What is known of one incarnation of a gateway. */
+    /** State of one incarnation of a gateway. */
     private static final class Incarnation {
-        /** Nothing is known any more of numbers up to this one that are not in the register. */
-        private long forgottenUpTo = -1;
-        /** Whether it has said hello to this incarnation of the remote side. */
-        private boolean hasSaidHello;
+        /** Numbers up to this one without an entry may have been evicted, or lost from the store. */
+        private long evictedUpTo = -1;
+        /** Whether its hello was received in this incarnation of the remote side. */
+        private boolean hasReceivedHello;
     }
 
     private record Origin(String site, long epoch) {}
@@ -56,15 +56,16 @@
     private final int maxRunning;
     private final double window;
     private final boolean storeIsComplete;
-    /** In the order of their ends; running ones where they began. */
-    private final Map<Identity, Entry> entries = new LinkedHashMap<>();
+    /** Ordered by end time; running entries by start time. */
+    private final Map<RequestIdentity, Entry> entries = new LinkedHashMap<>();
     private final Map<Origin, Incarnation> incarnations = new HashMap<>();
     private final Map<String, Long> latestEpochs = new HashMap<>();
     private int running;
 
     /**
-     * @param maxRunning how many may run at once; twice as many are remembered, the earliest ended go first
-     * @param window for how long an outcome is remembered after its end, in milliseconds
+     * @param maxRunning maximum number of running requests; twice as many entries are kept, the earliest ended are evicted
+     *     first
+     * @param window how long an outcome is kept after the request's end, in milliseconds
      * @param storeIsComplete whether the store has lost nothing since it was created
      */
     public DuplicateFilter(int maxRunning, double window, boolean storeIsComplete) {
@@ -73,8 +74,8 @@
         this.storeIsComplete = storeIsComplete;
     }
 
-    /** Restores a record of an earlier incarnation: its outcome, or null where only the intent was found. */
-    public void restore(Identity identity, byte[] outcome, double now) {
+    /** Restores a record of an earlier incarnation; {@code outcome} is null if only the intent was found. */
+    public void restore(RequestIdentity identity, byte[] outcome, double now) {
         Entry entry = new Entry(outcome == null ? State.UNKNOWN : State.RAN);
         entry.outcome = outcome;
         entry.endedAt = now;
@@ -83,10 +84,10 @@
     }
 
     /**
-     * A gateway says hello on a link that replaces all its earlier ones.
+     * Handles a gateway's hello on a new link, which replaces all its earlier links.
      *
-     * @param nextNumber the first number that it has not assigned yet
-     * @return false if a later incarnation of that site said hello before: this one has ended
+     * @param nextNumber the first number that the gateway has not assigned yet
+     * @return false if a hello of a later incarnation of that site was received before, so that this incarnation has ended
      */
     public boolean helloReceived(String site, long epoch, long nextNumber) {
         if (latestEpochs.getOrDefault(site, Long.MIN_VALUE) > epoch) {
@@ -94,23 +95,23 @@
         }
         latestEpochs.put(site, epoch);
         Incarnation incarnation = incarnations.computeIfAbsent(new Origin(site, epoch), origin -> new Incarnation());
-        if (!incarnation.hasSaidHello && !storeIsComplete) {
-            incarnation.forgottenUpTo = Math.max(incarnation.forgottenUpTo, nextNumber - 1);
+        if (!incarnation.hasReceivedHello && !storeIsComplete) {
+            incarnation.evictedUpTo = Math.max(incarnation.evictedUpTo, nextNumber - 1);
         }
-        incarnation.hasSaidHello = true;
+        incarnation.hasReceivedHello = true;
         return true;
     }
 
-    private boolean isForgotten(Identity identity) {
+    private boolean mayHaveBeenEvicted(RequestIdentity identity) {
         Incarnation incarnation = incarnations.get(new Origin(identity.site(), identity.epoch()));
         if (incarnation == null) {
             return !storeIsComplete;
         }
-        return identity.number() <= incarnation.forgottenUpTo || !incarnation.hasSaidHello && !storeIsComplete;
+        return identity.number() <= incarnation.evictedUpTo || !incarnation.hasReceivedHello && !storeIsComplete;
     }
 
-    /** A request has arrived. Whatever the verdict, the same identity never gets {@link Verdict#RUN} again. */
-    public Verdict admit(Identity identity, double now) {
+    /** Handles an arriving request. For any verdict, the same identity never gets {@link Verdict#RUN} again. */
+    public Verdict admit(RequestIdentity identity, double now) {
         Entry entry = entries.get(identity);
         if (entry != null) {
             return switch (entry.state) {
@@ -119,34 +120,34 @@
                 case NEVER_RAN, UNKNOWN -> Verdict.REJECT;
             };
         }
-        if (isForgotten(identity) || identity.epoch() < latestEpochs.getOrDefault(identity.site(), Long.MIN_VALUE)) {
+        if (mayHaveBeenEvicted(identity) || identity.epoch() < latestEpochs.getOrDefault(identity.site(), Long.MIN_VALUE)) {
             return Verdict.REJECT;
         }
         if (running >= maxRunning) {
-            fence(identity, now);        // the sender is told that it never ran: a second copy must not run either
+            fence(identity, now);        // the sender is told that it never ran, so a second copy must not run either
             return Verdict.AT_CAPACITY;
         }
-        remember(identity, new Entry(State.RUNNING), now);
+        insert(identity, new Entry(State.RUNNING), now);
         running++;
         return Verdict.RUN;
     }
 
-    /** It ran; {@code outcome} is what its client gets. */
-    public void ran(Identity identity, byte[] outcome, double now) {
+    /** Records that a request ran; {@code outcome} is the response for its client. */
+    public void markRan(RequestIdentity identity, byte[] outcome, double now) {
         end(identity, State.RAN, outcome, now);
     }
 
-    /** Its intent was not synced, or its attempt is proved never to have run. */
-    public void neverRan(Identity identity, double now) {
+    /** Records that a request never ran: its intent was not synced, or its attempt is proved not to have run. */
+    public void markNeverRan(RequestIdentity identity, double now) {
         end(identity, State.NEVER_RAN, null, now);
     }
 
-    /** Its attempt broke off and may have run. */
-    public void unknown(Identity identity, double now) {
+    /** Records that a request's attempt was interrupted and may have run. */
+    public void markUnknown(RequestIdentity identity, double now) {
         end(identity, State.UNKNOWN, null, now);
     }
 
-    private void end(Identity identity, State state, byte[] outcome, double now) {
+    private void end(RequestIdentity identity, State state, byte[] outcome, double now) {
         Entry entry = entries.remove(identity);
         if (entry == null) {
             return;
@@ -160,11 +161,11 @@
         entries.put(identity, entry);
     }
 
-    /** The outcome of a request. One that has not arrived is fenced with this response. */
-    public OutcomeResponse query(Identity identity, double now) {
+    /** Returns the outcome of a request, and fences it if it has not arrived. */
+    public OutcomeResponse query(RequestIdentity identity, double now) {
         Entry entry = entries.get(identity);
         if (entry == null) {
-            if (isForgotten(identity)) {
+            if (mayHaveBeenEvicted(identity)) {
                 return OutcomeResponse.UNKNOWN;
             }
             fence(identity, now);
@@ -178,48 +179,48 @@
         };
     }
 
-    private void fence(Identity identity, double now) {
+    private void fence(RequestIdentity identity, double now) {
         Entry fence = new Entry(State.NEVER_RAN);
         fence.endedAt = now;
-        remember(identity, fence, now);
+        insert(identity, fence, now);
     }
 
-    private void remember(Identity identity, Entry entry, double now) {
-        forgetOld(now);
-        Iterator<Map.Entry<Identity, Entry>> oldestFirst = entries.entrySet().iterator();
+    private void insert(RequestIdentity identity, Entry entry, double now) {
+        evictExpired(now);
+        Iterator<Map.Entry<RequestIdentity, Entry>> oldestFirst = entries.entrySet().iterator();
         while (entries.size() >= 2L * maxRunning && oldestFirst.hasNext()) {
-            Map.Entry<Identity, Entry> oldest = oldestFirst.next();
+            Map.Entry<RequestIdentity, Entry> oldest = oldestFirst.next();
             if (oldest.getValue().state != State.RUNNING) {
-                forget(oldest.getKey());
+                evict(oldest.getKey());
                 oldestFirst.remove();
             }
         }
         entries.put(identity, entry);
     }
 
-    /** Forgets what ended longer than the window ago; running entries stay. */
-    public void forgetOld(double now) {
-        Iterator<Map.Entry<Identity, Entry>> oldestFirst = entries.entrySet().iterator();
+    /** Evicts entries that ended more than the window ago; running entries stay. */
+    public void evictExpired(double now) {
+        Iterator<Map.Entry<RequestIdentity, Entry>> oldestFirst = entries.entrySet().iterator();
         while (oldestFirst.hasNext()) {
-            Map.Entry<Identity, Entry> oldest = oldestFirst.next();
+            Map.Entry<RequestIdentity, Entry> oldest = oldestFirst.next();
             if (oldest.getValue().state == State.RUNNING) {
                 continue;
             }
             if (now - oldest.getValue().endedAt <= window) {
                 return;
             }
-            forget(oldest.getKey());
+            evict(oldest.getKey());
             oldestFirst.remove();
         }
     }
 
-    private void forget(Identity identity) {
+    private void evict(RequestIdentity identity) {
         Incarnation incarnation = incarnations.computeIfAbsent(new Origin(identity.site(), identity.epoch()),
             origin -> new Incarnation());
-        incarnation.forgottenUpTo = Math.max(incarnation.forgottenUpTo, identity.number());
+        incarnation.evictedUpTo = Math.max(incarnation.evictedUpTo, identity.number());
     }
 
-    /** Number of identities that are remembered. */
+    /** Returns the number of entries. */
     public int size() {
         return entries.size();
     }
--- a/src/main/java/kelphollow/site/ForwardedRequest.java
+++ b/src/main/java/kelphollow/site/ForwardedRequest.java
@@ -1,27 +1,28 @@
 package kelphollow.site;
 
 /**
- * One unsafe request forwarded over a link, as the local site sees it. It ends once, in one of three ways, which are those
- * of any attempt: it ran, it never ran, it may have run. When the link breaks after the last byte was written, nobody here
- * knows; the remote site is queried on the next link, and only its answer that the request never ran lets it be sent again,
- * under a new identity. No clock: the owner says when its time is over. Confined to one event loop.
+ * State machine of one unsafe request that the local site forwards over a link. It ends once, with one of the three results
+ * of any attempt: it ran, it never ran, or it may have run. If the link breaks after the last byte was written, the outcome
+ * is unknown to the local site; it queries the remote site on the next link, and may send the request again, under a new
+ * identity, only if the remote site responds that it never ran. Has no clock: the owner abandons the request at its
+ * deadline. Confined to one event loop.
  */
 public final class ForwardedRequest {
-    /** What the owner does next. */
-    public enum Next {
+    /** What the owner must do next. */
+    public enum NextStep {
         /** Write the intent; {@link #intentRecorded} or {@link #intentFailed} follows. */
         RECORD_INTENT,
-        /** Send the head, and the body as the link takes it. */
+        /** Send the head, and the body as fast as the link accepts it. */
         SEND,
-        /** Nothing: an event will come. */
+        /** Wait for the next event. */
         WAIT,
-        /** Query the remote site for the outcome, on a link that is up. */
+        /** Query the remote site for the outcome over the current link. */
         QUERY,
-        /** Ended: it ran, {@link #outcome} is its response. */
+        /** Ended: it ran, and {@link #outcome} is its response. */
         RAN,
-        /** Ended: it never ran and never will under this identity. */
+        /** Ended: it never ran, and never will under this identity. */
         NEVER_RAN,
-        /** Ended: it may have run. It is not sent again. */
+        /** Ended: it may have run, and must not be sent again. */
         MAY_HAVE_RUN
     }
 
@@ -35,135 +36,135 @@
         ENDED
     }
 
-    private final Identity identity;
+    private final RequestIdentity identity;
     private State state = State.NEW;
     private boolean completelyWritten;
-    private Next ending;
+    private NextStep result;
     private byte[] outcome;
 
-    /** A request that is not sent yet. */
-    public ForwardedRequest(Identity identity) {
+    /** Creates a request that has not been sent yet. */
+    public ForwardedRequest(RequestIdentity identity) {
         this.identity = identity;
     }
 
-    /** The identity under which it is sent. */
-    public Identity identity() {
+    /** Returns the identity under which it is sent. */
+    public RequestIdentity identity() {
         return identity;
     }
 
-    /** The response, once it ran. */
+    /** Returns the response if it ran, else null. */
     public byte[] outcome() {
         return outcome;
     }
 
-    /** Whether it has ended; whatever comes later changes nothing. */
+    /** Returns whether it has ended; later events have no effect. */
     public boolean isEnded() {
         return state == State.ENDED;
     }
 
-    /** Whether the remote site may know more of it than the local one. */
+    /** Returns whether the remote site may know the outcome while the local one does not. */
     public boolean isOutcomeUnknown() {
         return state == State.OUTCOME_UNKNOWN || state == State.QUERYING;
     }
 
-    /** Starts it; called once. */
-    public Next begin() {
+    /** Starts the request; must be called once. */
+    public NextStep begin() {
         state = State.RECORDING_INTENT;
-        return Next.RECORD_INTENT;
+        return NextStep.RECORD_INTENT;
     }
 
-    /** The intent is synced. */
-    public Next intentRecorded() {
+    /** Called when the intent is synced. */
+    public NextStep intentRecorded() {
         if (state != State.RECORDING_INTENT) {
             return unchanged();
         }
         state = State.SENT;
-        return Next.SEND;
+        return NextStep.SEND;
     }
 
-    /** The intent could not be synced. */
-    public Next intentFailed() {
-        return state == State.RECORDING_INTENT ? end(Next.NEVER_RAN) : unchanged();
+    /** Called when the intent could not be synced. */
+    public NextStep intentFailed() {
+        return state == State.RECORDING_INTENT ? end(NextStep.NEVER_RAN) : unchanged();
     }
 
-    /** The last byte was written to the link's socket. From here on it may run. */
-    public Next lastByteWritten() {
+    /** Called when the last byte was written to the link's socket; from then on the request may run. */
+    public NextStep lastByteWritten() {
         completelyWritten |= state == State.SENT;
         return unchanged();
     }
 
-    /** The remote site responded, on the link over which it was sent or to a query. */
-    public Next responseReceived(OutcomeResponse response) {
+    /** Called when the remote site responds to the request on its original link, or to a query. */
+    public NextStep responseReceived(OutcomeResponse response) {
         if (state != State.SENT && state != State.QUERYING) {
             return unchanged();
         }
         switch (response.kind()) {
             case RAN:
                 outcome = response.outcome();
-                return end(Next.RAN);
+                return end(NextStep.RAN);
             case NEVER_RAN:
-                return end(Next.NEVER_RAN);
+                return end(NextStep.NEVER_RAN);
             case UNKNOWN:
-                return end(Next.MAY_HAVE_RUN);
+                return end(NextStep.MAY_HAVE_RUN);
             default:
-                // Running: on its own link the response will come by itself, otherwise it is queried again.
+                // Running: on the original link the response will follow, otherwise the outcome is queried again.
                 state = state == State.QUERYING ? State.OUTCOME_UNKNOWN : state;
-                return Next.WAIT;
+                return NextStep.WAIT;
         }
     }
 
     /**
-     * The link is gone, and no frame of it is accepted any more. If it broke before the last byte was written, the request
-     * never ran: the remote site passes a body on as it comes, and a node does nothing before it has all of it.
+     * Called when the link is closed and no further frame of it is accepted. If it broke before the last byte was written,
+     * the request never ran: the remote site streams the body to the node, which does not act before the body is complete.
      */
-    public Next linkBroken() {
+    public NextStep linkBroken() {
         switch (state) {
             case RECORDING_INTENT:
-                return end(Next.NEVER_RAN);
+                return end(NextStep.NEVER_RAN);
             case SENT:
                 if (!completelyWritten) {
-                    return end(Next.NEVER_RAN);
+                    return end(NextStep.NEVER_RAN);
                 }
                 state = State.OUTCOME_UNKNOWN;
-                return Next.WAIT;
+                return NextStep.WAIT;
             case QUERYING:
                 state = State.OUTCOME_UNKNOWN;
-                return Next.WAIT;
+                return NextStep.WAIT;
             default:
                 return unchanged();
         }
     }
 
-    /** A link to the same site is up, or it is time to query again. */
-    public Next query() {
+    /** Called when a link to the same site comes up, or when it is time to query again. */
+    public NextStep query() {
         if (state != State.OUTCOME_UNKNOWN) {
             return unchanged();
         }
         state = State.QUERYING;
-        return Next.QUERY;
+        return NextStep.QUERY;
     }
 
     /**
-     * Its time is over, or its client has disconnected: the outcome of an attempt that is given up is not known, unless
-     * nothing of it can be running. Who wants to know it later queries with the same identity.
+     * Called when its deadline has passed or its client has disconnected. The outcome of an abandoned attempt is unknown,
+     * unless it cannot have started to run; it can be queried later under the same identity.
      */
-    public Next giveUp() {
+    public NextStep abandon() {
         return switch (state) {
-            case NEW, RECORDING_INTENT -> end(Next.NEVER_RAN);
-            case SENT -> end(completelyWritten ? Next.MAY_HAVE_RUN : Next.NEVER_RAN);
-            case OUTCOME_UNKNOWN, QUERYING -> end(Next.MAY_HAVE_RUN);
-            case ENDED -> ending;
+            case NEW, RECORDING_INTENT -> end(NextStep.NEVER_RAN);
+            case SENT -> end(completelyWritten ? NextStep.MAY_HAVE_RUN : NextStep.NEVER_RAN);
+            case OUTCOME_UNKNOWN, QUERYING -> end(NextStep.MAY_HAVE_RUN);
+            case ENDED -> result;
         };
     }
 
-    private Next end(Next how) {
+    private NextStep end(NextStep finalStep) {
         state = State.ENDED;
-        ending = how;
-        return how;
+        result = finalStep;
+        return finalStep;
     }
 
-    /** For an event that changes nothing: the ending again, or to wait. */
-    private Next unchanged() {
-        return state == State.ENDED ? ending : Next.WAIT;
+    /** Returns the next step after an event without effect: the final result if ended, else {@link NextStep#WAIT}. */
+    private NextStep unchanged() {
+        return state == State.ENDED ? result : NextStep.WAIT;
     }
 }
--- a/src/main/java/kelphollow/site/LinkHealth.java
+++ b/src/main/java/kelphollow/site/LinkHealth.java
@@ -1,34 +1,34 @@
 package kelphollow.site;
 
 /**
- * Failure detector of a link to another site. A ping is sent at intervals, and its answers give the round trip and its
- * variation (RFC 6298, Jacobson 1988). A ping that is not answered within a few round trips means that the link stalls,
- * whatever else still arrives on it: a stall of one direction is a stall. Silence for long means that it is down. Times are
- * milliseconds on the caller's clock. Confined to one event loop.
+ * Failure detector of a link to another site. Sends a ping at intervals and estimates the round trip and its variation from
+ * the answers (RFC 6298, Jacobson 1988). A ping that is not answered within a few round trips means that the link stalls,
+ * even if other frames still arrive, since a stall of one direction is enough. A ping that is not answered for a long time
+ * means that the link is down. Times are in milliseconds on the caller's clock. Confined to one event loop.
  */
 public final class LinkHealth {
-    /** What may be done with the link. */
+    /** State of the link. */
     public enum State {
-        /** It takes new requests. */
+        /** Accepts new requests. */
         UP,
-        /** It takes nothing new; what is in flight may still be answered. */
+        /** Accepts no new requests; those in flight may still be answered. */
         STALLED,
-        /** It is to be closed: nothing is waited for any more. */
+        /** Must be closed; no response is expected any more. */
         DOWN
     }
 
     /**
-     * Times in milliseconds.
+     * Parameters of the failure detector. Times are in milliseconds.
      *
-     * @param pingInterval between two pings; one at a time is in flight
-     * @param minPingTimeout a ping is never missed sooner, so that pauses of the remote process are no stall
-     * @param maxPingTimeout a ping is missed at the latest after this, however slow the link was
-     * @param downAfter a ping that has been in flight for so long means that the link is down
-     * @param answersToRecover pings in a row that must be answered in time before a stalled link takes new requests again
+     * @param pingInterval interval between pings; at most one is in flight
+     * @param minPingTimeout lower bound on the ping timeout, so that pauses of the remote process do not count as a stall
+     * @param maxPingTimeout upper bound on the ping timeout, for any measured round trip
+     * @param downAfter time in flight of a ping after which the link is down
+     * @param answersToRecover consecutive pings that must be answered in time before a stalled link accepts new requests
      */
     public record Options(double pingInterval, double minPingTimeout, double maxPingTimeout, double downAfter,
                           int answersToRecover) {
-        /** What holds where the operator sets nothing. */
+        /** The values used unless the operator configures others. */
         public static final Options DEFAULTS = new Options(50, 60, 1_000, 10_000, 2);
     }
 
@@ -36,7 +36,7 @@
     private static final double GAIN = 1 / 8.0;
     /** RFC 6298, section 2: gain of the variation. */
     private static final double VARIATION_GAIN = 1 / 4.0;
-    /** RFC 6298, section 2: how many variations count. */
+    /** RFC 6298, section 2: multiple of the variation in the timeout. */
     private static final double VARIATIONS = 4;
 
     private final Options options;
@@ -49,15 +49,15 @@
     private double lastPingAt;
     private boolean missed;
     private boolean down;
-    private int answersMissingToRecover;
+    private int answersLeftToRecover;
 
-    /** A link that has just come up: it takes requests at once, since it has just answered a hello. */
+    /** Creates the state of a link that has just come up; it accepts requests at once, since its hello was just answered. */
     public LinkHealth(Options options, double now) {
         this.options = options;
         this.lastPingAt = now;
     }
 
-    /** Whether a ping is due; if so it counts as sent, under {@link #pingNumber}. */
+    /** Returns whether a ping is due; if so, it counts as sent with number {@link #pingNumber}. */
     public boolean isPingDue(double now) {
         if (!Double.isNaN(pingInFlightSince) || now - lastPingAt < options.pingInterval) {
             return false;
@@ -68,46 +68,46 @@
         return true;
     }
 
-    /** The number of the last ping. */
+    /** Returns the number of the last ping. */
     public long pingNumber() {
         return pings;
     }
 
-    /** A ping was answered. An answer to another than the last one is ignored: it is late or forged. */
+    /** Handles an answer to a ping. Answers to any but the last ping are late or forged, and are ignored. */
     public void pingAnswered(long number, double now) {
         if (number != pings || Double.isNaN(pingInFlightSince)) {
             return;
         }
-        state(now);                          // a ping that was missed counts as missed, even if nobody asked meanwhile
-        double took = Math.max(0, now - pingInFlightSince);
+        state(now);                          // a late ping counts as missed even if the state was not read meanwhile
+        double sample = Math.max(0, now - pingInFlightSince);
         pingInFlightSince = Double.NaN;
         if (missed) {
-            missed = false;                  // the duration of a stall is no round trip
-            answersMissingToRecover = options.answersToRecover;
+            missed = false;                  // the duration of a stall is not a round trip
+            answersLeftToRecover = options.answersToRecover;
         } else {
-            update(took);
-            answersMissingToRecover = Math.max(0, answersMissingToRecover - 1);
+            update(sample);
+            answersLeftToRecover = Math.max(0, answersLeftToRecover - 1);
         }
     }
 
-    private void update(double took) {
-        minRoundTrip = Math.min(minRoundTrip, took);
+    private void update(double sample) {
+        minRoundTrip = Math.min(minRoundTrip, sample);
         if (Double.isNaN(roundTrip)) {
-            roundTrip = took;
-            variation = took / 2;
+            roundTrip = sample;
+            variation = sample / 2;
         } else {
-            variation += VARIATION_GAIN * (Math.abs(took - roundTrip) - variation);
-            roundTrip += GAIN * (took - roundTrip);
+            variation += VARIATION_GAIN * (Math.abs(sample - roundTrip) - variation);
+            roundTrip += GAIN * (sample - roundTrip);
         }
     }
 
-    /** How long a ping may be in flight before it is missed. */
+    /** Returns how long a ping may be in flight before it counts as missed. */
     public double pingTimeout() {
-        double wanted = Double.isNaN(roundTrip) ? options.maxPingTimeout : roundTrip + VARIATIONS * variation;
-        return Math.max(options.minPingTimeout, Math.min(options.maxPingTimeout, wanted));
+        double estimate = Double.isNaN(roundTrip) ? options.maxPingTimeout : roundTrip + VARIATIONS * variation;
+        return Math.max(options.minPingTimeout, Math.min(options.maxPingTimeout, estimate));
     }
 
-    /** What may be done with the link now. */
+    /** Returns the current state of the link. */
     public State state(double now) {
         double inFlightFor = Double.isNaN(pingInFlightSince) ? 0 : now - pingInFlightSince;
         missed |= inFlightFor > pingTimeout();
@@ -115,22 +115,22 @@
         if (down) {
             return State.DOWN;
         }
-        return missed || answersMissingToRecover > 0 ? State.STALLED : State.UP;
+        return missed || answersLeftToRecover > 0 ? State.STALLED : State.UP;
     }
 
-    /** The smoothed round trip; 0 before the first answer. */
+    /** Returns the smoothed round trip; 0 before the first answer. */
     public double roundTrip() {
         return Double.isNaN(roundTrip) ? 0 : roundTrip;
     }
 
-    /** The shortest round trip so far: the propagation delay, without queueing. */
+    /** Returns the shortest round trip so far, which estimates the propagation delay without queueing. */
     public double minRoundTrip() {
         return Double.isInfinite(minRoundTrip) ? 0 : minRoundTrip;
     }
 
     /**
-     * An upper bound on the delay of one direction, with its variation. Half a round trip would be the mean, and one
-     * direction may be slower than the other: the complete round trip is the bound that holds for each.
+     * Returns an upper bound on the one-way delay, including its variation. Half a round trip is only the mean of the two
+     * directions, and either may be the slower one, so the bound is the complete round trip.
      */
     public double oneWayDelayBound() {
         return Double.isNaN(roundTrip) ? 0 : roundTrip + VARIATIONS * variation;
--- a/src/main/java/kelphollow/site/OutcomeResponse.java
+++ b/src/main/java/kelphollow/site/OutcomeResponse.java
@@ -2,15 +2,15 @@
 
 /** A remote site's response to a query for the outcome of an unsafe request; {@code outcome} is null unless it ran. */
 public record OutcomeResponse(Kind kind, byte[] outcome) {
-    /** What became of the request. */
+    /** State of the queried request. */
     public enum Kind {
-        /** It ran: this is its outcome. */
+        /** It ran, and the response holds its outcome. */
         RAN,
-        /** It is running; a later query gives more. */
+        /** It is running; a later query returns its outcome. */
         RUNNING,
-        /** It is proved that it never ran, and the remote site ensures that under this identity it never will. */
+        /** It provably never ran, and the remote site ensures that it never will under this identity. */
         NEVER_RAN,
-        /** It may have run: nobody knows. */
+        /** It may have run; the remote site cannot determine it. */
         UNKNOWN
     }
 
--- a/src/main/java/kelphollow/site/Routes.java
+++ b/src/main/java/kelphollow/site/Routes.java
@@ -11,16 +11,16 @@
 import java.util.Map;
 
 /**
- * Which sites serve a shard of a bucket, in which order. The owner alone takes writes; reads may go to replicas, the local
- * site first, then by tier, and within a tier by weight: highest random weight (Thaler and Ravishankar 1998) in the weighted
- * form {@code -weight / ln(h)} (Schindelhauer and Schomaker 2005), so that all gateways choose alike, a shard keeps its
- * site, and a site that is removed moves its own shards only. Immutable and thread-safe.
+ * Routing table of the sites that serve each shard of a bucket, in order of preference. Only the owner accepts writes. Reads
+ * may go to replicas: the local site first, then by tier, and within a tier by highest random weight (Thaler and Ravishankar
+ * 1998) in the weighted form {@code -weight / ln(h)} (Schindelhauer and Schomaker 2005). All gateways thus choose alike, a
+ * shard keeps its site, and removing a site moves only its own shards. Immutable and thread-safe.
  */
 public final class Routes {
-    /** A site that has a copy; a lower tier comes first, weights count among the sites of one tier. */
+    /** A site with a copy; lower tiers are preferred, and weights apply among the sites of one tier. */
     public record Replica(String site, int tier, double weight) {}
 
-    /** Shards {@code from} to {@code to} of a bucket, both included: who owns them, and who else can be read from. */
+    /** The owner and the read replicas of shards {@code from} to {@code to}, both inclusive, of a bucket. */
     public record Route(String bucket, int from, int to, String owner, List<Replica> replicas) {
         /** Copies the list. */
         public Route {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** What a request's route depends on; {@code forwardedBy} are the sites that have forwarded it, the first one first. */
+    /** What a request's route depends on; {@code forwardedBy} lists the sites that have forwarded it, in order. */
     public record Request(String bucket, int shard, boolean writes, List<String> forwardedBy) {
         /** Copies the list. */
         public Request {
@@ -44,24 +44,24 @@
     public enum Rejection {
         /** No route covers the shard. */
         NO_ROUTE,
-        /** It was forwarded here and would have to be forwarded once more: two sites name each other. */
+        /** It was forwarded to this site and would have to be forwarded again: two sites route to each other. */
         LOOP
     }
 
-    /** Sites in the order in which they are to be tried; empty exactly if {@code rejection} is not null. */
+    /** Sites in the order in which to try them; empty if and only if {@code rejection} is not null. */
     public record Choice(List<String> sites, Rejection rejection) {}
 
-    /** A fault of the table: the key in the operator's file, and what is wrong with it. */
-    public static final class InvalidRoute extends Exception {
+    /** Thrown for an invalid entry of the table; names its key in the operator's file and the problem. */
+    public static final class InvalidRouteException extends Exception {
         private static final long serialVersionUID = 1;
         private final String key;
 
-        InvalidRoute(String key, String problem) {
+        InvalidRouteException(String key, String problem) {
             super(key + " " + problem);
             this.key = key;
         }
 
-        /** Where in the list of routes, such as {@code routes[2].owner}. */
+        /** Returns the key in the list of routes, such as {@code routes[2].owner}. */
         public String key() {
             return key;
         }
@@ -74,10 +74,10 @@
     private final Map<String, List<Route>> byBucket = new HashMap<>();
 
     /**
-     * @param sites all sites that a route may name, the local one too
-     * @throws InvalidRoute if a route names another site, or its shards overlap those of one before it
+     * @param sites all sites that a route may name, including the local one
+     * @throws InvalidRouteException if a route names another site, or its shards overlap those of an earlier route
      */
-    public Routes(String localSite, List<String> sites, List<Route> routes) throws InvalidRoute {
+    public Routes(String localSite, List<String> sites, List<Route> routes) throws InvalidRouteException {
         this.localSite = localSite;
         for (int i = 0; i < routes.size(); i++) {
             Route route = routes.get(i);
@@ -86,20 +86,21 @@
             List<Route> ofBucket = byBucket.computeIfAbsent(route.bucket, bucket -> new ArrayList<>());
             for (Route other : ofBucket) {
                 if (route.from <= other.to && other.from <= route.to) {
-                    throw new InvalidRoute(key + ".shards", "overlap with those of another route of bucket "
-                        + route.bucket + ": " + other.from + " to " + other.to);
+                    throw new InvalidRouteException(key + ".shards", route.from + " to " + route.to + " overlap shards "
+                        + other.from + " to " + other.to + " of another route of bucket " + route.bucket);
                 }
             }
             ofBucket.add(route);
         }
     }
 
-    private static void check(Route route, String key, List<String> sites) throws InvalidRoute {
+    private static void check(Route route, String key, List<String> sites) throws InvalidRouteException {
         if (route.from < 0 || route.from > route.to) {
-            throw new InvalidRoute(key + ".shards", "must be a first shard from 0 on and a last one not below it");
+            throw new InvalidRouteException(key + ".shards", "must be a range of shards from 0 on: " + route.from + " to "
+                + route.to);
         }
         if (!sites.contains(route.owner)) {
-            throw new InvalidRoute(key + ".owner", "names '" + route.owner + "', which is no site");
+            throw new InvalidRouteException(key + ".owner", "names '" + route.owner + "', which is not a configured site");
         }
         List<String> named = new ArrayList<>(List.of(route.owner));
         for (int i = 0; i < route.replicas.size(); i++) {
@@ -109,19 +110,20 @@
         }
     }
 
-    private static void check(Replica replica, String key, List<String> sites, List<String> named) throws InvalidRoute {
+    private static void check(Replica replica, String key, List<String> sites, List<String> named)
+        throws InvalidRouteException {
         if (!sites.contains(replica.site)) {
-            throw new InvalidRoute(key + ".site", "names '" + replica.site + "', which is no site");
+            throw new InvalidRouteException(key + ".site", "names '" + replica.site + "', which is not a configured site");
         }
         if (named.contains(replica.site)) {
-            throw new InvalidRoute(key + ".site", "names '" + replica.site + "' a second time");
+            throw new InvalidRouteException(key + ".site", "names '" + replica.site + "' a second time");
         }
         if (!(replica.weight > 0) || Double.isInfinite(replica.weight)) {
-            throw new InvalidRoute(key + ".weight", "must be above 0");
+            throw new InvalidRouteException(key + ".weight", "must be a finite number above 0, not " + replica.weight);
         }
     }
 
-    /** Where a request may go. One that was forwarded is served here or not at all. */
+    /** Returns the sites that may serve a request. A request that was already forwarded is served here or rejected. */
     public Choice choose(Request request) {
         Route route = byBucket.getOrDefault(request.bucket, List.of()).stream()
             .filter(candidate -> candidate.covers(request.bucket, request.shard)).findFirst().orElse(null);
@@ -136,7 +138,7 @@
             : new Choice(List.of(), Rejection.LOOP);
     }
 
-    /** The local site, then the owner with tier 0 and the replicas by their tiers. */
+    /** Returns the local site first, then the owner, which has tier 0, and the replicas by tier. */
     private List<String> readers(Route route, int shard) {
         List<Replica> readers = new ArrayList<>(route.replicas);
         if (readers.stream().noneMatch(replica -> replica.site.equals(route.owner))) {
@@ -152,7 +154,7 @@
         try {
             byte[] digest = MessageDigest.getInstance("SHA-256").digest(
                 (replica.site + '\0' + bucket + '\0' + shard).getBytes(StandardCharsets.UTF_8));
-            // 53 bits, shifted by a half so that neither 0 nor 1 can come.
+            // 53 bits plus one half, so that the hash is neither 0 nor 1.
             double hash = ((ByteBuffer.wrap(digest).getLong() >>> 11) + 0.5) * 0x1.0p-53;
             return -replica.weight / Math.log(hash);
         } catch (NoSuchAlgorithmException e) {
--- a/src/test/java/kelphollow/site/ForwardedRequestSimulationTest.java
+++ b/src/test/java/kelphollow/site/ForwardedRequestSimulationTest.java
@@ -15,69 +15,70 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two gateways, a link that breaks, a node that counts its executions, and a store that survives: by seeds, with events in
- * any order. No client's request runs twice; context its client was told stays true; each has one final response.
+ * Seeded simulation of two gateways, a link that breaks, a node that counts executions, and a store that survives crashes,
+ * with events in random order. Checks that no client's request runs twice, that each client gets one final response, and
+ * that what the client was told stays true.
  */
 class ForwardedRequestSimulationTest {
     private static final int SEEDS = Integer.getInteger("kelphollow.handover.seeds", 3_000);
     private static final int STEPS = 400;
-    private static final int MAX_SENDINGS = 3;
+    private static final int MAX_TRANSMISSIONS = 3;
     private static final int MAX_RUNNING = 6;
-    private static final double FOR_EVER = 1e9;
+    private static final double UNLIMITED_MS = 1e9;
 
     private enum FrameKind { REQUEST, QUERY, RESPONSE }
 
-    /** A frame of the link; {@code response} is null unless it is one. */
-    private record Frame(FrameKind kind, Identity identity, OutcomeResponse response) {
-        static Frame request(Identity identity) {
+    /** A frame on the link; {@code response} is null for requests and queries. */
+    private record Frame(FrameKind kind, RequestIdentity identity, OutcomeResponse response) {
+        static Frame request(RequestIdentity identity) {
             return new Frame(FrameKind.REQUEST, identity, null);
         }
 
-        static Frame query(Identity identity) {
+        static Frame query(RequestIdentity identity) {
             return new Frame(FrameKind.QUERY, identity, null);
         }
 
-        static Frame response(Identity identity, OutcomeResponse response) {
+        static Frame response(RequestIdentity identity, OutcomeResponse response) {
             return new Frame(FrameKind.RESPONSE, identity, response);
         }
     }
 
-    /** One client's request: its identities so far, how often it ran, and context its client was told. */
+    /** One client's request: its identities so far, how often it ran, and the result that the client was told. */
     private static final class ClientRequest {
-        final List<Identity> sendings = new ArrayList<>();
+        final List<RequestIdentity> transmissions = new ArrayList<>();
         ForwardedRequest current;
         int executions;
-        ForwardedRequest.Next told;
+        ForwardedRequest.NextStep finalStep;
     }
 
     private static final class World {
         final Random random;
         final String context;
-        final Map<Identity, ClientRequest> owners = new HashMap<>();
+        final Map<RequestIdentity, ClientRequest> owners = new HashMap<>();
         final List<ClientRequest> all = new ArrayList<>();
         final List<ClientRequest> open = new ArrayList<>();
         final ArrayDeque<Frame> toRemote = new ArrayDeque<>();
         final ArrayDeque<Frame> toLocal = new ArrayDeque<>();
-        /** Frames of a broken link that the remote side still receives, since it has not noticed the break. */
+        /** Frames of a broken link that the remote side still receives, since it has not detected the break. */
         final ArrayDeque<Frame> stale = new ArrayDeque<>();
-        /** The remote store: synced intents with null, outcomes with their bytes. */
-        final Map<Identity, byte[]> records = new TreeMap<>();
-        /** ClientRequest of the remote side: intents that are not synced yet. */
-        final List<Identity> recording = new ArrayList<>();
-        /** ClientRequest of the remote side: attempts at the node. */
-        final List<Identity> attempts = new ArrayList<>();
-        /** ClientRequest of the remote side: context ran and is not recorded yet. */
-        final List<Identity> executed = new ArrayList<>();
-        /** What remote gateways that crashed had given to the node: it may still run. */
-        final List<Identity> orphans = new ArrayList<>();
+        /** The remote store: null for a synced intent, else the outcome. */
+        final Map<RequestIdentity, byte[]> records = new TreeMap<>();
+        /** Requests at the remote side whose intents are not synced yet. */
+        final List<RequestIdentity> recording = new ArrayList<>();
+        /** Requests at the remote side that the node was given. */
+        final List<RequestIdentity> attempts = new ArrayList<>();
+        /** Requests at the remote side that ran and whose outcomes are not recorded yet. */
+        final List<RequestIdentity> executed = new ArrayList<>();
+        /** Requests that crashed remote gateways had given to the node, which may still run. */
+        final List<RequestIdentity> orphans = new ArrayList<>();
         boolean storeLost;
         boolean linkIsUp = true;
         long localEpoch = 1;
         long nextNumber;
         double now;
-        DuplicateFilter filter = new DuplicateFilter(MAX_RUNNING, FOR_EVER, true);
+        DuplicateFilter filter = new DuplicateFilter(MAX_RUNNING, UNLIMITED_MS, true);
         int sentAgain;
-        int settledByQuery;
+        int resolvedByQuery;
 
         World(long seed) {
             random = new Random(seed);
@@ -88,7 +89,7 @@
         void step() {
             now += random.nextInt(5);
             switch (random.nextInt(16)) {
-                case 0, 1, 2 -> arrive();
+                case 0, 1, 2 -> receiveClientRequest();
                 case 3, 4, 5 -> remoteReceives();
                 case 6, 7 -> localReceives();
                 case 8, 9 -> recordIntent();
@@ -96,12 +97,12 @@
                 case 11 -> recordOutcome();
                 case 12 -> breakLink();
                 case 13 -> connect();
-                case 14 -> giveUp();
+                case 14 -> abandon();
                 default -> rareEvent();
             }
         }
 
-        private void arrive() {
+        private void receiveClientRequest() {
             ClientRequest request = new ClientRequest();
             all.add(request);
             open.add(request);
@@ -109,8 +110,8 @@
         }
 
         private void send(ClientRequest request) {
-            Identity identity = new Identity("a", localEpoch, nextNumber++);
-            request.sendings.add(identity);
+            RequestIdentity identity = new RequestIdentity("a", localEpoch, nextNumber++);
+            request.transmissions.add(identity);
             owners.put(identity, request);
             request.current = new ForwardedRequest(identity);
             request.current.begin();
@@ -118,9 +119,9 @@
                 end(request, request.current.linkBroken());
                 return;
             }
-            assertEquals(ForwardedRequest.Next.SEND, request.current.intentRecorded());
+            assertEquals(ForwardedRequest.NextStep.SEND, request.current.intentRecorded());
             if (random.nextInt(8) == 0) {
-                return;                                     // its body is never complete on this link
+                return;                                     // the body is never completed on this link
             }
             request.current.lastByteWritten();
             toRemote.add(Frame.request(identity));
@@ -129,21 +130,21 @@
             }
         }
 
-        /** Tells the client, if the request has ended. One that never ran may be sent again. */
-        private void end(ClientRequest request, ForwardedRequest.Next next) {
+        /** Responds to the client if the request has ended; sends some requests that never ran again. */
+        private void end(ClientRequest request, ForwardedRequest.NextStep next) {
             if (!request.current.isEnded()) {
                 return;
             }
-            if (next == ForwardedRequest.Next.NEVER_RAN && request.sendings.size() < MAX_SENDINGS && linkIsUp
+            if (next == ForwardedRequest.NextStep.NEVER_RAN && request.transmissions.size() < MAX_TRANSMISSIONS && linkIsUp
                 && random.nextBoolean()) {
                 sentAgain++;
                 send(request);
                 return;
             }
-            assertNull(request.told, context + ": one final response");
-            request.told = next;
+            assertNull(request.finalStep, context + ": second final response");
+            request.finalStep = next;
             open.remove(request);
-            if (next == ForwardedRequest.Next.RAN) {
+            if (next == ForwardedRequest.NextStep.RAN) {
                 assertEquals(1, request.executions, context);
                 assertEquals(request.current.identity().toString(), new String(request.current.outcome()), context);
             }
@@ -174,7 +175,7 @@
             ClientRequest request = owners.get(frame.identity);
             if (request.current.identity().equals(frame.identity) && open.contains(request)) {
                 if (request.current.isOutcomeUnknown() && frame.response.kind() != OutcomeResponse.Kind.UNKNOWN) {
-                    settledByQuery++;
+                    resolvedByQuery++;
                 }
                 end(request, request.current.responseReceived(frame.response));
             }
@@ -185,7 +186,7 @@
         }
 
         private void recordIntent() {
-            Identity identity = draw(recording);
+            RequestIdentity identity = draw(recording);
             if (identity != null) {
                 records.put(identity, null);
                 attempts.add(identity);
@@ -193,39 +194,40 @@
         }
 
         private void nodeExecutes() {
-            Identity identity = draw(random.nextInt(4) == 0 ? orphans : attempts);
+            RequestIdentity identity = draw(random.nextInt(4) == 0 ? orphans : attempts);
             if (identity == null) {
                 return;
             }
             if (random.nextInt(6) == 0 && !orphans.contains(identity) && isRunning(identity)) {
-                boolean provedNeverRan = random.nextBoolean();
-                if (provedNeverRan) {
+                boolean provablyNeverRan = random.nextBoolean();
+                if (provablyNeverRan) {
                     records.remove(identity);
-                    filter.neverRan(identity, now);
+                    filter.markNeverRan(identity, now);
                 } else {
-                    filter.unknown(identity, now);
+                    filter.markUnknown(identity, now);
                 }
-                toLocal.add(Frame.response(identity, provedNeverRan ? OutcomeResponse.NEVER_RAN : OutcomeResponse.UNKNOWN));
+                toLocal.add(Frame.response(identity, provablyNeverRan ? OutcomeResponse.NEVER_RAN
+                    : OutcomeResponse.UNKNOWN));
                 return;
             }
             ClientRequest request = owners.get(identity);
             request.executions++;
-            assertEquals(1, request.executions, () -> context + ": ran twice, as " + request.sendings);
-            assertNotEquals(ForwardedRequest.Next.NEVER_RAN, request.told,
-                context + ": its client was told that it did not run");
+            assertEquals(1, request.executions, () -> context + ": ran more than once, sent as " + request.transmissions);
+            assertNotEquals(ForwardedRequest.NextStep.NEVER_RAN, request.finalStep,
+                context + ": ran after the client was told that it never ran");
             executed.add(identity);
         }
 
-        private boolean isRunning(Identity identity) {
+        private boolean isRunning(RequestIdentity identity) {
             return filter.query(identity, now).kind() == OutcomeResponse.Kind.RUNNING;
         }
 
         private void recordOutcome() {
-            Identity identity = draw(executed);
+            RequestIdentity identity = draw(executed);
             if (identity != null && isRunning(identity)) {
                 byte[] outcome = identity.toString().getBytes();
                 records.put(identity, outcome);
-                filter.ran(identity, outcome, now);
+                filter.markRan(identity, outcome, now);
                 toLocal.add(Frame.response(identity, new OutcomeResponse(OutcomeResponse.Kind.RAN, outcome)));
             }
         }
@@ -233,7 +235,7 @@
         private void breakLink() {
             linkIsUp = false;
             if (random.nextInt(3) == 0) {
-                // The remote side has not noticed the break: it receives what had reached it, at any time.
+                // The remote side has not detected the break: it may receive frames in transit at any later time.
                 stale.addAll(toRemote);
             }
             toRemote.clear();
@@ -250,19 +252,19 @@
             linkIsUp = true;
             assertTrue(filter.helloReceived("a", localEpoch, nextNumber));
             for (ClientRequest request : List.copyOf(open)) {
-                if (request.current.query() == ForwardedRequest.Next.QUERY) {
+                if (request.current.query() == ForwardedRequest.NextStep.QUERY) {
                     toRemote.add(Frame.query(request.current.identity()));
                 }
             }
         }
 
-        private void giveUp() {
+        private void abandon() {
             if (!open.isEmpty()) {
                 ClientRequest request = open.get(random.nextInt(open.size()));
-                // The cancellation of an incomplete body follows on the same link: nothing of it can run.
-                ForwardedRequest.Next next = request.current.giveUp();
-                assertNull(request.told);
-                request.told = next;
+                // An incomplete body is cancelled on the same link, so the request cannot run.
+                ForwardedRequest.NextStep next = request.current.abandon();
+                assertNull(request.finalStep);
+                request.finalStep = next;
                 open.remove(request);
             }
         }
@@ -272,11 +274,11 @@
                 case 0, 1 -> crashRemote();
                 case 2 -> {
                     breakLink();
-                    localEpoch++;                           // the local gateway crashes: its clients are told nothing
+                    localEpoch++;                           // the local gateway crashes: its clients get no response
                     nextNumber = 0;
                     open.clear();
                 }
-                case 3 -> {                                 // something in the remote store is lost
+                case 3 -> {                                 // the remote store loses records
                     if (random.nextInt(4) == 0 && !records.isEmpty()) {
                         records.keySet().removeIf(identity -> random.nextBoolean());
                         storeLost = true;
@@ -294,12 +296,12 @@
             orphans.addAll(attempts);
             attempts.clear();
             executed.clear();
-            filter = new DuplicateFilter(MAX_RUNNING, FOR_EVER, !storeLost);
+            filter = new DuplicateFilter(MAX_RUNNING, UNLIMITED_MS, !storeLost);
             records.forEach((identity, outcome) -> filter.restore(identity, outcome, now));
         }
 
-        /** Lets everything that is open end. */
-        void settle() {
+        /** Runs until all open requests have ended. */
+        void finishOpenRequests() {
             for (int i = 0; i < 2_000 && !open.isEmpty(); i++) {
                 connect();
                 remoteReceives();
@@ -309,33 +311,33 @@
                 recordOutcome();
                 if (i % 50 == 49) {
                     open.forEach(waiting -> {
-                        if (waiting.current.query() == ForwardedRequest.Next.QUERY) {
+                        if (waiting.current.query() == ForwardedRequest.NextStep.QUERY) {
                             toRemote.add(Frame.query(waiting.current.identity()));
                         }
                     });
                 }
             }
             while (!open.isEmpty()) {
-                giveUp();
+                abandon();
             }
             assertTrue(all.stream().allMatch(request -> request.executions <= 1), context);
         }
     }
 
-    @Test void nothingRunsTwiceAndWhatAClientWasToldStaysTrue() {
+    @Test void noRequestRunsTwiceAndNoFinalResponseBecomesFalse() {
         long sentAgain = 0;
-        long settledByQuery = 0;
+        long resolvedByQuery = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
             World world = new World(seed);
             for (int i = 0; i < STEPS; i++) {
                 world.step();
             }
-            world.settle();
+            world.finishOpenRequests();
             sentAgain += world.sentAgain;
-            settledByQuery += world.settledByQuery;
+            resolvedByQuery += world.resolvedByQuery;
         }
-        // The simulation is worth something only if these occur often.
-        assertTrue(sentAgain > SEEDS && settledByQuery > SEEDS,
-            sentAgain + " sent again, " + settledByQuery + " settled by a query");
+        // The simulation is meaningful only if both occur often.
+        assertTrue(sentAgain > SEEDS && resolvedByQuery > SEEDS,
+            sentAgain + " sent again, " + resolvedByQuery + " resolved by a query");
     }
 }
--- a/src/test/java/kelphollow/site/ForwardedRequestTest.java
+++ b/src/test/java/kelphollow/site/ForwardedRequestTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import kelphollow.site.ForwardedRequest.Next;
+import kelphollow.site.ForwardedRequest.NextStep;
 import org.junit.jupiter.api.Test;
 
-/** The transitions of a forwarded request, one by one. */
+/** Each transition of a forwarded request's state machine. */
 class ForwardedRequestTest {
     private static final OutcomeResponse RAN = new OutcomeResponse(OutcomeResponse.Kind.RAN, new byte[] {7});
-    private final ForwardedRequest request = new ForwardedRequest(new Identity("a", 1, 1));
+    private final ForwardedRequest request = new ForwardedRequest(new RequestIdentity("a", 1, 1));
 
     private void send() {
         request.begin();
@@ -25,18 +25,18 @@
     }
 
     @Test void nothingIsSentBeforeTheIntentIsRecorded() {
-        assertEquals(Next.RECORD_INTENT, request.begin());
-        assertEquals(Next.SEND, request.intentRecorded());
+        assertEquals(NextStep.RECORD_INTENT, request.begin());
+        assertEquals(NextStep.SEND, request.intentRecorded());
     }
 
     @Test void withoutAnIntentItNeverRan() {
         request.begin();
-        assertEquals(Next.NEVER_RAN, request.intentFailed());
+        assertEquals(NextStep.NEVER_RAN, request.intentFailed());
     }
 
     @Test void aLinkThatBreaksBeforeTheLastByteProvesThatItNeverRan() {
         send();
-        assertEquals(Next.NEVER_RAN, request.linkBroken());
+        assertEquals(NextStep.NEVER_RAN, request.linkBroken());
     }
 
     @Test void aLinkThatBreaksAfterTheLastByteLeavesTheOutcomeUnknown() {
@@ -49,8 +49,8 @@
     @Test void anUnknownOutcomeIsQueriedOnce() {
         loseOutcome();
 
-        assertEquals(Next.QUERY, request.query());
-        assertEquals(Next.WAIT, request.query());
+        assertEquals(NextStep.QUERY, request.query());
+        assertEquals(NextStep.WAIT, request.query());
     }
 
     @Test void aQueryIsRepeatedAfterTheNextLinkBreaks() {
@@ -59,23 +59,23 @@
 
         request.linkBroken();
 
-        assertEquals(Next.QUERY, request.query());
+        assertEquals(NextStep.QUERY, request.query());
     }
 
     @Test void aQueryIsRepeatedWhileTheRequestRuns() {
         loseOutcome();
         request.query();
 
-        assertEquals(Next.WAIT, request.responseReceived(OutcomeResponse.RUNNING));
+        assertEquals(NextStep.WAIT, request.responseReceived(OutcomeResponse.RUNNING));
 
-        assertEquals(Next.QUERY, request.query());
+        assertEquals(NextStep.QUERY, request.query());
     }
 
     @Test void aResponseEndsItWithItsOutcome() {
         send();
         request.lastByteWritten();
 
-        assertEquals(Next.RAN, request.responseReceived(RAN));
+        assertEquals(NextStep.RAN, request.responseReceived(RAN));
 
         assertTrue(request.isEnded());
         assertArrayEquals(new byte[] {7}, request.outcome());
@@ -84,33 +84,33 @@
     @Test void theRemoteSitesProofThatItNeverRanEndsIt() {
         loseOutcome();
         request.query();
-        assertEquals(Next.NEVER_RAN, request.responseReceived(OutcomeResponse.NEVER_RAN));
+        assertEquals(NextStep.NEVER_RAN, request.responseReceived(OutcomeResponse.NEVER_RAN));
     }
 
-    @Test void anOutcomeThatNobodyKnowsEndsItAsMayHaveRun() {
+    @Test void anOutcomeUnknownToTheRemoteSiteEndsItAsMayHaveRun() {
         loseOutcome();
         request.query();
-        assertEquals(Next.MAY_HAVE_RUN, request.responseReceived(OutcomeResponse.UNKNOWN));
+        assertEquals(NextStep.MAY_HAVE_RUN, request.responseReceived(OutcomeResponse.UNKNOWN));
     }
 
-    @Test void givenUpBeforeTheLastByteItNeverRan() {
+    @Test void abandonedBeforeTheLastByteItNeverRan() {
         send();
-        assertEquals(Next.NEVER_RAN, request.giveUp());
+        assertEquals(NextStep.NEVER_RAN, request.abandon());
     }
 
-    @Test void givenUpAfterTheLastByteItMayHaveRun() {
+    @Test void abandonedAfterTheLastByteItMayHaveRun() {
         send();
         request.lastByteWritten();
-        assertEquals(Next.MAY_HAVE_RUN, request.giveUp());
+        assertEquals(NextStep.MAY_HAVE_RUN, request.abandon());
     }
 
     @Test void anEndIsNotChangedByLaterEvents() {
         send();
         request.lastByteWritten();
-        request.giveUp();
+        request.abandon();
 
-        assertEquals(Next.MAY_HAVE_RUN, request.responseReceived(RAN));
-        assertEquals(Next.MAY_HAVE_RUN, request.linkBroken());
-        assertEquals(Next.MAY_HAVE_RUN, request.query());
+        assertEquals(NextStep.MAY_HAVE_RUN, request.responseReceived(RAN));
+        assertEquals(NextStep.MAY_HAVE_RUN, request.linkBroken());
+        assertEquals(NextStep.MAY_HAVE_RUN, request.query());
     }
 }
--- a/src/test/java/kelphollow/site/LinkHealthTest.java
+++ b/src/test/java/kelphollow/site/LinkHealthTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When a link takes requests, on a clock that the test moves. */
+/** When a link accepts requests, on a clock that the test advances. */
 class LinkHealthTest {
     private static final double UNANSWERED = Double.NaN;
     private final LinkHealth health = new LinkHealth(LinkHealth.Options.DEFAULTS, 0);
     private double now;
 
-    /** Lets this many milliseconds pass with this round trip; returns when the state first changed, NaN if never. */
+    /** Advances the clock by {@code millis} with a fixed round trip; returns when the state first changed, or NaN. */
     private double run(double roundTrip, double millis) {
         double answerAt = Double.NaN;
         double changedAt = Double.NaN;
@@ -36,14 +36,14 @@
 
     @ParameterizedTest @ValueSource(doubles = {1, 5, 40, 150}) void aStallIsDetectedWithinAFewRoundTrips(double roundTrip) {
         run(roundTrip, 5_000);
-        assertEquals(State.UP, health.state(now), "at " + roundTrip);
+        assertEquals(State.UP, health.state(now), "round trip " + roundTrip);
         double stalledAt = now;
 
         double detectedAt = run(UNANSWERED, 3_000);
 
         assertEquals(State.STALLED, health.state(now));
         assertTrue(detectedAt - stalledAt <= 2 * LinkHealth.Options.DEFAULTS.pingInterval() + Math.max(70, 2 * roundTrip),
-            "at " + roundTrip + " detected after " + (detectedAt - stalledAt));
+            "round trip " + roundTrip + ", detected after " + (detectedAt - stalledAt));
     }
 
     @Test void aStalledLinkTakesRequestsAgainOnlyAfterAnswersInTime() {
@@ -55,10 +55,10 @@
 
         run(5, 200);
         assertEquals(State.UP, health.state(now));
-        assertTrue(health.roundTrip() < 10, "the stall is no round trip: " + health.roundTrip());
+        assertTrue(health.roundTrip() < 10, "the stall was counted as a round trip: " + health.roundTrip());
     }
 
-    @Test void longSilenceEndsTheLinkForGood() {
+    @Test void aLinkThatWasSilentForLongStaysDown() {
         run(5, 1_000);
 
         run(UNANSWERED, 11_000);
--- a/src/test/java/kelphollow/site/LinkWindowTest.java
+++ b/src/test/java/kelphollow/site/LinkWindowTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How many requests a link takes, against a simulated remote site. */
+/** Number of requests that a link accepts, against a simulated remote site. */
 class LinkWindowTest {
     private record Response(double at, double sentAt) {}
 
-    /** The window at last with a site of so many servers; service time, delay and duration are in milliseconds. */
+    /** Returns the final window for a site with {@code servers} servers; all times are in milliseconds. */
     private static int windowFor(int servers, double serviceTime, double delay, LinkWindow window, double millis) {
         PriorityQueue<Response> responses = new PriorityQueue<>(Comparator.comparingDouble(Response::at));
         PriorityQueue<Double> serversFreeAt = new PriorityQueue<>();
@@ -22,7 +22,7 @@
         }
         double now = 0;
         while (now < millis) {
-            while (window.hasRoom()) {
+            while (window.hasCapacity()) {
                 window.sent();
                 double servedAt = Math.max(now, serversFreeAt.poll()) + serviceTime;
                 serversFreeAt.add(servedAt);
@@ -36,7 +36,7 @@
     }
 
     @ParameterizedTest @ValueSource(ints = {4, 16, 64}) void theWindowFollowsTheCapacityOfTheRemoteSite(int servers) {
-        // 20 ms of service and 40 ms of delay: 3 requests per server keep all busy and none queued.
+        // With 20 ms of service and 40 ms of delay, 3 requests per server keep all servers busy without queueing.
         int size = windowFor(servers, 20, 40, new LinkWindow(LinkWindow.Options.DEFAULTS, 0), 60_000);
         assertTrue(size >= 3 * servers && size <= 3 * servers + 16, servers + " servers: " + size);
     }
--- a/src/test/java/kelphollow/site/RemoteDrainTest.java
+++ b/src/test/java/kelphollow/site/RemoteDrainTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a draining remote site still gets. */
+/** Requests that may still be sent to, or awaited from, a draining remote site. */
 class RemoteDrainTest {
     private final RemoteDrain drain = new RemoteDrain(250);
 
-    @Test void aNoticeStopsNewRequestsAtOnceAndLetsTheRestEnd() {
+    @Test void aNoticeStopsNewRequestsImmediatelyAndLetsOthersFinish() {
         assertTrue(drain.mayStartRequest());
 
         drain.noticeReceived(2_000, 100);
@@ -20,7 +20,7 @@
         assertFalse(drain.isClosed(2_099));
     }
 
-    @Test void theEarliestEndOfSeveralNoticesHolds() {
+    @Test void theEarliestCloseTimeOfSeveralNoticesApplies() {
         drain.noticeReceived(2_000, 100);
 
         drain.noticeReceived(5_000, 300);
--- a/src/test/java/kelphollow/site/RoutesProperties.java
+++ b/src/test/java/kelphollow/site/RoutesProperties.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.IntRange;
 
-/** Where requests may go, for any table of routes. */
+/** Routing decisions for arbitrary tables of routes. */
 class RoutesProperties {
     private static final List<String> SITES = List.of("a", "b", "c", "d", "e");
     private static final Route VALID = new Route("x", 0, 9, "a", List.of());
@@ -36,7 +36,7 @@
     private static Routes at(String site, Route route) {
         try {
             return new Routes(site, SITES, List.of(route));
-        } catch (Routes.InvalidRoute e) {
+        } catch (Routes.InvalidRouteException e) {
             throw new AssertionError(e);
         }
     }
@@ -49,18 +49,19 @@
             Routes routes = at(site, route);
             assertEquals(List.of(route.owner()), routes.choose(new Request("bucket", shard, true, List.of())).sites());
             List<String> readers = routes.choose(new Request("bucket", shard, false, List.of())).sites();
-            assertEquals(holders.stream().sorted().toList(), readers.stream().sorted().toList(), "each once");
-            assertTrue(!holders.contains(site) || readers.get(0).equals(site), "the local site first");
+            assertEquals(holders.stream().sorted().toList(), readers.stream().sorted().toList(),
+                "each site with a copy once");
+            assertTrue(!holders.contains(site) || readers.get(0).equals(site), "the local site is not first");
             Map<String, Integer> tiers = new HashMap<>(Map.of(route.owner(), 0));
             route.replicas().forEach(replica -> tiers.put(replica.site(), replica.tier()));
             List<Integer> remoteTiers =
                 readers.stream().filter(reader -> !reader.equals(site)).map(tiers::get).toList();
-            assertEquals(remoteTiers.stream().sorted().toList(), remoteTiers, "by tiers");
+            assertEquals(remoteTiers.stream().sorted().toList(), remoteTiers, "remote sites ordered by tier");
         }
     }
 
-    /** Whatever two tables say, a request is forwarded once at most. */
-    @Property(tries = 300, seed = "18") void aForwardedRequestIsServedThereOrNowhere(
+    /** Even if the tables of two sites contradict each other, a request is forwarded at most once. */
+    @Property(tries = 300, seed = "18") void aForwardedRequestIsServedOrRejectedButNotForwardedAgain(
         @ForAll("routes") Route here, @ForAll("routes") Route there, @ForAll boolean writes) {
         for (String first : SITES) {
             for (String second : at(first, here).choose(new Request("bucket", 1, writes, List.of())).sites()) {
@@ -73,7 +74,7 @@
         }
     }
 
-    /** A site that is removed moves its own shards and no other, as rendezvous hashing promises. */
+    /** Removing a site moves only its own shards, as rendezvous hashing guarantees. */
     @Property(tries = 100, seed = "19") void removingAReplicaMovesOnlyItsOwnShards(
         @ForAll @IntRange(min = 0, max = 3) int removed) {
         List<Replica> all = List.of(new Replica("b", 1, 1), new Replica("c", 1, 2), new Replica("d", 1, 3),
@@ -110,8 +111,8 @@
     }
 
     private static void assertInvalid(String key, Route route) {
-        Routes.InvalidRoute thrown =
-            assertThrows(Routes.InvalidRoute.class, () -> new Routes("a", SITES, List.of(VALID, route)));
+        Routes.InvalidRouteException thrown =
+            assertThrows(Routes.InvalidRouteException.class, () -> new Routes("a", SITES, List.of(VALID, route)));
         assertEquals(key, thrown.key());
     }
 
--- a/src/test/java/kelphollow/site/SiteRetryBudgetTest.java
+++ b/src/test/java/kelphollow/site/SiteRetryBudgetTest.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** How often requests are retried at other sites. */
+/** Bounds on retries at other sites. */
 class SiteRetryBudgetTest {
     @Test void retriesStayAFractionOfFirstAttempts() {
         SiteRetryBudget budget = new SiteRetryBudget(0.1, 20);
@@ -21,6 +21,6 @@
             }
             assertTrue(retries <= 20 + 0.1 * firstAttempts + 1e-6);
         }
-        assertTrue(retries > 0.09 * firstAttempts, retries + " of " + firstAttempts);
+        assertTrue(retries > 0.09 * firstAttempts, retries + " retries for " + firstAttempts + " first attempts");
     }
 }
