--- a/src/main/java/kelphollow/protocol/object/UploadParts.java
+++ b/src/main/java/kelphollow/protocol/object/UploadParts.java
@@ -84,7 +84,7 @@
     void begun(String upload, double now) {
         complete.add(upload);
         if (records != null) {
-            records.begun(upload, now);
+            records.recordUpload(upload, now);
         }
         if (complete.size() > capacity) {
             markIncomplete(complete.iterator().next());
@@ -93,7 +93,7 @@
 
     private void markIncomplete(String upload) {
         if (complete.remove(upload) && records != null) {
-            records.incomplete(upload);
+            records.markIncomplete(upload);
         }
     }
 
@@ -101,7 +101,7 @@
     void finished(String upload) {
         List<Integer> forgotten = forget(upload);
         if (records != null) {
-            records.over(upload, forgotten);
+            records.removeUpload(upload, forgotten);
         }
     }
 
@@ -115,7 +115,7 @@
         if (records == null) {
             then.accept(null);
         } else {
-            records.aborting(upload, forgotten, then);
+            records.removeUploadSynced(upload, forgotten, then);
         }
     }
 
