--- a/src/main/java/kelphollow/routing/SendVerdict.java
+++ b/src/main/java/kelphollow/routing/SendVerdict.java
@@ -6,7 +6,7 @@
     ALLOWED,
     /** The attempt has ended, by its timeout or by a cancellation. */
     ATTEMPT_ENDED,
-    /** Its request has had its final answer, or its client has disconnected. */
+    /** Its request has had its final response, or its client has disconnected. */
     REQUEST_FINISHED,
     /** The timeout of the attempt has passed. */
     DEADLINE_EXCEEDED,
--- a/src/test/java/kelphollow/recovery/RecoveryTest.java
+++ b/src/test/java/kelphollow/recovery/RecoveryTest.java
@@ -112,9 +112,9 @@
         private void restart() {
             boolean clean = random.nextBoolean();
             LimitRecovery.Saved saved = new LimitRecovery.Saved(clean ? tokens : burst, now, clean);
-            double away = random.nextInt(5_000);
-            now += away;
-            referenceTokens = filled(referenceTokens, away);
+            double downtime = random.nextInt(5_000);
+            now += downtime;
+            referenceTokens = filled(referenceTokens, downtime);
             tokens = LimitRecovery.initialTokens(saved, share, rate, burst, 1, now);
         }
     }
--- a/src/test/java/kelphollow/routing/RouterHarness.java
+++ b/src/test/java/kelphollow/routing/RouterHarness.java
@@ -108,7 +108,7 @@
     void submit(String requestClass, String plan, String key) {
         RequestArrived arrival = new RequestArrived("", requestClass, plan, key, now + 2_000, "v", 1, 0, 1);
         router.submit(arrival, null, new ResponseCallback() {
-            @Override public void served(Object answer) {
+            @Override public void served(Object response) {
                 served.add(key);
             }
 
--- a/src/test/java/kelphollow/routing/StallDetectorTest.java
+++ b/src/test/java/kelphollow/routing/StallDetectorTest.java
@@ -41,7 +41,7 @@
     };
 
     private final ResponseCallback ignored = new ResponseCallback() {
-        @Override public void served(Object answer) {}
+        @Override public void served(Object response) {}
 
         @Override public void rejected(double retryAfter, boolean timedOut) {}
 
