--- a/src/main/java/kelphollow/decision/SlowStart.java
+++ b/src/main/java/kelphollow/decision/SlowStart.java
@@ -16,8 +16,8 @@
      * variation.
      */
     private static final double RANDOM_SHARE = 0.6;
-    /** Mean requests sent within the span below which random admission may add one if none is in flight. */
-    private static final double FURTHER_REQUEST_MEANS = 1.5;
+    /** Load within the span, in mean requests, below which a second one is admitted if none is in flight. */
+    private static final double SECOND_REQUEST_LIMIT_MEANS = 1.5;
     /** Lower bound of the initial share of full capacity, which is used as a divisor. */
     private static final double MIN_SHARE = 0.01;
     /** Number of entries above which each new one evicts those older than the span. */
@@ -77,7 +77,7 @@
         if (units + request.units() <= quota) {
             return true;
         }
-        boolean slotFree = units == 0 || noneInFlight && units < FURTHER_REQUEST_MEANS * meanUnits;
+        boolean slotFree = units == 0 || noneInFlight && units < SECOND_REQUEST_LIMIT_MEANS * meanUnits;
         return quota < meanUnits && slotFree && !request.late
             && request.admissionDraw
                 < backlogShare(request) * RANDOM_SHARE * ramp() * context.rules().overloadMultiple();
--- a/src/test/java/kelphollow/decision/ManyInstancesTest.java
+++ b/src/test/java/kelphollow/decision/ManyInstancesTest.java
@@ -157,7 +157,7 @@
             actions.add(control.on(now, event));
         }
 
-        /** Draws an arrival; half of the traffic goes to a third of the instances only. */
+        /** Draws an arrival; half of the arrivals go to the first third of the instances, the rest to all. */
         private void arrive() {
             if (random.nextDouble() < NODES * CAPACITY / UNITS * demand * STEP / 1_000) {
                 int host = random.nextInt(random.nextBoolean() ? HOSTS / 3 : HOSTS);
--- a/src/test/java/kelphollow/decision/WarmingUpNodeTest.java
+++ b/src/test/java/kelphollow/decision/WarmingUpNodeTest.java
@@ -89,7 +89,7 @@
         c.on(50_000, new EndpointsReceived(List.of(node("n", 0, EndpointState.HEALTHY, 45_000)), true,
             false));   // half warm
         int sent = 0;
-        for (int i = 0; i < 8; i++) {                         // all within a span of the rule
+        for (int i = 0; i < 8; i++) {                         // all within one overload span
             double now = 50_000 + 100 * i;
             String id = "q" + i;
             for (ControlAction a : c.on(now, new RequestArrived(id, "read", "free", null, now + 2000, "v" + i, 2, 0, 14))) {
