--- a/src/test/java/kelphollow/decision/ArrivalCurveTaggerTest.java
+++ b/src/test/java/kelphollow/decision/ArrivalCurveTaggerTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The tags of pClock at a curve of 10 units a second, 10 units deep; a read's latency objective is 300 ms. */
+/** Tags with an arrival curve of rate 10 units per second and depth 10 units; a read's latency objective is 300 ms. */
 class ArrivalCurveTaggerTest {
     private static final double MS_PER_UNIT = 100;
 
@@ -17,7 +17,7 @@
         return harness.queue(request);
     }
 
-    @Test void aRequestWithinTheCurveStartsNowAndFinishesAnObjectiveLater() {
+    @Test void requestWithinCurveStartsNowAndFinishesAfterItsObjective() {
         PendingRequest request = tag("r", "v", 4);
 
         assertEquals(harness.now(), request.startTag);
@@ -26,7 +26,7 @@
         assertEquals(request.startTag, request.volume.minS);
     }
 
-    @Test void requestsBeyondTheCurveAreSpacedByTheirUnits() {
+    @Test void startTagsBeyondCurveAreSpacedByUnits() {
         tag("burst", "v", 10);
 
         PendingRequest first = tag("first", "v", 2);
@@ -37,7 +37,7 @@
         assertEquals(second.startTag + 3 * MS_PER_UNIT, second.volume.maxS);
     }
 
-    @Test void tokensFlowInUpToTheDepthOfTheCurve() {
+    @Test void tokensAccrueUpToCurveDepth() {
         PendingRequest burst = tag("burst", "v", 10);
         harness.advance(300);
         tag("early", "v", 1);
@@ -49,7 +49,7 @@
         assertEquals(9, burst.volume.numTokens, 1e-9);
     }
 
-    @Test void tagsMoveBackWhenAllBackloggedVolumesRunAhead() {
+    @Test void tagsShiftBackWhenMinSOfAllBackloggedVolumesIsInTheFuture() {
         tag("burst", "v", 10);
         PendingRequest first = tag("first", "v", 2);
         PendingRequest second = tag("second", "v", 3);
@@ -63,16 +63,16 @@
 
         tag("other", "w", 1);
 
-        assertEquals(harness.now(), second.startTag, "moved back by the gap of 200 ms");
+        assertEquals(harness.now(), second.startTag, "shifted back by the difference of 200 ms");
         assertEquals(harness.now() + 300, second.finishTag);
         assertEquals(harness.now() + 3 * MS_PER_UNIT, second.volume.maxS);
     }
 
-    @Test void tagsStandWhileOneBackloggedVolumeKeepsToItsCurve() {
+    @Test void tagsDoNotShiftWhileABackloggedVolumeIsWithinItsCurve() {
         tag("burst", "v", 10);
         tag("first", "v", 2);
         PendingRequest second = tag("second", "v", 3);
-        tag("calm", "w", 1);
+        tag("conforming", "w", 1);
         double startTag = second.startTag;
 
         tag("other", "x", 1);
@@ -80,7 +80,7 @@
         assertEquals(startTag, second.startTag);
     }
 
-    @Test void returnedTokensMoveLaterRequestsUpButNotBeforeTheirArrival() {
+    @Test void returnedTokensMoveLaterStartTagsEarlierButNotBeforeArrival() {
         tag("burst", "v", 10);
         PendingRequest first = tag("first", "v", 2);
         PendingRequest second = tag("second", "v", 3);
@@ -92,8 +92,8 @@
         assertEquals(harness.now(), second.startTag);
         assertEquals(harness.now() + 3 * MS_PER_UNIT, third.startTag);
         assertEquals(harness.now() + 4 * MS_PER_UNIT, third.volume.maxS);
-        assertEquals(-4, third.volume.numTokens, "ten units of depth less fourteen that are left");
-        assertEquals(3, harness.state.queues.ofCell(0).size(), "those that move stay queued");
+        assertEquals(-4, third.volume.numTokens, "depth of 10 units less 14 units still tagged");
+        assertEquals(3, harness.state.queues.ofCell(0).size(), "requests whose tags move stay queued");
     }
 
     @Test void tokensAreReturnedOnce() {
@@ -107,7 +107,7 @@
         assertEquals(10, request.volume.numTokens);
     }
 
-    @Test void aSentRequestMovesMinSUnlessItWasLate() {
+    @Test void sendingARequestRaisesMinSUnlessItIsLate() {
         PendingRequest first = tag("first", "v", 10);
         tag("second", "v", 2);
         PendingRequest third = tag("third", "v", 2);
--- a/src/test/java/kelphollow/decision/AttemptCompletionsTest.java
+++ b/src/test/java/kelphollow/decision/AttemptCompletionsTest.java
@@ -15,7 +15,7 @@
 import kelphollow.decision.ControlEvent.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** What the end of an attempt leads to. */
+/** Effects of the end of an attempt on its request, its node and its volume. */
 class AttemptCompletionsTest {
     private final StateHarness harness = new StateHarness();
     private final SchedulerState state = harness.state;
@@ -35,7 +35,7 @@
         return state.actions.drain();
     }
 
-    @Test void aServedRequestIsClosedAndItsNodeLearnedFrom() {
+    @Test void servedRequestIsClosedAndUpdatesTheNodesLatency() {
         PendingRequest request = sent(ControlHarness.READ);
 
         assertEquals(List.of(), end(AttemptOutcome.SERVED, true, false));
@@ -46,11 +46,11 @@
         assertEquals(20, node.latency.mean());
     }
 
-    @Test void anAttemptThatIsNotKnownIsIgnored() {
+    @Test void unknownAttemptIsIgnored() {
         assertEquals(List.of(), end(AttemptOutcome.SERVED, true, false));
     }
 
-    @Test void aFailedReadIsQueuedAgainWithABackoff() {
+    @Test void failedReadIsRequeuedWithBackoff() {
         PendingRequest request = sent(ControlHarness.READ);
 
         assertEquals(List.of(), end(AttemptOutcome.ERROR, false, false));
@@ -61,7 +61,7 @@
         assertEquals(StateHarness.START, request.possiblyExecutedSince);
     }
 
-    @Test void aRetryThatCannotMeetTheObjectiveIsLate() {
+    @Test void retryThatCannotMeetTheObjectiveIsLate() {
         PendingRequest request = sent(ControlHarness.READ);
         harness.advance(250);
 
@@ -71,13 +71,13 @@
         assertEquals(List.of(request), List.copyOf(state.queues.ofCell(0).late));
     }
 
-    @Test void aWriteThatMayHaveBeenExecutedFails() {
+    @Test void possiblyExecutedWriteFails() {
         sent(ControlHarness.WRITE);
 
         assertEquals(List.of(new FailRequest("r", Reason.NOT_RETRYABLE)), end(AttemptOutcome.RESET, false, false));
     }
 
-    @Test void aWriteThatWasNotExecutedIsQueuedAgain() {
+    @Test void writeThatWasNotExecutedIsRequeued() {
         PendingRequest request = sent(ControlHarness.WRITE);
 
         assertEquals(List.of(), end(AttemptOutcome.CONNECT_FAILED, false, false));
@@ -86,13 +86,13 @@
         assertFalse(request.possiblyExecuted() || request.reachedNode);
     }
 
-    @Test void aBodyThatIsConsumedCannotBeSentAgain() {
+    @Test void requestWithConsumedBodyIsNotRetried() {
         sent(ControlHarness.READ);
 
         assertEquals(List.of(new RejectRequest("r", 300, Reason.NOT_RETRYABLE)), end(AttemptOutcome.ERROR, false, true));
     }
 
-    @Test void whatReachedNoNodeInTimeIsGivenUp() {
+    @Test void requestThatReachedNoNodeInTimeIsRejected() {
         PendingRequest request = sent(ControlHarness.READ);
         harness.advance(request.queuedUntil - harness.now());
 
@@ -101,7 +101,7 @@
         assertEquals(Reason.NOT_RETRYABLE, ((RejectRequest) actions.get(0)).reason());
     }
 
-    @Test void aStreamedResponseThatIsCutShortHasItsDeadlineAgain() {
+    @Test void truncatedStreamedResponseGetsItsDeadlineBack() {
         PendingRequest request = sent(ControlHarness.READ);
         request.streaming = true;
 
@@ -111,7 +111,7 @@
         assertEquals(request.answerAt, state.deadlines.nextAt());
     }
 
-    @Test void theEndOfAnAttemptOfAClosedRequestOnlyTeaches() {
+    @Test void attemptOfAClosedRequestOnlyUpdatesStatistics() {
         PendingRequest request = sent(ControlHarness.READ);
         answers.close(request);
 
--- a/src/test/java/kelphollow/decision/ConcurrencyWindowTest.java
+++ b/src/test/java/kelphollow/decision/ConcurrencyWindowTest.java
@@ -12,7 +12,7 @@
 
     private final ConcurrencyWindow window = new ConcurrencyWindow();
 
-    @Test void itGrowsByOneInARoundOfAnswersAndNotPastTheCeiling() {
+    @Test void growsByOnePerWindowOfAnswersUpToMaxSize() {
         window.served(TARGET, TARGET, true, 1_000);
         assertEquals(3 + 1 / 3.0, window.size(), 1e-12);
 
@@ -23,7 +23,7 @@
         assertEquals(ConcurrencyWindow.MAX_SIZE, window.size());
     }
 
-    @Test void itDoesNotGrowWhileItIsNotFilled() {
+    @Test void doesNotGrowUnlessFilled() {
         window.served(TARGET, TARGET, false, 1_000);
 
         assertEquals(3, window.size());
@@ -31,7 +31,7 @@
         assertFalse(window.isFilledBy(2));
     }
 
-    @Test void itShrinksOnceInALatency() {
+    @Test void shrinksAtMostOncePerLatency() {
         window.served(200, TARGET, true, 1_000);
         window.served(200, TARGET, true, 1_200);
         assertEquals(3 * 0.8, window.size(), 1e-12);
@@ -41,7 +41,7 @@
         assertEquals(3 * 0.8 * 0.8, window.size(), 1e-12);
     }
 
-    @Test void aSlowNodeKeepsAtLeastOneRequestAndThenARate() {
+    @Test void slowNodeStopsAtOneRequestBeforeItGetsARate() {
         double now = 1_000;
         boolean stoppedAtOne = false;
         for (int i = 0; i < 100; i++) {
@@ -54,7 +54,7 @@
         assertEquals(0.25, window.size());
     }
 
-    @Test void aFailureHalvesItAndARestartLimitsIt() {
+    @Test void failureHalvesAndRestartResetsToInitialSize() {
         window.failed();
         assertEquals(1.5, window.size());
         for (int i = 0; i < 100; i++) {
--- a/src/test/java/kelphollow/decision/ControlHarness.java
+++ b/src/test/java/kelphollow/decision/ControlHarness.java
@@ -21,7 +21,7 @@
 import kelphollow.decision.ControlSettings.RequestClass;
 import kelphollow.decision.ControlSettings.Rules;
 
-/** Drives one instance by events and keeps what it did. */
+/** Drives one instance by events and records its actions. */
 final class ControlHarness {
     static final RequestClass READ = new RequestClass("read", 300, 2000, 2, 0.1, Idempotency.IDEMPOTENT,
         DeduplicationScope.ALL, 0, false, false);
@@ -37,7 +37,7 @@
 
     final Control control;
     final List<ControlAction> actions = new ArrayList<>();
-    /** Attempts sent by request. */
+    /** Number of attempts sent, by request. */
     final Map<String, Integer> attempts = new HashMap<>();
     private final Map<String, Integer> ended = new HashMap<>();
     double now;
@@ -45,7 +45,7 @@
     ControlHarness(boolean endpointsPolled, double start) {
         control = new Control(settings(endpointsPolled, RULES), 7, start);
         now = start;
-        keep(control.start());
+        recordActions(control.start());
     }
 
     static ControlSettings settings(boolean endpointsPolled, Rules rules) {
@@ -53,7 +53,7 @@
             List.of(READ, WRITE, KEYED, ORDERED), List.of(FREE, LIMITED), rules);
     }
 
-    /** An instance with a healthy node for each of the cells 0 and 1. */
+    /** Creates an instance with one healthy node in each of the cells 0 and 1. */
     static ControlHarness ready() {
         ControlHarness scheduler = new ControlHarness(false, 50_000);
         scheduler.endpoints(healthy("n0", 0), healthy("n1", 1));
@@ -64,33 +64,33 @@
         return new Endpoint(id, "a", cell, state, startedAt);
     }
 
-    /** A healthy node that has been up for long. */
+    /** A healthy node that started long ago. */
     static Endpoint healthy(String id, int cell) {
         return node(id, cell, EndpointState.HEALTHY, 0);
     }
 
-    /** Notifies the instance of an event. */
+    /** Passes an event to the instance, records its actions and returns them. */
     List<ControlAction> on(ControlEvent event) {
-        List<ControlAction> answer = control.on(now, event);
-        keep(answer);
-        return answer;
+        List<ControlAction> result = control.on(now, event);
+        recordActions(result);
+        return result;
     }
 
-    private void keep(List<ControlAction> answer) {
-        actions.addAll(answer);
-        for (ControlAction action : answer) {
+    private void recordActions(List<ControlAction> result) {
+        actions.addAll(result);
+        for (ControlAction action : result) {
             if (action instanceof SendAttempt send) {
                 attempts.merge(send.id(), 1, Integer::sum);
             }
         }
     }
 
-    /** A complete endpoint list comes. */
+    /** Delivers a complete endpoint list. */
     List<ControlAction> endpoints(Endpoint... nodes) {
         return on(new EndpointsReceived(List.of(nodes), true, false));
     }
 
-    /** A request arrives with all the time of its class, as a client's first attempt does. */
+    /** Delivers a request with the full deadline of its class, as on a client's first attempt. */
     List<ControlAction> request(String id, String requestClass, String plan, String volume, double units, int cell) {
         double deadline = requestClass.equals("read") ? READ.deadline() : WRITE.deadline();
         return request(id, requestClass, plan, volume, units, cell, null, now + deadline, 1);
@@ -101,7 +101,7 @@
         return on(new RequestArrived(id, requestClass, plan, key, deadline, volume, units, cell, instances));
     }
 
-    /** Fills the window of node n0 so that what follows is queued, and returns how many requests it took. */
+    /** Fills the concurrency window of node n0, so that later requests are queued; returns the number of requests sent. */
     int fill() {
         int n = 0;
         while (request("fill" + n, "read", "free", "filler" + n, 1, 0).stream().anyMatch(a -> a instanceof SendAttempt)) {
@@ -111,13 +111,13 @@
         return n;
     }
 
-    /** The newest attempt of a request ends. */
-    List<ControlAction> end(String id, AttemptOutcome outcome, double took) {
-        return on(new AttemptEnded(id, attempts.get(id) - 1, nodeOf(id), outcome, took, outcome == AttemptOutcome.SERVED,
+    /** Ends the latest attempt of a request. */
+    List<ControlAction> end(String id, AttemptOutcome outcome, double latency) {
+        return on(new AttemptEnded(id, attempts.get(id) - 1, nodeOf(id), outcome, latency, outcome == AttemptOutcome.SERVED,
             false, 0, -1, Map.of()));
     }
 
-    /** Where the newest attempt of a request went to. */
+    /** The node of the latest attempt of a request. */
     String nodeOf(String id) {
         String node = null;
         for (ControlAction action : actions) {
@@ -128,7 +128,7 @@
         return node;
     }
 
-    /** Lets time pass with nothing but timers. */
+    /** Advances the time, firing timers only. */
     void advanceTo(double until) {
         while (now < until) {
             now = Math.min(until, now + 5);
@@ -136,12 +136,12 @@
         }
     }
 
-    /** The requests that were sent, once for each attempt. */
+    /** Ids of the requests that were sent, once per attempt. */
     List<String> sent() {
         return actions.stream().filter(a -> a instanceof SendAttempt).map(a -> ((SendAttempt) a).id()).toList();
     }
 
-    /** The final answers that the instance gave itself. */
+    /** The final answers by the instance itself. */
     List<String> answered() {
         return actions.stream().filter(a -> a instanceof RejectRequest || a instanceof FailRequest)
             .map(a -> a instanceof RejectRequest r ? "rejected " + r.id() : "failed " + ((FailRequest) a).id()).toList();
@@ -152,9 +152,9 @@
         return ended.getOrDefault(id, 0) >= attempts.getOrDefault(id, 0);
     }
 
-    void serve(String id, double took) {
+    void serve(String id, double latency) {
         ended.merge(id, 1, Integer::sum);
-        end(id, AttemptOutcome.SERVED, took);
+        end(id, AttemptOutcome.SERVED, latency);
     }
 
     void fail(String id) {
@@ -162,7 +162,7 @@
         end(id, AttemptOutcome.ERROR, 5);
     }
 
-    /** Drops what has ended from the record of actions, so that long runs stay quick. */
+    /** Removes ended requests from the recorded actions, so that long runs stay fast. */
     void forgetEnded() {
         actions.removeIf(a -> !(a instanceof SendAttempt s) || hasEnded(s.id()));
     }
--- a/src/test/java/kelphollow/decision/ControlTest.java
+++ b/src/test/java/kelphollow/decision/ControlTest.java
@@ -9,9 +9,9 @@
 import kelphollow.decision.ControlSettings.Plan;
 import org.junit.jupiter.api.Test;
 
-/** Settings and unknown names, driven by events alone. */
+/** Validation of settings, unknown names, and the memory bound on volumes. */
 class ControlTest {
-    @Test void anUnknownPlanIsRejectedAndOthersGoOn() {
+    @Test void requestWithUnknownPlanIsRejectedAndOthersAreSent() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.request("bad", "read", "nothing", "v", 1, 0);
         scheduler.request("good", "read", "free", "v", 1, 0);
@@ -19,7 +19,7 @@
         assertEquals(List.of("good"), scheduler.sent());
     }
 
-    @Test void badSettingsNameTheSetting() {
+    @Test void invalidSettingIsNamed() {
         ControlSettings s = ControlHarness.settings(false, ControlHarness.RULES);
         ControlSettings none = new ControlSettings(0, 2, "a", 1, 4, 10, true, false, 1000, 2, 0.4, 0.05, List.of(), s
             .plans(), s.rules());
@@ -31,10 +31,10 @@
             .getMessage().contains("rate of plan p"));
     }
 
-    @Test void idleVolumesAreForgottenOnceThereAreMany() {
+    @Test void idleVolumesAreRemovedOnceThereAreMany() {
         ControlHarness scheduler = ControlHarness.ready();
         for (int i = 0; i < VolumeTable.IDLE_KEPT_BELOW; i++) {
-            String name = "made up " + i;
+            String name = "volume-" + i;
             scheduler.on(new RequestArrived(name, "read", "free", "k", scheduler.now + 1, name, 1, 99, 1));
         }
         scheduler.advanceTo(scheduler.now + 10);
--- a/src/test/java/kelphollow/decision/DeadlineMonitorTest.java
+++ b/src/test/java/kelphollow/decision/DeadlineMonitorTest.java
@@ -10,7 +10,7 @@
 import kelphollow.decision.ControlAction.RejectRequest;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of a request whose times pass: a read's objective is 300 ms, its deadline 2,000 ms. */
+/** Handling of expired times. A read has a latency objective of 300 ms and a deadline of 2,000 ms. */
 class DeadlineMonitorTest {
     private final StateHarness harness = new StateHarness();
     private final SchedulerState state = harness.state;
@@ -26,7 +26,7 @@
             .map(a -> a instanceof RejectRequest r ? r.reason() : ((FailRequest) a).reason()).toList();
     }
 
-    @Test void aMissedObjectiveShedsWhatIsQueuedAndMarksWhatIsInFlight() {
+    @Test void missedObjectiveShedsQueuedRequestsAndMarksThoseInFlightLate() {
         PendingRequest inFlight = harness.request("inflight", ControlHarness.READ, "v", 1, 0);
         harness.queue(request);
         harness.send(inFlight, node);
@@ -41,7 +41,7 @@
         assertTrue(inFlight.late);
     }
 
-    @Test void aRequestThatReachedNoNodeIsGivenUpBeforeHalfOfItsTime() {
+    @Test void requestThatReachedNoNodeIsRejectedBeforeHalfItsTime() {
         request.late = true;
         state.queues.of(request).add(request);
         state.deadlines.add(request.queuedUntil, request);
@@ -50,7 +50,7 @@
         assertEquals(List.of(Reason.NO_ENDPOINT_IN_TIME), expireAt(request.queuedUntil));
     }
 
-    @Test void aRequestThatReachedANodeWaitsForItsDeadline() {
+    @Test void requestThatReachedANodeIsAnsweredAtItsDeadline() {
         request.late = true;
         request.reachedNode = true;
         state.queues.of(request).add(request);
@@ -62,14 +62,14 @@
         assertEquals(List.of(Reason.DEADLINE_EXCEEDED), expireAt(request.answerAt));
     }
 
-    @Test void anAnsweredRequestIsPassedOver() {
+    @Test void answeredRequestIsSkipped() {
         state.deadlines.add(request.answerAt, request);
         answers.close(request);
 
         assertEquals(List.of(), expireAt(request.answerAt));
     }
 
-    @Test void aStreamedResponseEndsOnlyWithTheShutdown() {
+    @Test void streamedResponseEndsOnlyAtShutdown() {
         PendingRequest other = harness.request("other", ControlHarness.READ, "v", 1, 0);
         request.streaming = true;
         state.deadlines.add(request.answerAt, request);
@@ -78,9 +78,9 @@
         double shutdownAt = harness.now() + 500;
         monitor.shutDownAt(shutdownAt);
         assertEquals(shutdownAt, request.answerAt);
-        assertTrue(other.answerAt < shutdownAt, "the earlier time stands");
+        assertTrue(other.answerAt < shutdownAt, "the earlier deadline is kept");
 
-        assertEquals(List.of(Reason.DEADLINE_EXCEEDED), expireAt(shutdownAt - 1), "of the other");
+        assertEquals(List.of(Reason.DEADLINE_EXCEEDED), expireAt(shutdownAt - 1), "the other request");
         assertEquals(List.of(Reason.DEADLINE_EXCEEDED), expireAt(shutdownAt));
     }
 }
--- a/src/test/java/kelphollow/decision/DeadlineQueueTest.java
+++ b/src/test/java/kelphollow/decision/DeadlineQueueTest.java
@@ -6,14 +6,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The order of what falls due. */
+/** The order in which entries become due. */
 class DeadlineQueueTest {
     private final StateHarness harness = new StateHarness();
     private final DeadlineQueue queue = new DeadlineQueue();
     private final PendingRequest first = harness.request("first", ControlHarness.READ, "v", 1, 0);
     private final PendingRequest second = harness.request("second", ControlHarness.READ, "v", 1, 0);
 
-    @Test void theEarliestComesFirstAndThenTheOlderRequest() {
+    @Test void earliestTimeComesFirstThenOlderRequest() {
         queue.add(200, second);
         queue.add(200, first);
         queue.add(100, second);
--- a/src/test/java/kelphollow/decision/DeadlineTest.java
+++ b/src/test/java/kelphollow/decision/DeadlineTest.java
@@ -18,7 +18,7 @@
 import kelphollow.decision.ControlEvent.TimerFired;
 import org.junit.jupiter.api.Test;
 
-/** Requests are answered once, in time, and with a Retry-After where that is safe. */
+/** Every request is answered exactly once, in time, and with a Retry-After if a retry is safe. */
 class DeadlineTest {
     @Test void everyQueuedRequestIsAnsweredByTimersAlone() {
         ControlHarness scheduler = ControlHarness.ready();
@@ -29,8 +29,8 @@
         assertEquals(List.of("rejected a", "rejected b"), scheduler.answered());
     }
 
-    /** Guards against queueing what is given up on until its deadline: the client then has no time for a retry. */
-    @Test void whatMissesItsObjectiveUnsentIsRejectedAtOnceWithRetryAfter() {
+    /** A request that missed its objective must not stay queued until its deadline: its client has no time to retry then. */
+    @Test void unsentRequestThatMissesItsObjectiveIsRejectedAtOnceWithRetryAfter() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.endpoints(node("n0", 0, EndpointState.DRAINING, 0));
         scheduler.request("a", "read", "free", "v", 1, 0);
@@ -38,11 +38,11 @@
         assertEquals(List.of(), scheduler.answered(), "it may still meet its latency objective");
         scheduler.advanceTo(scheduler.now + 10);
         RejectRequest longest = new RejectRequest("a", 1000, Reason.LOAD_SHED);
-        assertTrue(scheduler.actions.contains(longest), "its node takes nothing: the longest advice");
+        assertTrue(scheduler.actions.contains(longest), "its node accepts nothing: the maximum Retry-After");
     }
 
-    /** Guards against a retry taking the place of a first attempt: its objective counts from the first, long past. */
-    @Test void aClientsRetryIsKnownByItsShorterDeadline() {
+    /** A client's retry must not displace a first attempt: its objective, counted from its first attempt, has passed. */
+    @Test void clientRetryIsRecognisedByItsShorterDeadline() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.fill();
         scheduler.request("again", "read", "free", "v1", 1, 0, null, scheduler.now + 1500, 1);
@@ -50,25 +50,25 @@
         scheduler.end("fill0", AttemptOutcome.SERVED, 20);
         scheduler.end("fill1", AttemptOutcome.SERVED, 20);
         assertTrue(scheduler.sent().contains("first"));
-        assertFalse(scheduler.sent().contains("again"), "only an idle node takes it");
+        assertFalse(scheduler.sent().contains("again"), "only sent to an idle node");
         scheduler.advanceTo(scheduler.now + 1000);
-        assertEquals(List.of("rejected again"), scheduler.answered(), "given up before half of its time is over");
+        assertEquals(List.of("rejected again"), scheduler.answered(), "rejected before half of its time has passed");
     }
 
-    @Test void anAttemptThatStaysInFlightEndsInOneAnswer() {
+    @Test void attemptThatStaysInFlightGetsExactlyOneAnswer() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.request("a", "write", "free", "v", 1, 0);
         scheduler.advanceTo(scheduler.now + 2499);
         assertEquals(List.of("failed a"), scheduler.answered());
         assertTrue(scheduler.actions.contains(new CancelAttempt("a", 0)));
-        scheduler.end("a", AttemptOutcome.CANCELLED, 2000);            // late news of an ended request
+        scheduler.end("a", AttemptOutcome.CANCELLED, 2000);            // late event of an answered request
         scheduler.on(new ClientDisconnected("a"));
         assertEquals(1, scheduler.answered().size());
         assertEquals(List.of("a"), scheduler.sent());
     }
 
-    /** Guards against work that nodes do for clients that leave before the answer. */
-    @Test void nothingIsSentThatCannotEndBeforeTheClientLeaves() {
+    /** Prevents nodes from working for clients that leave before the answer. */
+    @Test void requestThatCannotCompleteBeforeItsDeadlineIsNotSent() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.request("seen", "read", "free", "v", 1, 0);
         scheduler.now += 100;
@@ -79,8 +79,8 @@
         assertEquals(List.of("rejected brief"), scheduler.answered());
     }
 
-    /** Before a shutdown nothing may stay open: what arrived before its announcement and what arrives after it alike. */
-    @Test void allThatIsOpenIsAnsweredBeforeTheShutdown() {
+    /** No request may stay open at a shutdown, whether it arrived before or after the shutdown was announced. */
+    @Test void openRequestsAreAnsweredBeforeShutdown() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.request("before", "write", "free", "v", 1, 0);
         scheduler.on(new ShutdownStarted(scheduler.now + 500));
@@ -92,7 +92,7 @@
         assertEquals(Set.of("failed before", "rejected after"), Set.copyOf(scheduler.answered()));
     }
 
-    @Test void aTimerThatARoundingClockFiresALittleEarlyIsFollowedByTheNext() {
+    @Test void timerFiredEarlyByARoundingClockIsFollowedByTheNext() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.endpoints(node("n0", 0, EndpointState.DRAINING, 0));
         scheduler.request("a", "write", "free", "v", 1, 0);
@@ -100,7 +100,7 @@
         while (scheduler.answered().isEmpty() && scheduler.now < 60_000) {
             double next = scheduler.actions.stream().filter(a -> a instanceof SetTimer).mapToDouble(a -> ((SetTimer) a).at())
                 .filter(at -> at > scheduler.now).min().orElse(Double.NaN);
-            assertTrue(next > 0, "no timer is set after the one at " + timer + ", and the request waits for one");
+            assertTrue(next > 0, "no timer is set after the one at " + timer + " while a request waits for one");
             timer = next;
             scheduler.now = next - 0.0002;
             scheduler.on(new TimerFired("wake"));
--- a/src/test/java/kelphollow/decision/DecisionClockTest.java
+++ b/src/test/java/kelphollow/decision/DecisionClockTest.java
@@ -4,9 +4,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The module's time. */
+/** The clock is monotonic. */
 class DecisionClockTest {
-    @Test void itNeverGoesBack() {
+    @Test void neverGoesBack() {
         DecisionClock clock = new DecisionClock(1_000);
 
         clock.advanceTo(1_000.5);
--- a/src/test/java/kelphollow/decision/DecisionRecorder.java
+++ b/src/test/java/kelphollow/decision/DecisionRecorder.java
@@ -14,14 +14,14 @@
 import kelphollow.decision.ControlAction.SetTimer;
 
 /**
- * Reduces the actions of a decision module to a chain of digests. Numbers enter by all their bits, enum constants by
- * their position, so that neither a rounding difference nor the renaming of a Java identifier goes unnoticed or is
- * mistaken for the other.
+ * Records the actions of a decision module as digests of everything recorded so far. Numbers are recorded with all
+ * their bits, so that a rounding difference changes the digest, and enum constants by their ordinal, so that renaming a
+ * Java identifier does not.
  */
 final class DecisionRecorder {
-    /** Events between two digests of the recording. */
+    /** Number of events between two digests. */
     private static final int EVENTS_PER_CHECKPOINT = 500;
-    /** Hexadecimal digits of a digest that are kept. */
+    /** Number of hexadecimal digits recorded of a digest. */
     private static final int DIGEST_LENGTH = 16;
 
     private final MessageDigest digest;
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Adds the actions that the module answered to one event. */
+    /** Records the actions that resulted from one event. */
     void record(double now, String event, List<ControlAction> actions) {
         write("event " + number(now) + " " + event);
         actions.forEach(action -> write("  " + text(action)));
@@ -47,18 +47,18 @@
         }
     }
 
-    /** Adds state that the module shows outside its actions. */
+    /** Records state of the module that is not part of its actions. */
     void recordState(String state) {
         write("state " + state);
         checkpoint();
     }
 
-    /** One line for each checkpoint: events so far and the digest of all up to there. */
+    /** One line per checkpoint: the number of events and the digest of everything recorded up to it. */
     List<String> checkpoints() {
         return List.copyOf(checkpoints);
     }
 
-    /** All that was recorded in readable form, to find the first difference between two builds. */
+    /** The recording in readable form, to find the first difference between two builds. */
     String trace() {
         return trace.toString();
     }
@@ -103,7 +103,7 @@
         throw new IllegalArgumentException("unknown action " + action);
     }
 
-    /** The value for readers and all its bits. */
+    /** The value in decimal and all its bits in hexadecimal. */
     static String number(double value) {
         return value + "/" + Long.toHexString(Double.doubleToLongBits(value));
     }
--- a/src/test/java/kelphollow/decision/DecisionWorkload.java
+++ b/src/test/java/kelphollow/decision/DecisionWorkload.java
@@ -39,15 +39,15 @@
 import kelphollow.decision.ControlSettings.RequestClass;
 
 /**
- * A simulated day of one scheduler, drawn from a seed: clients that retry and leave, nodes that drain, restart, slow
- * down and fail, discovery that fails and moves, settings that change, and a shutdown at the end. Everything that the
- * decision module answers goes to a {@link DecisionRecorder}. Times are milliseconds.
+ * A simulated run of one instance, generated from a seed: clients that retry and disconnect, nodes that drain, restart,
+ * slow down and fail, discovery polls that fail, a replaced discovery service, settings that change, and a shutdown at
+ * the end. All actions of the decision module are recorded by a {@link DecisionRecorder}. Times are milliseconds.
  */
 final class DecisionWorkload {
     private static final double START = 1_700_000_000_000.25;
-    private static final double DAY_LENGTH = 40_000;
-    private static final double SHUTDOWN_AT = DAY_LENGTH - 3_000;
-    private static final double DISTURBANCE_INTERVAL = 350;
+    private static final double RUN_LENGTH = 40_000;
+    private static final double SHUTDOWN_AT = RUN_LENGTH - 3_000;
+    private static final double FAULT_INTERVAL = 350;
     private static final int CELLS = 5;
     private static final int VOLUMES = 9;
     private static final int KEYS = 40;
@@ -59,7 +59,7 @@
         final String id;
         final String zone;
         final int cell;
-        EndpointState phase = EndpointState.HEALTHY;
+        EndpointState state = EndpointState.HEALTHY;
         double startedAt;
         Behaviour behaviour = Behaviour.HEALTHY;
         int inFlight;
@@ -71,7 +71,7 @@
         }
 
         Endpoint entry() {
-            return new Endpoint(id, zone, cell, phase, startedAt);
+            return new Endpoint(id, zone, cell, state, startedAt);
         }
     }
 
@@ -101,21 +101,21 @@
         this.control = new Control(settings, seed, START);
     }
 
-    /** Plays the whole day. */
-    DecisionRecorder play() {
+    /** Runs the whole simulation. */
+    DecisionRecorder run() {
         for (int i = 0; i < 2 * CELLS; i++) {
             addNode(i % CELLS);
         }
         List<ControlAction> first = control.start();
         recorder.record(now, "start", first);
-        carryOut(first);
-        tell("limits", new LimitsRestored(Map.of("volume-1", 3.5, "volume-2", 0.0)));
+        execute(first);
+        deliver("limits", new LimitsRestored(Map.of("volume-1", 3.5, "volume-2", 0.0)));
         sendList(true, true);
         at(40, () -> sendList(true, false));
         at(20, this::arrive);
-        at(DISTURBANCE_INTERVAL, this::disturb);
-        at(SHUTDOWN_AT, () -> tell("shutdown", new ShutdownStarted(now + 1_500)));
-        while (!tasks.isEmpty() && tasks.peek().at() < START + DAY_LENGTH) {
+        at(FAULT_INTERVAL, this::injectFault);
+        at(SHUTDOWN_AT, () -> deliver("shutdown", new ShutdownStarted(now + 1_500)));
+        while (!tasks.isEmpty() && tasks.peek().at() < START + RUN_LENGTH) {
             Task task = tasks.poll();
             now = task.at();
             task.work().run();
@@ -126,7 +126,7 @@
         return recorder;
     }
 
-    /** The kinds of events and actions that occurred. */
+    /** The types of events and actions that occurred. */
     Set<String> kinds() {
         return kinds;
     }
@@ -135,11 +135,11 @@
         tasks.add(new Task(now + Math.max(0, delay), order++, work));
     }
 
-    private void tell(String what, ControlEvent event) {
+    private void deliver(String what, ControlEvent event) {
         kinds.add(what.split(" ")[0]);
         List<ControlAction> actions = control.on(now, event);
         recorder.record(now, what, actions);
-        carryOut(actions);
+        execute(actions);
     }
 
     // ---------------------------------------------------------------- clients
@@ -159,18 +159,18 @@
         RequestClass kind = settings.classes().get(random.nextInt(settings.classes().size()));
         int volume = (int) (VOLUMES * Math.pow(random.nextDouble(), 2));
         Plan plan = settings.plans().get(volume % settings.plans().size());
-        boolean fresh = random.nextInt(8) == 0;
+        boolean newObject = random.nextInt(8) == 0;
         double deadline = now + kind.deadline() * (retry ? 0.5 : 1);
         RequestArrived arrival = new RequestArrived(id, random.nextInt(400) == 0 ? "unknown" : kind.name(), plan.name(),
             "key-" + random.nextInt(KEYS), deadline, "volume-" + volume, 1 + random.nextInt(6),
-            fresh ? -1 : random.nextInt(CELLS), 1 + random.nextInt(3), retry);
+            newObject ? -1 : random.nextInt(CELLS), 1 + random.nextInt(3), retry);
         if (retry) {
             arrival = new RequestArrived(id, earlier.requestClass(), earlier.plan(), earlier.key(), deadline, earlier
                 .volume(),
                 earlier.units(), earlier.cell(), earlier.instances(), true);
         }
         open.put(id, arrival);
-        tell((retry ? "retry " : "arrival ") + id, arrival);
+        deliver((retry ? "retry " : "arrival ") + id, arrival);
         if (random.nextInt(25) == 0) {
             at(random.nextDouble() * 600, () -> disconnect(id));
         }
@@ -178,7 +178,7 @@
 
     private void disconnect(String id) {
         if (open.remove(id) != null) {
-            tell("disconnect " + id, new ClientDisconnected(id));
+            deliver("disconnect " + id, new ClientDisconnected(id));
         }
     }
 
@@ -191,7 +191,7 @@
 
     // ---------------------------------------------------------------- actions
 
-    private void carryOut(List<ControlAction> actions) {
+    private void execute(List<ControlAction> actions) {
         for (ControlAction action : actions) {
             if (action instanceof SendAttempt send) {
                 kinds.add("send");
@@ -207,7 +207,7 @@
                 String attempt = cancel.id() + '#' + cancel.attempt();
                 at(0.5, () -> end(attempt, cancel.id(), cancel.attempt(), AttemptOutcome.CANCELLED, 0));
             } else if (action instanceof SetTimer timer) {
-                at(timer.at() - now, () -> tell("timer", new TimerFired(timer.name())));
+                at(timer.at() - now, () -> deliver("timer", new TimerFired(timer.name())));
             } else if (action instanceof PollEndpoints) {
                 kinds.add("poll");
                 at(5 + random.nextDouble() * 40, this::answerPoll);
@@ -217,7 +217,7 @@
 
     private void answerPoll() {
         if (random.nextInt(3) == 0) {
-            tell("poll-failed", new EndpointPollFailed(randomFailure()));
+            deliver("poll-failed", new EndpointPollFailed(randomFailure()));
         } else {
             sendList(true, false);
         }
@@ -227,8 +227,8 @@
         return EndpointPollFailure.values()[random.nextInt(EndpointPollFailure.values().length)];
     }
 
-    /** How an attempt ends, and after which time. */
-    private record Ending(AttemptOutcome outcome, double took) {}
+    /** The outcome of an attempt and the time until it. */
+    private record Ending(AttemptOutcome outcome, double latency) {}
 
     private void send(SendAttempt send) {
         int number = attempts.merge(send.id(), 1, Integer::sum) - 1;
@@ -237,51 +237,51 @@
         inFlight.put(attempt, node);
         node.inFlight++;
         Ending ending = ending(node, open.get(send.id()));
-        if (send.timeout() > 0 && ending.took > send.timeout()) {
+        if (send.timeout() > 0 && ending.latency > send.timeout()) {
             ending = new Ending(AttemptOutcome.TIMED_OUT, send.timeout());
         }
         if (ending.outcome == AttemptOutcome.SERVED) {
-            scheduleProgress(send.id(), number, ending.took);
+            scheduleProgress(send.id(), number, ending.latency);
         }
         Ending last = ending;
-        at(last.took, () -> end(attempt, send.id(), number, last.outcome, last.took));
+        at(last.latency, () -> end(attempt, send.id(), number, last.outcome, last.latency));
     }
 
     private Ending ending(SimulatedNode node, RequestArrived arrival) {
         double units = arrival == null ? 1 : arrival.units();
-        double took = (4 + 9 * units) * (0.6 + random.nextDouble()) * (1 + node.inFlight / 4.0);
+        double latency = (4 + 9 * units) * (0.6 + random.nextDouble()) * (1 + node.inFlight / 4.0);
         return switch (node.behaviour) {
-            case HEALTHY -> new Ending(AttemptOutcome.SERVED, took);
-            case SLOW -> new Ending(AttemptOutcome.SERVED, took * 8);
+            case HEALTHY -> new Ending(AttemptOutcome.SERVED, latency);
+            case SLOW -> new Ending(AttemptOutcome.SERVED, latency * 8);
             case SILENT -> new Ending(AttemptOutcome.TIMED_OUT,
                 arrival == null ? 500 : Math.max(1, arrival.deadline() - now));
-            case ERRORS -> new Ending(random.nextBoolean() ? AttemptOutcome.ERROR : AttemptOutcome.SERVED, took);
+            case ERRORS -> new Ending(random.nextBoolean() ? AttemptOutcome.ERROR : AttemptOutcome.SERVED, latency);
             case AT_CAPACITY -> new Ending(AttemptOutcome.AT_CAPACITY, 2);
-            case RESETS -> new Ending(random.nextInt(3) > 0 ? AttemptOutcome.RESET : AttemptOutcome.SERVED, took);
+            case RESETS -> new Ending(random.nextInt(3) > 0 ? AttemptOutcome.RESET : AttemptOutcome.SERVED, latency);
             case UNREACHABLE -> new Ending(
                 random.nextInt(5) == 0 ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, 3);
         };
     }
 
-    private void scheduleProgress(String id, int number, double took) {
+    private void scheduleProgress(String id, int number, double latency) {
         String attempt = id + '#' + number;
         if (random.nextInt(6) == 0) {
-            at(took * 0.4, () -> {
+            at(latency * 0.4, () -> {
                 if (inFlight.containsKey(attempt)) {
-                    tell("progress " + attempt, new AttemptProgressed(id, number));
+                    deliver("progress " + attempt, new AttemptProgressed(id, number));
                 }
             });
         }
         if (random.nextInt(12) == 0) {
-            at(took * 0.5, () -> {
+            at(latency * 0.5, () -> {
                 if (inFlight.containsKey(attempt)) {
-                    tell("response-started " + attempt, new ResponseStarted(id, number));
+                    deliver("response-started " + attempt, new ResponseStarted(id, number));
                 }
             });
         }
     }
 
-    private void end(String attempt, String id, int number, AttemptOutcome outcome, double took) {
+    private void end(String attempt, String id, int number, AttemptOutcome outcome, double latency) {
         SimulatedNode node = inFlight.remove(attempt);
         if (node == null) {
             return;
@@ -291,11 +291,11 @@
             open.remove(id);
         }
         boolean ended = !open.containsKey(id);
-        boolean bodySpent = outcome == AttemptOutcome.RESET && random.nextInt(10) == 0;
+        boolean bodyConsumed = outcome == AttemptOutcome.RESET && random.nextInt(10) == 0;
         double usage = random.nextInt(4) == 0 ? random.nextDouble() * 150 : -1;
         double elsewhere = random.nextInt(3) == 0 ? random.nextDouble() * 5 : 0;
-        tell("ended-" + outcome.ordinal() + " " + attempt, new AttemptEnded(id, number, node.id, outcome, took, ended,
-            bodySpent, elsewhere, usage, Map.of()));
+        deliver("ended-" + outcome.ordinal() + " " + attempt, new AttemptEnded(id, number, node.id, outcome, latency, ended,
+            bodyConsumed, elsewhere, usage, Map.of()));
     }
 
     // ---------------------------------------------------------------- nodes, discovery and settings
@@ -306,43 +306,43 @@
         nodesById.put(node.id, node);
     }
 
-    private void sendList(boolean complete, boolean persisted) {
-        String kind = persisted ? "cached-list" : complete ? "complete-list" : "changed-list";
-        tell(kind, new EndpointsReceived(nodes.stream().map(SimulatedNode::entry).toList(), complete, persisted));
-        nodes.removeIf(n -> n.phase == EndpointState.REMOVED);
+    private void sendList(boolean complete, boolean cached) {
+        String kind = cached ? "cached-list" : complete ? "complete-list" : "changed-list";
+        deliver(kind, new EndpointsReceived(nodes.stream().map(SimulatedNode::entry).toList(), complete, cached));
+        nodes.removeIf(n -> n.state == EndpointState.REMOVED);
     }
 
     private void sendChange(SimulatedNode node) {
-        tell("changed-list " + node.id, new EndpointsReceived(List.of(node.entry()), false, false));
-        nodes.removeIf(n -> n.phase == EndpointState.REMOVED);
+        deliver("changed-list " + node.id, new EndpointsReceived(List.of(node.entry()), false, false));
+        nodes.removeIf(n -> n.state == EndpointState.REMOVED);
     }
 
     private SimulatedNode randomNode() {
         return nodes.get(random.nextInt(nodes.size()));
     }
 
-    private void disturb() {
-        at(DISTURBANCE_INTERVAL * (0.5 + random.nextDouble()), this::disturb);
+    private void injectFault() {
+        at(FAULT_INTERVAL * (0.5 + random.nextDouble()), this::injectFault);
         SimulatedNode node = randomNode();
         switch (random.nextInt(13)) {
             case 0, 1 -> drainAndRestart(node);
             case 2, 3, 4, 5 -> misbehave(node);
             case 6 -> replace(node);
-            case 7 -> tell("list-failed", new EndpointPollFailed(randomFailure()));
+            case 7 -> deliver("list-failed", new EndpointPollFailed(randomFailure()));
             case 8 -> expireLease();
             case 9 -> suspect(node);
-            case 10 -> tell("retry-budget", new RetryBudgetChanged(random.nextInt(4) * 0.1, 4_000));
+            case 10 -> deliver("retry-budget", new RetryBudgetChanged(random.nextInt(4) * 0.1, 4_000));
             case 11 -> reload();
-            default -> tell("moved", new EndpointSourceChanged());
+            default -> deliver("moved", new EndpointSourceChanged());
         }
     }
 
     private void drainAndRestart(SimulatedNode node) {
-        node.phase = EndpointState.DRAINING;
+        node.state = EndpointState.DRAINING;
         sendChange(node);
         at(1_000 + random.nextDouble() * 1_000, () -> {
             if (nodes.contains(node)) {
-                node.phase = EndpointState.HEALTHY;
+                node.state = EndpointState.HEALTHY;
                 node.startedAt = now - random.nextInt(300);
                 sendChange(node);
             }
@@ -356,7 +356,7 @@
     }
 
     private void replace(SimulatedNode node) {
-        node.phase = EndpointState.REMOVED;
+        node.state = EndpointState.REMOVED;
         sendChange(node);
         addNode(node.cell);
         SimulatedNode added = nodes.get(nodes.size() - 1);
@@ -365,13 +365,13 @@
     }
 
     private void expireLease() {
-        tell("lease", new EndpointLeaseRenewed(now + random.nextDouble() * 200));
-        at(300, () -> tell("lease", new EndpointLeaseRenewed(now + 30_000)));
+        deliver("lease", new EndpointLeaseRenewed(now + random.nextDouble() * 200));
+        at(300, () -> deliver("lease", new EndpointLeaseRenewed(now + 30_000)));
     }
 
     private void suspect(SimulatedNode node) {
-        tell("suspected", new NodesSuspected(new TreeSet<>(List.of(node.id, "node-0"))));
-        at(900, () -> tell("suspected", new NodesSuspected(Set.of())));
+        deliver("suspected", new NodesSuspected(new TreeSet<>(List.of(node.id, "node-0"))));
+        at(900, () -> deliver("suspected", new NodesSuspected(Set.of())));
     }
 
     private void reload() {
@@ -379,6 +379,6 @@
             c.latencyObjective() * (0.8 + random.nextDouble() / 2), c.deadline(), c.priorityWeight(), c.lateShare(), c
                 .idempotency(), c.deduplicationScope(),
             c.idempotencyWindow(), c.ordered(), c.streaming())).toList();
-        tell("reload", new SettingsChanged(classes, 1 + random.nextInt(settings.maxAttempts())));
+        deliver("reload", new SettingsChanged(classes, 1 + random.nextInt(settings.maxAttempts())));
     }
 }
--- a/src/test/java/kelphollow/decision/DiscoveryQueue.java
+++ b/src/test/java/kelphollow/decision/DiscoveryQueue.java
@@ -1,39 +1,40 @@
 package kelphollow.decision;
 
 /**
- * A model of one discovery service on a test clock: it works through calls in turn at a fixed rate, queues so many
- * at most and rejects the others at once. A call that was queued for {@link #TURN} is rejected too, but its work is done all
- * the same, as is that of a caller which has disconnected. While it is down a call is rejected after the same time.
+ * A model of one discovery service on a test clock. It processes calls in order at a fixed rate from a bounded queue and
+ * rejects calls at once while the queue is full. A call that was queued for {@link #QUEUE_TIMEOUT} is rejected, but is
+ * still processed, as are calls of callers that have disconnected. While the service is down, calls are rejected after
+ * the same timeout. Times are milliseconds.
  */
 final class DiscoveryQueue {
-    static final double TURN = 2_000;
+    static final double QUEUE_TIMEOUT = 2_000;
 
-    /** What became of a call. */
+    /** How the service answered a call. */
     enum Answer { SERVED, REJECTED_AT_ONCE, REJECTED_LATE }
 
-    /** An answer on its way. */
+    /** The answer to a call and the time at which it arrives. */
     record Outcome(double at, int caller, Answer answer) {}
 
-    private final double perCall;
-    private final int longest;
+    private final double msPerCall;
+    private final int maxQueueLength;
     private double freeAt;
 
-    DiscoveryQueue(double callsPerSecond, int longest) {
-        this.perCall = 1_000 / callsPerSecond;
-        this.longest = longest;
+    DiscoveryQueue(double callsPerSecond, int maxQueueLength) {
+        this.msPerCall = 1_000 / callsPerSecond;
+        this.maxQueueLength = maxQueueLength;
     }
 
-    /** Takes a call; the outcome is known at once, though it comes later. */
+    /** Adds a call and returns its future outcome. */
     Outcome call(double now, int caller, double downUntil) {
         if (now < downUntil) {
-            return new Outcome(now + TURN, caller, Answer.REJECTED_LATE);
+            return new Outcome(now + QUEUE_TIMEOUT, caller, Answer.REJECTED_LATE);
         }
         freeAt = Math.max(freeAt, now);
-        if ((freeAt - now) / perCall >= longest) {
+        if ((freeAt - now) / msPerCall >= maxQueueLength) {
             return new Outcome(now, caller, Answer.REJECTED_AT_ONCE);
         }
-        freeAt += perCall;
-        return freeAt - now <= TURN ? new Outcome(freeAt, caller, Answer.SERVED)
-            : new Outcome(now + TURN, caller, Answer.REJECTED_LATE);
+        freeAt += msPerCall;
+        return freeAt - now <= QUEUE_TIMEOUT ? new Outcome(freeAt, caller, Answer.SERVED)
+            : new Outcome(now + QUEUE_TIMEOUT, caller, Answer.REJECTED_LATE);
     }
 }
--- a/src/test/java/kelphollow/decision/DispatcherTest.java
+++ b/src/test/java/kelphollow/decision/DispatcherTest.java
@@ -9,7 +9,7 @@
 import kelphollow.decision.ControlAction.SendAttempt;
 import org.junit.jupiter.api.Test;
 
-/** What leaves, in what order and to which node. A node's window starts with three requests. */
+/** Which requests are sent, in what order and to which node. A node's concurrency window starts at three requests. */
 class DispatcherTest {
     private final StateHarness harness = new StateHarness();
     private final SchedulerState state = harness.state;
@@ -26,7 +26,7 @@
             .map(s -> s.id() + " to " + s.node()).toList();
     }
 
-    @Test void theSmallestFinishTagsLeaveUpToTheWindow() {
+    @Test void smallestFinishTagsAreSentUpToTheWindow() {
         queue("write", ControlHarness.WRITE, 0);
         queue("read1", ControlHarness.READ, 0);
         queue("read2", ControlHarness.READ, 0);
@@ -36,7 +36,7 @@
         assertEquals(1, state.queues.ofCell(0).size());
     }
 
-    @Test void whatIsSentIsInFlightAndNoLongerQueued() {
+    @Test void sentRequestIsInFlightAndNoLongerQueued() {
         PendingRequest request = queue("r", ControlHarness.READ, 0);
 
         dispatch();
@@ -55,7 +55,7 @@
         assertEquals(List.of(), dispatch());
     }
 
-    @Test void newObjectsGoWhereTheyWaitLeast() {
+    @Test void newObjectsGoToTheNodeWithTheShortestWait() {
         harness.node("n1", 1);
         queue("own1", ControlHarness.READ, 0);
         queue("own2", ControlHarness.READ, 0);
@@ -64,7 +64,7 @@
         assertEquals(List.of("own1 to n0", "own2 to n0", "object to n1"), dispatch());
     }
 
-    @Test void aBackoffHoldsARequestBack() {
+    @Test void requestIsNotSentDuringItsBackoff() {
         PendingRequest request = queue("r", ControlHarness.READ, 0);
         request.retryAt = harness.now() + 40;
         assertEquals(List.of(), dispatch());
@@ -74,7 +74,7 @@
         assertEquals(List.of("r to n0"), dispatch());
     }
 
-    @Test void oneOfAKeyLeavesAtATime() {
+    @Test void oneRequestPerOrderedKeyIsSentAtATime() {
         for (String id : List.of("first", "second")) {
             PendingRequest request = harness.request(id, ControlHarness.ORDERED, "v", "k", 2, 0, 0);
             state.keyOrders.arrived(request, 1);
@@ -84,23 +84,23 @@
         assertEquals(List.of("first to n0"), dispatch());
     }
 
-    @Test void aLateRequestLeavesForAnIdleNodeOnly() {
+    @Test void lateRequestIsSentOnlyToAnIdleNode() {
         PendingRequest request = harness.request("late", ControlHarness.READ, "v", 2, 0);
         request.late = true;
         state.queues.of(request).add(request);
         harness.advance(310);
-        assertEquals(List.of(), dispatch(), "the node may have had a request lately");
+        assertEquals(List.of(), dispatch(), "the node may have had a request recently");
 
         harness.advance(900);
 
         assertEquals(List.of("late to n0"), dispatch());
     }
 
-    @Test void nothingLeavesThatCannotBeAnsweredInTime() {
+    @Test void requestThatCannotBeAnsweredInTimeIsNotSent() {
         PendingRequest request = queue("r", ControlHarness.READ, 0);
         request.answerAt = harness.now() + 50;
         harness.advance(250);
 
-        assertEquals(List.of(), dispatch(), "an answer takes 100 ms");
+        assertEquals(List.of(), dispatch(), "the expected latency is 100 ms");
     }
 }
--- a/src/test/java/kelphollow/decision/EndpointListTest.java
+++ b/src/test/java/kelphollow/decision/EndpointListTest.java
@@ -14,9 +14,9 @@
 import kelphollow.decision.ControlEvent.EndpointsReceived;
 import org.junit.jupiter.api.Test;
 
-/** The endpoint list: draining, replaced and removed nodes, and polls. */
+/** Handling of the endpoint list: draining, replaced and removed nodes, and polls. */
 class EndpointListTest {
-    @Test void nothingNewGoesToADrainingNode() {
+    @Test void noNewRequestIsSentToADrainingNode() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.fill();
         scheduler.request("queued", "read", "free", "v", 1, 0);
@@ -25,12 +25,12 @@
         scheduler.request("new", "write", "free", "v", 1, -1);
         assertFalse(scheduler.sent().contains("queued"));
         assertEquals("n1", scheduler.nodeOf("new"));
-        scheduler.endpoints(healthy("n1", 1));    // left out of the complete list: removed
+        scheduler.endpoints(healthy("n1", 1));    // n0 is not in the complete list: removed
         scheduler.advanceTo(scheduler.now + 1900);
         assertFalse(scheduler.sent().contains("queued"));
     }
 
-    @Test void theListIsPolledOnceAndAgainAfterAFailureWithABackoff() {
+    @Test void listIsPolledOnceAndAgainAfterAFailureWithBackoff() {
         ControlHarness scheduler = new ControlHarness(true, 50_000);
         double spread = 2 * EndpointPollSchedule.SPREAD_PER_INSTANCE_MS;
         scheduler.advanceTo(scheduler.now + spread);
@@ -48,8 +48,8 @@
         return scheduler.actions.stream().filter(a -> a instanceof PollEndpoints).count();
     }
 
-    /** A draining node may be replaced before its queued requests have run out of time. */
-    @Test void aReplacementInTheSameCellServesWhatIsQueued() {
+    /** A draining node may be replaced before the requests queued for it expire. */
+    @Test void replacementInTheSameCellServesQueuedRequests() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.endpoints(node("n0", 0, EndpointState.DRAINING, 0), healthy("n1", 1));
         scheduler.request("queued", "read", "free", "v", 1, 0);
@@ -58,8 +58,8 @@
         assertEquals("n9", scheduler.nodeOf("queued"));
     }
 
-    /** On days on which nodes come under ever new ids, what is known of those that have gone must not pile up. */
-    @Test void aRemovedNodeIsForgottenWithItsLastAttempt() {
+    /** Prevents a memory leak when nodes keep returning with new ids. */
+    @Test void removedNodeIsDeletedAfterItsLastAttempt() {
         ControlHarness scheduler = ControlHarness.ready();
         scheduler.request("r", "read", "free", "v", 1, 0);
         scheduler.on(new EndpointsReceived(List.of(node("n0", 0, EndpointState.REMOVED, 0), node(
@@ -69,6 +69,6 @@
         assertEquals(0, scheduler.control.nodeCount());
         scheduler.endpoints(healthy("n2", 0));
         scheduler.endpoints(healthy("n3", 0));
-        assertEquals(1, scheduler.control.nodeCount(), "a complete list leaves out what was removed");
+        assertEquals(1, scheduler.control.nodeCount(), "a node that is not in a complete list is removed");
     }
 }
--- a/src/test/java/kelphollow/decision/EndpointPollScheduleTest.java
+++ b/src/test/java/kelphollow/decision/EndpointPollScheduleTest.java
@@ -11,18 +11,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The calls of a fleet for the endpoint list at one service: an outage, then a restart of seven instances in ten into the
- * crowd that returns. The rates are those read from the calls of 105 schedulers on a day of the standing test: 17 calls a
- * second served, about 85 waiting at most.
+ * Simulates the polls of a fleet for the endpoint list at one discovery service: after an outage, while all instances
+ * poll again, seven in ten instances are killed and restarted. The rates were read from the calls of 105 instances in a
+ * standing test: 17 calls per second served, about 85 queued at most.
  */
 class EndpointPollScheduleTest {
-    private static final double RETURN = 10_000;
-    private static final double KILLED = RETURN + 1_200;
-    private static final double STARTED = KILLED + 2_700;
+    private static final double SERVICE_UP_AT = 10_000;
+    private static final double KILLED_AT = SERVICE_UP_AT + 1_200;
+    private static final double RESTARTED_AT = KILLED_AT + 2_700;
     private static final double END = 120_000;
     private static final double POLL_INTERVAL = 10_000;
 
-    /** One caller: either the schedule of the product, or a fixed backoff after each failure, whatever it was. */
+    /** One caller: either {@link EndpointPollSchedule}, or a fixed backoff after every failure of any type. */
     private interface Poller {
         void started(double now);
 
@@ -78,8 +78,8 @@
         };
     }
 
-    /** When each instance has its list again; those that were killed have it after their new start only. */
-    private static double[] play(int instances, double callsPerSecond, boolean scheduled, long seed) {
+    /** Returns when each instance has received the list again; for killed instances, after their restart only. */
+    private static double[] simulate(int instances, double callsPerSecond, boolean scheduled, long seed) {
         Random random = new Random(seed);
         DiscoveryQueue service = new DiscoveryQueue(callsPerSecond, (int) (0.8 * instances));
         Poller[] callers = new Poller[instances];
@@ -87,12 +87,12 @@
         Arrays.fill(receivedAt, Double.POSITIVE_INFINITY);
         for (int i = 0; i < instances; i++) {
             callers[i] = scheduled ? scheduled(instances, random) : fixedBackoffs(random);
-            callers[i].failed(0, false);                     // the outage ends all watches
+            callers[i].failed(0, false);                     // the outage breaks all watches
         }
         PriorityQueue<DiscoveryQueue.Outcome> answers = new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at()));
         int killed = instances * 7 / 10;
         for (double now = 0; now < END; now++) {
-            if (now == KILLED) {
+            if (now == KILLED_AT) {
                 answers.removeIf(a -> a.caller() < killed);
                 Arrays.fill(receivedAt, 0, killed, Double.POSITIVE_INFINITY);
             }
@@ -106,43 +106,43 @@
                 }
             }
             for (int i = 0; i < instances; i++) {
-                if (i < killed && now == STARTED) {
+                if (i < killed && now == RESTARTED_AT) {
                     callers[i] = scheduled ? scheduled(instances, random) : fixedBackoffs(random);
                     callers[i].started(now);
                 }
-                boolean away = i < killed && now >= KILLED && now < STARTED;
+                boolean away = i < killed && now >= KILLED_AT && now < RESTARTED_AT;
                 if (!away && callers[i].takeDue(now)) {
-                    answers.add(service.call(now, i, RETURN));
+                    answers.add(service.call(now, i, SERVICE_UP_AT));
                 }
             }
         }
         return receivedAt;
     }
 
-    private static long never(double[] receivedAt) {
+    private static long countWithoutList(double[] receivedAt) {
         return Arrays.stream(receivedAt).filter(at -> at == Double.POSITIVE_INFINITY).count();
     }
 
-    private static double last(double[] receivedAt) {
+    private static double lastReceivedAt(double[] receivedAt) {
         return Arrays.stream(receivedAt).max().orElse(0);
     }
 
-    @Test void fixedBackoffsKeepTheServiceOverloadedForGood() {
+    @Test void fixedBackoffsKeepTheServiceOverloaded() {
         for (long seed = 1; seed <= 5; seed++) {
-            long never = never(play(105, 13, false, seed));
-            assertTrue(never > 30, never + " of 105 never had their list again, seed " + seed);
+            long missing = countWithoutList(simulate(105, 13, false, seed));
+            assertTrue(missing > 30, missing + " of 105 instances never received the list again, seed " + seed);
         }
     }
 
-    /** The service has room for each instance's call within the time of the poll interval. */
+    /** The service can serve one call of each instance within the poll interval. */
     @ParameterizedTest
-    @CsvSource({"30, 5", "100, 17", "105, 13", "510, 85"}) void eachInstanceHasItsListAgainSoonAfterARestartIntoTheCrowd(
+    @CsvSource({"30, 5", "100, 17", "105, 13", "510, 85"}) void everyInstanceReceivesTheListSoonAfterARestartDuringTheBurst(
         int instances, double callsPerSecond) {
         for (long seed = 1; seed <= 5; seed++) {
-            double[] receivedAt = play(instances, callsPerSecond, true, seed);
-            assertEquals(0, never(receivedAt), instances + " instances, seed " + seed);
-            assertTrue(last(receivedAt) < STARTED + POLL_INTERVAL, instances + " instances, the last one "
-                + (last(receivedAt) - STARTED) + " ms after the restart, seed " + seed);
+            double[] receivedAt = simulate(instances, callsPerSecond, true, seed);
+            assertEquals(0, countWithoutList(receivedAt), instances + " instances, seed " + seed);
+            assertTrue(lastReceivedAt(receivedAt) < RESTARTED_AT + POLL_INTERVAL, instances + " instances, the last one "
+                + (lastReceivedAt(receivedAt) - RESTARTED_AT) + " ms after the restart, seed " + seed);
         }
     }
 
@@ -152,11 +152,11 @@
             for (boolean scheduled : new boolean[] {false, true}) {
                 StringBuilder line = new StringBuilder();
                 for (long seed = 1; seed <= 5; seed++) {
-                    double[] h = play(size[0], size[1], scheduled, seed);
+                    double[] h = simulate(size[0], size[1], scheduled, seed);
                     double[] s = Arrays.copyOfRange(h, size[0] * 7 / 10, size[0]);
-                    long lateSurvivors = Arrays.stream(s).filter(at -> at > RETURN + 6_250).count();
+                    long lateSurvivors = Arrays.stream(s).filter(at -> at > SERVICE_UP_AT + 6_250).count();
                     line.append(String.format("  never %d, last +%.1f s, survivors over 6.25 s %d",
-                        never(h), (last(h) - STARTED) / 1000, lateSurvivors));
+                        countWithoutList(h), (lastReceivedAt(h) - RESTARTED_AT) / 1000, lateSurvivors));
                 }
                 System.out.println(size[0] + " at " + size[1] + (scheduled ? " scheduled" : " fixed") + line);
             }
--- a/src/test/java/kelphollow/decision/EndpointSelectorTest.java
+++ b/src/test/java/kelphollow/decision/EndpointSelectorTest.java
@@ -6,7 +6,7 @@
 import kelphollow.decision.ControlEvent.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** Where a new object goes. */
+/** Choice of the node for a new object. */
 class EndpointSelectorTest {
     private final StateHarness harness = new StateHarness();
     private final EndpointSelector selector = new EndpointSelector(harness.state);
@@ -18,7 +18,7 @@
         return harness.request(id, ControlHarness.READ, "v", 2, cell);
     }
 
-    @Test void theFirstOfEqualNodesIsChosen() {
+    @Test void firstOfEqualNodesIsChosen() {
         assertSame(first, selector.bestFor(object));
     }
 
@@ -32,14 +32,14 @@
         assertSame(first, selector.bestFor(object));
     }
 
-    @Test void theFasterNodeIsChosen() {
+    @Test void fasterNodeIsChosen() {
         harness.serve(first, 1, 90);
         harness.serve(second, 1, 30);
 
         assertSame(second, selector.bestFor(object));
     }
 
-    @Test void nodesWithFaultsOrInSlowStartAreAvoided() {
+    @Test void faultyNodesAndNodesInSlowStartAreNotChosen() {
         harness.end(harness.send(request("error", 0), first), AttemptOutcome.ERROR);
         assertSame(second, selector.bestFor(object));
 
--- a/src/test/java/kelphollow/decision/FinalAnswersTest.java
+++ b/src/test/java/kelphollow/decision/FinalAnswersTest.java
@@ -13,7 +13,7 @@
 import kelphollow.decision.ControlEvent.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Final answers and their Retry-After. Nodes that are not known yet take 100 ms, a read's objective is 300 ms. */
+/** Final answers and their Retry-After. The initial latency estimate is 100 ms; a read's objective is 300 ms. */
 class FinalAnswersTest {
     private final StateHarness harness = new StateHarness();
     private final SchedulerState state = harness.state;
@@ -29,7 +29,7 @@
         return harness.request(id, ControlHarness.READ, "v", 1, 0);
     }
 
-    @Test void aRequestInFlightIsCancelledAndFailsUnlessARetryIsSafe() {
+    @Test void requestInFlightIsCancelledAndFailsUnlessARetryIsSafe() {
         PendingRequest read = read("read");
         PendingRequest write = harness.request("write", ControlHarness.WRITE, "v", 1, 0);
         harness.send(read, node);
@@ -43,7 +43,7 @@
         assertFalse(state.requests.isOpen(read));
     }
 
-    @Test void aQueuedRequestReturnsItsTokens() {
+    @Test void closedQueuedRequestReturnsItsTokens() {
         PendingRequest request = harness.queue(read("r"));
 
         answers.cancelAndClose(request);
@@ -58,7 +58,7 @@
         assertEquals(300, retryAfter(read("r")));
     }
 
-    @Test void retryAfterCountsWhatIsQueuedAhead() {
+    @Test void retryAfterIncludesRequestsQueuedAhead() {
         for (int i = 0; i < 12; i++) {
             harness.queue(read("q" + i));
         }
@@ -66,13 +66,13 @@
         assertEquals(100 * (1 + 12 / 3.0), retryAfter(read("r")), 1e-9);
     }
 
-    @Test void retryAfterCountsTheBackoffFromTheNode() {
+    @Test void retryAfterIncludesTheNodesBackoff() {
         node.health.failed(ControlEvent.AttemptOutcome.CONNECT_FAILED, harness.now() + 500);
 
         assertEquals(580, retryAfter(read("r")), 1e-9);
     }
 
-    @Test void retryAfterIsTheLongestWhileTheNodeTakesNothing() {
+    @Test void retryAfterIsTheMaximumWhileTheNodeIsNotEligible() {
         node.listed(new Endpoint("n0", "a", 0, EndpointState.DRAINING, 0));
 
         assertEquals(1_000, retryAfter(read("r")));
--- a/src/test/java/kelphollow/decision/KeyOrdersTest.java
+++ b/src/test/java/kelphollow/decision/KeyOrdersTest.java
@@ -6,7 +6,7 @@
 import kelphollow.decision.ControlEvent.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** Requests of one key of an ordered class; the key is quiet for 200 ms after an unknown outcome. */
+/** Requests with the same key in an ordered class; the quiet period after an unknown outcome is 200 ms. */
 class KeyOrdersTest {
     private final StateHarness harness = new StateHarness();
     private final KeyOrders orders = harness.state.keyOrders;
@@ -19,7 +19,7 @@
         return request;
     }
 
-    @Test void theFirstRequestOfEachKeyHasItsTurn() {
+    @Test void firstRequestOfEachKeyMayBeSent() {
         PendingRequest other = arrived("other", "l");
 
         assertTrue(orders.hasTurn(first));
@@ -36,37 +36,37 @@
         assertTrue(orders.hasTurn(keyless));
     }
 
-    @Test void theNextOneWaitsForTheAttemptInFlight() {
+    @Test void nextRequestWaitsForTheAttemptInFlight() {
         orders.sent(first);
         orders.closed(first);
-        assertFalse(orders.hasTurn(second), "its client is gone, and it is still in flight");
+        assertFalse(orders.hasTurn(second), "its client has disconnected, but the attempt is still in flight");
 
         orders.attemptEnded(first, AttemptOutcome.SERVED);
 
         assertTrue(orders.hasTurn(second));
     }
 
-    @Test void theKeyIsQuietAfterAnUnknownOutcome() {
+    @Test void unknownOutcomeStartsAQuietPeriod() {
         for (AttemptOutcome outcome : new AttemptOutcome[] {AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET,
             AttemptOutcome.CANCELLED}) {
             orders.sent(first);
             orders.attemptEnded(first, outcome);
 
             harness.advance(200);
-            assertFalse(orders.hasTurn(first), outcome + ": a tick is added");
+            assertFalse(orders.hasTurn(first), outcome + ": the quiet period includes one more tick");
             harness.advance(1);
             assertTrue(orders.hasTurn(first), outcome.toString());
         }
     }
 
-    @Test void aKnownOutcomeLetsTheKeyGoOnAtOnce() {
+    @Test void knownOutcomeUnblocksTheKeyAtOnce() {
         orders.sent(first);
         orders.attemptEnded(first, AttemptOutcome.AT_CAPACITY);
 
         assertTrue(orders.hasTurn(first));
     }
 
-    @Test void aKeyWithoutRequestsIsForgottenAndMayComeAgain() {
+    @Test void keyWithoutRequestsIsRemovedAndMayBeUsedAgain() {
         orders.closed(first);
         orders.closed(second);
         orders.closed(second);
--- a/src/test/java/kelphollow/decision/LatencyEstimateTest.java
+++ b/src/test/java/kelphollow/decision/LatencyEstimateTest.java
@@ -6,9 +6,9 @@
 import kelphollow.decision.ControlEvent.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** What answers and their absence tell of a node's latency. A mean request has 2 units, the shortest objective is 300 ms. */
+/** Estimates from answers and from missing answers. A mean request has 2 units; the shortest objective is 300 ms. */
 class LatencyEstimateTest {
-    private static final double GUESS = 100;
+    private static final double INITIAL_ESTIMATE = 100;
 
     private final StateHarness harness = new StateHarness();
     private final Node node = harness.node("n0", 0);
@@ -17,13 +17,13 @@
         return harness.send(harness.request(id, ControlHarness.READ, "v", 2, 0), node);
     }
 
-    @Test void beforeAnyAnswerItIsAGuess() {
-        assertEquals(GUESS, node.latency.expected());
+    @Test void initialEstimateAppliesBeforeTheFirstAnswer() {
+        assertEquals(INITIAL_ESTIMATE, node.latency.expected());
         assertEquals(0, node.latency.mean());
         assertEquals(Double.POSITIVE_INFINITY, node.latency.best());
     }
 
-    @Test void theFirstAnswerIsTakenAsItIs() {
+    @Test void firstAnswerSetsAllAverages() {
         harness.serve(node, 1, 40);
 
         assertEquals(40, node.latency.mean());
@@ -32,7 +32,7 @@
         assertEquals(harness.now(), node.latency.servedAt());
     }
 
-    @Test void furtherAnswersCountWithTheirWeight() {
+    @Test void furtherAnswersAreWeighted() {
         harness.serve(node, 1, 40);
         harness.serve(node, 1, 60);
 
@@ -44,10 +44,10 @@
         harness.serve(node, 1, 40);
 
         assertEquals(40 + 3 * 20, node.latency.expected(5), 1e-9);
-        assertEquals(20, node.latency.expected(0.5), 1e-9, "no less than one unit takes");
+        assertEquals(20, node.latency.expected(0.5), 1e-9, "at least the latency of one unit");
     }
 
-    @Test void anOldSampleDecaysIntoWhatAllNodesShow() {
+    @Test void oldSampleDecaysTowardTheFleetAverage() {
         harness.serve(node, 1, 40);
         Node other = harness.node("n1", 1);
         harness.advance(20_000);
@@ -56,7 +56,7 @@
         assertTrue(node.latency.expected() > 70, "expected " + node.latency.expected());
     }
 
-    @Test void anAttemptThatIsOutForLongerRaisesIt() {
+    @Test void attemptInFlightForLongerRaisesTheEstimate() {
         harness.serve(node, 1, 40);
         send("slow");
 
@@ -65,12 +65,12 @@
         assertEquals(120, node.latency.expected(), 1e-9);
     }
 
-    @Test void theFirstAttemptWithoutAnAnswerCountsAsLostAndTheSecondDoesNot() {
+    @Test void firstUnansweredAttemptCountsAsLostAndTheSecondDoesNot() {
         harness.serve(node, 1, 40);
         send("lost");
         harness.advance(1_000);
         assertEquals(1, node.latency.lostAttempts());
-        assertTrue(node.latency.expected() < 200, "it tells nothing of the node");
+        assertTrue(node.latency.expected() < 200, "a single lost answer does not raise the estimate");
 
         send("second");
         harness.advance(1_000);
@@ -79,7 +79,7 @@
         assertEquals(1_000, node.latency.expected(), 1e-9);
     }
 
-    @Test void anAttemptThatWasOvertakenTellsNothing() {
+    @Test void overtakenAttemptDoesNotAffectTheEstimate() {
         harness.serve(node, 1, 40);
         send("overtaken");
         harness.advance(1);
@@ -92,7 +92,7 @@
         assertTrue(node.latency.expected() < 60, "expected " + node.latency.expected());
     }
 
-    @Test void theTargetIsTwiceTheBestAndAtMostHalfOfTheObjective() {
+    @Test void targetIsTwiceTheBestAndAtMostHalfTheObjective() {
         harness.serve(node, 1, 40);
         assertEquals(80, node.latency.target());
         assertEquals(300, node.latency.singleRequestTarget());
--- a/src/test/java/kelphollow/decision/RecordedDecisionsTest.java
+++ b/src/test/java/kelphollow/decision/RecordedDecisionsTest.java
@@ -75,7 +75,7 @@
     private static void assertRecorded(String name, ControlSettings settings, long seed, double arrivalsPerSecond)
         throws IOException {
         DecisionWorkload workload = new DecisionWorkload(settings, seed, arrivalsPerSecond);
-        DecisionRecorder recorder = workload.play();
+        DecisionRecorder recorder = workload.run();
         Files.createDirectories(TRACES);
         Files.writeString(TRACES.resolve(name + ".trace"), recorder.trace());
         Files.write(TRACES.resolve(name + ".txt"), recorder.checkpoints());
