--- a/src/main/java/kelphollow/decision/DeadlineMonitor.java
+++ b/src/main/java/kelphollow/decision/DeadlineMonitor.java
@@ -21,14 +21,14 @@
     void expire() {
         PendingRequest request = state.deadlines.pollDue(state.now());
         while (request != null) {
-            if (state.requests.isOpen(request) && !isStreamingOn(request)) {
+            if (state.requests.isOpen(request) && !isStillStreaming(request)) {
                 expire(request);
             }
             request = state.deadlines.pollDue(state.now());
         }
     }
 
-    private boolean isStreamingOn(PendingRequest request) {
+    private boolean isStillStreaming(PendingRequest request) {
         return request.streaming && state.now() < state.requests.shutdownAt();
     }
 
--- a/src/main/java/kelphollow/decision/Dispatcher.java
+++ b/src/main/java/kelphollow/decision/Dispatcher.java
@@ -95,7 +95,7 @@
      */
     private boolean maySend(PendingRequest request, Node node) {
         double now = state.now();
-        if (now < request.retryAt || !state.keyOrders.hasTurn(request)) {
+        if (now < request.retryAt || !state.keyOrders.mayBeSent(request)) {
             return false;
         }
         if (request.attempts == 0 && !request.volume.limiter.allows(request.units(), now)) {
--- a/src/main/java/kelphollow/decision/FinalAnswers.java
+++ b/src/main/java/kelphollow/decision/FinalAnswers.java
@@ -54,9 +54,9 @@
         double queued = state.queues.of(request).size();
         for (Node node : state.nodes.all()) {
             if (node.cell == request.arrival.cell()) {
-                double turn = node.latency.expected() * (1 + queued / Math.max(1, node.window.size()));
-                double later = Math.max(turn, node.health.sendableAt() - now);
-                wait = node.isEligible() ? Math.max(wait, later) : longest;
+                double queueWait = node.latency.expected() * (1 + queued / Math.max(1, node.window.size()));
+                double nodeWait = Math.max(queueWait, node.health.sendableAt() - now);
+                wait = node.isEligible() ? Math.max(wait, nodeWait) : longest;
             }
         }
         return Math.min(longest, Math.max(wait, request.volume.limiter.waitFor(request.units(), now)));
--- a/src/main/java/kelphollow/decision/KeyOrders.java
+++ b/src/main/java/kelphollow/decision/KeyOrders.java
@@ -34,7 +34,7 @@
     }
 
     /** Whether a request need not wait for other requests or attempts of its key. */
-    boolean hasTurn(PendingRequest request) {
+    boolean mayBeSent(PendingRequest request) {
         if (!request.isOrdered()) {
             return true;
         }
--- a/src/test/java/kelphollow/decision/KeyOrdersTest.java
+++ b/src/test/java/kelphollow/decision/KeyOrdersTest.java
@@ -22,9 +22,9 @@
     @Test void firstRequestOfEachKeyMayBeSent() {
         PendingRequest other = arrived("other", "l");
 
-        assertTrue(orders.hasTurn(first));
-        assertFalse(orders.hasTurn(second));
-        assertTrue(orders.hasTurn(other));
+        assertTrue(orders.mayBeSent(first));
+        assertFalse(orders.mayBeSent(second));
+        assertTrue(orders.mayBeSent(other));
     }
 
     @Test void requestsWithoutOrderOrKeyNeverWait() {
@@ -32,18 +32,18 @@
         PendingRequest keyless = harness.request("keyless", ControlHarness.ORDERED, "v", null, 1, 0, 0);
         orders.arrived(keyless, 1);
 
-        assertTrue(orders.hasTurn(keyed));
-        assertTrue(orders.hasTurn(keyless));
+        assertTrue(orders.mayBeSent(keyed));
+        assertTrue(orders.mayBeSent(keyless));
     }
 
     @Test void nextRequestWaitsForTheAttemptInFlight() {
         orders.sent(first);
         orders.closed(first);
-        assertFalse(orders.hasTurn(second), "its client has disconnected, but the attempt is still in flight");
+        assertFalse(orders.mayBeSent(second), "its client has disconnected, but the attempt is still in flight");
 
         orders.attemptEnded(first, AttemptOutcome.SERVED);
 
-        assertTrue(orders.hasTurn(second));
+        assertTrue(orders.mayBeSent(second));
     }
 
     @Test void unknownOutcomeStartsAQuietPeriod() {
@@ -53,9 +53,9 @@
             orders.attemptEnded(first, outcome);
 
             harness.advance(200);
-            assertFalse(orders.hasTurn(first), outcome + ": the quiet period includes one more tick");
+            assertFalse(orders.mayBeSent(first), outcome + ": the quiet period includes one more tick");
             harness.advance(1);
-            assertTrue(orders.hasTurn(first), outcome.toString());
+            assertTrue(orders.mayBeSent(first), outcome.toString());
         }
     }
 
@@ -63,7 +63,7 @@
         orders.sent(first);
         orders.attemptEnded(first, AttemptOutcome.AT_CAPACITY);
 
-        assertTrue(orders.hasTurn(first));
+        assertTrue(orders.mayBeSent(first));
     }
 
     @Test void keyWithoutRequestsIsRemovedAndMayBeUsedAgain() {
@@ -71,6 +71,6 @@
         orders.closed(second);
         orders.closed(second);
 
-        assertTrue(orders.hasTurn(arrived("third", "k")));
+        assertTrue(orders.mayBeSent(arrived("third", "k")));
     }
 }
