--- a/src/main/java/kelphollow/decision/ControlAction.java
+++ b/src/main/java/kelphollow/decision/ControlAction.java
@@ -9,7 +9,7 @@
     enum Reason {
         /** Its class or plan is not known. */
         UNKNOWN_CLASS,
-        /** Its volume's rate limit grants its units too late. */
+        /** Its volume's rate limit grants its units only after its latency objective. */
         RATE_LIMITED,
         /** It is a client's retry, and the node's retry budget is spent. */
         RETRY_BUDGET_EXHAUSTED,
