--- a/src/main/java/kelphollow/ledger/CompletionRecords.java
+++ b/src/main/java/kelphollow/ledger/CompletionRecords.java
@@ -6,17 +6,17 @@
 import kelphollow.store.Batch;
 import kelphollow.store.StoreFault;
 
-/** Completions of multipart uploads: the intent before one is sent, its response after it. Event loop only. */
+/** Records of multipart upload completions: the intent before one is sent, and its response. Event loop only. */
 public final class CompletionRecords {
-    /** How long a record is kept, in milliseconds. */
-    static final long TIME_TO_LIVE = 24L * 3600 * 1000;
+    /** How long a record is kept. */
+    static final long TIME_TO_LIVE_MS = 24L * 3600 * 1000;
 
-    /** A recorded response; {@code partListDigest} is the digest of the list of parts that it was given for. */
+    /** A recorded response; {@code partListDigest} is the digest of the completed list of parts. */
     public record RecordedResponse(String partListDigest, int status, String type, String body) {}
 
-    /** Receives what is recorded. */
+    /** Receives the stored records. */
     public interface Reader {
-        /** One record; {@code response} is null for an intent. */
+        /** Called for each record; {@code response} is null for an intent. */
         void completion(String upload, RecoveredOutcomes.Found found, long epoch, RecordedResponse response);
     }
 
@@ -26,7 +26,7 @@
         this.ledger = ledger;
     }
 
-    /** Reads all records; blocks on the disk, so only before the event loop serves. */
+    /** Reads all records. Blocks on the disk, so it may only be called before the event loop serves. */
     public void read(Reader reader) throws IOException, StoreFault {
         ledger.read(StoredNames.COMPLETIONS, (upload, stored) -> {
             RecordedResponse response = response(stored);
@@ -42,14 +42,14 @@
             (int) stored.number(StoredNames.STATUS), stored.text(StoredNames.CONTENT_TYPE), body);
     }
 
-    /** Records that a completion may go out; {@code then} receives null on the loop once that is synced. */
+    /** Records that a completion may be sent; {@code then} receives null on the event loop once the record is synced. */
     public void recordIntent(String upload, double now, Consumer<StoreFault> then) {
         byte[] intent = RecordCodec.encode(json -> json.writeNumberField(StoredNames.EPOCH, ledger.epoch()));
         ledger.writeSynced(
-            new Batch().put(StoredNames.COMPLETIONS, RecordCodec.key(upload), intent, (long) now + TIME_TO_LIVE), then);
+            new Batch().put(StoredNames.COMPLETIONS, RecordCodec.key(upload), intent, (long) now + TIME_TO_LIVE_MS), then);
     }
 
-    /** Records the response, so that a client that retries the same completion gets it again. */
+    /** Records the response, which is replayed to a client that retries the same completion. */
     public void recordResponse(String upload, RecordedResponse response, double now) {
         byte[] outcome = RecordCodec.encode(json -> {
             json.writeNumberField(StoredNames.EPOCH, ledger.epoch());
@@ -59,10 +59,10 @@
             RecordCodec.writeOptional(json, StoredNames.BODY, response.body);
         });
         ledger.writeBuffered(
-            new Batch().put(StoredNames.COMPLETIONS, RecordCodec.key(upload), outcome, (long) now + TIME_TO_LIVE));
+            new Batch().put(StoredNames.COMPLETIONS, RecordCodec.key(upload), outcome, (long) now + TIME_TO_LIVE_MS));
     }
 
-    /** Removes the record of a completion that is proved never to have run. */
+    /** Removes the record of a completion that provably never ran. */
     public void removeIntent(String upload) {
         ledger.writeBuffered(new Batch().remove(StoredNames.COMPLETIONS, RecordCodec.key(upload)));
     }
--- a/src/main/java/kelphollow/ledger/EndpointRecords.java
+++ b/src/main/java/kelphollow/ledger/EndpointRecords.java
@@ -12,13 +12,13 @@
 import kelphollow.store.Batch;
 import kelphollow.store.StoreFault;
 
-/** The last endpoint list, for a start at which its source does not answer. Event loop only. */
+/** Record of the last endpoint list, used at a start when the list's source does not respond. Event loop only. */
 public final class EndpointRecords {
     private static final byte[] LIST_KEY = RecordCodec.key(StoredNames.ENDPOINT_LIST_KEY);
-    /** A list that is received again unchanged is written again this often, in milliseconds. */
-    private static final double REFRESH_INTERVAL = 5_000;
+    /** An unchanged list that is received again is only written again after this interval. */
+    private static final double REFRESH_INTERVAL_MS = 5_000;
 
-    /** A list and when it was last received, in Unix milliseconds. */
+    /** A stored list and when it was last received, in Unix milliseconds. */
     public record Saved(double at, List<ResolvedEndpoint> members) {}
 
     private final Ledger ledger;
@@ -29,7 +29,10 @@
         this.ledger = ledger;
     }
 
-    /** The list, or null if none was ever recorded. Blocks on the disk, so only before the event loop serves. */
+    /**
+     * Returns the stored list, or null if there is none. Blocks on the disk, so it may only be called before the event loop
+     * serves.
+     */
     public Saved read() throws IOException, StoreFault {
         byte[] value = ledger.store().get(StoredNames.ENDPOINTS, LIST_KEY);
         if (value == null) {
@@ -49,9 +52,9 @@
             new InetSocketAddress(entry.text(StoredNames.HOST), (int) entry.number(StoredNames.PORT)));
     }
 
-    /** Records a complete list that was just received. */
+    /** Records a complete list that was just received, unless it is unchanged and was written recently. */
     public void received(List<ResolvedEndpoint> members, double now) {
-        if (members.equals(lastWritten) && now - lastWrittenAt < REFRESH_INTERVAL) {
+        if (members.equals(lastWritten) && now - lastWrittenAt < REFRESH_INTERVAL_MS) {
             return;
         }
         lastWritten = List.copyOf(members);
@@ -81,9 +84,10 @@
     }
 
     /**
-     * What a start may use of a recorded list, by {@link CachedEndpointsAge}: nodes of an aged one count as just started.
+     * Returns the endpoints of a stored list that a starting instance may use, according to {@link CachedEndpointsAge}.
+     * Nodes of an aged list are treated as just started.
      *
-     * @param expiresAfter the age, in milliseconds, from which on nothing of it is used
+     * @param expiresAfter age in milliseconds from which the list is not used at all
      */
     public static List<ResolvedEndpoint> usable(Saved saved, double now, double expiresAfter) {
         CachedEndpointsAge.Trust trust = CachedEndpointsAge.trust(saved.at(), now, expiresAfter);
@@ -102,7 +106,7 @@
         return usable;
     }
 
-    /** The word under which a state is stored. */
+    /** Returns the name under which a state is stored, which is part of the stored format. */
     private static String storedName(EndpointState state) {
         return switch (state) {
             case HEALTHY -> "HEALTHY";
@@ -116,7 +120,8 @@
             case "HEALTHY" -> EndpointState.HEALTHY;
             case "DRAINING" -> EndpointState.DRAINING;
             case "GONE" -> EndpointState.REMOVED;
-            default -> throw new IllegalArgumentException("unknown state of a stored endpoint: " + storedName);
+            default -> throw new IllegalArgumentException("stored endpoint state must be HEALTHY, DRAINING or GONE: "
+                + storedName);
         };
     }
 }
--- a/src/main/java/kelphollow/ledger/Ledger.java
+++ b/src/main/java/kelphollow/ledger/Ledger.java
@@ -13,17 +13,17 @@
 import kelphollow.store.StoreFault;
 
 /**
- * What a gateway keeps beyond its end, by subject: parts and completions of uploads, tokens of limits, the last endpoint
- * list, outcomes of unsafe requests. Knows the store and its tables; decides nothing. Opened before the event loop serves,
- * which may block on the disk; after that confined to the loop, and every call returns at once.
+ * State that a gateway keeps across restarts: parts and completions of uploads, tokens of limits, the last endpoint list,
+ * and outcomes of unsafe requests. Makes no decisions. Opened before the event loop serves, since opening may block on the
+ * disk; afterwards confined to the loop, where no call blocks.
  */
 public final class Ledger implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(Ledger.class.getName());
     private static final byte[] EPOCH_KEY = RecordCodec.key(StoredNames.EPOCH_KEY);
     private static final byte[] LOST_KEY = RecordCodec.key(StoredNames.LOST_KEY);
-    /** Upper bound on the incarnations since a backup was made. */
+    /** Upper bound on the number of incarnations since a backup was made. */
     private static final long MAX_UNSEEN_EPOCHS = 1_000_000;
-    /** One in this many faults is logged. */
+    /** One in this many store faults is logged. */
     private static final long FAULTS_PER_LOG_LINE = 1_000;
 
     private final Store store;
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Begins an incarnation: its epoch, one higher than the last, is synced before this returns.
+     * Starts an incarnation. Its epoch, one higher than the last, is synced before this method returns.
      *
-     * @param loop where acknowledgements are called
+     * @param loop executor on which callbacks are called
      */
     public static Ledger open(Store store, Executor loop) throws IOException, StoreFault {
         long epoch = lastEpoch(store) + 1;
@@ -51,7 +51,7 @@
         return new Ledger(store, loop, epoch, lost == null ? 0 : RecordCodec.decode(lost).integer(StoredNames.EPOCH));
     }
 
-    /** The epoch of the last incarnation, 0 if there was none. */
+    /** Returns the epoch of the last incarnation, or 0 if there was none. */
     private static long lastEpoch(Store store) throws IOException, StoreFault {
         byte[] last = store.get(StoredNames.INCARNATIONS, EPOCH_KEY);
         return last == null ? 0 : RecordCodec.decode(last).integer(StoredNames.LAST_EPOCH);
@@ -62,13 +62,13 @@
     }
 
     /**
-     * Records that something of the incarnations so far may be missing, because a loss was accepted or a backup restored:
-     * that something of theirs is not in the store proves nothing any more.
+     * Records that records of the incarnations so far may be missing, because a loss was accepted or a backup restored. From
+     * then on the absence of a record of theirs proves nothing.
      *
      * @param at Unix milliseconds
      */
     public static void recordLoss(Store store, long at) throws IOException, StoreFault {
-        // The lost records may be those of the epoch's own number, and of incarnations that a backup does not know.
+        // The lost records may include that of the last epoch, and a backup lacks the epochs of later incarnations.
         long epoch = lastEpoch(store) + MAX_UNSEEN_EPOCHS;
         byte[] loss = RecordCodec.encode(json -> {
             json.writeNumberField(StoredNames.AT, at);
@@ -78,7 +78,7 @@
             .put(StoredNames.INCARNATIONS, LOST_KEY, loss));
     }
 
-    /** Writes and blocks until it is synced; not for event loops. */
+    /** Writes a batch and blocks until it is synced; must not be called on an event loop. */
     private static void commit(Store store, Batch batch) throws IOException, StoreFault {
         CompletableFuture<StoreFault> result = new CompletableFuture<>();
         store.write(batch, Durability.SYNCED, Runnable::run, result::complete);
@@ -92,52 +92,52 @@
         }
     }
 
-    /** The number of this incarnation. */
+    /** Returns the epoch of this incarnation. */
     public long epoch() {
         return epoch;
     }
 
-    /** Makes the next epoch higher than this number. */
+    /** Ensures that the next incarnation's epoch is higher than {@code number}. */
     public void reserveEpochsUpTo(long number) {
         writeBuffered(new Batch().put(StoredNames.INCARNATIONS, EPOCH_KEY, epochRecord(Math.max(number, epoch))));
     }
 
-    /** The last epoch of which something may be missing here, 0 if there is none. */
+    /** Returns the last epoch whose records may be missing, or 0 if there is none. */
     public long lostUpTo() {
         return lostUpTo;
     }
 
-    /** The store that everything is kept in. */
+    /** Returns the underlying store. */
     public Store store() {
         return store;
     }
 
-    /** Parts of uploads. */
+    /** Returns the records of upload parts. */
     public PartRecords parts() {
         return new PartRecords(this);
     }
 
-    /** Completions of uploads. */
+    /** Returns the records of upload completions. */
     public CompletionRecords completions() {
         return new CompletionRecords(this);
     }
 
-    /** Tokens of volumes' limits. */
+    /** Returns the records of volumes' limits. */
     public LimitRecords limits() {
         return new LimitRecords(this);
     }
 
-    /** The last endpoint list. */
+    /** Returns the record of the last endpoint list. */
     public EndpointRecords endpoints() {
         return new EndpointRecords(this);
     }
 
-    /** Outcomes of unsafe requests between sites. */
+    /** Returns the records of unsafe requests between sites. */
     public OutcomeRecords outcomes() {
         return new OutcomeRecords(this);
     }
 
-    /** Writes before something goes out: {@code then} receives null on the loop once it is synced, else the fault. */
+    /** Writes a batch; {@code then} receives null on the event loop once it is synced, else the fault. */
     void writeSynced(Batch batch, Consumer<StoreFault> then) {
         store.write(batch, Durability.SYNCED, loop, fault -> {
             logFault(fault);
@@ -145,7 +145,7 @@
         });
     }
 
-    /** Writes what nobody waits for: if it is lost, what it says must be asked for again. */
+    /** Writes a batch without waiting for a sync. If it is lost, its content must be determined again by other means. */
     void writeBuffered(Batch batch) {
         store.write(batch, Durability.BUFFERED, loop, this::logFault);
     }
@@ -155,17 +155,17 @@
             return;
         }
         if (faults % FAULTS_PER_LOG_LINE == 0) {
-            LOG.warning("store: not recorded (" + (faults + 1) + " so far): " + fault.getMessage());
+            LOG.warning("store: records not written (" + (faults + 1) + " failed writes so far): " + fault.getMessage());
         }
         faults++;
     }
 
-    /** Receives the key and the fields of each record. */
+    /** Receives the key and the fields of each record of a table. */
     interface Reader {
         void read(String key, StoredRecord stored);
     }
 
-    /** Reads a complete table; blocks on the disk, so only before the loop serves. */
+    /** Reads a complete table. Blocks on the disk, so it may only be called before the event loop serves. */
     void read(String table, Reader reader) throws IOException, StoreFault {
         try (Snapshot snapshot = store.snapshot()) {
             snapshot.scan(table, new byte[0], (key, value) -> {
--- a/src/main/java/kelphollow/ledger/LimitRecords.java
+++ b/src/main/java/kelphollow/ledger/LimitRecords.java
@@ -7,10 +7,10 @@
 import kelphollow.store.Batch;
 import kelphollow.store.StoreFault;
 
-/** The tokens of volumes' limits, as they were at the end of the last incarnation. Event loop only. */
+/** Records of the tokens of volumes' limits at the end of the last incarnation. Event loop only. */
 public final class LimitRecords {
-    /** Every limit has refilled after this long, in milliseconds. */
-    private static final long TIME_TO_LIVE = 24L * 3600 * 1000;
+    /** Every limit has refilled after this time. */
+    private static final long TIME_TO_LIVE_MS = 24L * 3600 * 1000;
 
     private final Ledger ledger;
 
@@ -19,8 +19,9 @@
     }
 
     /**
-     * What the last incarnation left, by volume. The records are removed, so that a crash of this incarnation is not taken
-     * for the end of that one. Blocks on the disk, so only before the event loop serves.
+     * Returns the tokens of the last incarnation by volume and removes their records, so that a crash of this incarnation is
+     * not mistaken for the clean end of the last one. Blocks on the disk, so it may only be called before the event loop
+     * serves.
      */
     public Map<String, LimitRecovery.Saved> take() throws IOException, StoreFault {
         Map<String, LimitRecovery.Saved> saved = new HashMap<>();
@@ -37,11 +38,11 @@
         return saved;
     }
 
-    /** Records the tokens by volume at the end of this incarnation, after which nothing is sent any more. */
+    /** Records the tokens by volume at the end of this incarnation, after its last request was sent. */
     public void recordFinalTokens(Map<String, Double> tokensByVolume, double now) {
         Batch batch = new Batch();
         tokensByVolume.forEach((volume, tokens) -> batch.put(StoredNames.LIMITS, RecordCodec.key(volume),
-            encode(tokens, now), (long) now + TIME_TO_LIVE));
+            encode(tokens, now), (long) now + TIME_TO_LIVE_MS));
         if (!batch.isEmpty()) {
             ledger.writeBuffered(batch);
         }
--- a/src/main/java/kelphollow/ledger/OutcomeRecords.java
+++ b/src/main/java/kelphollow/ledger/OutcomeRecords.java
@@ -8,14 +8,14 @@
 import kelphollow.store.StoreFault;
 
 /**
- * Outcomes of unsafe requests, by an identity that the requesting side assigns and never uses twice: for the gateway between
- * sites. Kept for the class's idempotency window after the outcome. Writing is for the event loop, {@link #find} may block
- * on the disk.
+ * Records of the outcomes of unsafe requests between sites, by an identity that the requesting side assigns and never
+ * reuses. Kept for the class's idempotency window after the outcome. Records are written on the event loop; {@link #find}
+ * may block on the disk.
  */
 public final class OutcomeRecords {
     private final Ledger ledger;
 
-    /** What is known of one request; {@code outcome} is null unless it ran. */
+    /** The recovered outcome of one request; {@code outcome} is null unless it ran. */
     public record Known(RecoveredOutcome recovered, String outcome) {}
 
     OutcomeRecords(Ledger ledger) {
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Records that a request may go out; {@code then} receives null on the loop once that is synced.
+     * Records that a request may be sent; {@code then} receives null on the event loop once the record is synced.
      *
      * @param window how long the record is kept, in milliseconds
      */
@@ -33,7 +33,7 @@
             new Batch().put(StoredNames.OUTCOMES, RecordCodec.key(identity), intent, (long) (now + window)), then);
     }
 
-    /** Records the outcome; {@code then} receives null on the loop once it is synced. */
+    /** Records the outcome; {@code then} receives null on the event loop once the record is synced. */
     public void recordOutcome(String identity, String outcome, double now, double window, Consumer<StoreFault> then) {
         byte[] stored = RecordCodec.encode(json -> {
             json.writeNumberField(StoredNames.EPOCH, ledger.epoch());
@@ -43,15 +43,15 @@
             new Batch().put(StoredNames.OUTCOMES, RecordCodec.key(identity), stored, (long) (now + window)), then);
     }
 
-    /** Removes the record of a request that is proved never to have run. */
+    /** Removes the record of a request that provably never ran. */
     public void removeIntent(String identity) {
         ledger.writeBuffered(new Batch().remove(StoredNames.OUTCOMES, RecordCodec.key(identity)));
     }
 
     /**
-     * What is known of a request.
+     * Returns the outcome of a request as far as it can be recovered.
      *
-     * @param complete whether it is younger than the window and can only have come here
+     * @param complete whether the request is younger than the window and can only have been sent to this gateway
      */
     public Known find(String identity, RecoveredOutcomes recovered, boolean complete) throws IOException, StoreFault {
         byte[] value = ledger.store().get(StoredNames.OUTCOMES, RecordCodec.key(identity));
--- a/src/main/java/kelphollow/ledger/PartRecords.java
+++ b/src/main/java/kelphollow/ledger/PartRecords.java
@@ -7,21 +7,21 @@
 import kelphollow.store.StoreFault;
 
 /**
- * Parts of multipart uploads: the intent before a part's first byte goes out, the outcome after it. An upload that was
- * begun here is recorded too, so that for its parts the absence of a record proves that they never went out. Event loop
- * only.
+ * Records of multipart upload parts: the intent before a part's first byte is sent, and its outcome. Uploads that were
+ * created through this gateway are recorded too: for their parts, the absence of a record proves that they were never sent.
+ * Event loop only.
  */
 public final class PartRecords {
-    /** How long uploads and parts are kept after their last change, in milliseconds. */
-    static final long TIME_TO_LIVE = 7L * 24 * 3600 * 1000;
+    /** How long records of uploads and parts are kept after their last change. */
+    static final long TIME_TO_LIVE_MS = 7L * 24 * 3600 * 1000;
     private static final char NUMBER_SEPARATOR = '#';
 
-    /** Receives what is recorded. */
+    /** Receives the stored records. */
     public interface Reader {
-        /** All parts of this upload that went out are recorded since an epoch. */
+        /** Called for each upload; all its parts that were sent since {@code sinceEpoch} have a record. */
         void upload(String upload, long sinceEpoch);
 
-        /** One part; {@code size}, {@code md5} and {@code etag} are those of a stored one. */
+        /** Called for each part; {@code size}, {@code md5} and {@code etag} are set only if it was stored. */
         void part(String upload, int number, RecoveredOutcomes.Found found, long epoch, long size, String md5, String etag);
     }
 
@@ -31,7 +31,7 @@
         this.ledger = ledger;
     }
 
-    /** Reads all records; blocks on the disk, so only before the event loop serves. */
+    /** Reads all records. Blocks on the disk, so it may only be called before the event loop serves. */
     public void read(Reader reader) throws IOException, StoreFault {
         ledger.read(StoredNames.UPLOADS, (upload, stored) -> reader.upload(upload, stored.integer(StoredNames.EPOCH)));
         ledger.read(StoredNames.PARTS, (key, stored) -> {
@@ -51,16 +51,16 @@
         return RecordCodec.encode(json -> json.writeNumberField(StoredNames.EPOCH, ledger.epoch()));
     }
 
-    /** Records that an upload was begun here. */
+    /** Records that an upload was created through this gateway. */
     public void recordUpload(String upload, double now) {
         ledger.writeBuffered(new Batch().put(StoredNames.UPLOADS, RecordCodec.key(upload), epochRecord(),
-            (long) now + TIME_TO_LIVE));
+            (long) now + TIME_TO_LIVE_MS));
     }
 
-    /** Records that a part may go out; {@code then} receives null on the loop once that is synced. */
+    /** Records that a part may be sent; {@code then} receives null on the event loop once the record is synced. */
     public void recordIntent(String upload, int number, double now, Consumer<StoreFault> then) {
         ledger.writeSynced(new Batch().put(StoredNames.PARTS, key(upload, number), epochRecord(),
-            (long) now + TIME_TO_LIVE), then);
+            (long) now + TIME_TO_LIVE_MS), then);
     }
 
     /** Records that a part was stored. */
@@ -72,20 +72,20 @@
             RecordCodec.writeOptional(json, StoredNames.ETAG, etag);
         });
         ledger.writeBuffered(
-            new Batch().put(StoredNames.PARTS, key(upload, number), outcome, (long) now + TIME_TO_LIVE));
+            new Batch().put(StoredNames.PARTS, key(upload, number), outcome, (long) now + TIME_TO_LIVE_MS));
     }
 
-    /** Removes the record of a part that is proved not to have been stored. */
+    /** Removes the record of a part that provably was not stored. */
     public void removeIntent(String upload, int number) {
         ledger.writeBuffered(new Batch().remove(StoredNames.PARTS, key(upload, number)));
     }
 
-    /** Removes all records of an upload that has ended; {@code parts} are the numbers that were recorded of it. */
+    /** Removes all records of an upload that has ended; {@code parts} are the numbers of its recorded parts. */
     public void removeUpload(String upload, Iterable<Integer> parts) {
         ledger.writeBuffered(removals(upload, parts));
     }
 
-    /** Like {@link #removeUpload}, before an upload is aborted; {@code then} receives null on the loop once it is synced. */
+    /** Removes all records of an upload before it is aborted; {@code then} receives null on the loop once that is synced. */
     public void removeUploadSynced(String upload, Iterable<Integer> parts, Consumer<StoreFault> then) {
         ledger.writeSynced(removals(upload, parts), then);
     }
@@ -96,7 +96,7 @@
         return batch;
     }
 
-    /** Records that not all parts of an upload are in memory any more: a missing record proves nothing from now on. */
+    /** Records that some parts of an upload were dropped from memory, so that a missing record proves nothing any more. */
     public void markIncomplete(String upload) {
         ledger.writeBuffered(new Batch().remove(StoredNames.UPLOADS, RecordCodec.key(upload)));
     }
--- a/src/main/java/kelphollow/ledger/RecordCodec.java
+++ b/src/main/java/kelphollow/ledger/RecordCodec.java
@@ -10,8 +10,8 @@
 import kelphollow.protocol.json.Json;
 
 /**
- * Keys and values of the ledger's tables: keys are UTF-8 text, values JSON objects, so that {@code store dump} shows them as
- * they are. Stateless and thread-safe.
+ * Encodes and decodes keys and values of the ledger's tables. Keys are UTF-8 text and values are JSON objects, so that
+ * {@code store dump} shows them unchanged. Stateless and thread-safe.
  */
 final class RecordCodec {
     private static final JsonFactory JSON = new JsonFactory();
@@ -39,7 +39,7 @@
             fields.writeTo(json);
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException(e);   // an array of bytes does not fail
+            throw new UncheckedIOException(e);   // cannot happen: the bytes are written to memory
         }
         return bytes.toByteArray();
     }
@@ -51,7 +51,7 @@
         }
     }
 
-    /** The record in a value; empty if it is none, which only a fault of ours can cause, since values have checksums. */
+    /** Decodes a value. Returns an empty record if it is invalid; only a bug can cause that, since values have checksums. */
     static StoredRecord decode(byte[] value) {
         try {
             return Json.parse(text(value)) instanceof Map<?, ?> fields ? new StoredRecord(fields) : StoredRecord.EMPTY;
--- a/src/main/java/kelphollow/ledger/StoredNames.java
+++ b/src/main/java/kelphollow/ledger/StoredNames.java
@@ -1,15 +1,15 @@
 package kelphollow.ledger;
 
 /**
- * The names in the ledger's part of the store, as they are on disk: tables, keys and fields of records. They are part of
- * the stored format and shown by {@code store dump}, so older words stay; code uses these constants only.
+ * Names of tables, keys and record fields in the ledger's part of the store. They are part of the stored format and shown by
+ * {@code store dump}, so older names must not change; code refers to them only through these constants.
  */
 final class StoredNames {
     /** Table of the gateway's incarnations, with the keys {@link #EPOCH_KEY} and {@link #LOST_KEY}. */
     static final String INCARNATIONS = "life";
     static final String EPOCH_KEY = "epoch";
     static final String LOST_KEY = "lost";
-    /** Table of uploads that were begun here, by upload. */
+    /** Table of uploads that were created through this gateway, by upload. */
     static final String UPLOADS = "uploads";
     /** Table of parts, by {@code UPLOAD#NUMBER}. */
     static final String PARTS = "parts";
@@ -29,21 +29,21 @@
     static final String AT = "at";
     /** The number of the last epoch. */
     static final String LAST_EPOCH = "n";
-    /** Of a part: its size in bytes, digest and entity tag. */
+    /** Fields of a part: its size in bytes, digest and entity tag. */
     static final String SIZE = "size";
     static final String MD5 = "md5";
     static final String ETAG = "etag";
-    /** Of a completion: the digest of its list of parts, and the response. */
+    /** Fields of a completion: the digest of its list of parts, and the response. */
     static final String PART_LIST_DIGEST = "print";
     static final String STATUS = "status";
     static final String CONTENT_TYPE = "type";
     static final String BODY = "body";
-    /** Of a limit: the epoch at whose end it was written, and its tokens. */
+    /** Fields of a limit: the epoch at whose end it was written, and its tokens. */
     static final String END_OF_EPOCH = "endOf";
     static final String TOKENS = "level";
-    /** Of an unsafe request that ran: its outcome. */
+    /** Field of an unsafe request that ran: its outcome. */
     static final String OUTCOME = "outcome";
-    /** Of the endpoint list: its entries, and the fields of each. */
+    /** Fields of the endpoint list: its entries, and the fields of each entry. */
     static final String ENTRIES = "members";
     static final String NODE = "node";
     static final String ZONE = "zone";
--- a/src/main/java/kelphollow/ledger/StoredRecord.java
+++ b/src/main/java/kelphollow/ledger/StoredRecord.java
@@ -4,26 +4,26 @@
 import java.util.List;
 import java.util.Map;
 
-/** The fields of a record as they were read. Immutable if the map is not changed. */
+/** Typed access to the fields of a stored record. Immutable as long as the map is not modified. */
 record StoredRecord(Map<?, ?> fields) {
     static final StoredRecord EMPTY = new StoredRecord(Map.of());
 
-    /** A number, 0 if there is none. */
+    /** Returns a number field, or 0 if there is none. */
     double number(String name) {
         return fields.get(name) instanceof Double number ? number : 0;
     }
 
-    /** A whole number, 0 if there is none. */
+    /** Returns a number field as an integer, or 0 if there is none. */
     long integer(String name) {
         return (long) number(name);
     }
 
-    /** A text, null if there is none. */
+    /** Returns a text field, or null if there is none. */
     String text(String name) {
         return fields.get(name) instanceof String text ? text : null;
     }
 
-    /** A list of records, empty if there is none. */
+    /** Returns a field with a list of records, empty if there is none. */
     List<StoredRecord> records(String name) {
         List<StoredRecord> records = new ArrayList<>();
         if (fields.get(name) instanceof List<?> entries) {
--- a/src/main/java/kelphollow/ledger/package-info.java
+++ b/src/main/java/kelphollow/ledger/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What a gateway keeps beyond its end, as records in the tables of {@link kelphollow.store}. {@link
- * kelphollow.ledger.Ledger} is opened once per incarnation; a class per subject writes and reads its records. {@code
- * StoredNames} has every name that is on disk. Nothing is decided here: {@link kelphollow.recovery} says what records of an
- * earlier incarnation are worth.
+ * State that a gateway keeps across restarts, as records in the tables of {@link kelphollow.store}. {@link
+ * kelphollow.ledger.Ledger} is opened once per incarnation; one class per kind of record writes and reads it. {@code
+ * StoredNames} holds every name that is on disk. Makes no decisions: {@link kelphollow.recovery} determines what the records
+ * of an earlier incarnation prove.
  */
 package kelphollow.ledger;
--- a/src/test/java/kelphollow/ledger/RecordBytesTest.java
+++ b/src/test/java/kelphollow/ledger/RecordBytesTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The bytes of records on disk, which must not change, and that they are read back. */
+/** The stored form of records must not change, and records must be read back. */
 class RecordBytesTest {
     private static final double NOW = 1_000_000;
     private static final String ADDRESS = "\"host\":\"10.0.0.1\",\"port\":80";
@@ -43,7 +43,7 @@
         ledger.close();
     }
 
-    /** All records of a table, as text. */
+    /** Returns all records of a table, as text. */
     private Map<String, String> table(String name) throws IOException, StoreFault {
         Map<String, String> records = new TreeMap<>();
         try (Snapshot snapshot = store.snapshot()) {
@@ -63,7 +63,7 @@
         assertEquals(Map.of("epoch", "{\"n\":1}"), table("life"));
     }
 
-    @Test void aLossIsStoredWithItsTimeAndTheEpochsThatItMayConcern() throws Exception {
+    @Test void aLossIsStoredWithItsTimeAndTheLastEpochItMayAffect() throws Exception {
         Ledger.recordLoss(store, 5);
 
         assertEquals(Map.of("epoch", "{\"n\":1000001}", "lost", "{\"at\":5,\"epoch\":1000001}"), table("life"));
@@ -93,7 +93,7 @@
             "u3", "{\"epoch\":1,\"print\":\"print\",\"status\":200,\"body\":\"<a/>\"}"), table("completions"));
     }
 
-    @Test void limitsAreStoredWithTheEpochAtWhoseEndTheyHeld() throws Exception {
+    @Test void limitsAreStoredWithTheEpochThatEnded() throws Exception {
         ledger.limits().recordFinalTokens(Map.of("v1", 12.5), NOW);
 
         assertEquals(Map.of("v1", "{\"endOf\":1,\"level\":12.5,\"at\":1000000.0}"), table("limits"));
@@ -107,7 +107,7 @@
             table("ingests"));
     }
 
-    @Test void theEndpointListIsStoredWithItsOlderWordsAndReadBack() throws Exception {
+    @Test void theEndpointListIsStoredUnderItsOlderNamesAndReadBack() throws Exception {
         List<ResolvedEndpoint> endpoints = List.of(endpoint("n1", "z1", EndpointState.HEALTHY, 7.5),
             endpoint("n2", null, EndpointState.DRAINING, 0), endpoint("n3", "z2", EndpointState.REMOVED, 0));
 
