--- a/src/bench/java/kelphollow/store/CommitBench.java
+++ b/src/bench/java/kelphollow/store/CommitBench.java
@@ -58,7 +58,7 @@
         for (int i = 0; i < 2; i++) {
             raw[i] = FileChannel.open(folder.resolve("raw" + i), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         }
-        int record = Format.FRAME_HEAD + Operation.lengthOf(2 + 8, VALUE.length);
+        int record = Format.FRAME_HEADER_BYTES + Operation.lengthOf(2 + 8, VALUE.length);
         group = ByteBuffer.allocateDirect(writers * record);
         free = new Semaphore(writers);
     }
--- a/src/bench/java/kelphollow/store/CommitTurns.java
+++ b/src/bench/java/kelphollow/store/CommitTurns.java
@@ -35,7 +35,8 @@
              FileChannel first = open(folder.resolve("raw0"));
              FileChannel second = open(folder.resolve("raw1"))) {
             FileChannel[] raw = {first, second};
-            ByteBuffer record = ByteBuffer.allocateDirect(Format.FRAME_HEAD + Operation.lengthOf(2 + 8, VALUE.length));
+            ByteBuffer record = ByteBuffer.allocateDirect(Format.FRAME_HEADER_BYTES + Operation.lengthOf(2 + 8,
+                VALUE.length));
             Semaphore done = new Semaphore(0);
             int key = 0;
             for (int turn = 0; turn < TURNS; turn++) {
--- a/src/main/java/kelphollow/program/StoreCommand.java
+++ b/src/main/java/kelphollow/program/StoreCommand.java
@@ -44,11 +44,11 @@
         @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             Inspection store = Store.inspect(first(), second(), options(), progress);
             out.println("store id=" + store.store() + " generation=" + store.generation() + " sequence="
-                + store.lastSequence() + " time=" + store.time() + " bytes=" + store.length() + " live=" + store.live());
-            for (Inspection.SegmentLine segment : store.segments()) {
-                out.println("segment id=" + segment.id() + " bytes=" + segment.length() + " operations="
-                    + segment.operations() + " live=" + segment.live() + " sealed=" + segment.sealed() + " hint="
-                    + segment.hint());
+                + store.lastSequence() + " time=" + store.time() + " bytes=" + store.bytes() + " live=" + store.liveBytes());
+            for (Inspection.SegmentSummary segment : store.segments()) {
+                out.println("segment id=" + segment.id() + " bytes=" + segment.bytes() + " operations="
+                    + segment.operations() + " live=" + segment.liveBytes() + " sealed=" + segment.sealed() + " hint="
+                    + segment.hasHint());
             }
             store.tables().forEach((name, keys) -> out.println("table name=" + name + " keys=" + keys));
             return 0;
@@ -69,7 +69,7 @@
                 state = "differs";
                 code = DIFFERS;
             }
-            out.println("state=" + state + " segments=" + store.segments().size() + " bytes=" + store.length());
+            out.println("state=" + state + " segments=" + store.segments().size() + " bytes=" + store.bytes());
             return code;
         }
     }
--- a/src/main/java/kelphollow/store/AtomicFile.java
+++ b/src/main/java/kelphollow/store/AtomicFile.java
@@ -6,7 +6,7 @@
 
 /** Writes files so that they are there completely or not at all, and reads them. Stateless; blocks on the disk. */
 final class AtomicFile {
-    private static final int PIECE_BYTES = 256 * 1024;
+    private static final int CHUNK_BYTES = 256 * 1024;
 
     private AtomicFile() {}
 
@@ -28,7 +28,7 @@
 
     /** The contents of a file, empty if there is none. */
     static byte[] read(Disk disk, String name) throws IOException {
-        if (!disk.has(name)) {
+        if (!disk.exists(name)) {
             return new byte[0];
         }
         try (Disk.File file = disk.open(name)) {
@@ -38,7 +38,7 @@
 
     /** Like {@link #read(Disk, String)}, but returns {@code expected} itself, without a copy, if the file equals it. */
     static byte[] read(Disk disk, String name, byte[] expected) throws IOException {
-        if (!disk.has(name)) {
+        if (!disk.exists(name)) {
             return new byte[0];
         }
         try (Disk.File file = disk.open(name)) {
@@ -50,12 +50,12 @@
         if (file.size() != expected.length) {
             return false;
         }
-        ByteBuffer piece = ByteBuffer.allocate(Math.min(expected.length, PIECE_BYTES));
-        for (int at = 0; at < expected.length; at += piece.position()) {
-            piece.clear().limit(Math.min(PIECE_BYTES, expected.length - at));
-            file.read(piece, at);
-            int end = at + piece.position();
-            if (piece.hasRemaining() || !Arrays.equals(piece.array(), 0, piece.position(), expected, at, end)) {
+        ByteBuffer chunk = ByteBuffer.allocate(Math.min(expected.length, CHUNK_BYTES));
+        for (int at = 0; at < expected.length; at += chunk.position()) {
+            chunk.clear().limit(Math.min(CHUNK_BYTES, expected.length - at));
+            file.read(chunk, at);
+            int end = at + chunk.position();
+            if (chunk.hasRemaining() || !Arrays.equals(chunk.array(), 0, chunk.position(), expected, at, end)) {
                 return false;
             }
         }
--- a/src/main/java/kelphollow/store/Batch.java
+++ b/src/main/java/kelphollow/store/Batch.java
@@ -57,7 +57,7 @@
 
     /** Its length in a segment, without the names of new tables. */
     long bytes() {
-        return Format.FRAME_HEAD + operationBytes;
+        return Format.FRAME_HEADER_BYTES + operationBytes;
     }
 
     /** Whether it changes nothing. */
--- a/src/main/java/kelphollow/store/CommitLog.java
+++ b/src/main/java/kelphollow/store/CommitLog.java
@@ -98,12 +98,12 @@
             bytes += Operation.lengthOf(Tables.NUMBER_BYTES + name.getBytes(StandardCharsets.UTF_8).length,
                 Tables.NUMBER_BYTES);
         }
-        makeRoom(bytes);
+        rotateIfFull(bytes);
         if (syncedUpTo > markedUpTo && out.isEmpty()) {
             writeMarker(false);
         }
         sequence++;
-        int frame = out.begin(bytes - Format.FRAME_HEAD);
+        int frame = out.begin(bytes - Format.FRAME_HEADER_BYTES);
         for (String name : newTables) {
             addOperation(Operation.PUT, Tables.nameKey(name), tables.add(name), 0);
         }
@@ -113,7 +113,7 @@
         out.end(frame, Format.BATCH, sequence, active.id(), active.length() + frame);
     }
 
-    private void makeRoom(long bytes) throws IOException {
+    private void rotateIfFull(long bytes) throws IOException {
         if (active == null) {
             rotate();
         } else if (active.length() + out.length() + bytes > options.segmentBytes()
@@ -219,7 +219,7 @@
         }
         Segment next = Segment.create(segments.disks(), manifest.store(), newSegment(), sequence + 1);
         entries.add(next.activeEntry());
-        adopt(entries);
+        installManifest(entries);
         writtenBytes += COPIES * next.length();
         usage.setSegment(next.id(), next.firstSequence(), next.length(), false);
         active = next;
@@ -230,7 +230,7 @@
     }
 
     /** Puts a list of segments in force. */
-    private void adopt(List<Manifest.Entry> entries) throws IOException {
+    private void installManifest(List<Manifest.Entry> entries) throws IOException {
         manifest = new Manifest(manifest.store(), manifest.generation() + 1, nextSegment, sequence + 1,
             time, List.copyOf(entries));
         manifest.replace(segments.disks());
@@ -259,10 +259,10 @@
     }
 
     /** Puts the hint of a sealed segment in force. */
-    void adoptHint(long segment, SegmentHint hint) throws IOException {
+    void installHint(long segment, SegmentHint hint) throws IOException {
         List<Manifest.Entry> entries = new ArrayList<>(manifest.segments());
         entries.replaceAll(entry -> entry.id() == segment ? entry.withHint(hint.bytes().length, hint.crc()) : entry);
-        adopt(entries);
+        installManifest(entries);
     }
 
     /** Puts compacted segments in the place of others. Keys that were written meanwhile keep their new locations. */
@@ -273,7 +273,7 @@
         List<Manifest.Entry> entries = new ArrayList<>(manifest.segments());
         entries.removeIf(entry -> replaced.contains(entry.id()));
         entries.addAll(0, output.entries());
-        adopt(entries);
+        installManifest(entries);
         for (Manifest.Entry entry : output.entries()) {
             usage.setSegment(entry.id(), entry.firstSequence(), entry.length(), true);
             usage.addTombstones(entry.id(), output.tombstoneBytes(entry.id()));
--- a/src/main/java/kelphollow/store/CompactionOutput.java
+++ b/src/main/java/kelphollow/store/CompactionOutput.java
@@ -66,7 +66,7 @@
     /** Adds an operation to the frame at hand and returns its place there. */
     private int add(Operation operation) throws IOException, StoreFault {
         if (current != null && current.length() + frame.length() + operation.length() > segmentBytes
-            && current.length() + frame.length() > Format.SEGMENT_HEADER + Format.FRAME_HEAD) {
+            && current.length() + frame.length() > Format.SEGMENT_HEADER_BYTES + Format.FRAME_HEADER_BYTES) {
             finish();
         }
         if (current == null) {
--- a/src/main/java/kelphollow/store/Compactor.java
+++ b/src/main/java/kelphollow/store/Compactor.java
@@ -13,7 +13,7 @@
  * piece of work at a time, whoever asks.
  */
 final class Compactor implements Runnable {
-    private static final int MAX_EXPIRED_AT_ONCE = 1_000;
+    private static final int MAX_EXPIRED_KEYS_PER_BATCH = 1_000;
     private static final long PAUSE_MILLIS = 1_000;
 
     private final SegmentSet segments;
@@ -97,7 +97,7 @@
         for (Manifest.Entry entry : writer.call(CommitLog::manifest).segments()) {
             if (entry.isSealed() && entry.hintLength() == 0 && entry.operations() > 0) {
                 SegmentHint hint = sealed.writeHint(entry.id(), sealed.read(entry));
-                writer.run(log -> log.adoptHint(entry.id(), hint));
+                writer.run(log -> log.installHint(entry.id(), hint));
                 return true;
             }
         }
@@ -110,7 +110,7 @@
         for (Index.Entry entry : segments.index().entriesFrom(new byte[0])) {
             if (entry.location().isExpired(now)) {
                 expired.add(entry.key());
-                if (expired.size() == MAX_EXPIRED_AT_ONCE) {
+                if (expired.size() == MAX_EXPIRED_KEYS_PER_BATCH) {
                     break;
                 }
             }
@@ -121,13 +121,13 @@
     // ---------------------------------------------------------------- compaction
 
     /** What to compact: the numbers of the segments, and the manifest's entries at that time. */
-    private record Choice(List<Long> victims, List<Manifest.Entry> entries) {}
+    private record Selection(List<Long> victims, List<Manifest.Entry> entries) {}
 
     private boolean compact() throws IOException, StoreFault {
         long segmentBytes = options.segmentBytes();
-        Choice choice =
-            writer.call(log -> new Choice(log.usage().choose(segmentBytes), log.manifest().segments()));
-        return !choice.victims.isEmpty() && compact(choice);
+        Selection selection =
+            writer.call(log -> new Selection(log.usage().choose(segmentBytes), log.manifest().segments()));
+        return !selection.victims.isEmpty() && compact(selection);
     }
 
     /** Compacts all sealed segments, whatever is live in them; false if there is none. */
@@ -136,17 +136,17 @@
         try {
             List<Manifest.Entry> entries = writer.call(CommitLog::manifest).segments();
             List<Long> all = entries.stream().filter(Manifest.Entry::isSealed).map(Manifest.Entry::id).toList();
-            return !all.isEmpty() && compact(new Choice(all, entries));
+            return !all.isEmpty() && compact(new Selection(all, entries));
         } finally {
             busy.unlock();
         }
     }
 
-    private boolean compact(Choice choice) throws IOException, StoreFault {
+    private boolean compact(Selection selection) throws IOException, StoreFault {
         long firstSequence = Long.MAX_VALUE;
         long oldestElsewhere = Long.MAX_VALUE;
-        for (Manifest.Entry entry : choice.entries) {
-            if (choice.victims.contains(entry.id())) {
+        for (Manifest.Entry entry : selection.entries) {
+            if (selection.victims.contains(entry.id())) {
                 firstSequence = Math.min(firstSequence, entry.firstSequence());
             } else {
                 oldestElsewhere = Math.min(oldestElsewhere, entry.firstSequence());
@@ -156,13 +156,13 @@
             firstSequence);
         boolean inForce = false;
         try {
-            for (Manifest.Entry entry : choice.entries) {
-                if (choice.victims.contains(entry.id())) {
+            for (Manifest.Entry entry : selection.entries) {
+                if (selection.victims.contains(entry.id())) {
                     copy(entry, output, oldestElsewhere);
                 }
             }
             output.finish();
-            writer.run(log -> log.replace(choice.victims, output));
+            writer.run(log -> log.replace(selection.victims, output));
             inForce = true;
         } finally {
             if (!inForce) {
--- a/src/main/java/kelphollow/store/Disk.java
+++ b/src/main/java/kelphollow/store/Disk.java
@@ -12,7 +12,7 @@
  */
 public interface Disk {
     /** Where it is, for messages. */
-    String place();
+    String path();
 
     /** Makes sure that the folder exists and can be used. */
     void prepare() throws IOException;
@@ -21,7 +21,7 @@
     Set<String> names() throws IOException;
 
     /** Whether there is a file of this name. */
-    default boolean has(String name) throws IOException {
+    default boolean exists(String name) throws IOException {
         return names().contains(name);
     }
 
--- a/src/main/java/kelphollow/store/FolderDisk.java
+++ b/src/main/java/kelphollow/store/FolderDisk.java
@@ -26,7 +26,7 @@
         this.folder = folder;
     }
 
-    @Override public String place() {
+    @Override public String path() {
         return folder.toString();
     }
 
@@ -45,7 +45,7 @@
         return names;
     }
 
-    @Override public boolean has(String name) {
+    @Override public boolean exists(String name) {
         return Files.exists(folder.resolve(name));
     }
 
--- a/src/main/java/kelphollow/store/FolderFiles.java
+++ b/src/main/java/kelphollow/store/FolderFiles.java
@@ -10,7 +10,7 @@
  */
 final class FolderFiles {
     /** Suffix of a file that is about to replace another one; part of the format on disk, so it keeps its older name. */
-    static final String REPLACEMENT = ".heal";
+    static final String REPLACEMENT_SUFFIX = ".heal";
     /** A folder of the file system itself, at the root of a volume. */
     private static final String LOST_AND_FOUND = "lost+found";
 
@@ -19,16 +19,16 @@
     /** Rejects a folder that has other files and in which this store has nothing yet. */
     static void rejectForeignFiles(Disk disk, boolean hasManifest) throws IOException, StoreFault {
         for (String name : disk.names()) {
-            if (!isOurs(name) && !hasManifest) {
-                throw new StoreFault(StoreFault.Kind.FOREIGN_FILES, disk.place() + "/" + name
-                    + " is not the store's, and " + disk.place() + " is no store yet: it must be empty");
+            if (!isStoreFile(name) && !hasManifest) {
+                throw new StoreFault(StoreFault.Kind.FOREIGN_FILES, disk.path() + "/" + name
+                    + " is not the store's, and " + disk.path() + " is no store yet: it must be empty");
             }
         }
     }
 
-    private static boolean isOurs(String name) {
+    private static boolean isStoreFile(String name) {
         return name.equals(FolderLocks.FILE_NAME) || name.equals(Manifest.NAME) || name.equals(Manifest.NEW_NAME)
-            || name.equals(LOST_AND_FOUND) || Format.idOf(name) >= 0 || name.endsWith(REPLACEMENT);
+            || name.equals(LOST_AND_FOUND) || Format.idOf(name) >= 0 || name.endsWith(REPLACEMENT_SUFFIX);
     }
 
     /** Deletes files that were begun for a manifest that never came into force, or replaced by one that did. */
@@ -55,7 +55,7 @@
     }
 
     private static boolean isTemporary(String name) {
-        return name.equals(Manifest.NEW_NAME) || name.endsWith(REPLACEMENT)
-            && Format.idOf(name.substring(0, name.length() - REPLACEMENT.length())) >= 0;
+        return name.equals(Manifest.NEW_NAME) || name.endsWith(REPLACEMENT_SUFFIX)
+            && Format.idOf(name.substring(0, name.length() - REPLACEMENT_SUFFIX.length())) >= 0;
     }
 }
--- a/src/main/java/kelphollow/store/FolderLocks.java
+++ b/src/main/java/kelphollow/store/FolderLocks.java
@@ -37,10 +37,10 @@
 
     private void add(Disk disk) throws IOException, StoreFault {
         disk.prepare();
-        FolderFiles.rejectForeignFiles(disk, disk.has(Manifest.NAME));
+        FolderFiles.rejectForeignFiles(disk, disk.exists(Manifest.NAME));
         Closeable lock = disk.lock(FILE_NAME);
         if (lock == null) {
-            throw new StoreFault(StoreFault.Kind.LOCKED, disk.place() + " is held by a running program");
+            throw new StoreFault(StoreFault.Kind.LOCKED, disk.path() + " is held by a running program");
         }
         locks.add(lock);
     }
--- a/src/main/java/kelphollow/store/Format.java
+++ b/src/main/java/kelphollow/store/Format.java
@@ -21,8 +21,8 @@
     static final byte[] HINT_MAGIC = magic("KHHNT");
     static final String SEGMENT_SUFFIX = ".seg";
     static final String HINT_SUFFIX = ".hint";
-    static final int SEGMENT_HEADER = 64;
-    static final int FRAME_HEAD = 24;
+    static final int SEGMENT_HEADER_BYTES = 64;
+    static final int FRAME_HEADER_BYTES = 24;
     /** Type of a frame: a caller's batch. */
     static final byte BATCH = 1;
     /** Type of a frame: operations moved by compaction. */
@@ -31,7 +31,7 @@
     static final byte COMMIT_MARKER = 3;
     /** Flag of a commit marker: the store was closed, or recovered, here. */
     static final byte CLEAN = 1;
-    static final int COMMIT_MARKER_PAYLOAD = 8;
+    static final int COMMIT_MARKER_PAYLOAD_BYTES = 8;
 
     /** Where a segment's header has its number and first sequence. */
     static final int SEGMENT_ID_AT = 32;
@@ -47,7 +47,7 @@
     private static final int FRAME_RESERVED_AT = 6;
     private static final int FRAME_SEQUENCE_AT = 8;
     private static final int FRAME_PAYLOAD_CRC_AT = 16;
-    private static final int FRAME_HEAD_CRC_AT = 20;
+    private static final int FRAME_HEADER_CRC_AT = 20;
 
     private Format() {}
 
@@ -88,10 +88,10 @@
     // ---------------------------------------------------------------- headers
 
     static byte[] segmentHeader(StoreId store, long id, long firstSequence) {
-        ByteBuffer header = ByteBuffer.allocate(SEGMENT_HEADER);
+        ByteBuffer header = ByteBuffer.allocate(SEGMENT_HEADER_BYTES);
         header.put(SEGMENT_MAGIC).putInt(VERSION).putInt(0).putLong(store.high()).putLong(store.low());
         header.putLong(id).putLong(firstSequence).putLong(0).putInt(0);
-        header.putInt(crc(header.array(), 0, SEGMENT_HEADER - CHECKSUM_BYTES));
+        header.putInt(crc(header.array(), 0, SEGMENT_HEADER_BYTES - CHECKSUM_BYTES));
         return header.array();
     }
 
@@ -136,24 +136,25 @@
 
     // ---------------------------------------------------------------- frames
 
-    /** Writes the head of a frame whose payload is in the buffer from {@code at + FRAME_HEAD} to its position. */
-    static void sealFrame(ByteBuffer buffer, int at, byte type, byte flags, long sequence, long segment, long offset) {
-        int length = buffer.position() - at - FRAME_HEAD;
+    /** Writes the head of a frame whose payload is in the buffer from {@code at + FRAME_HEADER_BYTES} to its position. */
+    static void writeFrameHeader(ByteBuffer buffer, int at, byte type, byte flags, long sequence, long segment,
+        long offset) {
+        int length = buffer.position() - at - FRAME_HEADER_BYTES;
         buffer.putInt(at, length).put(at + FRAME_TYPE_AT, type).put(at + FRAME_FLAGS_AT, flags)
             .putShort(at + FRAME_RESERVED_AT, (short) 0).putLong(at + FRAME_SEQUENCE_AT, sequence);
         CRC32C crc = new CRC32C();
         ByteBuffer payload = buffer.duplicate();
-        payload.limit(buffer.position()).position(at + FRAME_HEAD);
+        payload.limit(buffer.position()).position(at + FRAME_HEADER_BYTES);
         crc.update(payload);
         buffer.putInt(at + FRAME_PAYLOAD_CRC_AT, (int) crc.getValue());
-        byte[] head = new byte[FRAME_HEAD_CRC_AT];
+        byte[] head = new byte[FRAME_HEADER_CRC_AT];
         buffer.get(at, head);
-        buffer.putInt(at + FRAME_HEAD_CRC_AT, headCrc(head, 0, segment, offset));
+        buffer.putInt(at + FRAME_HEADER_CRC_AT, headerCrc(head, 0, segment, offset));
     }
 
-    private static int headCrc(byte[] bytes, int at, long segment, long offset) {
+    private static int headerCrc(byte[] bytes, int at, long segment, long offset) {
         CRC32C crc = new CRC32C();
-        crc.update(bytes, at, FRAME_HEAD_CRC_AT);
+        crc.update(bytes, at, FRAME_HEADER_CRC_AT);
         for (int shift = Long.SIZE - Byte.SIZE; shift >= 0; shift -= Byte.SIZE) {
             crc.update((int) (segment >>> shift) & 0xff);
         }
@@ -164,12 +165,12 @@
     }
 
     /** Whether an intact frame head is here, in its own place; its length may still point beyond the bytes. */
-    static boolean isFrameHead(byte[] bytes, int at, int end, long segment) {
-        if (at < 0 || end - at < FRAME_HEAD || bytes[at + FRAME_TYPE_AT] < BATCH
+    static boolean isFrameHeader(byte[] bytes, int at, int end, long segment) {
+        if (at < 0 || end - at < FRAME_HEADER_BYTES || bytes[at + FRAME_TYPE_AT] < BATCH
             || bytes[at + FRAME_TYPE_AT] > COMMIT_MARKER || int16(bytes, at + FRAME_RESERVED_AT) != 0) {
             return false;
         }
-        return int32(bytes, at + FRAME_HEAD_CRC_AT) == headCrc(bytes, at, segment, at);
+        return int32(bytes, at + FRAME_HEADER_CRC_AT) == headerCrc(bytes, at, segment, at);
     }
 
     /** The frame whose intact head is here. */
@@ -183,7 +184,7 @@
         return int32(bytes, frameAt + FRAME_PAYLOAD_CRC_AT);
     }
 
-    static boolean isPayload(byte[] bytes, int at, int end, int length, int crc) {
+    static boolean isPayloadValid(byte[] bytes, int at, int end, int length, int crc) {
         return length >= 0 && end - at >= length && crc(bytes, at, length) == crc;
     }
 
--- a/src/main/java/kelphollow/store/FrameWriter.java
+++ b/src/main/java/kelphollow/store/FrameWriter.java
@@ -40,9 +40,9 @@
 
     /** Begins a frame with a payload of this many bytes and returns its place in the buffer. */
     int begin(long payload) {
-        ensureRoom(Format.FRAME_HEAD + payload);
+        ensureRoom(Format.FRAME_HEADER_BYTES + payload);
         int at = buffer.position();
-        buffer.position(at + Format.FRAME_HEAD);
+        buffer.position(at + Format.FRAME_HEADER_BYTES);
         return at;
     }
 
@@ -64,20 +64,20 @@
 
     /** Ends the frame that begins at this place in the buffer and will be at this offset of the segment. */
     void end(int at, byte type, long sequence, long segment, long offset) {
-        Format.sealFrame(buffer, at, type, (byte) 0, sequence, segment, offset);
+        Format.writeFrameHeader(buffer, at, type, (byte) 0, sequence, segment, offset);
     }
 
     /** Adds a marker which says that all up to this sequence is synced in both copies. */
     void commitMarker(long syncedUpTo, long time, boolean clean, long segment, long offset) {
-        int at = begin(Format.COMMIT_MARKER_PAYLOAD);
+        int at = begin(Format.COMMIT_MARKER_PAYLOAD_BYTES);
         buffer.putLong(time);
-        Format.sealFrame(buffer, at, Format.COMMIT_MARKER, clean ? Format.CLEAN : 0, syncedUpTo, segment, offset);
+        Format.writeFrameHeader(buffer, at, Format.COMMIT_MARKER, clean ? Format.CLEAN : 0, syncedUpTo, segment, offset);
     }
 
     /** Copies a frame of another segment, with a head for its new place. */
     void copy(byte[] image, SegmentMerge.Frame frame, long segment, long offset) {
         int at = begin(frame.length());
         buffer.put(image, frame.payloadAt(), frame.length());
-        Format.sealFrame(buffer, at, frame.type(), frame.flags(), frame.sequence(), segment, offset);
+        Format.writeFrameHeader(buffer, at, frame.type(), frame.flags(), frame.sequence(), segment, offset);
     }
 }
--- a/src/main/java/kelphollow/store/HintRange.java
+++ b/src/main/java/kelphollow/store/HintRange.java
@@ -14,8 +14,8 @@
     /** Eight bytes of the key at each cursor, behind the prefix that all keys of the range have in common. */
     private final long[] prefixes;
     private final int[] heap;
-    private final long[] live;
-    private final IndexRun run = new IndexRun();
+    private final long[] liveBytes;
+    private final IndexLeafBuilder leafBuilder = new IndexLeafBuilder();
     private int heapSize;
     private int commonPrefix;
 
@@ -25,7 +25,7 @@
         this.end = end;
         this.prefixes = new long[from.length];
         this.heap = new int[from.length];
-        this.live = new long[from.length];
+        this.liveBytes = new long[from.length];
     }
 
     /** Merges the positions {@code from} to {@code end} of each hint. */
@@ -38,13 +38,13 @@
     }
 
     /** The merged keys. */
-    IndexRun run() {
-        return run;
+    IndexLeafBuilder leafBuilder() {
+        return leafBuilder;
     }
 
     /** Bytes of live operations in a hint's segment. */
-    long live(int hint) {
-        return live[hint];
+    long liveBytes(int hint) {
+        return liveBytes[hint];
     }
 
     /** The common prefix of all keys is that of the least and the greatest. */
@@ -92,8 +92,8 @@
                 lastPosition = position;
                 lastPrefix = prefixes[top];
                 if (hint.kind(position) == Operation.PUT) {
-                    hint.addTo(run, position);
-                    live[top] += hint.length(position);
+                    hint.addTo(leafBuilder, position);
+                    liveBytes[top] += hint.length(position);
                 }
             }
             if (next[top] < end[top]) {
@@ -104,7 +104,7 @@
             }
             siftDown(0);
         }
-        run.finish();
+        leafBuilder.finish();
     }
 
     private void siftDown(int from) {
--- a/src/main/java/kelphollow/store/Index.java
+++ b/src/main/java/kelphollow/store/Index.java
@@ -41,10 +41,10 @@
         this.size = size;
     }
 
-    /** An index of these runs; the keys of each must be greater than those of the run before it. */
-    static Index of(List<IndexRun> runs) {
-        IndexLeaf[] all = runs.stream().flatMap(run -> run.leaves().stream()).toArray(IndexLeaf[]::new);
-        return new Index(all, runs.stream().mapToInt(IndexRun::size).sum());
+    /** An index of the leaves of these builders; the keys of each must be greater than those of the builder before it. */
+    static Index of(List<IndexLeafBuilder> builders) {
+        IndexLeaf[] all = builders.stream().flatMap(builder -> builder.leaves().stream()).toArray(IndexLeaf[]::new);
+        return new Index(all, builders.stream().mapToInt(IndexLeafBuilder::size).sum());
     }
 
     int size() {
--- a/src/main/java/kelphollow/store/IndexEditor.java
+++ b/src/main/java/kelphollow/store/IndexEditor.java
@@ -45,7 +45,7 @@
         int position = Index.leafFor(leaves, leafCount, key);
         int slot = leaves[position].find(key);
         if (slot >= 0) {
-            IndexLeaf leaf = owned(position, 0, 0);
+            IndexLeaf leaf = writableLeaf(position, 0, 0);
             Index.Location old = leaf.location(slot);
             leaf.set(slot, location);
             return old;
@@ -56,7 +56,7 @@
             position = Index.leafFor(leaves, leafCount, key);
             slot = IndexLeaf.insertionSlot(leaves[position].find(key));
         }
-        owned(position, 1, key.length).insert(slot, key, location);
+        writableLeaf(position, 1, key.length).insert(slot, key, location);
         size++;
         return null;
     }
@@ -68,7 +68,7 @@
         if (slot < 0) {
             return null;
         }
-        IndexLeaf leaf = owned(position, 0, 0);
+        IndexLeaf leaf = writableLeaf(position, 0, 0);
         Index.Location old = leaf.location(slot);
         leaf.remove(slot);
         size--;
@@ -81,7 +81,7 @@
     }
 
     /** The leaf as one that this editor may change, with room for this many more keys and bytes. */
-    private IndexLeaf owned(int position, int moreKeys, int moreKeyBytes) {
+    private IndexLeaf writableLeaf(int position, int moreKeys, int moreKeyBytes) {
         IndexLeaf leaf = leaves[position];
         if (leaf.isOwnedBy(owner) && (moreKeys == 0 || leaf.hasRoomFor(moreKeyBytes))) {
             return leaf;
--- a/src/main/java/kelphollow/store/IndexRun.java
+++ b/src/main/java/kelphollow/store/IndexLeafBuilder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Builds the leaves of an {@link Index} from distinct keys in ascending order. Confined to one thread. */
-final class IndexRun {
+final class IndexLeafBuilder {
     /** Keys in a leaf: three quarters of what it can hold, so that later keys between them need no split. */
     private static final int KEYS_PER_LEAF = IndexLeaf.MAX_KEYS * 3 / 4;
     private final List<IndexLeaf> leaves = new ArrayList<>();
--- a/src/main/java/kelphollow/store/IndexLoader.java
+++ b/src/main/java/kelphollow/store/IndexLoader.java
@@ -18,51 +18,51 @@
     private static final int RANGES_PER_PROCESSOR = 2;
 
     private final List<SegmentHint> hints = new ArrayList<>();
-    private final Map<Long, Long> live = new HashMap<>();
-    private final Map<Long, Long> tombstones = new HashMap<>();
+    private final Map<Long, Long> liveBytes = new HashMap<>();
+    private final Map<Long, Long> tombstoneBytes = new HashMap<>();
 
     void add(SegmentHint hint) {
         hints.add(hint);
-        tombstones.merge(hint.segment(), hint.tombstoneBytes(), Long::sum);
+        tombstoneBytes.merge(hint.segment(), hint.tombstoneBytes(), Long::sum);
     }
 
     Index build() {
         long operations = hints.stream().mapToLong(SegmentHint::count).sum();
         int ranges = operations < MIN_PARALLEL_OPERATIONS ? 1
             : RANGES_PER_PROCESSOR * Runtime.getRuntime().availableProcessors();
-        int[][] cuts = cuts(ranges);
+        int[][] bounds = bounds(ranges);
         List<HintRange> merged = IntStream.range(0, ranges).parallel()
-            .mapToObj(range -> HintRange.merge(hints, cuts[range], cuts[range + 1])).toList();
+            .mapToObj(range -> HintRange.merge(hints, bounds[range], bounds[range + 1])).toList();
         for (HintRange range : merged) {
             for (int i = 0; i < hints.size(); i++) {
-                live.merge(hints.get(i).segment(), range.live(i), Long::sum);
+                liveBytes.merge(hints.get(i).segment(), range.liveBytes(i), Long::sum);
             }
         }
-        Index index = Index.of(merged.stream().map(HintRange::run).toList());
+        Index index = Index.of(merged.stream().map(HintRange::leafBuilder).toList());
         hints.clear();
         return index;
     }
 
     /** Where each range begins in each hint; all operations on one key fall into one range. */
-    private int[][] cuts(int ranges) {
+    private int[][] bounds(int ranges) {
         SegmentHint longest = hints.stream().max(Comparator.comparingInt(SegmentHint::count)).orElse(null);
-        int[][] cuts = new int[ranges + 1][hints.size()];
+        int[][] bounds = new int[ranges + 1][hints.size()];
         for (int range = 1; range <= ranges; range++) {
             byte[] key = range == ranges ? null : longest.key((int) ((long) longest.count() * range / ranges));
             for (int i = 0; i < hints.size(); i++) {
-                cuts[range][i] = key == null ? hints.get(i).count() : hints.get(i).lowerBound(key);
+                bounds[range][i] = key == null ? hints.get(i).count() : hints.get(i).lowerBound(key);
             }
         }
-        return cuts;
+        return bounds;
     }
 
     /** Bytes of live operations by segment; complete after {@link #build}. */
-    Map<Long, Long> live() {
-        return live;
+    Map<Long, Long> liveBytes() {
+        return liveBytes;
     }
 
     /** Bytes of removals by segment. */
-    Map<Long, Long> tombstones() {
-        return tombstones;
+    Map<Long, Long> tombstoneBytes() {
+        return tombstoneBytes;
     }
 }
--- a/src/main/java/kelphollow/store/Inspection.java
+++ b/src/main/java/kelphollow/store/Inspection.java
@@ -11,8 +11,8 @@
  * @param tables number of keys by table
  * @param report what an opening would repair, and what is lost
  */
-public record Inspection(String store, long generation, long time, long lastSequence, long length, long live,
-                         List<SegmentLine> segments, Map<String, Integer> tables, IntegrityReport report) {
+public record Inspection(String store, long generation, long time, long lastSequence, long bytes, long liveBytes,
+                         List<SegmentSummary> segments, Map<String, Integer> tables, IntegrityReport report) {
     /** One segment; {@code sealed} is false for the one that is written to, {@code hint} says that it has a hint file. */
-    public record SegmentLine(long id, long length, int operations, long live, boolean sealed, boolean hint) {}
+    public record SegmentSummary(long id, long bytes, int operations, long liveBytes, boolean sealed, boolean hasHint) {}
 }
--- a/src/main/java/kelphollow/store/Manifest.java
+++ b/src/main/java/kelphollow/store/Manifest.java
@@ -19,11 +19,11 @@
     static final String NAME = "MANIFEST";
     /** Name of the file that is about to replace the manifest. */
     static final String NEW_NAME = "MANIFEST.new";
-    private static final int HEAD = 72;
+    private static final int HEADER_BYTES = 72;
     private static final int COUNT_AT = 12;
     private static final int STORE_AT = 16;
-    private static final int ENTRY = 48;
-    private static final int ENTRY_RESERVED = 12;
+    private static final int ENTRY_BYTES = 48;
+    private static final int ENTRY_RESERVED_BYTES = 12;
     private static final int CHECKSUM_BYTES = 4;
 
     /**
@@ -44,7 +44,7 @@
     }
 
     byte[] bytes() {
-        ByteBuffer file = ByteBuffer.allocate(HEAD + segments.size() * ENTRY + CHECKSUM_BYTES);
+        ByteBuffer file = ByteBuffer.allocate(HEADER_BYTES + segments.size() * ENTRY_BYTES + CHECKSUM_BYTES);
         file.put(Format.MANIFEST_MAGIC).putInt(Format.VERSION).putInt(segments.size());
         file.putLong(store.high()).putLong(store.low());
         file.putLong(generation).putLong(nextSegment).putLong(nextSequence).putLong(time).putLong(0);
@@ -57,17 +57,17 @@
     }
 
     /** A folder's manifest file; {@code manifest} is null unless {@code state} is VALID. */
-    record Found(Manifest manifest, Format.HeaderState state) {}
+    record ReadResult(Manifest manifest, Format.HeaderState state) {}
 
-    static Found read(byte[] bytes) {
-        Format.HeaderState state = bytes.length < HEAD + CHECKSUM_BYTES ? Format.HeaderState.DAMAGED
+    static ReadResult read(byte[] bytes) {
+        Format.HeaderState state = bytes.length < HEADER_BYTES + CHECKSUM_BYTES ? Format.HeaderState.DAMAGED
             : Format.headerState(bytes, Format.MANIFEST_MAGIC, null, bytes.length);
         if (state != Format.HeaderState.VALID) {
-            return new Found(null, state);
+            return new ReadResult(null, state);
         }
         int count = Format.int32(bytes, COUNT_AT);
-        if (bytes.length != HEAD + count * (long) ENTRY + CHECKSUM_BYTES) {
-            return new Found(null, Format.HeaderState.DAMAGED);
+        if (bytes.length != HEADER_BYTES + count * (long) ENTRY_BYTES + CHECKSUM_BYTES) {
+            return new ReadResult(null, Format.HeaderState.DAMAGED);
         }
         ByteBuffer file = ByteBuffer.wrap(bytes).position(STORE_AT);
         StoreId store = new StoreId(file.getLong(), file.getLong());
@@ -75,14 +75,14 @@
         long nextSegment = file.getLong();
         long nextSequence = file.getLong();
         long time = file.getLong();
-        file.position(HEAD);
+        file.position(HEADER_BYTES);
         List<Entry> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             entries.add(new Entry(file.getLong(), file.getLong(), file.getLong(), file.getInt(), file.getInt(),
                 file.getInt()));
-            file.position(file.position() + ENTRY_RESERVED);
+            file.position(file.position() + ENTRY_RESERVED_BYTES);
         }
-        return new Found(new Manifest(store, generation, nextSegment, nextSequence, time, List.copyOf(entries)),
+        return new ReadResult(new Manifest(store, generation, nextSegment, nextSequence, time, List.copyOf(entries)),
             Format.HeaderState.VALID);
     }
 
--- a/src/main/java/kelphollow/store/ManifestRecovery.java
+++ b/src/main/java/kelphollow/store/ManifestRecovery.java
@@ -32,7 +32,7 @@
     /** The manifest in force, which both folders have from here on unless this is an inspection. */
     Manifest recover() throws IOException, StoreFault {
         byte[][] files = new byte[disks.length][];
-        Manifest.Found[] found = new Manifest.Found[disks.length];
+        Manifest.ReadResult[] found = new Manifest.ReadResult[disks.length];
         Manifest manifest = null;
         for (int i = 0; i < disks.length; i++) {
             files[i] = AtomicFile.read(disks[i], Manifest.NAME);
@@ -51,7 +51,7 @@
         return manifest;
     }
 
-    private Manifest higherGeneration(Manifest known, Manifest.Found found, Disk disk) throws StoreFault {
+    private Manifest higherGeneration(Manifest known, Manifest.ReadResult found, Disk disk) throws StoreFault {
         if (found.state() == Format.HeaderState.OTHER_VERSION) {
             throw new StoreFault(StoreFault.Kind.UNSUPPORTED_VERSION, path(disk, Manifest.NAME)
                 + " has a format version other than " + Format.VERSION);
@@ -61,8 +61,8 @@
             return known == null ? other : known;
         }
         if (!other.store().equals(known.store())) {
-            throw new StoreFault(StoreFault.Kind.FOREIGN_FILES, disks[0].place() + " holds the store " + known.store()
-                + ", " + disk.place() + " the store " + other.store());
+            throw new StoreFault(StoreFault.Kind.FOREIGN_FILES, disks[0].path() + " holds the store " + known.store()
+                + ", " + disk.path() + " the store " + other.store());
         }
         return other.generation() > known.generation() ? other : known;
     }
@@ -101,7 +101,7 @@
         if (mode != RecoveryMode.INSPECT) {
             manifest.replace(disks);
         }
-        report.add(IntegrityReport.Kind.CREATED, disks[0].place(), "store " + manifest.store());
+        report.add(IntegrityReport.Kind.CREATED, disks[0].path(), "store " + manifest.store());
         return manifest;
     }
 
@@ -127,8 +127,8 @@
             }
         }
         if (store == null) {
-            throw new StoreFault(StoreFault.Kind.DAMAGED, "no segment in " + disks[0].place() + " or "
-                + disks[1].place() + " tells which store it belongs to");
+            throw new StoreFault(StoreFault.Kind.DAMAGED, "no segment in " + disks[0].path() + " or "
+                + disks[1].path() + " tells which store it belongs to");
         }
         long last = entries.keySet().stream().mapToLong(Long::longValue).max().orElse(0);
         return new Manifest(store, FIRST_GENERATION, last + 1, 1, now, List.copyOf(entries.values()));
@@ -140,11 +140,11 @@
             return null;
         }
         byte[] file = AtomicFile.read(disk, name);
-        return Format.headerState(file, Format.SEGMENT_MAGIC, null, Format.SEGMENT_HEADER) == Format.HeaderState.VALID
+        return Format.headerState(file, Format.SEGMENT_MAGIC, null, Format.SEGMENT_HEADER_BYTES) == Format.HeaderState.VALID
             ? file : null;
     }
 
     private static String path(Disk disk, String name) {
-        return disk.place() + "/" + name;
+        return disk.path() + "/" + name;
     }
 }
--- a/src/main/java/kelphollow/store/Scrubber.java
+++ b/src/main/java/kelphollow/store/Scrubber.java
@@ -44,8 +44,8 @@
         for (int i = 0; i < disks.length; i++) {
             if (!intact[i]) {
                 segment.repair(i, merge.image());
-                report.addRepaired(disks[i].place() + "/" + Format.segmentName(entry.id()),
-                    "from " + disks[1 - i].place());
+                report.addRepaired(disks[i].path() + "/" + Format.segmentName(entry.id()),
+                    "from " + disks[1 - i].path());
                 repaired++;
             }
         }
@@ -58,8 +58,8 @@
         int repaired = 0;
         for (Disk disk : segments.disks()) {
             if (AtomicFile.read(disk, name, expected) != expected) {
-                AtomicFile.replace(disk, name, name + FolderFiles.REPLACEMENT, expected);
-                report.addRepaired(disk.place() + "/" + name, "from " + Format.segmentName(entry.id()));
+                AtomicFile.replace(disk, name, name + FolderFiles.REPLACEMENT_SUFFIX, expected);
+                report.addRepaired(disk.path() + "/" + name, "from " + Format.segmentName(entry.id()));
                 repaired++;
             }
         }
--- a/src/main/java/kelphollow/store/Segment.java
+++ b/src/main/java/kelphollow/store/Segment.java
@@ -47,7 +47,7 @@
             close(files);
             throw e;
         }
-        return new Segment(id, disks, files, firstSequence, Format.SEGMENT_HEADER);
+        return new Segment(id, disks, files, firstSequence, Format.SEGMENT_HEADER_BYTES);
     }
 
     /** Opens a segment that is in both folders; {@code length} and {@code operations} are as recovery found them. */
@@ -188,7 +188,7 @@
     /** Whether the headers of both copies are this segment's. */
     boolean hasHeader(StoreId store) throws IOException {
         for (Disk.File file : files) {
-            ByteBuffer header = ByteBuffer.allocate(Format.SEGMENT_HEADER);
+            ByteBuffer header = ByteBuffer.allocate(Format.SEGMENT_HEADER_BYTES);
             file.read(header, 0);
             if (!Arrays.equals(header.array(), Format.segmentHeader(store, id, firstSequence))) {
                 return false;
@@ -205,7 +205,7 @@
     /** Replaces one copy by what it should be. A read in progress there falls back to the other copy. */
     void repair(int copy, byte[] image) throws IOException {
         String name = Format.segmentName(id);
-        AtomicFile.replace(disks[copy], name, name + FolderFiles.REPLACEMENT, image);
+        AtomicFile.replace(disks[copy], name, name + FolderFiles.REPLACEMENT_SUFFIX, image);
         Disk.File old = files[copy];
         files[copy] = disks[copy].open(name);
         old.close();
--- a/src/main/java/kelphollow/store/SegmentHint.java
+++ b/src/main/java/kelphollow/store/SegmentHint.java
@@ -234,7 +234,7 @@
     }
 
     /** Adds the key and its location to an index without an object for either. */
-    void addTo(IndexRun run, int position) {
+    void addTo(IndexLeafBuilder run, int position) {
         run.add(bytes, keyAt(position), keyEnd(position), (int) segment, offset(position), length(position),
             sequence(position), expiresAt(position));
     }
--- a/src/main/java/kelphollow/store/SegmentInspection.java
+++ b/src/main/java/kelphollow/store/SegmentInspection.java
@@ -91,9 +91,9 @@
     }
 
     private static void checkVersion(byte[] copy, Disk disk, String name) throws StoreFault {
-        if (Format.headerState(copy, Format.SEGMENT_MAGIC, null, Format.SEGMENT_HEADER)
+        if (Format.headerState(copy, Format.SEGMENT_MAGIC, null, Format.SEGMENT_HEADER_BYTES)
             == Format.HeaderState.OTHER_VERSION) {
-            throw new StoreFault(StoreFault.Kind.UNSUPPORTED_VERSION, disk.place() + "/" + name
+            throw new StoreFault(StoreFault.Kind.UNSUPPORTED_VERSION, disk.path() + "/" + name
                 + " has a format version other than " + Format.VERSION);
         }
     }
--- a/src/main/java/kelphollow/store/SegmentMerge.java
+++ b/src/main/java/kelphollow/store/SegmentMerge.java
@@ -16,7 +16,7 @@
     /** One frame of the merged image. */
     record Frame(int at, byte type, byte flags, long sequence, int length) {
         int payloadAt() {
-            return at + Format.FRAME_HEAD;
+            return at + Format.FRAME_HEADER_BYTES;
         }
 
         int end() {
@@ -74,7 +74,7 @@
     }
 
     private void readFrames() {
-        int at = Format.SEGMENT_HEADER;
+        int at = Format.SEGMENT_HEADER_BYTES;
         while (at < length) {
             Frame frame = frameAt(at);
             if (frame == null && !isSealed && !isSyncedBeyond(at)) {
@@ -118,7 +118,7 @@
         Frame frame = Format.frame(head, at);
         if (frame.length < 0 || frame.length > length - frame.payloadAt()
             || frame.type == Format.BATCH && frame.sequence <= lastSequence
-            || frame.type == Format.COMMIT_MARKER && frame.length != Format.COMMIT_MARKER_PAYLOAD) {
+            || frame.type == Format.COMMIT_MARKER && frame.length != Format.COMMIT_MARKER_PAYLOAD_BYTES) {
             return null;
         }
         byte[] payload = copyWithPayload(frame, Format.payloadCrc(head, at));
@@ -126,24 +126,24 @@
             return null;
         }
         if (image != first) {
-            System.arraycopy(head, at, image, at, Format.FRAME_HEAD);
+            System.arraycopy(head, at, image, at, Format.FRAME_HEADER_BYTES);
             System.arraycopy(payload, frame.payloadAt(), image, frame.payloadAt(), frame.length);
         }
         return frame;
     }
 
     private byte[] copyWithHead(int at) {
-        if (Format.isFrameHead(first, at, Math.min(length, first.length), segment)) {
+        if (Format.isFrameHeader(first, at, Math.min(length, first.length), segment)) {
             return first;
         }
-        return !copiesAreEqual && Format.isFrameHead(second, at, Math.min(length, second.length), segment) ? second : null;
+        return !copiesAreEqual && Format.isFrameHeader(second, at, Math.min(length, second.length), segment) ? second : null;
     }
 
     private byte[] copyWithPayload(Frame frame, int crc) {
-        if (Format.isPayload(first, frame.payloadAt(), first.length, frame.length, crc)) {
+        if (Format.isPayloadValid(first, frame.payloadAt(), first.length, frame.length, crc)) {
             return first;
         }
-        return !copiesAreEqual && Format.isPayload(second, frame.payloadAt(), second.length, frame.length, crc) ? second
+        return !copiesAreEqual && Format.isPayloadValid(second, frame.payloadAt(), second.length, frame.length, crc) ? second
             : null;
     }
 
@@ -162,7 +162,7 @@
 
     /** The next intact frame beyond a place that is damaged. A head is valid in its own place only, so none is made up. */
     private Frame nextFrame(int at) {
-        for (int i = at + 1; i + Format.FRAME_HEAD <= length; i++) {
+        for (int i = at + 1; i + Format.FRAME_HEADER_BYTES <= length; i++) {
             Frame frame = frameAt(i);
             if (frame != null) {
                 return frame;
--- a/src/main/java/kelphollow/store/SegmentRecovery.java
+++ b/src/main/java/kelphollow/store/SegmentRecovery.java
@@ -88,7 +88,7 @@
             sizes.put(entry.id(), new Size(merge.image().length, inspection.hint().count()));
             return entry;
         }
-        boolean complete = merge.damages().isEmpty() && merge.image().length >= Format.SEGMENT_HEADER;
+        boolean complete = merge.damages().isEmpty() && merge.image().length >= Format.SEGMENT_HEADER_BYTES;
         if (!complete && mode == RecoveryMode.REJECT_LOSS) {
             return entry;
         }
@@ -102,7 +102,7 @@
     private void reportMerge(SegmentMerge merge, String name) {
         for (SegmentMerge.Damage damage : merge.damages()) {
             report.add(IntegrityReport.Kind.DAMAGED, path(disks[0], name), damage.at(), damage.sequence(), "to offset "
-                + damage.end() + ", and the same in " + disks[1].place());
+                + damage.end() + ", and the same in " + disks[1].path());
         }
         if (merge.truncatedBytes() > 0) {
             report.add(IntegrityReport.Kind.TRUNCATED, path(disks[0], name), merge.image().length,
@@ -133,8 +133,8 @@
         byte[][] copies = {inspection.first(), inspection.second()};
         for (int i = 0; i < disks.length; i++) {
             if (!intact[i]) {
-                AtomicFile.replace(disks[i], name, name + FolderFiles.REPLACEMENT, merge.image());
-                report.addRepaired(path(disks[i], name), "from " + disks[1 - i].place() + ", had " + copies[i].length
+                AtomicFile.replace(disks[i], name, name + FolderFiles.REPLACEMENT_SUFFIX, merge.image());
+                report.addRepaired(path(disks[i], name), "from " + disks[1 - i].path() + ", had " + copies[i].length
                     + " bytes of " + merge.image().length);
             }
         }
@@ -156,7 +156,7 @@
     /** Opens a sealed segment whose hint and size are right; its bytes are checked when read, and by scrubbing. */
     private boolean openByHint(Manifest.Entry entry, SegmentHint hint, boolean[] hintFilesIntact) throws IOException {
         for (Disk disk : disks) {
-            if (!disk.has(Format.segmentName(entry.id()))) {
+            if (!disk.exists(Format.segmentName(entry.id()))) {
                 return false;
             }
         }
@@ -170,7 +170,7 @@
         String name = Format.hintName(entry.id());
         for (int i = 0; i < disks.length; i++) {
             if (!hintFilesIntact[i]) {
-                AtomicFile.replace(disks[i], name, name + FolderFiles.REPLACEMENT, hint.bytes());
+                AtomicFile.replace(disks[i], name, name + FolderFiles.REPLACEMENT_SUFFIX, hint.bytes());
                 report.addRepaired(path(disks[i], name), "hint");
             }
         }
@@ -191,7 +191,7 @@
         String name = Format.hintName(entry.id());
         for (Disk disk : disks) {
             if (!Arrays.equals(hint.bytes(), AtomicFile.read(disk, name))) {
-                AtomicFile.replace(disk, name, name + FolderFiles.REPLACEMENT, hint.bytes());
+                AtomicFile.replace(disk, name, name + FolderFiles.REPLACEMENT_SUFFIX, hint.bytes());
                 if (after.equals(before)) {
                     report.addRepaired(path(disk, name), "hint");
                 }
@@ -259,6 +259,6 @@
     }
 
     private static String path(Disk disk, String name) {
-        return disk.place() + "/" + name;
+        return disk.path() + "/" + name;
     }
 }
--- a/src/main/java/kelphollow/store/SegmentSet.java
+++ b/src/main/java/kelphollow/store/SegmentSet.java
@@ -101,7 +101,7 @@
 
     /** The fault for a record that is intact in neither copy. */
     StoreFault damagedRecord(Segment segment, long offset, long sequence) {
-        return new StoreFault(StoreFault.Kind.DAMAGED, disks[0].place() + "/" + Format.segmentName(segment.id())
+        return new StoreFault(StoreFault.Kind.DAMAGED, disks[0].path() + "/" + Format.segmentName(segment.id())
             + " offset=" + offset + " sequence=" + sequence + " is whole in neither copy");
     }
 
--- a/src/main/java/kelphollow/store/SegmentUsage.java
+++ b/src/main/java/kelphollow/store/SegmentUsage.java
@@ -142,7 +142,7 @@
 
     /** How long a segment with these operations becomes. Guards against compacting for ever what is mostly heads. */
     private static long writtenLength(long operations) {
-        return operations == 0 ? 0 : Format.SEGMENT_HEADER + operations
-            + Format.FRAME_HEAD * (1 + operations / CompactionOutput.FRAME_BYTES);
+        return operations == 0 ? 0 : Format.SEGMENT_HEADER_BYTES + operations
+            + Format.FRAME_HEADER_BYTES * (1 + operations / CompactionOutput.FRAME_BYTES);
     }
 }
--- a/src/main/java/kelphollow/store/Store.java
+++ b/src/main/java/kelphollow/store/Store.java
@@ -107,8 +107,8 @@
     public static Inspection inspect(Disk first, Disk second, StoreOptions options, ProgressListener progress)
         throws IOException, StoreFault {
         Disk[] disks = {first, second};
-        if (!first.has(Manifest.NAME) && !second.has(Manifest.NAME)) {
-            throw new StoreFault(StoreFault.Kind.FOREIGN_FILES, first.place() + " and " + second.place()
+        if (!first.exists(Manifest.NAME) && !second.exists(Manifest.NAME)) {
+            throw new StoreFault(StoreFault.Kind.FOREIGN_FILES, first.path() + " and " + second.path()
                 + " hold no " + Manifest.NAME + ": there is no store");
         }
         try (FolderLocks held = FolderLocks.acquire(disks)) {
--- a/src/main/java/kelphollow/store/StoreOpener.java
+++ b/src/main/java/kelphollow/store/StoreOpener.java
@@ -121,8 +121,8 @@
         for (Manifest.Entry entry : manifest.segments()) {
             Segment segment = segments.get(entry.id());
             usage.setSegment(entry.id(), entry.firstSequence(), segment.length(), entry.isSealed());
-            usage.addTombstones(entry.id(), loader.tombstones().getOrDefault(entry.id(), 0L));
-            usage.addLive(entry.id(), loader.live().getOrDefault(entry.id(), 0L));
+            usage.addTombstones(entry.id(), loader.tombstoneBytes().getOrDefault(entry.id(), 0L));
+            usage.addLive(entry.id(), loader.liveBytes().getOrDefault(entry.id(), 0L));
         }
         return usage;
     }
@@ -135,12 +135,12 @@
                 tables.merge(tableNames.getOrDefault(Tables.numberOf(entry.key()), UNKNOWN_TABLE), 1, Integer::sum);
             }
         }
-        Map<Long, Long> live = recovery.loader().live();
-        List<Inspection.SegmentLine> lines = new ArrayList<>();
+        Map<Long, Long> live = recovery.loader().liveBytes();
+        List<Inspection.SegmentSummary> lines = new ArrayList<>();
         long length = 0;
         for (Manifest.Entry entry : manifest.segments()) {
             SegmentRecovery.Size size = recovery.size(entry.id());
-            lines.add(new Inspection.SegmentLine(entry.id(), size.bytes(), size.operations(),
+            lines.add(new Inspection.SegmentSummary(entry.id(), size.bytes(), size.operations(),
                 live.getOrDefault(entry.id(), 0L), entry.isSealed(), entry.hintLength() > 0));
             length += size.bytes();
         }
--- a/src/test/java/kelphollow/store/CrashTest.java
+++ b/src/test/java/kelphollow/store/CrashTest.java
@@ -106,9 +106,9 @@
         return workload.harness.first.faults.operations;
     }
 
-    private static Faults at(int operation, Faults.Kind kind) {
+    private static Faults faultsFrom(int operation, Faults.Kind kind) {
         Faults faults = new Faults();
-        faults.at = operation;
+        faults.firstFailing = operation;
         faults.kind = kind;
         return faults;
     }
@@ -117,7 +117,7 @@
         int operations = operationsOfWorkload();
         assertTrue(operations > 300, "operations " + operations);
         IntStream.rangeClosed(1, operations).parallel().forEach(operation -> {
-            Workload workload = new Workload(at(operation, Faults.Kind.POWER_CUT));
+            Workload workload = new Workload(faultsFrom(operation, Faults.Kind.POWER_CUT));
             workload.run();
             for (int seed = 0; seed < SEEDS; seed++) {
                 assertRecovers(workload, new Random(operation * 1_000L + seed),
@@ -150,13 +150,13 @@
     @Test void aRecoveryThatIsCutOffAtAnyOperationCanBeRepeated() {
         int operations = operationsOfWorkload();
         IntStream.rangeClosed(1, operations / 7).map(n -> n * 7).parallel().forEach(operation -> {
-            Workload workload = new Workload(at(operation, Faults.Kind.POWER_CUT));
+            Workload workload = new Workload(faultsFrom(operation, Faults.Kind.POWER_CUT));
             workload.run();
             Random random = new Random(operation);
             MemoryDisk first = workload.harness.first.afterPowerCut(random);
             MemoryDisk second = workload.harness.second.afterPowerCut(random);
             for (int recoveryOperation = 1; recoveryOperation < 1_000; recoveryOperation++) {
-                Faults faults = at(recoveryOperation, Faults.Kind.POWER_CUT);
+                Faults faults = faultsFrom(recoveryOperation, Faults.Kind.POWER_CUT);
                 StoreHarness harness = new StoreHarness().on(first.copy(faults), second.copy(faults));
                 harness.options = workload.harness.options;
                 try {
@@ -177,7 +177,7 @@
     @ParameterizedTest @EnumSource(names = "POWER_CUT", mode = EnumSource.Mode.EXCLUDE) void aFailingDiskLosesNothing(
         Faults.Kind kind) {
         IntStream.rangeClosed(1, operationsOfWorkload()).parallel().forEach(operation -> {
-            Workload workload = new Workload(at(operation, kind));
+            Workload workload = new Workload(faultsFrom(operation, kind));
             workload.run();
             String context = kind + " at operation " + operation;
             try {
@@ -198,10 +198,10 @@
         Faults faults = harness.first.faults;
 
         faults.kind = Faults.Kind.SYNC_FAILS;
-        faults.at = faults.operations;
+        faults.firstFailing = faults.operations;
         assertEquals(StoreFault.Kind.IO_FAILURE, harness.put("t", "b", "2").kind());
         List<String> before = harness.first.names(".seg");
-        faults.at = Integer.MAX_VALUE;
+        faults.firstFailing = Integer.MAX_VALUE;
         assertEquals(StoreFault.Kind.IO_FAILURE, harness.put("t", "c", "3").kind(), "also when the disk works again");
         harness.killAndReopen();
 
@@ -219,9 +219,9 @@
         Faults faults = harness.first.faults;
 
         faults.kind = Faults.Kind.NO_SPACE;
-        faults.at = faults.operations;
+        faults.firstFailing = faults.operations;
         assertThrows(IOException.class, () -> harness.store.compactAll());
-        faults.at = Integer.MAX_VALUE;
+        faults.firstFailing = Integer.MAX_VALUE;
 
         assertNull(harness.put("t", "after", "1"));
         harness.store.runMaintenance();
--- a/src/test/java/kelphollow/store/CutDisk.java
+++ b/src/test/java/kelphollow/store/CrashingDisk.java
@@ -9,47 +9,47 @@
  * A folder whose process ends at a chosen append: half of that append's bytes reach the file, and nothing after it
  * reaches any folder of the same process. Reading goes on. For one thread.
  */
-final class CutDisk implements Disk {
+final class CrashingDisk implements Disk {
     /** The process that writes to both folders, and where it ends. */
     static final class Process {
-        private final Runnable atCut;
+        private final Runnable onCrash;
         private String folder;
         private String nameEnding;
-        private boolean cut;
+        private boolean crashed;
 
-        /** @param atCut called once half of the append is written, for a process that ends for real */
-        Process(Runnable atCut) {
-            this.atCut = atCut;
+        /** @param onCrash called once half of the append is written, for a process that ends for real */
+        Process(Runnable onCrash) {
+            this.onCrash = onCrash;
         }
 
         /** Ends the process at the next append in this folder to a file whose name ends like this. */
-        void cutAt(String inFolder, String toNameEnding) {
+        void crashAt(String inFolder, String toNameEnding) {
             folder = inFolder;
             nameEnding = toNameEnding;
         }
 
-        private void requireRunning() throws Cut {
-            if (cut) {
-                throw new Cut();
+        private void requireRunning() throws ProcessEnded {
+            if (crashed) {
+                throw new ProcessEnded();
             }
         }
 
-        private boolean endsAt(String inFolder, String name) {
+        private boolean crashesAt(String inFolder, String name) {
             return folder != null && folder.equals(inFolder) && name.endsWith(nameEnding);
         }
 
-        private void end() throws Cut {
-            cut = true;
-            atCut.run();
-            throw new Cut();
+        private void crash() throws ProcessEnded {
+            crashed = true;
+            onCrash.run();
+            throw new ProcessEnded();
         }
     }
 
     /** The process has ended: nothing is written any more. */
-    static final class Cut extends IOException {
+    static final class ProcessEnded extends IOException {
         private static final long serialVersionUID = 1;
 
-        Cut() {
+        ProcessEnded() {
             super("the process has ended");
         }
     }
@@ -59,17 +59,17 @@
     private final Process process;
 
     /**
-     * @param folder the name by which {@link Process#cutAt} knows this folder
+     * @param folder the name by which {@link Process#crashAt} knows this folder
      * @param disk what is written to until the cut
      */
-    CutDisk(String folder, Disk disk, Process process) {
+    CrashingDisk(String folder, Disk disk, Process process) {
         this.folder = folder;
         this.disk = disk;
         this.process = process;
     }
 
-    @Override public String place() {
-        return disk.place();
+    @Override public String path() {
+        return disk.path();
     }
 
     @Override public void prepare() throws IOException {
@@ -82,11 +82,11 @@
 
     @Override public File create(String name) throws IOException {
         process.requireRunning();
-        return new CutFile(name, disk.create(name));
+        return new CrashingFile(name, disk.create(name));
     }
 
     @Override public File open(String name) throws IOException {
-        return new CutFile(name, disk.open(name));
+        return new CrashingFile(name, disk.open(name));
     }
 
     @Override public void rename(String from, String to) throws IOException {
@@ -108,11 +108,11 @@
         return disk.lock(name);
     }
 
-    private final class CutFile implements File {
+    private final class CrashingFile implements File {
         private final String name;
         private final File file;
 
-        CutFile(String name, File file) {
+        CrashingFile(String name, File file) {
             this.name = name;
             this.file = file;
         }
@@ -127,9 +127,9 @@
 
         @Override public void append(ByteBuffer bytes) throws IOException {
             process.requireRunning();
-            if (process.endsAt(folder, name)) {
+            if (process.crashesAt(folder, name)) {
                 file.append(bytes.slice(bytes.position(), bytes.remaining() / 2));
-                process.end();
+                process.crash();
             }
             file.append(bytes);
         }
--- a/src/test/java/kelphollow/store/EveryByteTest.java
+++ b/src/test/java/kelphollow/store/EveryByteTest.java
@@ -26,7 +26,7 @@
     private static final int BITS = Integer.getInteger("kelphollow.bits", 2);
     /** How large the store is; larger in the profile {@code campaign}. */
     private static final int STEPS = Integer.getInteger("kelphollow.steps", 30);
-    private static final int STEPS_OF_CAMPAIGN = 30;
+    private static final int DEFAULT_STEPS = 30;
 
     /** A store with every kind of record, several segments, hints, and a compaction behind it. */
     private static StoreHarness sample(boolean closed, StoreOptions options, int steps) throws Exception {
@@ -102,7 +102,7 @@
                 assertRepaired(sample, side, name, Arrays.copyOf(intact, intact.length + 700), "700 zeros appended");
             }
         }
-        if (STEPS > STEPS_OF_CAMPAIGN) {
+        if (STEPS > DEFAULT_STEPS) {
             System.out.println(openings + " damaged stores of " + sample.first.names().size()
                 + " files in each folder, " + bits + " bits of each byte: all recovered");
         }
@@ -213,8 +213,8 @@
         MemoryDisk first = sample.first.copy(new MemoryDisk.Faults());
         MemoryDisk second = sample.second.copy(new MemoryDisk.Faults());
 
-        first.bytes(name)[Format.SEGMENT_HEADER + 9] ^= 1;                       // the head here
-        second.bytes(name)[Format.SEGMENT_HEADER + Format.FRAME_HEAD + 9] ^= 1;  // its payload there
+        first.bytes(name)[Format.SEGMENT_HEADER_BYTES + 9] ^= 1;                       // the head here
+        second.bytes(name)[Format.SEGMENT_HEADER_BYTES + Format.FRAME_HEADER_BYTES + 9] ^= 1;  // its payload there
 
         assertRepaired(sample, first, second, "head in one, payload in the other");
     }
@@ -225,7 +225,7 @@
         StoreHarness sample = sample(false, StoreHarness.SMALL, 24);
         for (String name : sample.first.names(".seg")) {
             byte[] bytes = sample.first.bytes(name).clone();
-            ByteBuffer.wrap(bytes).putInt(Format.SEGMENT_HEADER, length);
+            ByteBuffer.wrap(bytes).putInt(Format.SEGMENT_HEADER_BYTES, length);
             assertRepaired(sample, 0, name, bytes, "length " + length);
         }
     }
--- a/src/test/java/kelphollow/store/KillTest.java
+++ b/src/test/java/kelphollow/store/KillTest.java
@@ -26,7 +26,7 @@
 class KillTest {
     private static final int KILLS = Integer.getInteger("kelphollow.kills", 12);
     /** Stores that are killed in parallel. */
-    private static final int LANES = Integer.getInteger("kelphollow.kill.lanes", 4);
+    private static final int PARALLEL_STORES = Integer.getInteger("kelphollow.kill.lanes", 4);
     @TempDir
     Path folder;
 
@@ -39,28 +39,28 @@
     }
 
     @Test void sigkillLosesNothingAcknowledgedAndInventsNothing() throws Exception {
-        ExecutorService executor = Executors.newFixedThreadPool(LANES);
+        ExecutorService executor = Executors.newFixedThreadPool(PARALLEL_STORES);
         long acknowledged = 0;
         try {
-            List<Future<Long>> lanes = new ArrayList<>();
-            for (int i = 0; i < LANES; i++) {
-                Lane lane = new Lane(i, folder);
-                lanes.add(executor.submit(() -> lane.run(KILLS / LANES)));
+            List<Future<Long>> runs = new ArrayList<>();
+            for (int i = 0; i < PARALLEL_STORES; i++) {
+                KilledStore store = new KilledStore(i, folder);
+                runs.add(executor.submit(() -> store.run(KILLS / PARALLEL_STORES)));
             }
-            for (Future<Long> lane : lanes) {
-                acknowledged += lane.get();
+            for (Future<Long> run : runs) {
+                acknowledged += run.get();
             }
         } finally {
             executor.shutdown();
-            assertTrue(executor.awaitTermination(1, TimeUnit.HOURS), "all lanes have ended");
+            assertTrue(executor.awaitTermination(1, TimeUnit.HOURS), "all kill loops have ended");
         }
-        System.out.println(KILLS / LANES * LANES + " kills, " + acknowledged
+        System.out.println(KILLS / PARALLEL_STORES * PARALLEL_STORES + " kills, " + acknowledged
             + " writes acknowledged, none lost, none invented");
         assertTrue(acknowledged > 10 * KILLS, "the writers came to write: " + acknowledged);
     }
 
     /** One store, and the processes that write it one after the other. Confined to one thread. */
-    private static final class Lane {
+    private static final class KilledStore {
         private static final int MAX_OUTPUT_BYTES = 12_000;
         private final int number;
         private final Path first;
@@ -70,11 +70,11 @@
         private final Map<String, Key> keys = new HashMap<>();
         private long acknowledged;
 
-        Lane(int number, Path folder) {
+        KilledStore(int number, Path folder) {
             this.number = number;
             this.first = folder.resolve(number + "a");
             this.second = folder.resolve(number + "b");
-            this.output = folder.resolve(number + "said");
+            this.output = folder.resolve(number + "output");
             this.random = new Random(number);
         }
 
@@ -90,7 +90,7 @@
                 }
                 child.destroyForcibly().waitFor();
                 readOutput();
-                assertKept("lane " + number + ", kill " + incarnation);
+                assertKept("store " + number + ", kill " + incarnation);
             }
             return acknowledged;
         }
--- a/src/test/java/kelphollow/store/MemoryDisk.java
+++ b/src/test/java/kelphollow/store/MemoryDisk.java
@@ -28,7 +28,7 @@
         /** Operations so far. */
         int operations;
         /** The number of the first operation that fails. */
-        int at = Integer.MAX_VALUE;
+        int firstFailing = Integer.MAX_VALUE;
         Kind kind = Kind.POWER_CUT;
         private boolean hasPower = true;
 
@@ -40,7 +40,7 @@
                 throw new PowerCut();
             }
             operations++;
-            if (operations < at) {
+            if (operations < firstFailing) {
                 return null;
             }
             if (kind == Kind.POWER_CUT) {
@@ -78,7 +78,7 @@
         }
     }
 
-    private static final int MAX_PIECE_BYTES = 48;
+    private static final int MAX_CHUNK_BYTES = 48;
 
     private interface NameChange {
         void apply(Map<String, Node> names);
@@ -86,7 +86,7 @@
 
     /** The faults of this disk. */
     final Faults faults;
-    private final String place;
+    private final String path;
     /** The writer, the compactor and the sync of the second copy are threads of their own. */
     private final Object monitor;
     private final Map<String, Node> names = new TreeMap<>();
@@ -94,15 +94,15 @@
     private final List<NameChange> unsyncedChanges = new ArrayList<>();
     private boolean locked;
 
-    MemoryDisk(String place, Faults faults) {
-        this.place = place;
+    MemoryDisk(String path, Faults faults) {
+        this.path = path;
         this.faults = faults;
         this.monitor = faults;
     }
 
     /** A disk with the same bytes, all of them synced, and no lock. */
     MemoryDisk copy(Faults newFaults) {
-        MemoryDisk copy = new MemoryDisk(place, newFaults);
+        MemoryDisk copy = new MemoryDisk(path, newFaults);
         names.forEach((name, node) -> copy.set(name, node.bytes.clone()));
         return copy;
     }
@@ -115,19 +115,19 @@
                 change.apply(left);
             }
         }
-        MemoryDisk after = new MemoryDisk(place, new Faults());
-        left.forEach((name, node) -> after.set(name, remains(node, random)));
+        MemoryDisk after = new MemoryDisk(path, new Faults());
+        left.forEach((name, node) -> after.set(name, afterPowerCut(node, random)));
         return after;
     }
 
     /** What was not synced is there up to some length, and each piece of it as written, as zeros, or as noise. */
-    private static byte[] remains(Node node, Random random) {
+    private static byte[] afterPowerCut(Node node, Random random) {
         int length = node.synced + random.nextInt(node.bytes.length - node.synced + 1);
         byte[] left = Arrays.copyOf(node.bytes, length);
         boolean inOrder = random.nextBoolean();
         int at = node.synced;
         while (at < length && !inOrder) {
-            int end = Math.min(length, at + 1 + random.nextInt(MAX_PIECE_BYTES));
+            int end = Math.min(length, at + 1 + random.nextInt(MAX_CHUNK_BYTES));
             switch (random.nextInt(4)) {
                 case 0 -> Arrays.fill(left, at, end, (byte) 0);
                 case 1 -> {
@@ -171,8 +171,8 @@
         return names().stream().filter(name -> name.endsWith(suffix)).toList();
     }
 
-    @Override public String place() {
-        return place;
+    @Override public String path() {
+        return path;
     }
 
     @Override public void prepare() {}
@@ -188,14 +188,14 @@
             if (names.containsKey(name)) {
                 throw new IOException(name + " exists already");
             }
-            failIfDue();
+            failIfFaulty();
             Node node = new Node();
             change(current -> current.put(name, node));
-            return new Handle(node);
+            return new OpenFile(node);
         }
     }
 
-    private void failIfDue() throws IOException {
+    private void failIfFaulty() throws IOException {
         if (faults.next(Faults.Operation.OTHER) != null) {
             throw new IOException("input/output error");
         }
@@ -212,13 +212,13 @@
             if (node == null) {
                 throw new IOException(name + " does not exist");
             }
-            return new Handle(node);
+            return new OpenFile(node);
         }
     }
 
     @Override public void rename(String from, String to) throws IOException {
         synchronized (monitor) {
-            failIfDue();
+            failIfFaulty();
             change(current -> {
                 Node node = current.remove(from);
                 if (node != null) {
@@ -231,7 +231,7 @@
     @Override public void delete(String name) throws IOException {
         synchronized (monitor) {
             if (names.containsKey(name)) {
-                failIfDue();
+                failIfFaulty();
                 change(current -> current.remove(name));
             }
         }
@@ -256,10 +256,10 @@
         return () -> locked = false;
     }
 
-    private final class Handle implements File {
+    private final class OpenFile implements File {
         private final Node node;
 
-        Handle(Node node) {
+        OpenFile(Node node) {
             this.node = node;
         }
 
--- a/src/test/java/kelphollow/store/RecordedStore.java
+++ b/src/test/java/kelphollow/store/RecordedStore.java
@@ -60,14 +60,14 @@
      * @param atCut called where the process ends, if it does
      */
     void write(Path store, Runnable atCut) throws IOException, StoreFault {
-        CutDisk.Process process = new CutDisk.Process(atCut);
-        Disk first = new CutDisk("a", new FolderDisk(store.resolve("a")), process);
-        Disk second = new CutDisk("b", new FolderDisk(store.resolve("b")), process);
+        CrashingDisk.Process process = new CrashingDisk.Process(atCut);
+        Disk first = new CrashingDisk("a", new FolderDisk(store.resolve("a")), process);
+        Disk second = new CrashingDisk("b", new FolderDisk(store.resolve("b")), process);
         long[] now = {START};
         try (Store open = Store.open(first, second, OPTIONS, () -> now[0])) {
             fill(open, now);
             if (cutFolder != null) {
-                process.cutAt(cutFolder, cutNameEnding);
+                process.crashAt(cutFolder, cutNameEnding);
             }
             end(open);
         }
--- a/src/test/java/kelphollow/store/StoreTest.java
+++ b/src/test/java/kelphollow/store/StoreTest.java
@@ -238,10 +238,10 @@
         assertNull(write(store, "before"));
 
         faults[failing].kind = MemoryDisk.Faults.Kind.SYNC_FAILS;
-        faults[failing].at = faults[failing].operations;
-        assertEquals(StoreFault.Kind.IO_FAILURE, write(store, "during").kind(), disks[failing].place());
-        faults[failing].at = Integer.MAX_VALUE;
-        assertEquals(StoreFault.Kind.IO_FAILURE, write(store, "after").kind(), disks[failing].place());
+        faults[failing].firstFailing = faults[failing].operations;
+        assertEquals(StoreFault.Kind.IO_FAILURE, write(store, "during").kind(), disks[failing].path());
+        faults[failing].firstFailing = Integer.MAX_VALUE;
+        assertEquals(StoreFault.Kind.IO_FAILURE, write(store, "after").kind(), disks[failing].path());
         store.close();
 
         MemoryDisk.Faults none = new MemoryDisk.Faults();
--- a/src/test/java/kelphollow/store/StoredFormatTest.java
+++ b/src/test/java/kelphollow/store/StoredFormatTest.java
@@ -139,11 +139,11 @@
         List<String> lines = findings(inspection.report(), store);
         lines.add("damaged=" + inspection.report().isDamaged());
         lines.add("store id=" + inspection.store() + " generation=" + inspection.generation() + " sequence="
-            + inspection.lastSequence() + " time=" + inspection.time() + " bytes=" + inspection.length() + " live="
-            + inspection.live());
-        for (Inspection.SegmentLine segment : inspection.segments()) {
-            lines.add("segment id=" + segment.id() + " bytes=" + segment.length() + " operations=" + segment.operations()
-                + " live=" + segment.live() + " sealed=" + segment.sealed() + " hint=" + segment.hint());
+            + inspection.lastSequence() + " time=" + inspection.time() + " bytes=" + inspection.bytes() + " live="
+            + inspection.liveBytes());
+        for (Inspection.SegmentSummary segment : inspection.segments()) {
+            lines.add("segment id=" + segment.id() + " bytes=" + segment.bytes() + " operations=" + segment.operations()
+                + " live=" + segment.liveBytes() + " sealed=" + segment.sealed() + " hint=" + segment.hasHint());
         }
         inspection.tables().forEach((table, keys) -> lines.add("table name=" + table + " keys=" + keys));
         return lines;
