--- a/src/main/java/kelphollow/store/AtomicFile.java
+++ b/src/main/java/kelphollow/store/AtomicFile.java
@@ -4,13 +4,13 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Writes files so that they are there completely or not at all, and reads them. Stateless; blocks on the disk. */
+/** Reads whole files and replaces them atomically. Stateless; blocks on the disk. */
 final class AtomicFile {
     private static final int CHUNK_BYTES = 256 * 1024;
 
     private AtomicFile() {}
 
-    /** Writes and syncs a new file; one of that name left by a crash is replaced. */
+    /** Writes and syncs a new file. Deletes a file of that name first, since a crash may have left a partial one. */
     static void write(Disk disk, String name, byte[] bytes) throws IOException {
         disk.delete(name);
         try (Disk.File file = disk.create(name)) {
@@ -19,14 +19,14 @@
         }
     }
 
-    /** Writes and syncs under the temporary name first, and only then renames it. */
+    /** Replaces a file atomically: writes and syncs the temporary file, renames it, and syncs the folder. */
     static void replace(Disk disk, String name, String temporaryName, byte[] bytes) throws IOException {
         write(disk, temporaryName, bytes);
         disk.rename(temporaryName, name);
         disk.syncFolder();
     }
 
-    /** The contents of a file, empty if there is none. */
+    /** Returns the contents of a file, or an empty array if the file does not exist. */
     static byte[] read(Disk disk, String name) throws IOException {
         if (!disk.exists(name)) {
             return new byte[0];
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Like {@link #read(Disk, String)}, but returns {@code expected} itself, without a copy, if the file equals it. */
+    /** Like {@link #read(Disk, String)}, but returns the {@code expected} array itself if the file has these bytes. */
     static byte[] read(Disk disk, String name, byte[] expected) throws IOException {
         if (!disk.exists(name)) {
             return new byte[0];
--- a/src/main/java/kelphollow/store/Batch.java
+++ b/src/main/java/kelphollow/store/Batch.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Changes that take effect together or not at all. Of two changes of one key the later wins. Not thread-safe. */
+/** A set of changes that is applied atomically. A later change of a key replaces an earlier one. Not thread-safe. */
 public final class Batch {
-    /** One change; {@code value} is null for a removal, {@code expiresAt} 0 for never. */
+    /** One change: {@code value} is null for a removal; {@code expiresAt} is in Unix milliseconds, 0 for no expiry. */
     record Change(String table, byte[] key, byte[] value, long expiresAt) {
         boolean isPut() {
             return value != null;
         }
 
-        /** Bytes of its operation in a segment. */
+        /** Size in bytes of the operation that stores this change in a segment. */
         private long bytes() {
             return Operation.HEAD + (long) Tables.NUMBER_BYTES + key.length + (isPut() ? value.length : 0);
         }
@@ -25,25 +25,25 @@
     private final Map<Name, Change> changes = new LinkedHashMap<>();
     private long operationBytes;
 
-    /** Sets the value of a key, without an expiry. Neither array may be changed afterwards. */
+    /** Sets the value of a key, without an expiry. The caller must not modify the arrays afterwards. */
     public Batch put(String table, byte[] key, byte[] value) {
         return put(table, key, value, 0);
     }
 
-    /** Sets the value of a key until a time on the store's clock, in Unix milliseconds; 0 is for ever. */
+    /** Sets the value of a key that expires at {@code expiresAt} on the store's clock, in Unix milliseconds; 0 for never. */
     public Batch put(String table, byte[] key, byte[] value, long expiresAt) {
         return add(new Change(table, key, value, expiresAt));
     }
 
-    /** Removes a key, if it is there. The array may not be changed afterwards. */
+    /** Removes a key if it exists. The caller must not modify the array afterwards. */
     public Batch remove(String table, byte[] key) {
         return add(new Change(table, key, null, 0));
     }
 
     private Batch add(Change change) {
         if (change.key.length > Operation.MAX_KEY_BYTES) {
-            throw new IllegalArgumentException("a key of " + change.key.length + " bytes; " + Operation.MAX_KEY_BYTES
-                + " are allowed");
+            throw new IllegalArgumentException("key is " + change.key.length + " bytes long, the maximum is "
+                + Operation.MAX_KEY_BYTES);
         }
         Name name = new Name(change.table, new String(change.key, StandardCharsets.ISO_8859_1));
         Change replaced = changes.put(name, change);
@@ -55,12 +55,12 @@
         return new ArrayList<>(changes.values());
     }
 
-    /** Its length in a segment, without the names of new tables. */
+    /** Size in bytes of the frame that stores the batch in a segment, without the operations that add new tables. */
     long bytes() {
         return Format.FRAME_HEADER_BYTES + operationBytes;
     }
 
-    /** Whether it changes nothing. */
+    /** Whether the batch has no changes. */
     public boolean isEmpty() {
         return changes.isEmpty();
     }
--- a/src/main/java/kelphollow/store/CommitLog.java
+++ b/src/main/java/kelphollow/store/CommitLog.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.Executors;
 
 /**
- * The append-only log: the active segment, the manifest, the editor of the index, and the usage of each segment. Puts
- * batches into frames, writes them to both copies, syncs, rotates segments and puts compacted ones in force. Confined to
- * the thread of {@link Writer}. After the first exception nothing may be called any more but {@link #stopThreads}, since the
- * contents of the disk are not known.
+ * The append-only log: the active segment, the manifest, the index editor, and the usage of each segment. Encodes batches
+ * as frames, appends them to both copies, syncs, rotates segments and installs compacted ones. Confined to the thread of
+ * {@link Writer}. After the first exception only {@link #stopThreads} may be called, since the contents of the disk are
+ * unknown.
  */
 final class CommitLog {
     private static final int BUFFER_BYTES = 64 * 1024;
-    /** Everything is in two copies. */
+    /** Number of copies of each file. */
     private static final long COPIES = 2;
 
     private record Change(byte kind, byte[] key, Index.Location location) {}
@@ -28,10 +28,10 @@
     private final SegmentUsage usage;
     private final IndexEditor editor;
     private final Runnable segmentSealed;
-    /** Syncs the second copy on a thread of its own; null where all is done in the caller's thread. */
+    /** Syncs the second copy in parallel with the first; null with {@link StoreOptions#inline}, which uses no threads. */
     private final ExecutorService secondCopy;
     private final FrameWriter out = new FrameWriter(BUFFER_BYTES);
-    /** What {@link #out} holds, for the index. */
+    /** Index changes of the operations in {@link #out}, applied when the buffer is flushed. */
     private final List<Change> pending = new ArrayList<>();
     private Manifest manifest;
     private Segment active;
@@ -39,16 +39,16 @@
     private long time;
     private long sequence;
     private long syncedUpTo;
-    /** What the last commit marker says to be synced. */
+    /** Sequence that the last commit marker records as synced. */
     private long markedUpTo;
-    /** Whether the last frame of the active segment says that nothing is missing behind it. */
+    /** Whether the active segment ends with a {@link Format#CLEAN} marker, which says that no later frame is missing. */
     private boolean clean = true;
     private boolean unsynced;
     private long writtenBytes;
     private long payloadBytes;
     private long syncs;
 
-    /** Calls {@code segmentSealed} when there is a segment that can be compacted. */
+    /** Runs {@code segmentSealed} after a rotation if there is a sealed segment to compact. */
     CommitLog(SegmentSet segments, StoreOpener.Recovered recovered, Tables tables, StoreOptions options, StoreClock clock,
         Runnable segmentSealed) {
         this.segments = segments;
@@ -74,22 +74,22 @@
 
     // ---------------------------------------------------------------- appending
 
-    /** Begins a group: its batches carry the clock's time as it is now. */
+    /** Begins a group commit and reads the clock; commit markers and manifests record this time. */
     void beginGroup() {
         time = clock.getAsLong();
     }
 
-    /** Makes what was flushed visible to readers. */
+    /** Publishes the flushed changes to readers. */
     void publish() {
         segments.publish(editor.publish());
     }
 
-    /** Whether something was written since the last sync. */
+    /** Whether data was flushed since the last sync. */
     boolean isUnsynced() {
         return unsynced;
     }
 
-    /** Adds a batch to the buffer, for the segment that has room for it. */
+    /** Encodes a batch into the buffer. Flushes and rotates first if it does not fit into the active segment. */
     void append(Batch batch) throws IOException {
         List<Batch.Change> changes = batch.changes();
         List<String> newTables = tables.missing(changes);
@@ -145,7 +145,7 @@
         markedUpTo = syncedUpTo;
     }
 
-    /** Writes the buffer to both copies and then changes the index, which nobody sees before it is published. */
+    /** Writes the buffer to both copies and applies its changes to the index; readers see them after {@link #publish}. */
     void flush() throws IOException {
         if (out.isEmpty()) {
             return;
@@ -169,7 +169,7 @@
         usage.setSegment(active.id(), active.firstSequence(), active.length(), false);
     }
 
-    /** Syncs all that was flushed in both copies; blocks on the disks. */
+    /** Syncs all flushed data in both copies; blocks on the disks. */
     void sync() throws IOException {
         if (secondCopy == null) {
             active.sync();
@@ -181,7 +181,7 @@
         syncedUpTo = sequence;
     }
 
-    /** Records what was synced, unless a commit marker did already; needs no sync of its own. */
+    /** Appends a commit marker if batches were synced since the last one. The marker itself is not synced. */
     void writeMarkerIfDue() throws IOException {
         if (syncedUpTo > markedUpTo) {
             writeMarker(false);
@@ -189,7 +189,7 @@
         }
     }
 
-    /** Syncs what is left and records that nothing is missing behind it; an orderly end. */
+    /** Syncs the remaining data and appends a {@link Format#CLEAN} marker, which says that no later frame is missing. */
     void close() throws IOException {
         if (active != null && !clean) {
             sync();
@@ -199,7 +199,7 @@
         }
     }
 
-    /** Ends the thread of the second copy; after a failure too. */
+    /** Stops the thread that syncs the second copy; allowed after a failure too. */
     void stopThreads() {
         if (secondCopy != null) {
             secondCopy.shutdown();
@@ -208,7 +208,7 @@
 
     // ---------------------------------------------------------------- segments and manifest
 
-    /** Seals the active segment and begins the next; both manifests name it before anything is written to it. */
+    /** Seals the active segment and creates the next one. Both manifests list it before any frame is appended to it. */
     private void rotate() throws IOException {
         List<Manifest.Entry> entries = new ArrayList<>(manifest.segments());
         if (active != null) {
@@ -229,21 +229,21 @@
         }
     }
 
-    /** Puts a list of segments in force. */
+    /** Replaces the manifest in both folders by one that lists these segments. */
     private void installManifest(List<Manifest.Entry> entries) throws IOException {
         manifest = new Manifest(manifest.store(), manifest.generation() + 1, nextSegment, sequence + 1,
             time, List.copyOf(entries));
         manifest.replace(segments.disks());
     }
 
-    // ---------------------------------------------------------------- tasks of the compactor
+    // ---------------------------------------------------------------- called for the compactor
 
-    /** A number for a segment that compaction writes. */
+    /** Allocates the id of a new segment. */
     long newSegment() {
         return nextSegment++;
     }
 
-    /** The manifest in force. */
+    /** The current manifest. */
     Manifest manifest() {
         return manifest;
     }
@@ -253,22 +253,22 @@
         return usage;
     }
 
-    /** Unix milliseconds, as the store's clock shows them. */
+    /** Current time of the store's clock, in Unix milliseconds. */
     long time() {
         return clock.getAsLong();
     }
 
-    /** Puts the hint of a sealed segment in force. */
+    /** Records the hint of a sealed segment in the manifest. */
     void installHint(long segment, SegmentHint hint) throws IOException {
         List<Manifest.Entry> entries = new ArrayList<>(manifest.segments());
         entries.replaceAll(entry -> entry.id() == segment ? entry.withHint(hint.bytes().length, hint.crc()) : entry);
         installManifest(entries);
     }
 
-    /** Puts compacted segments in the place of others. Keys that were written meanwhile keep their new locations. */
+    /** Replaces segments by their compacted output. Keys written since the compaction began keep their new locations. */
     void replace(List<Long> replaced, CompactionOutput output) throws IOException {
         if (unsynced) {
-            sync();          // what makes a value dead must be safe before the value goes
+            sync();          // the write that overwrote a value must be durable before the value is dropped
         }
         List<Manifest.Entry> entries = new ArrayList<>(manifest.segments());
         entries.removeIf(entry -> replaced.contains(entry.id()));
@@ -297,7 +297,7 @@
         }
     }
 
-    /** Removes what has expired, unless it was written again meanwhile; returns how many keys. */
+    /** Removes those of the keys that are still expired, since one may have been rewritten; returns their number. */
     int expire(List<byte[]> keys) throws IOException {
         time = time();
         Batch batch = new Batch();
@@ -316,7 +316,7 @@
         return count;
     }
 
-    /** The counters as they are now. */
+    /** The current counters. */
     Store.Stats stats() {
         return new Store.Stats(editor.size(), usage.segments(), usage.length(), usage.live(), writtenBytes, payloadBytes,
             syncs, syncedUpTo);
--- a/src/main/java/kelphollow/store/CompactionOutput.java
+++ b/src/main/java/kelphollow/store/CompactionOutput.java
@@ -7,12 +7,11 @@
 import java.util.Map;
 
 /**
- * The segments that one compaction writes, with their hints, synced in both folders but not yet in force. Its files are
- * named by no manifest until {@link CommitLog#replace}, so a crash leaves nothing but files that the next opening deletes.
- * Confined to the compactor.
+ * The segments and hints that one compaction writes and syncs in both folders. No manifest lists them before
+ * {@link CommitLog#replace}; after a crash before that the next opening deletes them. Confined to the compactor.
  */
 final class CompactionOutput {
-    /** A frame is written once it is this long. */
+    /** A frame is flushed once its length reaches this. */
     static final int FRAME_BYTES = 64 * 1024;
 
     private final SegmentSet set;
@@ -34,8 +33,8 @@
     private long frameSequence;
 
     /**
-     * @param segmentBytes from this length on a segment is finished and the next begun
-     * @param firstSequence no operation to be copied has a lower one
+     * @param segmentBytes length at which a segment is finished and the next one is created
+     * @param firstSequence lower bound of the sequences of all copied operations
      */
     CompactionOutput(SegmentSet set, Writer writer, SealedSegments sealed, IoThrottle throttle, long segmentBytes,
         long firstSequence) {
@@ -47,7 +46,7 @@
         this.firstSequence = firstSequence;
     }
 
-    /** Copies the operation that sets a key. */
+    /** Copies the operation that set the current value of a key. */
     void addLive(Operation operation, Index.Location from) throws IOException, StoreFault {
         int at = add(operation);
         keys.add(operation.key());
@@ -56,14 +55,14 @@
         flushIfFull();
     }
 
-    /** Copies a removal that still hides an older value. */
+    /** Copies a tombstone that an older value in another segment still requires. */
     void addTombstone(Operation operation) throws IOException, StoreFault {
         add(operation);
         tombstoneBytes.merge(current.id(), (long) operation.length(), Long::sum);
         flushIfFull();
     }
 
-    /** Adds an operation to the frame at hand and returns its place there. */
+    /** Adds an operation to the current frame and returns its offset in the buffer. */
     private int add(Operation operation) throws IOException, StoreFault {
         if (current != null && current.length() + frame.length() + operation.length() > segmentBytes
             && current.length() + frame.length() > Format.SEGMENT_HEADER_BYTES + Format.FRAME_HEADER_BYTES) {
@@ -101,7 +100,7 @@
         }
     }
 
-    /** Ends the segment at hand, if any, and syncs it with its hint in both folders. */
+    /** Finishes the current segment, if any: syncs it, reads it back, and writes its hint in both folders. */
     void finish() throws IOException, StoreFault {
         if (current == null) {
             return;
@@ -112,7 +111,7 @@
         byte[] copy = current.copy(0);
         SegmentMerge merge = new SegmentMerge(copy, copy, set.storeId(), entry);
         if (!merge.damages().isEmpty()) {
-            throw new IOException(Format.segmentName(entry.id()) + " cannot be read back");
+            throw new IOException(Format.segmentName(entry.id()) + " is damaged when read back after compaction");
         }
         SegmentHint hint = sealed.writeHint(entry.id(), merge);
         entries.add(entry.withHint(hint.bytes().length, hint.crc()));
@@ -120,9 +119,9 @@
     }
 
     /**
-     * Gives up what was written.
+     * Discards the output.
      *
-     * @param delete false after a fault of the store, when it is not known whether a manifest names the files
+     * @param delete whether to delete the files; false after a fault of the store, when a manifest may already list them
      */
     void abandon(boolean delete) {
         for (Segment segment : segments) {
@@ -141,17 +140,17 @@
         return segments;
     }
 
-    /** Bytes of removals in a segment. */
+    /** Total size in bytes of the tombstones in a segment. */
     long tombstoneBytes(long segment) {
         return tombstoneBytes.getOrDefault(segment, 0L);
     }
 
-    /** The keys whose values were copied. */
+    /** The keys of the copied live operations. */
     List<byte[]> keys() {
         return keys;
     }
 
-    /** New location by old one. */
+    /** Maps the old location of each copied live operation to its new one. */
     Map<Index.Location, Index.Location> relocated() {
         return relocated;
     }
--- a/src/main/java/kelphollow/store/Compactor.java
+++ b/src/main/java/kelphollow/store/Compactor.java
@@ -7,10 +7,10 @@
 import java.util.function.Consumer;
 
 /**
- * Background work: hints for sealed segments, removal of what has expired, compaction, scrubbing. It writes new files
- * beside the old ones and has the writer put them in force; a crash at any step leaves files that no manifest names, which
- * the next opening deletes. If it cannot write (a full disk) it gives up for now and the store goes on. Thread-safe: one
- * piece of work at a time, whoever asks.
+ * Background work: writes hints for sealed segments, removes expired keys, compacts and scrubs. Writes new files beside the
+ * old ones and has the writer install them in the manifest; a crash at any step leaves files that no manifest lists, which
+ * the next opening deletes. An I/O error, such as a full disk, ends the current task and is logged; the store keeps running.
+ * Thread-safe: tasks run one at a time.
  */
 final class Compactor implements Runnable {
     private static final int MAX_EXPIRED_KEYS_PER_BATCH = 1_000;
@@ -28,7 +28,7 @@
     private boolean closing;
     private long scrubbedAt;
 
-    /** Calls {@code onWarning} with what an operator should know, on the thread that works. */
+    /** Calls {@code onWarning} with warnings for the operator, on the thread that does the work. */
     Compactor(SegmentSet segments, Writer writer, StoreOptions options, StoreClock clock, Consumer<String> onWarning) {
         this.segments = segments;
         this.writer = writer;
@@ -47,12 +47,12 @@
         while (!isClosing()) {
             try {
                 while (!isClosing() && runOnce()) {
-                    // until nothing is due
+                    // repeats until no task is due
                 }
             } catch (StoreFault e) {
-                return;          // closed, or failed, which has been logged
+                return;          // the store was closed, or it failed and the fault has been logged
             } catch (IOException e) {
-                onWarning.accept("compaction gives up for now: " + e.getMessage());
+                onWarning.accept("background work failed, will be retried: " + e.getMessage());
             }
             pause();
         }
@@ -62,7 +62,7 @@
         return closing;
     }
 
-    /** Waits a while; a spurious wake-up only looks for work early. */
+    /** Waits up to {@link #PAUSE_MILLIS}; a spurious wake-up only makes the thread look for work earlier. */
     @SuppressWarnings("WaitNotInLoop") private synchronized void pause() {
         try {
             if (!closing) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Ends the pause, because there may be work. */
+    /** Ends the current pause so that the thread looks for work at once. */
     synchronized void wake() {
         notifyAll();
     }
@@ -83,7 +83,7 @@
         notifyAll();
     }
 
-    /** Does one piece of work; false if none was due. */
+    /** Runs one task that is due; returns false if there was none. */
     boolean runOnce() throws IOException, StoreFault {
         busy.lock();
         try {
@@ -120,7 +120,7 @@
 
     // ---------------------------------------------------------------- compaction
 
-    /** What to compact: the numbers of the segments, and the manifest's entries at that time. */
+    /** The ids of the segments to compact, and the manifest's entries at the time of the selection. */
     private record Selection(List<Long> victims, List<Manifest.Entry> entries) {}
 
     private boolean compact() throws IOException, StoreFault {
@@ -130,7 +130,7 @@
         return !selection.victims.isEmpty() && compact(selection);
     }
 
-    /** Compacts all sealed segments, whatever is live in them; false if there is none. */
+    /** Compacts all sealed segments, regardless of how much of them is live; returns false if there are none. */
     boolean compactAll() throws IOException, StoreFault {
         busy.lock();
         try {
@@ -172,7 +172,7 @@
         return true;
     }
 
-    /** Copies what is live, and removals that still hide something older in a segment that stays. */
+    /** Copies live operations, and tombstones whose key may have an older value in a segment that is not compacted. */
     private void copy(Manifest.Entry victim, CompactionOutput output, long oldestElsewhere)
         throws IOException, StoreFault {
         SegmentMerge merge = sealed.read(victim);
@@ -180,9 +180,9 @@
         for (Operation operation : merge.operations()) {
             Index.Location latest = index.get(operation.key());
             if (operation.kind() == Operation.REMOVE) {
-                boolean hidesOlder = oldestElsewhere < operation.sequence()
+                boolean shadowsOlder = oldestElsewhere < operation.sequence()
                     && (latest == null || latest.sequence() < operation.sequence());
-                if (hidesOlder) {
+                if (shadowsOlder) {
                     output.addTombstone(operation);
                 }
             } else if (latest != null && latest.segment() == victim.id() && latest.offset() == operation.at()) {
@@ -193,7 +193,7 @@
 
     // ---------------------------------------------------------------- scrubbing
 
-    /** Never reports work done: what is due now is not due again at once. */
+    /** Always returns false: after a scrub the next one is not due until {@link StoreOptions#scrubEvery} has passed. */
     private boolean scrubIfDue() throws IOException, StoreFault {
         if (options.scrubEvery() > 0 && clock.getAsLong() - scrubbedAt >= options.scrubEvery()) {
             scrubbedAt = clock.getAsLong();
@@ -204,7 +204,7 @@
         return false;
     }
 
-    /** Reads both copies of all sealed segments now and repairs what is damaged in one; the number of repaired files. */
+    /** Reads both copies of all sealed segments and repairs damage of one copy; returns the number of repaired files. */
     int scrub(IntegrityReport report) throws IOException, StoreFault {
         busy.lock();
         try {
--- a/src/main/java/kelphollow/store/Disk.java
+++ b/src/main/java/kelphollow/store/Disk.java
@@ -6,21 +6,21 @@
 import java.util.Set;
 
 /**
- * What the store needs of a file system: one flat folder of named files. The seam at which tests cut operations off, let a
- * crash lose or reorder what was not synced, and make operations fail. Calls block; none is made on an event loop. Files
- * may be created, renamed and deleted by one thread at a time.
+ * The file system operations that the store needs on one flat folder. Tests implement it to interrupt operations, to lose or
+ * reorder unsynced data in a simulated crash, and to inject I/O errors. Calls block; none is made on an event loop. Only one
+ * thread at a time may create, rename and delete files.
  */
 public interface Disk {
-    /** Where it is, for messages. */
+    /** Path of the folder, for messages. */
     String path();
 
-    /** Makes sure that the folder exists and can be used. */
+    /** Creates the folder if it does not exist and checks that it is readable and writable. */
     void prepare() throws IOException;
 
     /** The names of all files in the folder. */
     Set<String> names() throws IOException;
 
-    /** Whether there is a file of this name. */
+    /** Whether a file of this name exists. */
     default boolean exists(String name) throws IOException {
         return names().contains(name);
     }
@@ -28,46 +28,46 @@
     /** Creates an empty file, which must not exist yet. */
     File create(String name) throws IOException;
 
-    /** Opens a file that exists, for reading and for appending behind its end. */
+    /** Opens an existing file for reading and appending. */
     File open(String name) throws IOException;
 
-    /** Renames a file and replaces the one that had the name, in one step; safe only after {@link #syncFolder}. */
+    /** Renames a file atomically, replacing a file of the new name; durable only after {@link #syncFolder}. */
     void rename(String from, String to) throws IOException;
 
-    /** Deletes a file, if it exists; safe only after {@link #syncFolder}. */
+    /** Deletes a file if it exists; durable only after {@link #syncFolder}. */
     void delete(String name) throws IOException;
 
-    /** Makes names given, changed and deleted so far safe. */
+    /** Makes all preceding creations, renames and deletions durable. */
     void syncFolder() throws IOException;
 
-    /** Keeps all other processes out until it is closed; null when another one holds it. */
+    /** Acquires an exclusive lock that is held until it is closed; returns null if it is held already. */
     Closeable lock(String name) throws IOException;
 
-    /** One file. Any thread may read, one at a time may do the rest. */
+    /** One file. Any thread may read; only one at a time may append, sync or close. */
     interface File extends Closeable {
-        /** Its size in bytes. */
+        /** Size in bytes. */
         long size() throws IOException;
 
-        /** Fills the buffer from this offset on, as far as the file goes. */
+        /** Reads from this offset until the buffer is full or the file ends. */
         void read(ByteBuffer into, long offset) throws IOException;
 
-        /** Writes all that remains in the buffer behind the end, or fails. */
+        /** Appends all remaining bytes of the buffer. A failed append may have written a part of them. */
         void append(ByteBuffer bytes) throws IOException;
 
-        /** Makes what was appended so far safe; after a failure it is not known what of it is. */
+        /** Makes all appended bytes durable; after a failure it is unknown which of them are. */
         void sync() throws IOException;
     }
 
-    /** All bytes of a file. */
+    /** Reads a whole file. */
     static byte[] readAll(File file) throws IOException {
         long size = file.size();
         if (size > Format.MAX_FILE_BYTES) {
-            throw new IOException("a file of " + size + " bytes is none of the store's");
+            throw new IOException("file is " + size + " bytes long, the maximum is " + Format.MAX_FILE_BYTES);
         }
         ByteBuffer bytes = ByteBuffer.allocate((int) size);
         file.read(bytes, 0);
         if (bytes.hasRemaining()) {
-            throw new IOException("the file ends at " + bytes.position() + " of " + size + " bytes");
+            throw new IOException("file ended after " + bytes.position() + " bytes, expected " + size);
         }
         return bytes.array();
     }
--- a/src/main/java/kelphollow/store/Durability.java
+++ b/src/main/java/kelphollow/store/Durability.java
@@ -1,9 +1,9 @@
 package kelphollow.store;
 
-/** What an acknowledgement promises. */
+/** What the acknowledgement of a write guarantees. */
 public enum Durability {
-    /** Both copies are with the operating system: it outlives the process, not the machine. */
+    /** Both copies are written to the operating system: the write survives a crash of the process, not of the machine. */
     BUFFERED,
-    /** Both copies are synced, and with them all that was written before: it outlives the machine. */
+    /** Both copies are synced, together with all earlier writes: the write survives a crash of the machine. */
     SYNCED
 }
--- a/src/main/java/kelphollow/store/EntrySort.java
+++ b/src/main/java/kelphollow/store/EntrySort.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * Sorts the entries of a hint by key, of one key the latest first, without an object for each: numbers made of the bytes
- * behind the keys' common prefix, and of the entry's position, are sorted as numbers; only where those are equal are the
- * keys themselves compared. One use, one thread; 12 bytes per entry while it runs.
+ * Sorts the entries of a hint by key, and the entries of one key by descending sequence, without allocating an object per
+ * entry. Sorts 64-bit numbers that combine the key bytes after the common prefix with the entry's position, and compares
+ * whole keys only where these bytes are equal. For one use by one thread; takes 12 bytes per entry while it runs.
  */
 final class EntrySort {
     private final byte[] bytes;
@@ -18,7 +18,7 @@
         this.count = count;
     }
 
-    /** Where the first {@code count} entries that {@code at} names begin, in the order of their keys. */
+    /** Returns the first {@code count} offsets of {@code at} in the order of the entries that begin there. */
     static int[] sorted(byte[] bytes, int[] at, int count) {
         return new EntrySort(bytes, at, count).sort();
     }
@@ -35,26 +35,26 @@
         int common = commonPrefix();
         int positionBits = Integer.SIZE - Integer.numberOfLeadingZeros(count);
         long positionMask = (1L << positionBits) - 1;
-        long[] numbers = new long[count];
+        long[] sortKeys = new long[count];
         for (int i = 0; i < count; i++) {
             long prefix = Format.prefix(bytes, keyAt(at[i]) + common, keyEnd(at[i]));
             // The sign bit is flipped because the sort is signed.
-            numbers[i] = (prefix & ~positionMask | i) ^ Long.MIN_VALUE;
+            sortKeys[i] = (prefix & ~positionMask | i) ^ Long.MIN_VALUE;
         }
-        Arrays.sort(numbers);
+        Arrays.sort(sortKeys);
         int[] sorted = new int[count];
         for (int i = 0; i < count; i++) {
-            sorted[i] = at[(int) (numbers[i] & positionMask)];
+            sorted[i] = at[(int) (sortKeys[i] & positionMask)];
         }
-        sortEqualPrefixes(numbers, positionMask, sorted);
+        sortEqualPrefixes(sortKeys, positionMask, sorted);
         return sorted;
     }
 
-    private void sortEqualPrefixes(long[] numbers, long positionMask, int[] sorted) {
+    private void sortEqualPrefixes(long[] sortKeys, long positionMask, int[] sorted) {
         int from = 0;
         while (from < count) {
             int to = from + 1;
-            while (to < count && (numbers[to] & ~positionMask) == (numbers[from] & ~positionMask)) {
+            while (to < count && (sortKeys[to] & ~positionMask) == (sortKeys[from] & ~positionMask)) {
                 to++;
             }
             if (to - from > 1) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Length of the prefix that all keys have in common. */
+    /** Length in bytes of the common prefix of all keys. */
     private int commonPrefix() {
         int common = count == 0 ? 0 : keyEnd(at[0]) - keyAt(at[0]);
         for (int i = 1; i < count && common > 0; i++) {
--- a/src/main/java/kelphollow/store/FolderDisk.java
+++ b/src/main/java/kelphollow/store/FolderDisk.java
@@ -15,8 +15,8 @@
 import java.util.TreeSet;
 
 /**
- * A folder of the operating system. A sync is {@code fdatasync} on files and {@code fsync} on the folder. Thread-safe as far
- * as {@link Disk} asks.
+ * A folder of the operating system's file system. Syncs files with {@code fdatasync} and the folder with {@code fsync}.
+ * Thread-safe to the extent that {@link Disk} requires.
  */
 public final class FolderDisk implements Disk {
     private final Path folder;
@@ -33,7 +33,7 @@
     @Override public void prepare() throws IOException {
         Files.createDirectories(folder);
         if (!Files.isWritable(folder) || !Files.isReadable(folder)) {
-            throw new IOException(folder + " cannot be read and written");
+            throw new IOException(folder + " is not readable and writable");
         }
     }
 
@@ -80,7 +80,7 @@
         try {
             lock = channel.tryLock();
         } catch (OverlappingFileLockException e) {
-            lock = null;          // another store of this process
+            lock = null;          // another store in this process holds the lock
         }
         if (lock == null) {
             channel.close();
@@ -90,7 +90,7 @@
     }
 
     private static final class Channel implements File {
-        /** Bounds direct memory: a read goes through a direct buffer of its length, and the JDK keeps one per thread. */
+        /** Bounds direct memory: the JDK reads through a direct buffer as long as the read and caches one per thread. */
         private static final int MAX_READ_BYTES = 256 * 1024;
         private final FileChannel channel;
         private long end;
--- a/src/main/java/kelphollow/store/FolderFiles.java
+++ b/src/main/java/kelphollow/store/FolderFiles.java
@@ -5,23 +5,23 @@
 import java.util.Set;
 
 /**
- * Which files in a folder are the store's. Guards other files against a store that is opened in the wrong folder, and
- * deletes what a crash has left. Stateless.
+ * Tells the store's files from others by their names. Prevents opening a store in a folder with other files, and deletes
+ * files that a crash has left. Stateless.
  */
 final class FolderFiles {
-    /** Suffix of a file that is about to replace another one; part of the format on disk, so it keeps its older name. */
+    /** Suffix of the temporary file that replaces another one; part of the on-disk format, so it keeps its older name. */
     static final String REPLACEMENT_SUFFIX = ".heal";
-    /** A folder of the file system itself, at the root of a volume. */
+    /** Folder that the file system creates at its root, which may be the store's folder. */
     private static final String LOST_AND_FOUND = "lost+found";
 
     private FolderFiles() {}
 
-    /** Rejects a folder that has other files and in which this store has nothing yet. */
+    /** Rejects a folder that has files of others and no manifest. */
     static void rejectForeignFiles(Disk disk, boolean hasManifest) throws IOException, StoreFault {
         for (String name : disk.names()) {
             if (!isStoreFile(name) && !hasManifest) {
                 throw new StoreFault(StoreFault.Kind.FOREIGN_FILES, disk.path() + "/" + name
-                    + " is not the store's, and " + disk.path() + " is no store yet: it must be empty");
+                    + " is not a store file, and " + disk.path() + " has no valid manifest: expected an empty folder");
             }
         }
     }
@@ -31,7 +31,7 @@
             || name.equals(LOST_AND_FOUND) || Format.idOf(name) >= 0 || name.endsWith(REPLACEMENT_SUFFIX);
     }
 
-    /** Deletes files that were begun for a manifest that never came into force, or replaced by one that did. */
+    /** Deletes temporary files, and segments and hints that the manifest does not list: unfinished or replaced ones. */
     static void deleteUnlisted(Disk[] disks, Manifest manifest) throws IOException {
         Set<String> listed = new HashSet<>();
         for (Manifest.Entry entry : manifest.segments()) {
--- a/src/main/java/kelphollow/store/FolderLocks.java
+++ b/src/main/java/kelphollow/store/FolderLocks.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The locks on a store's folders, which keep other processes out until they are closed. Guards against two programs that
- * write the same store, and against a store that is opened in a folder of something else. Confined to one thread.
+ * Exclusive locks on a store's folders, held until they are closed. They prevent two processes from writing to the same
+ * store. Also rejects folders that hold other files. Confined to one thread.
  */
 final class FolderLocks implements AutoCloseable {
     /** Name of the lock file in each folder. */
@@ -18,7 +18,7 @@
     private FolderLocks() {}
 
     /**
-     * Locks all folders or none; makes those that are missing.
+     * Locks all folders or none; creates missing folders.
      *
      * @throws StoreFault LOCKED if another process has one, FOREIGN_FILES if one holds other files and no store
      */
@@ -50,7 +50,7 @@
             try {
                 lock.close();
             } catch (IOException e) {
-                // the end of the process releases it
+                // the operating system releases the lock when the process ends
             }
         }
     }
--- a/src/main/java/kelphollow/store/Format.java
+++ b/src/main/java/kelphollow/store/Format.java
@@ -7,14 +7,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of the files, as {@code docs/design/STORE.md} lists them: names, headers and frames; operations are in
- * {@link Operation}. All numbers are big-endian, checksums are CRC32C. That of a frame's head covers the segment's number
- * and the frame's offset too, so that a frame is valid in its own place only: neither an old block nor a value that looks
- * like a frame is ever read as one. Stateless.
+ * Encoding of file names, headers and frames, as specified in {@code docs/design/STORE.md}; {@link Operation} encodes
+ * operations. All numbers are big-endian and all checksums are CRC32C. The checksum of a frame header also covers the
+ * segment's id and the frame's offset, so a frame is valid only at its own position: neither a stale disk block nor a value
+ * that looks like a frame is read as one. Stateless.
  */
 final class Format {
     static final int VERSION = 1;
-    /** No file of the store is longer: offsets fit an {@code int}. */
+    /** Maximum length of a file, so that offsets fit into an {@code int}. */
     static final long MAX_FILE_BYTES = Integer.MAX_VALUE - 64;
     static final byte[] SEGMENT_MAGIC = magic("KHSEG");
     static final byte[] MANIFEST_MAGIC = magic("KHMAN");
@@ -23,17 +23,17 @@
     static final String HINT_SUFFIX = ".hint";
     static final int SEGMENT_HEADER_BYTES = 64;
     static final int FRAME_HEADER_BYTES = 24;
-    /** Type of a frame: a caller's batch. */
+    /** Frame type: a caller's batch. */
     static final byte BATCH = 1;
-    /** Type of a frame: operations moved by compaction. */
+    /** Frame type: operations copied by compaction. */
     static final byte MOVED = 2;
-    /** Type of a frame: says up to which sequence all is synced in both copies. */
+    /** Frame type: records the sequence up to which both copies are synced. */
     static final byte COMMIT_MARKER = 3;
-    /** Flag of a commit marker: the store was closed, or recovered, here. */
+    /** Flag of a commit marker: the store was closed or recovered at this point. */
     static final byte CLEAN = 1;
     static final int COMMIT_MARKER_PAYLOAD_BYTES = 8;
 
-    /** Where a segment's header has its number and first sequence. */
+    /** Offsets of the segment's id and first sequence in its header. */
     static final int SEGMENT_ID_AT = 32;
     static final int FIRST_SEQUENCE_AT = 40;
     private static final int VERSION_AT = 8;
@@ -71,7 +71,7 @@
         return String.format(Locale.ROOT, "%012d" + HINT_SUFFIX, id);
     }
 
-    /** The number in a name that {@link #segmentName} or {@link #hintName} returns, or -1. */
+    /** The segment id in a name made by {@link #segmentName} or {@link #hintName}, or -1 for any other name. */
     static long idOf(String name) {
         int dot = name.indexOf('.');
         if (dot != ID_DIGITS || !(name.endsWith(SEGMENT_SUFFIX) || name.endsWith(HINT_SUFFIX))) {
@@ -95,23 +95,23 @@
         return header.array();
     }
 
-    /** What the first bytes of a file are. */
+    /** Result of checking the header of a file. */
     enum HeaderState {
-        /** Intact, and of this store. */
+        /** Intact and of this store. */
         VALID,
-        /** Not intact; of which store it is cannot be said. */
+        /** Not intact; the store that it belongs to is unknown. */
         DAMAGED,
-        /** Intact, and of another store. */
+        /** Intact, but of another store. */
         FOREIGN,
-        /** Intact, and of a version that this program does not know. */
+        /** Intact, but of a version that this program does not support. */
         OTHER_VERSION
     }
 
     /**
-     * Checks the beginning that all files share: magic, version, store.
+     * Checks the header fields that all files have: magic, version, store id and checksum.
      *
-     * @param store whose file it must be, null for any store's
-     * @param checkedLength of the bytes that the checksum covers, with the checksum itself at their end
+     * @param store expected store, or null to accept any
+     * @param checkedLength length of the checked bytes, which end with their checksum
      */
     static HeaderState headerState(byte[] bytes, byte[] magic, StoreId store, int checkedLength) {
         if (bytes.length < checkedLength) {
@@ -129,14 +129,14 @@
         return store != null && !store.equals(storeOf(bytes)) ? HeaderState.FOREIGN : HeaderState.VALID;
     }
 
-    /** The store that an intact segment or hint file belongs to. */
+    /** The id of the store that an intact segment or hint file belongs to. */
     static StoreId storeOf(byte[] bytes) {
         return new StoreId(int64(bytes, STORE_HIGH_AT), int64(bytes, STORE_LOW_AT));
     }
 
     // ---------------------------------------------------------------- frames
 
-    /** Writes the head of a frame whose payload is in the buffer from {@code at + FRAME_HEADER_BYTES} to its position. */
+    /** Writes the header of a frame at {@code at}; its payload must end at the buffer's position. */
     static void writeFrameHeader(ByteBuffer buffer, int at, byte type, byte flags, long sequence, long segment,
         long offset) {
         int length = buffer.position() - at - FRAME_HEADER_BYTES;
@@ -147,9 +147,9 @@
         payload.limit(buffer.position()).position(at + FRAME_HEADER_BYTES);
         crc.update(payload);
         buffer.putInt(at + FRAME_PAYLOAD_CRC_AT, (int) crc.getValue());
-        byte[] head = new byte[FRAME_HEADER_CRC_AT];
-        buffer.get(at, head);
-        buffer.putInt(at + FRAME_HEADER_CRC_AT, headerCrc(head, 0, segment, offset));
+        byte[] header = new byte[FRAME_HEADER_CRC_AT];
+        buffer.get(at, header);
+        buffer.putInt(at + FRAME_HEADER_CRC_AT, headerCrc(header, 0, segment, offset));
     }
 
     private static int headerCrc(byte[] bytes, int at, long segment, long offset) {
@@ -164,7 +164,7 @@
         return (int) crc.getValue();
     }
 
-    /** Whether an intact frame head is here, in its own place; its length may still point beyond the bytes. */
+    /** Whether an intact header of a frame of this segment is at {@code at}; the frame may still end beyond {@code end}. */
     static boolean isFrameHeader(byte[] bytes, int at, int end, long segment) {
         if (at < 0 || end - at < FRAME_HEADER_BYTES || bytes[at + FRAME_TYPE_AT] < BATCH
             || bytes[at + FRAME_TYPE_AT] > COMMIT_MARKER || int16(bytes, at + FRAME_RESERVED_AT) != 0) {
@@ -173,13 +173,13 @@
         return int32(bytes, at + FRAME_HEADER_CRC_AT) == headerCrc(bytes, at, segment, at);
     }
 
-    /** The frame whose intact head is here. */
+    /** Decodes the intact frame header at {@code at}. */
     static SegmentMerge.Frame frame(byte[] bytes, int at) {
         return new SegmentMerge.Frame(at, bytes[at + FRAME_TYPE_AT], bytes[at + FRAME_FLAGS_AT],
             int64(bytes, at + FRAME_SEQUENCE_AT), int32(bytes, at));
     }
 
-    /** The checksum that the frame head here gives for its payload. */
+    /** The payload checksum in the frame header at {@code frameAt}. */
     static int payloadCrc(byte[] bytes, int frameAt) {
         return int32(bytes, frameAt + FRAME_PAYLOAD_CRC_AT);
     }
@@ -202,7 +202,7 @@
         return (long) int32(bytes, at) << 32 | int32(bytes, at + 4) & 0xffffffffL;
     }
 
-    /** The first eight bytes of a range as a number, padded with zeros. */
+    /** The first eight bytes of a range as a big-endian number, padded with zeros on the right. */
     static long prefix(byte[] bytes, int from, int to) {
         if (to - from >= Long.BYTES) {
             return int64(bytes, from);
--- a/src/main/java/kelphollow/store/FrameWriter.java
+++ b/src/main/java/kelphollow/store/FrameWriter.java
@@ -2,11 +2,11 @@
 
 import java.nio.ByteBuffer;
 
-/** Puts frames one behind the other into a buffer that grows. Reusable after {@link #clear}; confined to one thread. */
+/** Encodes consecutive frames into a growing buffer. Reusable after {@link #clear}; confined to one thread. */
 final class FrameWriter {
     private ByteBuffer buffer;
 
-    /** Begins with this capacity in bytes. */
+    /** Creates a writer with this initial capacity in bytes. */
     FrameWriter(int capacity) {
         buffer = ByteBuffer.allocate(capacity);
     }
@@ -33,20 +33,20 @@
         return buffer.position() == 0;
     }
 
-    /** What was written; valid until the next change. */
+    /** A view of the encoded bytes; valid until the next change. */
     ByteBuffer bytes() {
         return buffer.duplicate().flip();
     }
 
-    /** Begins a frame with a payload of this many bytes and returns its place in the buffer. */
-    int begin(long payload) {
-        ensureRoom(Format.FRAME_HEADER_BYTES + payload);
+    /** Begins a frame and reserves room for a payload of this many bytes; returns the frame's offset in the buffer. */
+    int begin(long payloadBytes) {
+        ensureRoom(Format.FRAME_HEADER_BYTES + payloadBytes);
         int at = buffer.position();
         buffer.position(at + Format.FRAME_HEADER_BYTES);
         return at;
     }
 
-    /** Adds an operation and returns its place in the buffer. */
+    /** Adds an operation and returns its offset in the buffer. */
     int operation(byte kind, byte[] key, byte[] value, long sequence, long expiresAt) {
         ensureRoom(Operation.lengthOf(key.length, value.length));
         int at = buffer.position();
@@ -54,7 +54,7 @@
         return at;
     }
 
-    /** Copies an operation byte for byte and returns its place in the buffer. */
+    /** Copies an encoded operation and returns its offset in the buffer. */
     int operation(Operation operation) {
         ensureRoom(operation.length());
         int at = buffer.position();
@@ -62,19 +62,19 @@
         return at;
     }
 
-    /** Ends the frame that begins at this place in the buffer and will be at this offset of the segment. */
+    /** Writes the header of the frame that begins at {@code at} in the buffer, for this offset in the segment. */
     void end(int at, byte type, long sequence, long segment, long offset) {
         Format.writeFrameHeader(buffer, at, type, (byte) 0, sequence, segment, offset);
     }
 
-    /** Adds a marker which says that all up to this sequence is synced in both copies. */
+    /** Adds a commit marker: both copies are synced up to this sequence. */
     void commitMarker(long syncedUpTo, long time, boolean clean, long segment, long offset) {
         int at = begin(Format.COMMIT_MARKER_PAYLOAD_BYTES);
         buffer.putLong(time);
         Format.writeFrameHeader(buffer, at, Format.COMMIT_MARKER, clean ? Format.CLEAN : 0, syncedUpTo, segment, offset);
     }
 
-    /** Copies a frame of another segment, with a head for its new place. */
+    /** Copies the payload of a frame from another segment and writes a header for its new segment and offset. */
     void copy(byte[] image, SegmentMerge.Frame frame, long segment, long offset) {
         int at = begin(frame.length());
         buffer.put(image, frame.payloadAt(), frame.length());
--- a/src/main/java/kelphollow/store/HintRange.java
+++ b/src/main/java/kelphollow/store/HintRange.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Merges one range of keys of all hints into leaves of an index. The hints' cursors are in a binary heap, the one with the
- * least key and latest sequence on top. Filled by one thread, immutable afterwards.
+ * Merges one key range of all hints into index leaves (a k-way merge). A binary heap orders the cursors of the hints by
+ * ascending key, then descending sequence. Filled by one thread, immutable afterwards.
  */
 final class HintRange {
     private final List<SegmentHint> hints;
-    /** The next position in each hint, and where the range ends there. */
+    /** Next position in each hint, and the end of the range in it. */
     private final int[] next;
     private final int[] end;
-    /** Eight bytes of the key at each cursor, behind the prefix that all keys of the range have in common. */
+    /** The eight key bytes at each cursor after the common prefix of all keys in the range. */
     private final long[] prefixes;
     private final int[] heap;
     private final long[] liveBytes;
@@ -28,7 +28,7 @@
         this.liveBytes = new long[from.length];
     }
 
-    /** Merges the positions {@code from} to {@code end} of each hint. */
+    /** Merges the entries from {@code from} (inclusive) to {@code end} (exclusive) of each hint. */
     static HintRange merge(List<SegmentHint> hints, int[] from, int[] end) {
         HintRange range = new HintRange(hints, from, end);
         range.commonPrefix = range.commonPrefix();
@@ -37,7 +37,7 @@
         return range;
     }
 
-    /** The merged keys. */
+    /** The leaves of the merged keys. */
     IndexLeafBuilder leafBuilder() {
         return leafBuilder;
     }
@@ -47,7 +47,7 @@
         return liveBytes[hint];
     }
 
-    /** The common prefix of all keys is that of the least and the greatest. */
+    /** Length of the common prefix of all keys, which is that of the least and the greatest key. */
     private int commonPrefix() {
         int first = -1;
         int last = -1;
--- a/src/main/java/kelphollow/store/Index.java
+++ b/src/main/java/kelphollow/store/Index.java
@@ -6,20 +6,20 @@
 
 /**
  * Maps each key to the location of its latest value: a sorted two-level array of {@link IndexLeaf leaves}. Immutable and
- * thread-safe: an {@link IndexEditor} makes the next version, which shares all leaves that did not change, so that a
- * snapshot costs nothing and readers take no lock.
+ * thread-safe: an {@link IndexEditor} creates the next version, which shares all unchanged leaves, so a snapshot costs
+ * nothing and readers take no lock.
  *
- * <p>Memory: 32 bytes per key beside the key in a full leaf, 42 to 46 after splits in random order. A lookup costs two
- * binary searches; a change copies one leaf of at most {@value IndexLeaf#MAX_KEYS} keys, and publishing copies one reference
- * per leaf.
+ * <p>Memory per key, in addition to the key itself: 32 bytes in a full leaf, 42 to 46 after splits in random order. A lookup
+ * costs two binary searches; a change copies one leaf of at most {@value IndexLeaf#MAX_KEYS} keys, and publishing copies
+ * one reference per leaf.
  */
 final class Index {
     static final Index EMPTY = new Index(new IndexLeaf[0], 0);
 
     /**
-     * Where the operation that set a key is.
+     * Position of the operation that set a key.
      *
-     * @param segment number of its segment
+     * @param segment id of its segment
      * @param offset of the operation in the segment, in bytes
      * @param length of the operation, in bytes
      * @param expiresAt Unix milliseconds, 0 for never
@@ -41,7 +41,7 @@
         this.size = size;
     }
 
-    /** An index of the leaves of these builders; the keys of each must be greater than those of the builder before it. */
+    /** Joins the leaves of these builders, whose keys must be in ascending order across builders. */
     static Index of(List<IndexLeafBuilder> builders) {
         IndexLeaf[] all = builders.stream().flatMap(builder -> builder.leaves().stream()).toArray(IndexLeaf[]::new);
         return new Index(all, builders.stream().mapToInt(IndexLeafBuilder::size).sum());
@@ -51,7 +51,7 @@
         return size;
     }
 
-    /** The leaves, shared: nobody may change the array or what is in it. */
+    /** The leaves, shared: callers must not modify the array or the leaves. */
     IndexLeaf[] leaves() {
         return leaves;
     }
@@ -70,7 +70,7 @@
         return slot < 0 ? null : leaves[leaf].location(slot);
     }
 
-    /** The position of the last leaf that begins with this key or a lesser one, else 0; -1 if there is no leaf. */
+    /** Position of the last leaf whose first key is at most this key, else 0; -1 if there are no leaves. */
     static int leafFor(IndexLeaf[] leaves, int leafCount, byte[] key) {
         int low = 0;
         int high = leafCount - 1;
@@ -85,7 +85,7 @@
         return leafCount == 0 ? -1 : low;
     }
 
-    /** All entries from this key on, in the order of the keys' unsigned bytes. */
+    /** All entries from this key on, in unsigned byte order of the keys. */
     Iterable<Entry> entriesFrom(byte[] key) {
         return () -> new Cursor(key);
     }
--- a/src/main/java/kelphollow/store/IndexEditor.java
+++ b/src/main/java/kelphollow/store/IndexEditor.java
@@ -2,13 +2,13 @@
 
 import java.util.Arrays;
 
-/** Makes the next version of an {@link Index}. Confined to one thread; never changes what it has published. */
+/** Builds the next version of an {@link Index} by copy-on-write; published leaves never change. Confined to one thread. */
 final class IndexEditor {
     private static final int MIN_LEAVES = 16;
-    /** Room in the first leaf, in keys, and how many bytes each may be longer than the first. */
+    /** Capacity of the first leaf: number of keys, and bytes that each may be longer than the first key. */
     private static final int FIRST_LEAF_KEYS = 16;
     private static final int FIRST_LEAF_SPARE_BYTES = 4;
-    /** Room for new keys on the right of a split, in keys and bytes. */
+    /** Spare capacity of the right leaf after a split, in keys and bytes. */
     private static final int SPLIT_SPARE_KEYS = 4;
     private static final int SPLIT_SPARE_BYTES = 64;
     /** A leaf with fewer keys is merged with the next one if the result has at most {@link #MAX_MERGED}. */
@@ -80,7 +80,7 @@
         return old;
     }
 
-    /** The leaf as one that this editor may change, with room for this many more keys and bytes. */
+    /** Returns the leaf itself if this editor owns it and it has the required room, else a copy that this editor owns. */
     private IndexLeaf writableLeaf(int position, int moreKeys, int moreKeyBytes) {
         IndexLeaf leaf = leaves[position];
         if (leaf.isOwnedBy(owner) && (moreKeys == 0 || leaf.hasRoomFor(moreKeyBytes))) {
@@ -98,7 +98,7 @@
         return leaves[position];
     }
 
-    /** Splits a leaf in the middle, or at its end if keys arrive in order there, which leaves full leaves behind. */
+    /** Splits a leaf in the middle; at its end for an insertion there, so that keys added in order leave full leaves. */
     private void split(int position, int insertAt) {
         IndexLeaf leaf = leaves[position];
         int middle = leaf.count() / 2;
@@ -141,7 +141,7 @@
         leaves[leafCount] = null;
     }
 
-    /** Publishes the index as it is now; from here on the editor copies the leaves that it changes. */
+    /** Publishes the current index; later changes copy its leaves. */
     Index publish() {
         owner = new Object();
         return new Index(Arrays.copyOf(leaves, leafCount), size);
--- a/src/main/java/kelphollow/store/IndexLeaf.java
+++ b/src/main/java/kelphollow/store/IndexLeaf.java
@@ -3,18 +3,18 @@
 import java.util.Arrays;
 
 /**
- * One leaf of an {@link Index}: keys in ascending order, one behind the other in one array, and their locations in parallel
- * arrays, so that no object is kept per key. Changed only by its owner, on the owner's thread, until an index with it is
+ * One leaf of an {@link Index}: keys in ascending order, concatenated in one array, and their locations in parallel arrays,
+ * so that no object is kept per key. Only its owner modifies it, on the owner's thread, until an index that contains it is
  * published; immutable from then on.
  */
 final class IndexLeaf {
-    /** A leaf with more keys is split. */
+    /** Maximum number of keys; an insertion into a full leaf splits it. */
     static final int MAX_KEYS = 128;
 
     private final Object owner;
     private int count;
     private byte[] keys;
-    /** Where each key ends in {@link #keys}. */
+    /** End offset of each key in {@link #keys}. */
     private final int[] ends;
     private final int[] segments;
     private final int[] offsets;
@@ -23,11 +23,11 @@
     private final long[] expiries;
 
     /**
-     * An empty leaf.
+     * Creates an empty leaf.
      *
-     * @param owner who may change it, compared by identity
-     * @param capacity in keys
-     * @param keyBytes capacity in bytes of all keys together
+     * @param owner token of the editor that may modify the leaf, compared by identity
+     * @param capacity maximum number of keys
+     * @param keyBytes capacity for the bytes of all keys together
      */
     IndexLeaf(Object owner, int capacity, int keyBytes) {
         this.owner = owner;
@@ -73,7 +73,7 @@
         return Arrays.compareUnsigned(keys, start(slot), ends[slot], key, 0, key.length);
     }
 
-    /** The slot of a key; if there is none, a negative number for {@link #insertionSlot}. */
+    /** The slot of a key, or a negative number for {@link #insertionSlot} if the key is absent. */
     int find(byte[] key) {
         int low = 0;
         int high = count - 1;
@@ -92,7 +92,7 @@
         return -1 - low;
     }
 
-    /** Where a key belongs that {@link #find} did not find, from what it returned. */
+    /** The slot at which to insert an absent key, from the negative result of {@link #find}. */
     static int insertionSlot(int notFound) {
         return -1 - notFound;
     }
@@ -113,7 +113,7 @@
         expiries[slot] = expiresAt;
     }
 
-    /** A copy of the entries in slots {@code from} to {@code to}, with room for more. */
+    /** Copies slots {@code from} (inclusive) to {@code to} (exclusive) into a new leaf with spare capacity. */
     IndexLeaf copy(Object newOwner, int from, int to, int moreKeys, int moreKeyBytes) {
         int copied = to - from;
         int keysFrom = start(from);
@@ -141,7 +141,7 @@
         copyLocations(from, this, to, count - from);
     }
 
-    /** Inserts a key before the one in this slot; there must be room for it. */
+    /** Inserts a key at this slot and shifts the following ones; the leaf must have room for it. */
     void insert(int slot, byte[] key, Index.Location location) {
         int at = start(slot);
         System.arraycopy(keys, at, keys, at + key.length, keyBytes() - at);
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Appends a key greater than all others without an object for it or its location; grows the key array if needed. */
+    /** Appends a key greater than all others without allocating an object for it; grows the key array if needed. */
     void append(byte[] from, int keyFrom, int keyTo, int segment, int offset, int length, long sequence, long expiresAt) {
         int keyEnd = keyBytes();
         int keyLength = keyTo - keyFrom;
--- a/src/main/java/kelphollow/store/IndexLeafBuilder.java
+++ b/src/main/java/kelphollow/store/IndexLeafBuilder.java
@@ -5,7 +5,7 @@
 
 /** Builds the leaves of an {@link Index} from distinct keys in ascending order. Confined to one thread. */
 final class IndexLeafBuilder {
-    /** Keys in a leaf: three quarters of what it can hold, so that later keys between them need no split. */
+    /** Three quarters of the maximum, so that later insertions between these keys do not split the leaf at once. */
     private static final int KEYS_PER_LEAF = IndexLeaf.MAX_KEYS * 3 / 4;
     private final List<IndexLeaf> leaves = new ArrayList<>();
     private IndexLeaf current;
@@ -20,7 +20,7 @@
         size++;
     }
 
-    /** Finishes the last leaf, which keeps no more memory than it needs. */
+    /** Finishes the last leaf and trims its arrays to their contents. */
     void finish() {
         if (current != null) {
             leaves.add(current.isFilledTo(KEYS_PER_LEAF) ? current : current.copy(leaves, 0, current.count(), 0, 0));
--- a/src/main/java/kelphollow/store/IndexLoader.java
+++ b/src/main/java/kelphollow/store/IndexLoader.java
@@ -8,12 +8,12 @@
 import java.util.stream.IntStream;
 
 /**
- * Builds the index of an opening by one merge of all hints, which are sorted: of each key the operation with the highest
- * sequence wins. Large stores are cut into ranges of keys, which are merged in parallel on the common pool. One use,
- * called from one thread; no object is made per key.
+ * Builds the index when a store is opened by merging all hints, which are sorted by key: for each key the operation with the
+ * highest sequence wins. Splits large stores into key ranges and merges them in parallel on the common pool. For one use
+ * from one thread; allocates no object per key.
  */
 final class IndexLoader {
-    /** Fewer operations are merged in one range. */
+    /** Stores with fewer operations are merged as one range, without parallelism. */
     static final int MIN_PARALLEL_OPERATIONS = 20_000;
     private static final int RANGES_PER_PROCESSOR = 2;
 
@@ -43,7 +43,7 @@
         return index;
     }
 
-    /** Where each range begins in each hint; all operations on one key fall into one range. */
+    /** Start position of each range in each hint; all operations on one key fall into the same range. */
     private int[][] bounds(int ranges) {
         SegmentHint longest = hints.stream().max(Comparator.comparingInt(SegmentHint::count)).orElse(null);
         int[][] bounds = new int[ranges + 1][hints.size()];
@@ -56,7 +56,7 @@
         return bounds;
     }
 
-    /** Bytes of live operations by segment; complete after {@link #build}. */
+    /** Bytes of live operations by segment id; complete after {@link #build}. */
     Map<Long, Long> liveBytes() {
         return liveBytes;
     }
--- a/src/main/java/kelphollow/store/IntegrityReport.java
+++ b/src/main/java/kelphollow/store/IntegrityReport.java
@@ -3,22 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The findings of an opening, an inspection or a scrub, in their order. Confined to the thread that runs it. */
+/** The findings of an opening, an inspection or a scrub, in order. Confined to the thread that adds them. */
 public final class IntegrityReport {
-    /** An {@code offset} or {@code sequence} that does not apply to a finding. */
+    /** Value of an {@code offset} or {@code sequence} that does not apply to a finding. */
     static final long NOT_APPLICABLE = -1;
 
-    /** What a finding says; each has the word that logs and the operator's commands print. */
+    /** Kind of a finding; {@code toString} returns the word that logs and the operator's commands print. */
     public enum Kind {
         /** A new store was created. */
         CREATED("created"),
         /** A file was restored from its other copy. */
         REPAIRED("repaired"),
-        /** The copies differ; an opening would repair it. */
+        /** The copies differ; an opening would repair them. */
         DIFFERS("differs"),
-        /** The end of a segment was cut off: it was being written, and was never acknowledged as safe. */
+        /** The end of a segment was truncated: its write was interrupted and never acknowledged as durable. */
         TRUNCATED("torn"),
-        /** A record that was acknowledged is intact in neither copy. */
+        /** An acknowledged record is damaged in both copies. */
         DAMAGED("damaged");
 
         private final String printed;
@@ -35,12 +35,12 @@
     /**
      * One finding.
      *
-     * @param file with its folder
+     * @param file path of the file, with its folder
      * @param offset in bytes, negative if it does not apply
      * @param sequence of the record, negative if it does not apply
      */
     public record Finding(Kind kind, String file, long offset, long sequence, String detail) {
-        /** The line for logs and scripts: {@code KIND FILE [offset=N] [sequence=N] [DETAIL]}. */
+        /** The line for logs and operators' scripts: {@code KIND FILE [offset=N] [sequence=N] [DETAIL]}. */
         @Override public String toString() {
             return kind + " " + file + (offset < 0 ? "" : " offset=" + offset)
                 + (sequence < 0 ? "" : " sequence=" + sequence) + (detail.isEmpty() ? "" : " " + detail);
@@ -68,12 +68,12 @@
         return List.copyOf(findings);
     }
 
-    /** How many files were restored from their other copy. */
+    /** Number of files that were restored from their other copy. */
     public int repairedFiles() {
         return repairedFiles;
     }
 
-    /** Whether something that was acknowledged is lost. */
+    /** Whether acknowledged data is lost. */
     public boolean isDamaged() {
         return contains(Kind.DAMAGED);
     }
--- a/src/main/java/kelphollow/store/IoThrottle.java
+++ b/src/main/java/kelphollow/store/IoThrottle.java
@@ -10,12 +10,12 @@
     /** Blocks until this many bytes may be read or written. */
     void acquire(long bytes);
 
-    /** A token bucket that holds a tenth of a second's bytes; a caller that overdraws it waits until the debt is paid. */
+    /** A token bucket with a burst of a tenth of a second; a caller that overdraws it waits until the balance is zero. */
     static IoThrottle of(long bytesPerSecond) {
         return new TokenBucket(bytesPerSecond);
     }
 
-    /** Tokens are bytes; they go below zero, so that one large request passes at once and delays the next. */
+    /** Tokens are bytes. The balance may become negative, so that a request larger than the bucket can pass. */
     final class TokenBucket implements IoThrottle {
         private static final double NANOS_PER_SECOND = 1e9;
         private static final double BURSTS_PER_SECOND = 10.0;
--- a/src/main/java/kelphollow/store/Manifest.java
+++ b/src/main/java/kelphollow/store/Manifest.java
@@ -7,17 +7,17 @@
 import java.util.List;
 
 /**
- * Which segments make up the store. A file of its own in each folder, replaced completely: a new one takes effect by its
- * renaming, so that at each moment either the old list or the new one is in force.
+ * The list of segments that make up the store. Each folder has its own manifest file, which is replaced atomically by a
+ * rename, so that at any time either the old list or the new one is current.
  *
- * @param generation grows by one with each replacement; of two manifests the higher is in force
- * @param nextSegment no segment had this number yet
- * @param nextSequence no batch that the segments do not show had this number or a higher one
- * @param time the latest time that the store has recorded, in Unix milliseconds
+ * @param generation increases by one with each replacement; of two manifests the one with the higher generation is current
+ * @param nextSegment id of the next segment; never used before
+ * @param nextSequence sequences from this one on were used only by batches that are found in the segments
+ * @param time latest time that the store has recorded, in Unix milliseconds
  */
 record Manifest(StoreId store, long generation, long nextSegment, long nextSequence, long time, List<Entry> segments) {
     static final String NAME = "MANIFEST";
-    /** Name of the file that is about to replace the manifest. */
+    /** Name of the temporary file that replaces the manifest. */
     static final String NEW_NAME = "MANIFEST.new";
     private static final int HEADER_BYTES = 72;
     private static final int COUNT_AT = 12;
@@ -29,9 +29,9 @@
     /**
      * One segment.
      *
-     * @param length in bytes, 0 while it is written to
-     * @param firstSequence no operation in it has a lower one
-     * @param hintLength in bytes, 0 when it has no hint file
+     * @param length in bytes, 0 for the active segment
+     * @param firstSequence lower bound of the sequences of its operations
+     * @param hintLength in bytes, 0 if it has no hint file
      */
     record Entry(long id, long length, long firstSequence, int operations, int hintLength, int hintCrc) {
         boolean isSealed() {
@@ -56,7 +56,7 @@
         return file.array();
     }
 
-    /** A folder's manifest file; {@code manifest} is null unless {@code state} is VALID. */
+    /** Result of decoding a manifest file; {@code manifest} is null unless {@code state} is VALID. */
     record ReadResult(Manifest manifest, Format.HeaderState state) {}
 
     static ReadResult read(byte[] bytes) {
@@ -91,19 +91,19 @@
         return segments.stream().filter(entry -> entry.id == id).findFirst().orElse(null);
     }
 
-    /** Replaces the manifest of each folder in turn; after a crash in between recovery takes the higher generation. */
+    /** Replaces the manifest in both folders in turn; after a crash in between, recovery uses the higher generation. */
     void replace(Disk[] disks) throws IOException {
         for (Disk disk : disks) {
             write(disk);
         }
     }
 
-    /** Replaces the manifest of one folder. */
+    /** Replaces the manifest in one folder. */
     void write(Disk disk) throws IOException {
         AtomicFile.replace(disk, NAME, NEW_NAME, bytes());
     }
 
-    /** Whether these are the bytes of this manifest's file. */
+    /** Whether these bytes are the encoding of this manifest. */
     boolean hasBytes(byte[] found) {
         return Arrays.equals(found, bytes());
     }
--- a/src/main/java/kelphollow/store/package-info.java
+++ b/src/main/java/kelphollow/store/package-info.java
@@ -1,9 +1,14 @@
 /**
- * An embedded key-value store on an append-only log in two copies, after Bitcask. {@link kelphollow.store.Store} is what
- * callers use. Writing: {@link kelphollow.store.Batch}, {@code WriteQueue}, {@code Writer}, {@code CommitLog}. Reading:
- * {@code SegmentSet}, {@code Index}, {@link kelphollow.store.Snapshot}. Background: {@code Compactor}, {@code Scrubber}.
- * Recovery: {@code StoreOpener}, {@code ManifestRecovery}, {@code SegmentRecovery}, {@code IndexLoader}. Formats: {@code
- * Format}, {@code Operation}, {@code Manifest}, {@code SegmentHint}. It knows no other package; {@code docs/design/STORE.md}
- * has the formats and the reasons.
+ * An embedded key-value store after Bitcask: an append-only log kept in two copies. The entry point is
+ * {@link kelphollow.store.Store}.
+ * <ul>
+ * <li>Writing: {@link kelphollow.store.Batch}, {@code WriteQueue}, {@code Writer}, {@code CommitLog}
+ * <li>Reading: {@code SegmentSet}, {@code Index}, {@link kelphollow.store.Snapshot}
+ * <li>Background work: {@code Compactor}, {@code Scrubber}
+ * <li>Recovery: {@code StoreOpener}, {@code ManifestRecovery}, {@code SegmentRecovery}, {@code IndexLoader}
+ * <li>File formats: {@code Format}, {@code Operation}, {@code Manifest}, {@code SegmentHint}
+ * </ul>
+ * The package depends on no other package of the project. {@code docs/design/STORE.md} describes the file formats and the
+ * design decisions.
  */
 package kelphollow.store;
