--- a/src/test/java/kelphollow/store/CrashTest.java
+++ b/src/test/java/kelphollow/store/CrashTest.java
@@ -21,22 +21,23 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The power is cut, or the disk fails, at each operation of the file system in turn: while appending, rotating, compacting,
- * replacing manifest and hint, closing, and during recovery itself.
+ * Guards against losing acknowledged writes and against restoring unacknowledged parts of them. Injects a power cut or a
+ * disk fault at each file system operation in turn: during appends, rotation, compaction, replacement of the manifest and of
+ * hints, close, and recovery itself.
  */
 class CrashTest {
-    /** Power cuts tried at each operation. */
+    /** Number of random disk states tried for a power cut at each operation. */
     private static final int SEEDS = Integer.getInteger("kelphollow.crash.seeds", 6);
     private static final int STEPS = 36;
 
-    /** A fixed workload on a store, and what was acknowledged of it. */
+    /** A fixed workload on a store, and how much of it was acknowledged. */
     private static final class Workload {
         final StoreHarness harness = new StoreHarness();
-        /** What the store should hold after each batch that was submitted. */
+        /** Expected contents of the store after each submitted batch. */
         final List<Map<String, String>> history = new ArrayList<>(List.of(Map.of()));
-        /** At least this many batches must be found after a power cut. */
+        /** Number of batches that must survive a power cut. */
         int synced;
-        /** At least this many batches must be found after a kill. */
+        /** Number of batches that must survive a kill of the process. */
         int buffered;
 
         Workload(Faults faults) {
@@ -52,7 +53,7 @@
                 }
                 harness.store.close();
             } catch (IOException | StoreFault e) {
-                // cut off: what was acknowledged until now counts
+                // interrupted by the fault; the batches acknowledged so far must survive
             }
         }
 
@@ -88,7 +89,7 @@
             return batch;
         }
 
-        /** The contents found must be those after some batch, no earlier than the last one that was acknowledged. */
+        /** Asserts that the contents are those after one of the batches, the last acknowledged one or a later one. */
         void assertKept(Map<String, String> found, int acknowledged, String context) {
             for (int i = acknowledged; i < history.size(); i++) {
                 if (history.get(i).equals(found)) {
@@ -113,7 +114,7 @@
         return faults;
     }
 
-    @Test void aPowerCutAtAnyOperationLosesAndInventsNothing() {
+    @Test void aPowerCutAtAnyOperationLosesNoAcknowledgedWrite() {
         int operations = operationsOfWorkload();
         assertTrue(operations > 300, "operations " + operations);
         IntStream.rangeClosed(1, operations).parallel().forEach(operation -> {
@@ -121,7 +122,7 @@
             workload.run();
             for (int seed = 0; seed < SEEDS; seed++) {
                 assertRecovers(workload, new Random(operation * 1_000L + seed),
-                    "cut at operation " + operation + ", seed " + seed);
+                    "power cut at operation " + operation + ", seed " + seed);
             }
         });
     }
@@ -147,7 +148,7 @@
         }
     }
 
-    @Test void aRecoveryThatIsCutOffAtAnyOperationCanBeRepeated() {
+    @Test void aRecoveryThatIsInterruptedAtAnyOperationCanBeRepeated() {
         int operations = operationsOfWorkload();
         IntStream.rangeClosed(1, operations / 7).map(n -> n * 7).parallel().forEach(operation -> {
             Workload workload = new Workload(faultsFrom(operation, Faults.Kind.POWER_CUT));
@@ -161,19 +162,19 @@
                 harness.options = workload.harness.options;
                 try {
                     harness.open();
-                    break;              // it completed: each of its operations was cut off
+                    break;              // recovery completed, so the power was cut at each of its operations
                 } catch (IOException | StoreFault e) {
                     Workload cutOff = new Workload(faults);
                     cutOff.harness.on(harness.first, harness.second);
                     cutOff.history.addAll(workload.history.subList(1, workload.history.size()));
                     cutOff.synced = workload.synced;
-                    assertRecovers(cutOff, random, "cut at " + operation + ", recovery cut at " + recoveryOperation);
+                    assertRecovers(cutOff, random, "power cut at " + operation + ", recovery cut at " + recoveryOperation);
                 }
             }
         });
     }
 
-    /** After its first failure the disk goes on failing, as a full one does. */
+    /** After its first failure the disk keeps failing, as a full disk does. */
     @ParameterizedTest @EnumSource(names = "POWER_CUT", mode = EnumSource.Mode.EXCLUDE) void aFailingDiskLosesNothing(
         Faults.Kind kind) {
         IntStream.rangeClosed(1, operationsOfWorkload()).parallel().forEach(operation -> {
@@ -230,7 +231,7 @@
         harness.assertHoldsModel();
     }
 
-    /** Guards against dropping a value for one that overwrote it and that a power cut still loses. */
+    /** Guards against compaction dropping a value whose overwriting value is not synced yet and is lost in a power cut. */
     @Test void compactionKeepsAValueUntilWhatOverwroteItIsSynced() throws Exception {
         StoreHarness harness = new StoreHarness().open();
         harness.put("t", "key", "old");
--- a/src/test/java/kelphollow/store/CrashingDisk.java
+++ b/src/test/java/kelphollow/store/CrashingDisk.java
@@ -6,23 +6,23 @@
 import java.util.Set;
 
 /**
- * A folder whose process ends at a chosen append: half of that append's bytes reach the file, and nothing after it
- * reaches any folder of the same process. Reading goes on. For one thread.
+ * Simulates a process crash at a chosen append: half of the appended bytes reach the file, and all later writes to any
+ * folder of the same process fail. Reads still work. For one thread.
  */
 final class CrashingDisk implements Disk {
-    /** The process that writes to both folders, and where it ends. */
+    /** The simulated process that writes to both folders, and the append at which it crashes. */
     static final class Process {
         private final Runnable onCrash;
         private String folder;
         private String nameEnding;
         private boolean crashed;
 
-        /** @param onCrash called once half of the append is written, for a process that ends for real */
+        /** @param onCrash called after half of the append is written; it may halt the JVM */
         Process(Runnable onCrash) {
             this.onCrash = onCrash;
         }
 
-        /** Ends the process at the next append in this folder to a file whose name ends like this. */
+        /** Crashes the process at the next append in this folder to a file whose name ends with this suffix. */
         void crashAt(String inFolder, String toNameEnding) {
             folder = inFolder;
             nameEnding = toNameEnding;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** The process has ended: nothing is written any more. */
+    /** Thrown by all writes after the crash. */
     static final class ProcessEnded extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -59,8 +59,8 @@
     private final Process process;
 
     /**
-     * @param folder the name by which {@link Process#crashAt} knows this folder
-     * @param disk what is written to until the cut
+     * @param folder name of this folder for {@link Process#crashAt}
+     * @param disk the disk that receives the writes before the crash
      */
     CrashingDisk(String folder, Disk disk, Process process) {
         this.folder = folder;
--- a/src/test/java/kelphollow/store/EveryByteTest.java
+++ b/src/test/java/kelphollow/store/EveryByteTest.java
@@ -18,17 +18,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Damage of any one file: truncated at every length, every bit of every byte flipped, missing. Nothing acknowledged may be
- * lost, nothing that was removed may come back, and a second opening must change nothing.
+ * Damages one file of one copy: truncates it at every length, flips bits of every byte, or deletes it. No acknowledged
+ * value may be lost, no removed key may reappear, and a second opening must change nothing.
  */
 class EveryByteTest {
-    /** How many bits of each byte are flipped; more in the profile {@code campaign}. */
+    /** Number of bits flipped in each byte; more in the profile {@code campaign}. */
     private static final int BITS = Integer.getInteger("kelphollow.bits", 2);
-    /** How large the store is; larger in the profile {@code campaign}. */
+    /** Number of steps that fill the store; more in the profile {@code campaign}. */
     private static final int STEPS = Integer.getInteger("kelphollow.steps", 30);
     private static final int DEFAULT_STEPS = 30;
 
-    /** A store with every kind of record, several segments, hints, and a compaction behind it. */
+    /** A compacted store with every kind of record, several segments, and hints. */
     private static StoreHarness sample(boolean closed, StoreOptions options, int steps) throws Exception {
         StoreHarness harness = new StoreHarness();
         harness.options = options;
@@ -55,7 +55,7 @@
         return harness;
     }
 
-    /** Opens damaged copies; asserts that nothing is lost, also after a second opening, and that the store can be used. */
+    /** Opens damaged copies; asserts that no data is lost, that a second opening changes nothing, and that writes work. */
     private static void assertRepaired(StoreHarness sample, MemoryDisk first, MemoryDisk second, String context) {
         try {
             StoreHarness harness = new StoreHarness().on(first, second);
@@ -108,10 +108,10 @@
         }
     }
 
-    /** Truncates the file here and flips bits of the byte here, if there is one; returns the number of damaged stores. */
+    /** Truncates the file at this offset, then flips bits of the byte at it, if any; returns the number of stores tried. */
     private static int damageAt(StoreHarness sample, int side, String name, byte[] intact, int at, int bits) {
         int stores = 0;
-        assertRepaired(sample, side, name, Arrays.copyOf(intact, Math.min(at, intact.length)), "cut at " + at);
+        assertRepaired(sample, side, name, Arrays.copyOf(intact, Math.min(at, intact.length)), "truncated at " + at);
         for (int bit = 0; bit < Byte.SIZE && at < intact.length; bit += Byte.SIZE / bits) {
             byte[] flipped = intact.clone();
             flipped[at] ^= (byte) (1 << bit);
@@ -121,7 +121,7 @@
         return stores + 1;
     }
 
-    /** Replaces one file by these bytes, or deletes it for null, and asserts that it is repaired. */
+    /** Replaces one file by these bytes, or deletes it if they are null, and asserts that it is repaired. */
     private static void assertRepaired(StoreHarness sample, int side, String name, byte[] bytes, String context) {
         MemoryDisk.Faults faults = new MemoryDisk.Faults();
         MemoryDisk first = sample.first.copy(faults);
@@ -161,7 +161,7 @@
             new MemoryDisk("b", new MemoryDisk.Faults()), "b is new");
     }
 
-    /** Damage of one record in both copies must be named, and the store stays closed until its loss is accepted. */
+    /** Damage of one record in both copies must be reported, and opening must fail until the operator accepts the loss. */
     @Test void damageOfOneRecordInBothCopiesIsReportedAndFailsClosed() throws Exception {
         StoreHarness sample = sample(true, StoreHarness.SMALL, 24);
         Manifest manifest = Manifest.read(sample.first.bytes(Manifest.NAME)).manifest();
@@ -191,7 +191,7 @@
         Map<String, String> left = StoreHarness.contents(harness.store);
         harness.store.close();
         harness.open();
-        assertEquals(left, StoreHarness.contents(harness.store), "what is left opens by itself");
+        assertEquals(left, StoreHarness.contents(harness.store), "a later opening needs no acceptance");
         assertEquals(List.of(), harness.store.report().findings());
         harness.store.close();
     }
@@ -213,14 +213,14 @@
         MemoryDisk first = sample.first.copy(new MemoryDisk.Faults());
         MemoryDisk second = sample.second.copy(new MemoryDisk.Faults());
 
-        first.bytes(name)[Format.SEGMENT_HEADER_BYTES + 9] ^= 1;                       // the head here
-        second.bytes(name)[Format.SEGMENT_HEADER_BYTES + Format.FRAME_HEADER_BYTES + 9] ^= 1;  // its payload there
+        first.bytes(name)[Format.SEGMENT_HEADER_BYTES + 9] ^= 1;                       // frame header
+        second.bytes(name)[Format.SEGMENT_HEADER_BYTES + Format.FRAME_HEADER_BYTES + 9] ^= 1;  // payload of the same frame
 
-        assertRepaired(sample, first, second, "head in one, payload in the other");
+        assertRepaired(sample, first, second, "header in one copy, payload in the other");
     }
 
     @ParameterizedTest @ValueSource(ints = {Integer.MAX_VALUE, 1 << 20, -1,
-        Integer.MIN_VALUE}) void aLengthBeyondTheFileIsNeverFollowed(
+        Integer.MIN_VALUE}) void aFrameLengthBeyondTheFileIsRejected(
             int length) throws Exception {
         StoreHarness sample = sample(false, StoreHarness.SMALL, 24);
         for (String name : sample.first.names(".seg")) {
@@ -230,7 +230,7 @@
         }
     }
 
-    @Test void twoDamagedManifestsFailClosedUntilTheOperatorHasThemRebuiltFromTheSegments() throws Exception {
+    @Test void damageOfBothManifestsFailsClosedUntilTheOperatorAcceptsARebuildFromTheSegments() throws Exception {
         StoreHarness harness = sample(true, StoreHarness.SMALL, 24);
         harness.first.bytes(Manifest.NAME)[20] ^= 1;
         harness.second.remove(Manifest.NAME);
--- a/src/test/java/kelphollow/store/IntegrityReportTest.java
+++ b/src/test/java/kelphollow/store/IntegrityReportTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The lines of a report, which operators' scripts read. */
+/** Checks the printed form of findings, which operators' scripts parse. */
 class IntegrityReportTest {
     private final IntegrityReport report = new IntegrityReport();
 
-    @Test void eachKindHasThePrintedWordOfTheOperatorsPage() {
+    @Test void eachKindHasItsDocumentedPrintedWord() {
         assertEquals(List.of("created", "repaired", "differs", "torn", "damaged"),
             Arrays.stream(IntegrityReport.Kind.values()).map(IntegrityReport.Kind::toString).toList());
     }
@@ -22,7 +22,7 @@
         assertEquals("torn a/1.seg offset=64 sequence=7 3 bytes", report.findings().get(0).toString());
     }
 
-    @Test void whatDoesNotApplyToAFindingIsNotPrinted() {
+    @Test void anInapplicableOffsetOrSequenceIsNotPrinted() {
         report.add(IntegrityReport.Kind.CREATED, "a", "");
         assertEquals("created a", report.findings().get(0).toString());
     }
--- a/src/test/java/kelphollow/store/KillChild.java
+++ b/src/test/java/kelphollow/store/KillChild.java
@@ -6,15 +6,15 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The process that {@link KillTest} kills: several threads overwrite and remove keys of their own, each waiting for its
- * acknowledgement. It prints each write before it tries it, and again when it is acknowledged.
+ * The process that {@link KillTest} kills. Several threads overwrite and remove keys, each thread its own, and wait for each
+ * acknowledgement. Prints each write before it is submitted and again after it is acknowledged.
  */
 final class KillChild {
-    /** First word of a line before a write: {@code try KEY NUMBER 1}, or 0 for a removal. */
+    /** First word of the line before a write: {@code try KEY NUMBER 1}, with 0 instead of 1 for a removal. */
     static final String TRY = "try";
-    /** First word of a line after a write: {@code ack KEY NUMBER}. */
+    /** First word of the line after an acknowledged write: {@code ack KEY NUMBER}. */
     static final String ACKNOWLEDGED = "ack";
-    /** Small segments, so that rotations and compactions are killed too. */
+    /** Small segments, so that kills also hit rotations and compactions. */
     static final StoreOptions OPTIONS = StoreOptions.DEFAULTS.withSegmentBytes(16 * 1024);
     private static final int WRITERS = 4;
     private static final int KEYS = 12;
@@ -32,7 +32,7 @@
         }
     }
 
-    /** One line is one system call, so that a kill leaves complete lines only. */
+    /** Prints a line in one system call, so that a kill does not split it. */
     private static void print(String line) {
         byte[] bytes = (line + "\n").getBytes();
         synchronized (KillChild.class) {
--- a/src/test/java/kelphollow/store/KillTest.java
+++ b/src/test/java/kelphollow/store/KillTest.java
@@ -19,26 +19,26 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A real process on real folders is killed at random, again and again: what it reported as acknowledged is there, what it
- * never tried is not, and both changes of a batch are there or neither. 12 kills here; the profile {@code campaign} makes
- * 2,000 (see docs/measurements/STORE.md).
+ * Repeatedly kills a process that writes to a store on real folders, at random times. After each kill every acknowledged
+ * write must be found, no write that was never tried, and both changes of a batch or neither. Runs 12 kills by default; the
+ * profile {@code campaign} runs 2,000 (see docs/measurements/STORE.md).
  */
 class KillTest {
     private static final int KILLS = Integer.getInteger("kelphollow.kills", 12);
-    /** Stores that are killed in parallel. */
+    /** Number of stores, each with its own process, that are tested in parallel. */
     private static final int PARALLEL_STORES = Integer.getInteger("kelphollow.kill.lanes", 4);
     @TempDir
     Path folder;
 
-    /** What was tried last and acknowledged last on one key. */
+    /** The last tried and the last acknowledged write of one key. */
     private static final class Key {
         long acknowledged;
         long tried;
-        /** Whether the write of a number leaves a value. */
+        /** Maps the number of a write to whether it sets a value rather than removes it. */
         final Map<Long, Boolean> leavesValue = new HashMap<>(Map.of(0L, false));
     }
 
-    @Test void sigkillLosesNothingAcknowledgedAndInventsNothing() throws Exception {
+    @Test void sigkillLosesNoAcknowledgedWriteAndLeavesNoUntriedOne() throws Exception {
         ExecutorService executor = Executors.newFixedThreadPool(PARALLEL_STORES);
         long acknowledged = 0;
         try {
@@ -56,10 +56,10 @@
         }
         System.out.println(KILLS / PARALLEL_STORES * PARALLEL_STORES + " kills, " + acknowledged
             + " writes acknowledged, none lost, none invented");
-        assertTrue(acknowledged > 10 * KILLS, "the writers came to write: " + acknowledged);
+        assertTrue(acknowledged > 10 * KILLS, "too few acknowledged writes: " + acknowledged);
     }
 
-    /** One store, and the processes that write it one after the other. Confined to one thread. */
+    /** One store, and the processes that write to it one after the other. Confined to one thread. */
     private static final class KilledStore {
         private static final int MAX_OUTPUT_BYTES = 12_000;
         private final int number;
@@ -78,11 +78,11 @@
             this.random = new Random(number);
         }
 
-        /** Returns the number of acknowledged writes. */
+        /** Starts and kills this many processes; returns the number of acknowledged writes. */
         long run(int kills) throws IOException, InterruptedException, StoreFault {
             for (int incarnation = 1; incarnation <= kills; incarnation++) {
                 Process child = start(incarnation);
-                // One in five is killed while it starts and recovers, the others after this much output.
+                // One process in five is killed while it starts and recovers, the others after a random amount of output.
                 if (random.nextInt(5) == 0) {
                     TimeUnit.MILLISECONDS.sleep(40 + random.nextInt(500));
                 } else {
@@ -102,13 +102,14 @@
                 .redirectOutput(output.toFile()).redirectError(ProcessBuilder.Redirect.DISCARD).start();
         }
 
-        /** Waits until the child has written this much; half a minute at most, so that a child that hangs is noticed. */
+        /** Waits until the child has written this many bytes; fails after 30 s, so that a hanging child is detected. */
         private void awaitOutput(long bytes, Process child) throws IOException, InterruptedException {
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
             while (Files.size(output) < bytes && child.isAlive() && System.nanoTime() < until) {
                 TimeUnit.MILLISECONDS.sleep(1);
             }
-            assertTrue(Files.size(output) >= bytes && child.isAlive(), "the child writes until it is killed");
+            assertTrue(Files.size(output) >= bytes && child.isAlive(),
+                "the child must be running and have written " + bytes + " bytes");
         }
 
         private void readOutput() throws IOException {
--- a/src/test/java/kelphollow/store/MemoryDisk.java
+++ b/src/test/java/kelphollow/store/MemoryDisk.java
@@ -13,19 +13,19 @@
 import java.util.TreeSet;
 
 /**
- * A folder in memory that models what a power cut leaves of it: of each file what was synced, and of the rest any part in
- * any order; of the names what the folder's last sync saw, and of the changes since any subset in their order. Faults can
- * be injected at any operation. Thread-safe by one monitor for all disks that share their {@link Faults}.
+ * A folder in memory that models a power cut: synced bytes of a file survive, unsynced bytes survive in any part and in any
+ * order; file names survive as of the last sync of the folder, and any subset of the later changes is applied in order.
+ * Faults can be injected at any operation. Thread-safe: all disks that share {@link Faults} use one monitor.
  */
 final class MemoryDisk implements Disk {
-    /** Which operation is cut off, or fails. Both folders share one, so that it counts the operations of both. */
+    /** Selects the operation that fails and how. Both folders share one instance, which counts the operations of both. */
     static final class Faults {
-        /** What happens; a disk that is full, or has failed once, goes on failing. */
+        /** Kind of the fault; a disk that is full or has failed once keeps failing. */
         enum Kind {
             POWER_CUT, NO_SPACE, SHORT_WRITE, IO_ERROR, SYNC_FAILS
         }
 
-        /** Operations so far. */
+        /** Number of operations so far. */
         int operations;
         /** The number of the first operation that fails. */
         int firstFailing = Integer.MAX_VALUE;
@@ -34,7 +34,7 @@
 
         private enum Operation { APPEND, SYNC, OTHER }
 
-        /** Counts an operation; returns its fault, or null. An append is still carried out in part when the power goes. */
+        /** Counts an operation and returns its fault, or null. At a power cut the caller still writes part of an append. */
         private Kind next(Operation operation) throws PowerCut {
             if (!hasPower) {
                 throw new PowerCut();
@@ -59,12 +59,12 @@
         }
     }
 
-    /** The power is off. */
+    /** Thrown by all operations from the power cut on. */
     static final class PowerCut extends IOException {
         private static final long serialVersionUID = 1;
     }
 
-    /** A file: its bytes, the first of which are synced. */
+    /** A file: its bytes, of which the first {@code synced} are synced. */
     private static final class Node {
         private byte[] bytes = new byte[0];
         private int synced;
@@ -87,7 +87,7 @@
     /** The faults of this disk. */
     final Faults faults;
     private final String path;
-    /** The writer, the compactor and the sync of the second copy are threads of their own. */
+    /** Guards all state: the writer, the compactor and the sync of the second copy run on separate threads. */
     private final Object monitor;
     private final Map<String, Node> names = new TreeMap<>();
     private final Map<String, Node> syncedNames = new TreeMap<>();
@@ -107,7 +107,7 @@
         return copy;
     }
 
-    /** What a power cut leaves, by the draws of this source; without faults. */
+    /** A disk as a power cut may leave it, chosen by this random source; without faults. */
     MemoryDisk afterPowerCut(Random random) {
         Map<String, Node> left = new TreeMap<>(syncedNames);
         for (NameChange change : unsyncedChanges) {
@@ -120,7 +120,7 @@
         return after;
     }
 
-    /** What was not synced is there up to some length, and each piece of it as written, as zeros, or as noise. */
+    /** Keeps the unsynced bytes up to a random length, each chunk of them as written, as zeros, or as random bytes. */
     private static byte[] afterPowerCut(Node node, Random random) {
         int length = node.synced + random.nextInt(node.bytes.length - node.synced + 1);
         byte[] left = Arrays.copyOf(node.bytes, length);
@@ -142,19 +142,19 @@
         return left;
     }
 
-    /** The bytes of a file themselves: a change of the array is damage of the file. */
+    /** The array that backs a file; modifying it damages the file. */
     byte[] bytes(String name) {
         return names.get(name).bytes;
     }
 
-    /** Sets the contents of a file, synced; no operation of the disk. */
+    /** Sets the contents of a file as synced, without counting an operation. */
     void set(String name, byte[] bytes) {
         Node node = Node.synced(bytes);
         names.put(name, node);
         syncedNames.put(name, node);
     }
 
-    /** Removes a file; no operation of the disk. */
+    /** Removes a file without counting an operation. */
     void remove(String name) {
         names.remove(name);
         syncedNames.remove(name);
@@ -166,7 +166,7 @@
             && names.keySet().stream().allMatch(name -> Arrays.equals(bytes(name), other.bytes(name)));
     }
 
-    /** The names of all files that end like this. */
+    /** The names of all files that end with this suffix. */
     List<String> names(String suffix) {
         return names().stream().filter(name -> name.endsWith(suffix)).toList();
     }
