--- a/src/main/java/kelphollow/store/IndexLoader.java
+++ b/src/main/java/kelphollow/store/IndexLoader.java
@@ -61,7 +61,7 @@
         return liveBytes;
     }
 
-    /** Bytes of removals by segment. */
+    /** Bytes of tombstones by segment id. */
     Map<Long, Long> tombstoneBytes() {
         return tombstoneBytes;
     }
