--- a/src/main/java/kelphollow/store/Compactor.java
+++ b/src/main/java/kelphollow/store/Compactor.java
@@ -7,13 +7,13 @@
 import java.util.function.Consumer;
 
 /**
- * Background work: hints for sealed segments, removal of what has expired, compaction, scrubbing. It writes new files
- * beside the old ones and has the writer put them in force; a crash at any step leaves files that no manifest names, which
- * the next opening deletes. If it cannot write (a full disk) it gives up for now and the store goes on. Thread-safe: one
- * piece of work at a time, whoever asks.
+ * Background work: writes hints for sealed segments, removes expired keys, compacts and scrubs. Writes new files beside the
+ * old ones and has the writer install them in the manifest; a crash at any step leaves files that no manifest lists, which
+ * the next opening deletes. An I/O error, such as a full disk, ends the current task and is logged; the store keeps running.
+ * Thread-safe: tasks run one at a time.
  */
 final class Compactor implements Runnable {
-    private static final int MAX_EXPIRED_AT_ONCE = 1_000;
+    private static final int MAX_EXPIRED_KEYS_PER_BATCH = 1_000;
     private static final long PAUSE_MILLIS = 1_000;
 
     private final SegmentSet segments;
@@ -28,7 +28,7 @@
     private boolean closing;
     private long scrubbedAt;
 
-    /** Calls {@code onWarning} with what an operator should know, on the thread that works. */
+    /** Calls {@code onWarning} with warnings for the operator, on the thread that does the work. */
     Compactor(SegmentSet segments, Writer writer, StoreOptions options, StoreClock clock, Consumer<String> onWarning) {
         this.segments = segments;
         this.writer = writer;
@@ -47,12 +47,12 @@
         while (!isClosing()) {
             try {
                 while (!isClosing() && runOnce()) {
-                    // until nothing is due
+                    // repeats until no task is due
                 }
             } catch (StoreFault e) {
-                return;          // closed, or failed, which has been logged
+                return;          // the store was closed, or it failed and the fault has been logged
             } catch (IOException e) {
-                onWarning.accept("compaction gives up for now: " + e.getMessage());
+                onWarning.accept("background work failed, will be retried: " + e.getMessage());
             }
             pause();
         }
@@ -62,7 +62,7 @@
         return closing;
     }
 
-    /** Waits a while; a spurious wake-up only looks for work early. */
+    /** Waits up to {@link #PAUSE_MILLIS}; a spurious wake-up only makes the thread look for work earlier. */
     @SuppressWarnings("WaitNotInLoop") private synchronized void pause() {
         try {
             if (!closing) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Ends the pause, because there may be work. */
+    /** Ends the current pause so that the thread looks for work at once. */
     synchronized void wake() {
         notifyAll();
     }
@@ -83,7 +83,7 @@
         notifyAll();
     }
 
-    /** Does one piece of work; false if none was due. */
+    /** Runs one task that is due; returns false if there was none. */
     boolean runOnce() throws IOException, StoreFault {
         busy.lock();
         try {
@@ -97,7 +97,7 @@
         for (Manifest.Entry entry : writer.call(CommitLog::manifest).segments()) {
             if (entry.isSealed() && entry.hintLength() == 0 && entry.operations() > 0) {
                 SegmentHint hint = sealed.writeHint(entry.id(), sealed.read(entry));
-                writer.run(log -> log.adoptHint(entry.id(), hint));
+                writer.run(log -> log.installHint(entry.id(), hint));
                 return true;
             }
         }
@@ -110,7 +110,7 @@
         for (Index.Entry entry : segments.index().entriesFrom(new byte[0])) {
             if (entry.location().isExpired(now)) {
                 expired.add(entry.key());
-                if (expired.size() == MAX_EXPIRED_AT_ONCE) {
+                if (expired.size() == MAX_EXPIRED_KEYS_PER_BATCH) {
                     break;
                 }
             }
@@ -120,33 +120,33 @@
 
     // ---------------------------------------------------------------- compaction
 
-    /** What to compact: the numbers of the segments, and the manifest's entries at that time. */
-    private record Choice(List<Long> victims, List<Manifest.Entry> entries) {}
+    /** The ids of the segments to compact, and the manifest's entries at the time of the selection. */
+    private record Selection(List<Long> victims, List<Manifest.Entry> entries) {}
 
     private boolean compact() throws IOException, StoreFault {
         long segmentBytes = options.segmentBytes();
-        Choice choice =
-            writer.call(log -> new Choice(log.usage().choose(segmentBytes), log.manifest().segments()));
-        return !choice.victims.isEmpty() && compact(choice);
+        Selection selection =
+            writer.call(log -> new Selection(log.usage().choose(segmentBytes), log.manifest().segments()));
+        return !selection.victims.isEmpty() && compact(selection);
     }
 
-    /** Compacts all sealed segments, whatever is live in them; false if there is none. */
+    /** Compacts all sealed segments, regardless of how much of them is live; returns false if there are none. */
     boolean compactAll() throws IOException, StoreFault {
         busy.lock();
         try {
             List<Manifest.Entry> entries = writer.call(CommitLog::manifest).segments();
             List<Long> all = entries.stream().filter(Manifest.Entry::isSealed).map(Manifest.Entry::id).toList();
-            return !all.isEmpty() && compact(new Choice(all, entries));
+            return !all.isEmpty() && compact(new Selection(all, entries));
         } finally {
             busy.unlock();
         }
     }
 
-    private boolean compact(Choice choice) throws IOException, StoreFault {
+    private boolean compact(Selection selection) throws IOException, StoreFault {
         long firstSequence = Long.MAX_VALUE;
         long oldestElsewhere = Long.MAX_VALUE;
-        for (Manifest.Entry entry : choice.entries) {
-            if (choice.victims.contains(entry.id())) {
+        for (Manifest.Entry entry : selection.entries) {
+            if (selection.victims.contains(entry.id())) {
                 firstSequence = Math.min(firstSequence, entry.firstSequence());
             } else {
                 oldestElsewhere = Math.min(oldestElsewhere, entry.firstSequence());
@@ -156,13 +156,13 @@
             firstSequence);
         boolean inForce = false;
         try {
-            for (Manifest.Entry entry : choice.entries) {
-                if (choice.victims.contains(entry.id())) {
+            for (Manifest.Entry entry : selection.entries) {
+                if (selection.victims.contains(entry.id())) {
                     copy(entry, output, oldestElsewhere);
                 }
             }
             output.finish();
-            writer.run(log -> log.replace(choice.victims, output));
+            writer.run(log -> log.replace(selection.victims, output));
             inForce = true;
         } finally {
             if (!inForce) {
@@ -172,7 +172,7 @@
         return true;
     }
 
-    /** Copies what is live, and removals that still hide something older in a segment that stays. */
+    /** Copies live operations, and tombstones whose key may have an older value in a segment that is not compacted. */
     private void copy(Manifest.Entry victim, CompactionOutput output, long oldestElsewhere)
         throws IOException, StoreFault {
         SegmentMerge merge = sealed.read(victim);
@@ -180,9 +180,9 @@
         for (Operation operation : merge.operations()) {
             Index.Location latest = index.get(operation.key());
             if (operation.kind() == Operation.REMOVE) {
-                boolean hidesOlder = oldestElsewhere < operation.sequence()
+                boolean shadowsOlder = oldestElsewhere < operation.sequence()
                     && (latest == null || latest.sequence() < operation.sequence());
-                if (hidesOlder) {
+                if (shadowsOlder) {
                     output.addTombstone(operation);
                 }
             } else if (latest != null && latest.segment() == victim.id() && latest.offset() == operation.at()) {
@@ -193,7 +193,7 @@
 
     // ---------------------------------------------------------------- scrubbing
 
-    /** Never reports work done: what is due now is not due again at once. */
+    /** Always returns false: after a scrub the next one is not due until {@link StoreOptions#scrubEvery} has passed. */
     private boolean scrubIfDue() throws IOException, StoreFault {
         if (options.scrubEvery() > 0 && clock.getAsLong() - scrubbedAt >= options.scrubEvery()) {
             scrubbedAt = clock.getAsLong();
@@ -204,7 +204,7 @@
         return false;
     }
 
-    /** Reads both copies of all sealed segments now and repairs what is damaged in one; the number of repaired files. */
+    /** Reads both copies of all sealed segments and repairs damage of one copy; returns the number of repaired files. */
     int scrub(IntegrityReport report) throws IOException, StoreFault {
         busy.lock();
         try {
--- a/src/main/java/kelphollow/store/Format.java
+++ b/src/main/java/kelphollow/store/Format.java
@@ -7,33 +7,33 @@
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of the files, as {@code docs/design/STORE.md} lists them: names, headers and frames; operations are in
- * {@link Operation}. All numbers are big-endian, checksums are CRC32C. That of a frame's head covers the segment's number
- * and the frame's offset too, so that a frame is valid in its own place only: neither an old block nor a value that looks
- * like a frame is ever read as one. Stateless.
+ * Encoding of file names, headers and frames, as specified in {@code docs/design/STORE.md}; {@link Operation} encodes
+ * operations. All numbers are big-endian and all checksums are CRC32C. The checksum of a frame header also covers the
+ * segment's id and the frame's offset, so a frame is valid only at its own position: neither a stale disk block nor a value
+ * that looks like a frame is read as one. Stateless.
  */
 final class Format {
     static final int VERSION = 1;
-    /** No file of the store is longer: offsets fit an {@code int}. */
+    /** Maximum length of a file, so that offsets fit into an {@code int}. */
     static final long MAX_FILE_BYTES = Integer.MAX_VALUE - 64;
     static final byte[] SEGMENT_MAGIC = magic("KHSEG");
     static final byte[] MANIFEST_MAGIC = magic("KHMAN");
     static final byte[] HINT_MAGIC = magic("KHHNT");
     static final String SEGMENT_SUFFIX = ".seg";
     static final String HINT_SUFFIX = ".hint";
-    static final int SEGMENT_HEADER = 64;
-    static final int FRAME_HEAD = 24;
-    /** Type of a frame: a caller's batch. */
+    static final int SEGMENT_HEADER_BYTES = 64;
+    static final int FRAME_HEADER_BYTES = 24;
+    /** Frame type: a caller's batch. */
     static final byte BATCH = 1;
-    /** Type of a frame: operations moved by compaction. */
+    /** Frame type: operations copied by compaction. */
     static final byte MOVED = 2;
-    /** Type of a frame: says up to which sequence all is synced in both copies. */
+    /** Frame type: records the sequence up to which both copies are synced. */
     static final byte COMMIT_MARKER = 3;
-    /** Flag of a commit marker: the store was closed, or recovered, here. */
+    /** Flag of a commit marker: the store was closed or recovered at this point. */
     static final byte CLEAN = 1;
-    static final int COMMIT_MARKER_PAYLOAD = 8;
+    static final int COMMIT_MARKER_PAYLOAD_BYTES = 8;
 
-    /** Where a segment's header has its number and first sequence. */
+    /** Offsets of the segment's id and first sequence in its header. */
     static final int SEGMENT_ID_AT = 32;
     static final int FIRST_SEQUENCE_AT = 40;
     private static final int VERSION_AT = 8;
@@ -47,7 +47,7 @@
     private static final int FRAME_RESERVED_AT = 6;
     private static final int FRAME_SEQUENCE_AT = 8;
     private static final int FRAME_PAYLOAD_CRC_AT = 16;
-    private static final int FRAME_HEAD_CRC_AT = 20;
+    private static final int FRAME_HEADER_CRC_AT = 20;
 
     private Format() {}
 
@@ -71,7 +71,7 @@
         return String.format(Locale.ROOT, "%012d" + HINT_SUFFIX, id);
     }
 
-    /** The number in a name that {@link #segmentName} or {@link #hintName} returns, or -1. */
+    /** The segment id in a name made by {@link #segmentName} or {@link #hintName}, or -1 for any other name. */
     static long idOf(String name) {
         int dot = name.indexOf('.');
         if (dot != ID_DIGITS || !(name.endsWith(SEGMENT_SUFFIX) || name.endsWith(HINT_SUFFIX))) {
@@ -88,30 +88,30 @@
     // ---------------------------------------------------------------- headers
 
     static byte[] segmentHeader(StoreId store, long id, long firstSequence) {
-        ByteBuffer header = ByteBuffer.allocate(SEGMENT_HEADER);
+        ByteBuffer header = ByteBuffer.allocate(SEGMENT_HEADER_BYTES);
         header.put(SEGMENT_MAGIC).putInt(VERSION).putInt(0).putLong(store.high()).putLong(store.low());
         header.putLong(id).putLong(firstSequence).putLong(0).putInt(0);
-        header.putInt(crc(header.array(), 0, SEGMENT_HEADER - CHECKSUM_BYTES));
+        header.putInt(crc(header.array(), 0, SEGMENT_HEADER_BYTES - CHECKSUM_BYTES));
         return header.array();
     }
 
-    /** What the first bytes of a file are. */
+    /** Result of checking the header of a file. */
     enum HeaderState {
-        /** Intact, and of this store. */
+        /** Intact and of this store. */
         VALID,
-        /** Not intact; of which store it is cannot be said. */
+        /** Not intact; the store that it belongs to is unknown. */
         DAMAGED,
-        /** Intact, and of another store. */
+        /** Intact, but of another store. */
         FOREIGN,
-        /** Intact, and of a version that this program does not know. */
+        /** Intact, but of a version that this program does not support. */
         OTHER_VERSION
     }
 
     /**
-     * Checks the beginning that all files share: magic, version, store.
+     * Checks the header fields that all files have: magic, version, store id and checksum.
      *
-     * @param store whose file it must be, null for any store's
-     * @param checkedLength of the bytes that the checksum covers, with the checksum itself at their end
+     * @param store expected store, or null to accept any
+     * @param checkedLength length of the checked bytes, which end with their checksum
      */
     static HeaderState headerState(byte[] bytes, byte[] magic, StoreId store, int checkedLength) {
         if (bytes.length < checkedLength) {
@@ -129,31 +129,32 @@
         return store != null && !store.equals(storeOf(bytes)) ? HeaderState.FOREIGN : HeaderState.VALID;
     }
 
-    /** The store that an intact segment or hint file belongs to. */
+    /** The id of the store that an intact segment or hint file belongs to. */
     static StoreId storeOf(byte[] bytes) {
         return new StoreId(int64(bytes, STORE_HIGH_AT), int64(bytes, STORE_LOW_AT));
     }
 
     // ---------------------------------------------------------------- frames
 
-    /** Writes the head of a frame whose payload is in the buffer from {@code at + FRAME_HEAD} to its position. */
-    static void sealFrame(ByteBuffer buffer, int at, byte type, byte flags, long sequence, long segment, long offset) {
-        int length = buffer.position() - at - FRAME_HEAD;
+    /** Writes the header of a frame at {@code at}; its payload must end at the buffer's position. */
+    static void writeFrameHeader(ByteBuffer buffer, int at, byte type, byte flags, long sequence, long segment,
+        long offset) {
+        int length = buffer.position() - at - FRAME_HEADER_BYTES;
         buffer.putInt(at, length).put(at + FRAME_TYPE_AT, type).put(at + FRAME_FLAGS_AT, flags)
             .putShort(at + FRAME_RESERVED_AT, (short) 0).putLong(at + FRAME_SEQUENCE_AT, sequence);
         CRC32C crc = new CRC32C();
         ByteBuffer payload = buffer.duplicate();
-        payload.limit(buffer.position()).position(at + FRAME_HEAD);
+        payload.limit(buffer.position()).position(at + FRAME_HEADER_BYTES);
         crc.update(payload);
         buffer.putInt(at + FRAME_PAYLOAD_CRC_AT, (int) crc.getValue());
-        byte[] head = new byte[FRAME_HEAD_CRC_AT];
-        buffer.get(at, head);
-        buffer.putInt(at + FRAME_HEAD_CRC_AT, headCrc(head, 0, segment, offset));
+        byte[] header = new byte[FRAME_HEADER_CRC_AT];
+        buffer.get(at, header);
+        buffer.putInt(at + FRAME_HEADER_CRC_AT, headerCrc(header, 0, segment, offset));
     }
 
-    private static int headCrc(byte[] bytes, int at, long segment, long offset) {
+    private static int headerCrc(byte[] bytes, int at, long segment, long offset) {
         CRC32C crc = new CRC32C();
-        crc.update(bytes, at, FRAME_HEAD_CRC_AT);
+        crc.update(bytes, at, FRAME_HEADER_CRC_AT);
         for (int shift = Long.SIZE - Byte.SIZE; shift >= 0; shift -= Byte.SIZE) {
             crc.update((int) (segment >>> shift) & 0xff);
         }
@@ -163,27 +164,27 @@
         return (int) crc.getValue();
     }
 
-    /** Whether an intact frame head is here, in its own place; its length may still point beyond the bytes. */
-    static boolean isFrameHead(byte[] bytes, int at, int end, long segment) {
-        if (at < 0 || end - at < FRAME_HEAD || bytes[at + FRAME_TYPE_AT] < BATCH
+    /** Whether an intact header of a frame of this segment is at {@code at}; the frame may still end beyond {@code end}. */
+    static boolean isFrameHeader(byte[] bytes, int at, int end, long segment) {
+        if (at < 0 || end - at < FRAME_HEADER_BYTES || bytes[at + FRAME_TYPE_AT] < BATCH
             || bytes[at + FRAME_TYPE_AT] > COMMIT_MARKER || int16(bytes, at + FRAME_RESERVED_AT) != 0) {
             return false;
         }
-        return int32(bytes, at + FRAME_HEAD_CRC_AT) == headCrc(bytes, at, segment, at);
+        return int32(bytes, at + FRAME_HEADER_CRC_AT) == headerCrc(bytes, at, segment, at);
     }
 
-    /** The frame whose intact head is here. */
+    /** Decodes the intact frame header at {@code at}. */
     static SegmentMerge.Frame frame(byte[] bytes, int at) {
         return new SegmentMerge.Frame(at, bytes[at + FRAME_TYPE_AT], bytes[at + FRAME_FLAGS_AT],
             int64(bytes, at + FRAME_SEQUENCE_AT), int32(bytes, at));
     }
 
-    /** The checksum that the frame head here gives for its payload. */
+    /** The payload checksum in the frame header at {@code frameAt}. */
     static int payloadCrc(byte[] bytes, int frameAt) {
         return int32(bytes, frameAt + FRAME_PAYLOAD_CRC_AT);
     }
 
-    static boolean isPayload(byte[] bytes, int at, int end, int length, int crc) {
+    static boolean isPayloadValid(byte[] bytes, int at, int end, int length, int crc) {
         return length >= 0 && end - at >= length && crc(bytes, at, length) == crc;
     }
 
@@ -201,7 +202,7 @@
         return (long) int32(bytes, at) << 32 | int32(bytes, at + 4) & 0xffffffffL;
     }
 
-    /** The first eight bytes of a range as a number, padded with zeros. */
+    /** The first eight bytes of a range as a big-endian number, padded with zeros on the right. */
     static long prefix(byte[] bytes, int from, int to) {
         if (to - from >= Long.BYTES) {
             return int64(bytes, from);
--- a/src/main/java/kelphollow/store/HintRange.java
+++ b/src/main/java/kelphollow/store/HintRange.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * Merges one range of keys of all hints into leaves of an index. The hints' cursors are in a binary heap, the one with the
- * least key and latest sequence on top. Filled by one thread, immutable afterwards.
+ * Merges one key range of all hints into index leaves (a k-way merge). A binary heap orders the cursors of the hints by
+ * ascending key, then descending sequence. Filled by one thread, immutable afterwards.
  */
 final class HintRange {
     private final List<SegmentHint> hints;
-    /** The next position in each hint, and where the range ends there. */
+    /** Next position in each hint, and the end of the range in it. */
     private final int[] next;
     private final int[] end;
-    /** Eight bytes of the key at each cursor, behind the prefix that all keys of the range have in common. */
+    /** The eight key bytes at each cursor after the common prefix of all keys in the range. */
     private final long[] prefixes;
     private final int[] heap;
-    private final long[] live;
-    private final IndexRun run = new IndexRun();
+    private final long[] liveBytes;
+    private final IndexLeafBuilder leafBuilder = new IndexLeafBuilder();
     private int heapSize;
     private int commonPrefix;
 
@@ -25,10 +25,10 @@
         this.end = end;
         this.prefixes = new long[from.length];
         this.heap = new int[from.length];
-        this.live = new long[from.length];
+        this.liveBytes = new long[from.length];
     }
 
-    /** Merges the positions {@code from} to {@code end} of each hint. */
+    /** Merges the entries from {@code from} (inclusive) to {@code end} (exclusive) of each hint. */
     static HintRange merge(List<SegmentHint> hints, int[] from, int[] end) {
         HintRange range = new HintRange(hints, from, end);
         range.commonPrefix = range.commonPrefix();
@@ -37,17 +37,17 @@
         return range;
     }
 
-    /** The merged keys. */
-    IndexRun run() {
-        return run;
+    /** The leaves of the merged keys. */
+    IndexLeafBuilder leafBuilder() {
+        return leafBuilder;
     }
 
     /** Bytes of live operations in a hint's segment. */
-    long live(int hint) {
-        return live[hint];
+    long liveBytes(int hint) {
+        return liveBytes[hint];
     }
 
-    /** The common prefix of all keys is that of the least and the greatest. */
+    /** Length of the common prefix of all keys, which is that of the least and the greatest key. */
     private int commonPrefix() {
         int first = -1;
         int last = -1;
@@ -92,8 +92,8 @@
                 lastPosition = position;
                 lastPrefix = prefixes[top];
                 if (hint.kind(position) == Operation.PUT) {
-                    hint.addTo(run, position);
-                    live[top] += hint.length(position);
+                    hint.addTo(leafBuilder, position);
+                    liveBytes[top] += hint.length(position);
                 }
             }
             if (next[top] < end[top]) {
@@ -104,7 +104,7 @@
             }
             siftDown(0);
         }
-        run.finish();
+        leafBuilder.finish();
     }
 
     private void siftDown(int from) {
--- a/src/test/java/kelphollow/store/MemoryDisk.java
+++ b/src/test/java/kelphollow/store/MemoryDisk.java
@@ -13,34 +13,34 @@
 import java.util.TreeSet;
 
 /**
- * A folder in memory that models what a power cut leaves of it: of each file what was synced, and of the rest any part in
- * any order; of the names what the folder's last sync saw, and of the changes since any subset in their order. Faults can
- * be injected at any operation. Thread-safe by one monitor for all disks that share their {@link Faults}.
+ * A folder in memory that models a power cut: synced bytes of a file survive, unsynced bytes survive in any part and in any
+ * order; file names survive as of the last sync of the folder, and any subset of the later changes is applied in order.
+ * Faults can be injected at any operation. Thread-safe: all disks that share {@link Faults} use one monitor.
  */
 final class MemoryDisk implements Disk {
-    /** Which operation is cut off, or fails. Both folders share one, so that it counts the operations of both. */
+    /** Selects the operation that fails and how. Both folders share one instance, which counts the operations of both. */
     static final class Faults {
-        /** What happens; a disk that is full, or has failed once, goes on failing. */
+        /** Kind of the fault; a disk that is full or has failed once keeps failing. */
         enum Kind {
             POWER_CUT, NO_SPACE, SHORT_WRITE, IO_ERROR, SYNC_FAILS
         }
 
-        /** Operations so far. */
+        /** Number of operations so far. */
         int operations;
         /** The number of the first operation that fails. */
-        int at = Integer.MAX_VALUE;
+        int firstFailing = Integer.MAX_VALUE;
         Kind kind = Kind.POWER_CUT;
         private boolean hasPower = true;
 
         private enum Operation { APPEND, SYNC, OTHER }
 
-        /** Counts an operation; returns its fault, or null. An append is still carried out in part when the power goes. */
+        /** Counts an operation and returns its fault, or null. At a power cut the caller still writes part of an append. */
         private Kind next(Operation operation) throws PowerCut {
             if (!hasPower) {
                 throw new PowerCut();
             }
             operations++;
-            if (operations < at) {
+            if (operations < firstFailing) {
                 return null;
             }
             if (kind == Kind.POWER_CUT) {
@@ -59,12 +59,12 @@
         }
     }
 
-    /** The power is off. */
+    /** Thrown by all operations from the power cut on. */
     static final class PowerCut extends IOException {
         private static final long serialVersionUID = 1;
     }
 
-    /** A file: its bytes, the first of which are synced. */
+    /** A file: its bytes, of which the first {@code synced} are synced. */
     private static final class Node {
         private byte[] bytes = new byte[0];
         private int synced;
@@ -78,7 +78,7 @@
         }
     }
 
-    private static final int MAX_PIECE_BYTES = 48;
+    private static final int MAX_CHUNK_BYTES = 48;
 
     private interface NameChange {
         void apply(Map<String, Node> names);
@@ -86,28 +86,28 @@
 
     /** The faults of this disk. */
     final Faults faults;
-    private final String place;
-    /** The writer, the compactor and the sync of the second copy are threads of their own. */
+    private final String path;
+    /** Guards all state: the writer, the compactor and the sync of the second copy run on separate threads. */
     private final Object monitor;
     private final Map<String, Node> names = new TreeMap<>();
     private final Map<String, Node> syncedNames = new TreeMap<>();
     private final List<NameChange> unsyncedChanges = new ArrayList<>();
     private boolean locked;
 
-    MemoryDisk(String place, Faults faults) {
-        this.place = place;
+    MemoryDisk(String path, Faults faults) {
+        this.path = path;
         this.faults = faults;
         this.monitor = faults;
     }
 
     /** A disk with the same bytes, all of them synced, and no lock. */
     MemoryDisk copy(Faults newFaults) {
-        MemoryDisk copy = new MemoryDisk(place, newFaults);
+        MemoryDisk copy = new MemoryDisk(path, newFaults);
         names.forEach((name, node) -> copy.set(name, node.bytes.clone()));
         return copy;
     }
 
-    /** What a power cut leaves, by the draws of this source; without faults. */
+    /** A disk as a power cut may leave it, chosen by this random source; without faults. */
     MemoryDisk afterPowerCut(Random random) {
         Map<String, Node> left = new TreeMap<>(syncedNames);
         for (NameChange change : unsyncedChanges) {
@@ -115,19 +115,19 @@
                 change.apply(left);
             }
         }
-        MemoryDisk after = new MemoryDisk(place, new Faults());
-        left.forEach((name, node) -> after.set(name, remains(node, random)));
+        MemoryDisk after = new MemoryDisk(path, new Faults());
+        left.forEach((name, node) -> after.set(name, afterPowerCut(node, random)));
         return after;
     }
 
-    /** What was not synced is there up to some length, and each piece of it as written, as zeros, or as noise. */
-    private static byte[] remains(Node node, Random random) {
+    /** Keeps the unsynced bytes up to a random length, each chunk of them as written, as zeros, or as random bytes. */
+    private static byte[] afterPowerCut(Node node, Random random) {
         int length = node.synced + random.nextInt(node.bytes.length - node.synced + 1);
         byte[] left = Arrays.copyOf(node.bytes, length);
         boolean inOrder = random.nextBoolean();
         int at = node.synced;
         while (at < length && !inOrder) {
-            int end = Math.min(length, at + 1 + random.nextInt(MAX_PIECE_BYTES));
+            int end = Math.min(length, at + 1 + random.nextInt(MAX_CHUNK_BYTES));
             switch (random.nextInt(4)) {
                 case 0 -> Arrays.fill(left, at, end, (byte) 0);
                 case 1 -> {
@@ -142,19 +142,19 @@
         return left;
     }
 
-    /** The bytes of a file themselves: a change of the array is damage of the file. */
+    /** The array that backs a file; modifying it damages the file. */
     byte[] bytes(String name) {
         return names.get(name).bytes;
     }
 
-    /** Sets the contents of a file, synced; no operation of the disk. */
+    /** Sets the contents of a file as synced, without counting an operation. */
     void set(String name, byte[] bytes) {
         Node node = Node.synced(bytes);
         names.put(name, node);
         syncedNames.put(name, node);
     }
 
-    /** Removes a file; no operation of the disk. */
+    /** Removes a file without counting an operation. */
     void remove(String name) {
         names.remove(name);
         syncedNames.remove(name);
@@ -166,13 +166,13 @@
             && names.keySet().stream().allMatch(name -> Arrays.equals(bytes(name), other.bytes(name)));
     }
 
-    /** The names of all files that end like this. */
+    /** The names of all files that end with this suffix. */
     List<String> names(String suffix) {
         return names().stream().filter(name -> name.endsWith(suffix)).toList();
     }
 
-    @Override public String place() {
-        return place;
+    @Override public String path() {
+        return path;
     }
 
     @Override public void prepare() {}
@@ -188,14 +188,14 @@
             if (names.containsKey(name)) {
                 throw new IOException(name + " exists already");
             }
-            failIfDue();
+            failIfFaulty();
             Node node = new Node();
             change(current -> current.put(name, node));
-            return new Handle(node);
+            return new OpenFile(node);
         }
     }
 
-    private void failIfDue() throws IOException {
+    private void failIfFaulty() throws IOException {
         if (faults.next(Faults.Operation.OTHER) != null) {
             throw new IOException("input/output error");
         }
@@ -212,13 +212,13 @@
             if (node == null) {
                 throw new IOException(name + " does not exist");
             }
-            return new Handle(node);
+            return new OpenFile(node);
         }
     }
 
     @Override public void rename(String from, String to) throws IOException {
         synchronized (monitor) {
-            failIfDue();
+            failIfFaulty();
             change(current -> {
                 Node node = current.remove(from);
                 if (node != null) {
@@ -231,7 +231,7 @@
     @Override public void delete(String name) throws IOException {
         synchronized (monitor) {
             if (names.containsKey(name)) {
-                failIfDue();
+                failIfFaulty();
                 change(current -> current.remove(name));
             }
         }
@@ -256,10 +256,10 @@
         return () -> locked = false;
     }
 
-    private final class Handle implements File {
+    private final class OpenFile implements File {
         private final Node node;
 
-        Handle(Node node) {
+        OpenFile(Node node) {
             this.node = node;
         }
 
