--- a/src/main/java/kelphollow/program/Addresses.java
+++ b/src/main/java/kelphollow/program/Addresses.java
@@ -2,11 +2,11 @@
 
 import java.net.InetSocketAddress;
 
-/** How addresses are written in the log and in requests. */
+/** Formats addresses for logs and requests. */
 final class Addresses {
     private Addresses() {}
 
-    /** {@code host:port}, the host as it was given. */
+    /** Returns {@code host:port} with the host as configured, without a reverse lookup. */
     static String text(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
--- a/src/main/java/kelphollow/program/ClusterConfig.java
+++ b/src/main/java/kelphollow/program/ClusterConfig.java
@@ -5,23 +5,23 @@
 import kelphollow.protocol.xds.XdsClusters;
 import kelphollow.routing.ResolvedEndpoint;
 
-/** The {@code xds} object of an operator's file, checked: where the endpoints of the object servers come from. */
+/** The validated {@code xds} section of a gateway's configuration file: the source of the object servers' endpoints. */
 sealed interface ClusterConfig {
-    /** They stand in the file. */
+    /** Endpoints listed in the file itself. */
     record Inline(List<ResolvedEndpoint> endpoints) implements ClusterConfig {}
 
-    /** They are polled by REST, every {@code refreshInterval} milliseconds. */
+    /** Endpoints polled from an xDS server by REST, every {@code refreshInterval} milliseconds. */
     record Polled(String cluster, InetSocketAddress server, double refreshInterval) implements ClusterConfig {}
 
     /** In milliseconds. */
     double DEFAULT_REFRESH_INTERVAL = 100;
 
-    /** Reads it from the whole file. */
-    static ClusterConfig read(ConfigSection json, int cells) throws ConfigurationException {
+    /** Reads the {@code xds} section of the parsed file {@code json}. */
+    static ClusterConfig read(ConfigSection json, int shards) throws ConfigurationException {
         ConfigSection xds = json.section("xds");
         xds.allowOnly("cluster", "clusters", "endpoints", "server", "refresh_ms");
         if (!(xds.value("cluster") instanceof String cluster)) {
-            throw new ConfigurationException("xds.cluster is missing or not a text");
+            throw new ConfigurationException("xds.cluster is missing or not a string");
         }
         if (xds.value("server") instanceof String server) {
             return new Polled(cluster, ConfigSection.parseAddress(server, "xds.server"),
@@ -31,10 +31,10 @@
             throw new ConfigurationException("xds needs 'server', or 'clusters' with 'endpoints'");
         }
         try {
-            XdsClusters.Cluster found = XdsClusters.cluster(clusters, cluster, cells);
+            XdsClusters.Cluster found = XdsClusters.cluster(clusters, cluster, shards);
             List<?> endpoints = xds.value("endpoints") instanceof List<?> list ? list : List.of();
             return new Inline(found.inline() != null ? found.inline()
-                : XdsClusters.endpoints(endpoints, found.serviceName(), cells));
+                : XdsClusters.endpoints(endpoints, found.serviceName(), shards));
         } catch (IllegalArgumentException e) {
             throw new ConfigurationException("xds." + e.getMessage());
         }
--- a/src/main/java/kelphollow/program/ConfigSection.java
+++ b/src/main/java/kelphollow/program/ConfigSection.java
@@ -10,10 +10,10 @@
 import kelphollow.protocol.discovery.DiscoveryListParser;
 import kelphollow.protocol.json.Json;
 
-/** One object of a configuration as it was parsed. Its readers check a value and name the full key of one that is faulty. */
+/** One parsed JSON object of a configuration. Each accessor validates a value and reports an invalid one by its full key. */
 final class ConfigSection {
     private final Map<?, ?> values;
-    /** What stands before a key to name it in full: empty, or a path with its dot. */
+    /** Prefix that completes a key's name: empty, or the path of this object followed by a dot. */
     private final String path;
 
     ConfigSection(Map<?, ?> values, String path) {
@@ -21,7 +21,7 @@
         this.path = path;
     }
 
-    /** A file that holds one JSON object; {@code key} names where the file is named. */
+    /** Reads a file that holds one JSON object; errors are reported under {@code key}, which names the file. */
     static ConfigSection readFile(String key, String file) throws ConfigurationException {
         try {
             if (Json.parse(Files.readString(Path.of(file))) instanceof Map<?, ?> values) {
@@ -33,17 +33,17 @@
         }
     }
 
-    /** The values as they were parsed. */
+    /** Returns the parsed values, unchecked. */
     Map<?, ?> values() {
         return values;
     }
 
-    /** The full name of a key. */
+    /** Returns the full name of a key, with the path of this object. */
     String key(String key) {
         return path + key;
     }
 
-    /** The value as it was parsed, or null. */
+    /** Returns the parsed value, unchecked, or null. */
     Object value(String key) {
         return values.get(key);
     }
@@ -52,7 +52,7 @@
         return values.get(key) != null;
     }
 
-    /** Guards against misspelt keys: one that nobody reads is a fault. */
+    /** Rejects any other key, so that a misspelt key is reported instead of ignored. */
     void allowOnly(String... keys) throws ConfigurationException {
         for (Object key : values.keySet()) {
             if (!List.of(keys).contains(key)) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** An object that must be there. */
+    /** Returns a required object. */
     ConfigSection section(String key) throws ConfigurationException {
         if (values.get(key) instanceof Map<?, ?> section) {
             return new ConfigSection(section, path + key + ".");
@@ -69,72 +69,69 @@
         throw new ConfigurationException(path + key + " is missing or not an object");
     }
 
-    /** An object, or an empty one if there is none. */
+    /** Returns an object, or an empty one if the key is missing or holds no object. */
     ConfigSection sectionOrEmpty(String key) {
         return new ConfigSection(values.get(key) instanceof Map<?, ?> section ? section : Map.of(), path + key + ".");
     }
 
-    /** A text that must be there and not be empty. */
+    /** Returns a required string that must not be empty. */
     String text(String key) throws ConfigurationException {
         return text(key, null);
     }
 
-    /** A text that is not empty; {@code absent} stands in for a missing one. */
-    String text(String key, String absent) throws ConfigurationException {
-        Object value = has(key) ? values.get(key) : absent;
+    /** Returns a string that must not be empty, or {@code defaultValue} if the key is missing. */
+    String text(String key, String defaultValue) throws ConfigurationException {
+        Object value = has(key) ? values.get(key) : defaultValue;
         if (value instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw value == null ? ConfigurationException.missing(path + key) : ConfigurationException.notText(path + key);
+        throw value == null ? ConfigurationException.missing(path + key) : ConfigurationException.notString(path + key);
     }
 
-    /** Checks keys that may be missing, but are texts where they are there. */
-    void checkTexts(String... keys) throws ConfigurationException {
+    /** Checks that optional keys hold strings where they are present. */
+    void checkStrings(String... keys) throws ConfigurationException {
         for (String key : keys) {
             if (has(key) && !(values.get(key) instanceof String)) {
-                throw ConfigurationException.notText(path + key);
+                throw ConfigurationException.notString(path + key);
             }
         }
     }
 
-    /** A number of at least {@code least} that must be there. */
-    double number(String key, double least) throws ConfigurationException {
-        return number(key, Double.NaN, least);
+    /** Returns a required number of at least {@code minimum}. */
+    double number(String key, double minimum) throws ConfigurationException {
+        return number(key, Double.NaN, minimum);
     }
 
-    /** A number of at least {@code least}; {@code absent} stands in for a missing one, NaN if it must be there. */
-    double number(String key, double absent, double least) throws ConfigurationException {
-        Object value = has(key) ? values.get(key) : (Double) absent;
-        if (value instanceof Double number && number >= least) {
+    /** Returns a number of at least {@code minimum}, or {@code defaultValue} if missing; NaN makes the key required. */
+    double number(String key, double defaultValue, double minimum) throws ConfigurationException {
+        Object value = has(key) ? values.get(key) : (Double) defaultValue;
+        if (value instanceof Double number && number >= minimum) {
             return number;
         }
-        throw has(key) ? new ConfigurationException(path + key + " must be a number of at least " + least)
+        throw has(key) ? new ConfigurationException(path + key + " must be a number of at least " + minimum)
             : ConfigurationException.missing(path + key);
     }
 
-    /** An integer within bounds; {@code absent} stands in for a missing one. */
-    long integer(String key, long absent, long least, long most) throws ConfigurationException {
-        double value = number(key, (double) absent, (double) least);
-        if (value > most) {
-            throw new ConfigurationException(path + key + " must be at most " + most);
+    /** Returns a number within the bounds, cut to an integer, or {@code defaultValue} if the key is missing. */
+    long integer(String key, long defaultValue, long minimum, long maximum) throws ConfigurationException {
+        double value = number(key, (double) defaultValue, (double) minimum);
+        if (value > maximum) {
+            throw new ConfigurationException(path + key + " must be at most " + maximum);
         }
         return (long) value;
     }
 
-    /**
-     * Checks keys that may be missing, since not every site has them, but are numbers of at least 0 where they are
-     * there.
-     */
+    /** Checks that optional keys, which not every site sets, hold numbers of at least 0 where they are present. */
     void checkNumbers(String... keys) throws ConfigurationException {
         for (String key : keys) {
             number(key, 0, 0);
         }
     }
 
-    /** A truth value; {@code absent} stands in for a missing one. */
-    boolean flag(String key, boolean absent) throws ConfigurationException {
+    /** Returns a boolean, or {@code defaultValue} if the key is missing. */
+    boolean flag(String key, boolean defaultValue) throws ConfigurationException {
         if (!has(key)) {
-            return absent;
+            return defaultValue;
         }
         if (values.get(key) instanceof Boolean flag) {
             return flag;
@@ -142,17 +139,17 @@
         throw new ConfigurationException(path + key + " must be true or false");
     }
 
-    /** An address, {@code host:port}, that must be there. */
+    /** Returns a required address, {@code host:port}. */
     InetSocketAddress address(String key) throws ConfigurationException {
         return parseAddress(text(key), path + key);
     }
 
-    /** The path of a file or folder that must be there; the file itself need not exist. */
+    /** Returns a required path; the file or folder need not exist. */
     Path file(String key) throws ConfigurationException {
         return parsePath(text(key), path + key);
     }
 
-    /** An address from its text. */
+    /** Parses {@code host:port}; errors are reported under {@code key}. */
     static InetSocketAddress parseAddress(String text, String key) throws ConfigurationException {
         try {
             return DiscoveryListParser.parseAddress(text, key);
@@ -161,16 +158,16 @@
         }
     }
 
-    /** A path from its text. */
+    /** Parses a path; errors are reported under {@code key}. */
     static Path parsePath(String text, String key) throws ConfigurationException {
         try {
             return Path.of(text);
         } catch (InvalidPathException e) {
-            throw ConfigurationException.unusable(key, text, " is no path");
+            throw ConfigurationException.unusable(key, text, " is not a valid path");
         }
     }
 
-    /** A seed from its text of hex digits. */
+    /** Parses a seed of up to 16 hex digits. */
     static long parseSeed(String hex) throws ConfigurationException {
         try {
             return Long.parseUnsignedLong(hex, 16);
--- a/src/main/java/kelphollow/program/ConfigurationException.java
+++ b/src/main/java/kelphollow/program/ConfigurationException.java
@@ -1,6 +1,6 @@
 package kelphollow.program;
 
-/** A fault in the configuration; the message names the key or file, what was found or what is wanted. */
+/** Signals invalid configuration; the message names the key or file, the value found or the value expected. */
 final class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -8,21 +8,22 @@
         super(message);
     }
 
-    /** A key that must be there is not. */
+    /** A required key is missing. */
     static ConfigurationException missing(String key) {
         return new ConfigurationException(key + " is missing");
     }
 
-    static ConfigurationException notText(String key) {
-        return new ConfigurationException(key + " is not a text");
+    /** The value of a key is of another type than string. */
+    static ConfigurationException notString(String key) {
+        return new ConfigurationException(key + " is not a string");
     }
 
-    /** The value of a key cannot be used; {@code wanted} says why, or what is wanted instead. */
-    static ConfigurationException unusable(String key, String found, String wanted) {
-        return new ConfigurationException(key + ": '" + found + "'" + wanted);
+    /** The value of a key is invalid; {@code reason}, appended as is, says why or which value is expected. */
+    static ConfigurationException unusable(String key, String found, String reason) {
+        return new ConfigurationException(key + ": '" + found + "'" + reason);
     }
 
-    /** What a key names cannot be used, as {@code reason} says. */
+    /** The file, folder or address that a key names cannot be used. */
     static ConfigurationException failed(String key, String reason) {
         return new ConfigurationException(key + ": " + reason);
     }
--- a/src/main/java/kelphollow/program/FleetConfig.java
+++ b/src/main/java/kelphollow/program/FleetConfig.java
@@ -16,20 +16,20 @@
 import kelphollow.membership.MembershipSettings;
 
 /**
- * The {@code fleet} object of an operator's file, checked and with its defaults. Times in milliseconds.
+ * The validated {@code fleet} section of a gateway's configuration file, with defaults applied. Times in milliseconds.
  *
- * @param events where events go, or null for the log
+ * @param events the file that events are written to, or null to write them to the log
  */
 record FleetConfig(FleetOptions options, Path events) {
-    private static final double STATE_TIME_TO_LIVE = 10_000;
-    private static final double MIN_PERIODS_TO_LIVE = 4;
-    private static final double RETRY_SHARE = 0.1;
-    private static final double MIN_PERIOD = 20;
+    private static final double DEFAULT_STATE_TTL_MS = 10_000;
+    private static final double MIN_STATE_TTL_PERIODS = 4;
+    private static final double DEFAULT_RETRY_SHARE = 0.1;
+    private static final double MIN_PERIOD_MS = 20;
     private static final int MIN_KEY_LENGTH = 16;
-    // Membership alone spends about 1,000 bytes a second; with less than twice that changes would hardly move.
+    // Membership alone uses about 1,000 bytes a second; below twice that, state changes would hardly spread.
     private static final double MIN_BYTES_PER_SECOND = 2_000;
 
-    /** Reads it from the whole file; null where the file has no such object: the instance is in no fleet. */
+    /** Reads the section from the parsed file; null if it is missing, in which case the instance is in no fleet. */
     static FleetConfig read(ConfigSection json) throws ConfigurationException {
         if (!json.has("fleet")) {
             return null;
@@ -40,18 +40,19 @@
         boolean findings = fleet.flag("findings", true);
         boolean shed = fleet.flag("shed", true);
         if (!json.has("store")) {
-            throw new ConfigurationException("fleet needs 'store': the numbers of this instance's lives are kept there");
+            throw new ConfigurationException("fleet needs 'store', which keeps this instance's incarnation numbers");
         }
         String name = json.text("name");
         if (name.length() > MemberUpdate.MAX_NAME_LENGTH) {
-            throw new ConfigurationException("name is longer than " + MemberUpdate.MAX_NAME_LENGTH + " characters");
+            throw new ConfigurationException("name has " + name.length() + " characters, must be at most "
+                + MemberUpdate.MAX_NAME_LENGTH);
         }
         Map<String, InetSocketAddress> peers = peers(fleet.section("peers"));
-        double period = fleet.number("period_ms", MembershipSettings.DEFAULTS.protocolPeriod(), MIN_PERIOD);
+        double period = fleet.number("period_ms", MembershipSettings.DEFAULTS.protocolPeriod(), MIN_PERIOD_MS);
         MembershipSettings membership = membership(fleet, period);
         FleetOptions options = new FleetOptions(name, fleet.address("listen"), peers, key(fleet.file("key_file")),
-            membership, fleet.number("fades_ms", STATE_TIME_TO_LIVE, MIN_PERIODS_TO_LIVE * period), findings, shed,
-            fleet.number("repeats", RETRY_SHARE, 0),
+            membership, fleet.number("fades_ms", DEFAULT_STATE_TTL_MS, MIN_STATE_TTL_PERIODS * period), findings, shed,
+            fleet.number("repeats", DEFAULT_RETRY_SHARE, 0),
             DisseminationSettings.DEFAULTS.withBudget(fleet.number("bytes_per_second",
                 DisseminationSettings.DEFAULTS.bytesPerSecond(), MIN_BYTES_PER_SECOND)));
         return new FleetConfig(options, fleet.has("events") ? fleet.file("events") : null);
@@ -62,7 +63,7 @@
         for (Map.Entry<?, ?> peer : named.values().entrySet()) {
             String key = named.key((String) peer.getKey());
             if (!(peer.getValue() instanceof String address)) {
-                throw ConfigurationException.notText(key);
+                throw ConfigurationException.notString(key);
             }
             peers.put((String) peer.getKey(), ConfigSection.parseAddress(address, key));
         }
@@ -79,7 +80,7 @@
             byte[] key = Files.readAllBytes(file);
             if (new String(key, StandardCharsets.ISO_8859_1).strip().length() < MIN_KEY_LENGTH) {
                 throw ConfigurationException.failed("fleet.key_file",
-                    file + " holds fewer than " + MIN_KEY_LENGTH + " bytes");
+                    file + " must hold at least " + MIN_KEY_LENGTH + " bytes");
             }
             return key;
         } catch (IOException e) {
@@ -87,7 +88,7 @@
         }
     }
 
-    /** Opens where events go; blocks on the file, if there is one. */
+    /** Opens the event log; blocks on file access if events are written to a file. */
     EventLog openEvents() throws ConfigurationException {
         try {
             if (events == null) {
--- a/src/main/java/kelphollow/program/ObjectConfig.java
+++ b/src/main/java/kelphollow/program/ObjectConfig.java
@@ -9,30 +9,30 @@
 import kelphollow.protocol.object.ObjectOptions;
 
 /**
- * An operator's file for the object API, checked and with its defaults. Times in milliseconds.
+ * The validated configuration file of a gateway for the object API, with defaults applied. Times in milliseconds.
  *
- * @param sockets descriptors that the program may use
- * @param dialTimeout how long a connection to a node may take to come up
- * @param idleTime after which a connection to a node is retired
- * @param stallTimeout how long a client or a body may make no progress
- * @param store null if nothing outlives the process
+ * @param sockets number of file descriptors that the program may use
+ * @param dialTimeout maximum time to establish a connection to a node
+ * @param idleTime idle time after which a connection to a node is closed
+ * @param stallTimeout maximum time without progress of a client or a body
+ * @param store null if the instance keeps no state across restarts
  * @param management the management address, or null
  * @param fleet null if the instance is in no fleet
  */
 record ObjectConfig(String name, InetSocketAddress listen, long seed, int sockets, int dialTimeout, double idleTime,
                     double stallTimeout, ControlSettings settings, ObjectOptions options, ClusterConfig cluster,
                     StoreConfig store, InetSocketAddress management, FleetConfig fleet) {
-    private static final double DIAL_TIMEOUT = 250;
-    private static final double IDLE_TIME = 12_000;
-    private static final double STALL_TIMEOUT = 10_000;
-    private static final double SOCKETS = 1024;
+    private static final double DEFAULT_DIAL_TIMEOUT_MS = 250;
+    private static final double DEFAULT_IDLE_TIME_MS = 12_000;
+    private static final double DEFAULT_STALL_TIMEOUT_MS = 10_000;
+    private static final double DEFAULT_SOCKETS = 1024;
     private static final int MIN_SOCKETS = 16;
-    private static final double BYTES_PER_UNIT = 1 << 20;
-    private static final double MAX_UNITS = 6;
-    private static final double MAX_BODY_BYTES = 5L << 30;
-    private static final double MIN_BYTES_PER_SECOND = 256 * 1024;
+    private static final double DEFAULT_BYTES_PER_UNIT = 1 << 20;
+    private static final double DEFAULT_MAX_UNITS = 6;
+    private static final double DEFAULT_MAX_BODY_BYTES = 5L << 30;
+    private static final double DEFAULT_MIN_BYTES_PER_SECOND = 256 * 1024;
     private static final double MILLIS_PER_SECOND = 1000;
-    private static final double REMEMBERED_PARTS = 10_000;
+    private static final double DEFAULT_REMEMBERED_PARTS = 10_000;
 
     static ObjectConfig read(String file) throws ConfigurationException {
         return read(ConfigSection.readFile("--config", file));
@@ -42,11 +42,12 @@
         json.allowOnly("name", "listen", "seed", "sockets", "dial_timeout_ms", "idle_ms", "stall_ms", "settings",
             "objects", "buckets", "xds", "store", "mgmt", "fleet");
         ControlSettings settings = SettingsConfig.read(json.section("settings").values());
-        double stallTimeout = json.number("stall_ms", STALL_TIMEOUT, 1);
+        double stallTimeout = json.number("stall_ms", DEFAULT_STALL_TIMEOUT_MS, 1);
         ObjectOptions options = options(json, settings, stallTimeout);
         return new ObjectConfig(json.text("name"), json.address("listen"),
-            ConfigSection.parseSeed(json.text("seed", "0")), (int) json.number("sockets", SOCKETS, MIN_SOCKETS),
-            (int) json.number("dial_timeout_ms", DIAL_TIMEOUT, 1), json.number("idle_ms", IDLE_TIME, 1), stallTimeout,
+            ConfigSection.parseSeed(json.text("seed", "0")), (int) json.number("sockets", DEFAULT_SOCKETS, MIN_SOCKETS),
+            (int) json.number("dial_timeout_ms", DEFAULT_DIAL_TIMEOUT_MS, 1), json.number("idle_ms", DEFAULT_IDLE_TIME_MS,
+                1), stallTimeout,
             settings, options, ClusterConfig.read(json, options.cells()), StoreConfig.read(json),
             json.has("mgmt") ? json.address("mgmt") : null, FleetConfig.read(json));
     }
@@ -59,15 +60,15 @@
         int cells = (int) objects.number("shards", 1);
         ConfigSection classes = objects.section("classes");
         classes.allowOnly("read", "write", "large");
-        double maxUnits = objects.number("most_units", MAX_UNITS, 1);
+        double maxUnits = objects.number("most_units", DEFAULT_MAX_UNITS, 1);
         ObjectOptions.ClientClass read = clientClass(classes, "read", settings, true);
         return new ObjectOptions(buckets(json, settings), read, clientClass(classes, "write", settings, false),
             classes.has("large") ? clientClass(classes, "large", settings, true) : read,
-            (long) objects.number("bytes_per_unit", BYTES_PER_UNIT, 1), maxUnits,
+            (long) objects.number("bytes_per_unit", DEFAULT_BYTES_PER_UNIT, 1), maxUnits,
             Math.min(maxUnits, settings.meanUnits()), objects.number("large_units", maxUnits, 1), cells,
-            (long) objects.number("largest_body", MAX_BODY_BYTES, 0),
-            objects.number("slowest_bytes_per_second", MIN_BYTES_PER_SECOND, 1) / MILLIS_PER_SECOND, stallTimeout,
-            (int) objects.number("remembered_parts", REMEMBERED_PARTS, 1));
+            (long) objects.number("largest_body", DEFAULT_MAX_BODY_BYTES, 0),
+            objects.number("slowest_bytes_per_second", DEFAULT_MIN_BYTES_PER_SECOND, 1) / MILLIS_PER_SECOND, stallTimeout,
+            (int) objects.number("remembered_parts", DEFAULT_REMEMBERED_PARTS, 1));
     }
 
     private static Map<String, ObjectOptions.Bucket> buckets(ConfigSection json, ControlSettings settings)
@@ -81,7 +82,7 @@
             if (!(bucket.value("plan") instanceof String plan)
                 || settings.plans().stream().noneMatch(known -> known.name().equals(plan))) {
                 throw new ConfigurationException(bucket.key("plan") + " is '" + bucket.value("plan")
-                    + "', which settings.grades does not name");
+                    + "', which is not a name in settings.grades");
             }
             buckets.put(name, new ObjectOptions.Bucket(plan,
                 (int) bucket.number("gateways", (double) settings.instances(), 1)));
@@ -92,7 +93,7 @@
         return buckets;
     }
 
-    /** A class of the settings that fits its use: reads may be retried freely, writes must not. */
+    /** Looks up a class in the settings and checks its idempotency: reads must be idempotent, writes must not be. */
     private static ObjectOptions.ClientClass clientClass(ConfigSection classes, String key, ControlSettings settings,
         boolean idempotent) throws ConfigurationException {
         Object name = classes.value(key);
@@ -100,12 +101,12 @@
             if (known.name().equals(name)) {
                 if ((known.idempotency() == Idempotency.IDEMPOTENT) != idempotent) {
                     throw new ConfigurationException(classes.key(key) + " is '" + name + "', which "
-                        + (idempotent ? "may not be repeated" : "may be repeated freely: writes must not"));
+                        + (idempotent ? "is not idempotent: reads must be" : "is idempotent: writes must not be"));
                 }
                 return new ObjectOptions.ClientClass(known.name(), known.deadline());
             }
         }
         throw new ConfigurationException(classes.key(key) + " is '" + name
-            + "', which settings.request_classes does not name");
+            + "', which is not a name in settings.request_classes");
     }
 }
--- a/src/main/java/kelphollow/program/PlatformConfig.java
+++ b/src/main/java/kelphollow/program/PlatformConfig.java
@@ -8,18 +8,18 @@
 import kelphollow.protocol.discovery.DiscoveryListParser;
 
 /**
- * The platform's configuration, checked and with its defaults. Times in milliseconds.
+ * The validated configuration from the platform, with defaults applied. Times in milliseconds.
  *
- * @param sockets descriptors that the program may use
- * @param dialTimeout how long a connection to a node may take to come up
- * @param idleTime after which a connection to a node is retired
- * @param known endpoints to start from
+ * @param sockets number of file descriptors that the program may use
+ * @param dialTimeout maximum time to establish a connection to a node
+ * @param idleTime idle time after which a connection to a node is closed
+ * @param known endpoints used until discovery responds
  */
 record PlatformConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
                       int dialTimeout, double idleTime, DiscoveryList known, ControlSettings settings,
                       Operations operations) {
     /**
-     * What the operators reach and what the platform hands down.
+     * The management address and the inherited socket.
      *
      * @param management the management address, or null
      * @param inheritsSocket whether the clients' listening socket is inherited as descriptor 0 rather than opened
@@ -28,14 +28,14 @@
         static final Operations NONE = new Operations(null, false);
     }
 
-    private static final int SOCKETS = 1024;
+    private static final int DEFAULT_SOCKETS = 1024;
     private static final int MIN_SOCKETS = 16;
-    private static final double DIAL_TIMEOUT = 250;
-    private static final double IDLE_CLOSE = 15_000;
-    // Part of the settings' idle time after which a connection is retired: the node's clock may run ahead of ours.
-    private static final double IDLE_PART = 0.8;
+    private static final double DEFAULT_DIAL_TIMEOUT_MS = 250;
+    private static final double DEFAULT_IDLE_CLOSE_MS = 15_000;
+    // Connections are closed after this part of the node's own idle timeout, as the node's clock may run faster than ours.
+    private static final double IDLE_CLOSE_RATIO = 0.8;
 
-    /** Reads the file that {@code GW_CONFIG} names; single variables stand in for keys that it lacks. */
+    /** Reads the file named by {@code GW_CONFIG}; other variables replace keys that are missing from it. */
     static PlatformConfig read(Map<String, String> environment) throws ConfigurationException {
         String file = environment.get("GW_CONFIG");
         if (file == null) {
@@ -48,14 +48,15 @@
             address(json, "listen", environment.get("GW_LISTEN")),
             address(json, "discovery", environment.get("GW_DISCOVERY")),
             ConfigSection.parseSeed(json.text("seed", "0")),
-            (int) json.sectionOrEmpty("limits").number("sockets", SOCKETS, MIN_SOCKETS),
-            (int) ceilings.number("dial_timeout", DIAL_TIMEOUT, 1),
-            IDLE_PART * ceilings.number("idle_close", IDLE_CLOSE, 1), known(json),
+            (int) json.sectionOrEmpty("limits").number("sockets", DEFAULT_SOCKETS, MIN_SOCKETS),
+            (int) ceilings.number("dial_timeout", DEFAULT_DIAL_TIMEOUT_MS, 1),
+            IDLE_CLOSE_RATIO * ceilings.number("idle_close", DEFAULT_IDLE_CLOSE_MS, 1), known(json),
             SettingsConfig.read(settings.values()), operations(json, environment));
     }
 
-    private static InetSocketAddress address(ConfigSection json, String key, String absent) throws ConfigurationException {
-        return ConfigSection.parseAddress(json.text(key, absent), key);
+    private static InetSocketAddress address(ConfigSection json, String key, String defaultValue)
+        throws ConfigurationException {
+        return ConfigSection.parseAddress(json.text(key, defaultValue), key);
     }
 
     private static Operations operations(ConfigSection json, Map<String, String> environment)
@@ -63,10 +64,10 @@
         String management = json.has("mgmt") ? json.text("mgmt") : environment.get("GW_MGMT");
         String descriptor = environment.get("GW_SOCKET_FD");
         if (descriptor != null && !descriptor.strip().equals("0")) {
-            throw ConfigurationException.unusable("GW_SOCKET_FD", descriptor, "; only descriptor 0 can be taken over");
+            throw ConfigurationException.unusable("GW_SOCKET_FD", descriptor, "; only descriptor 0 can be inherited");
         }
-        boolean isManaged = management != null && !management.isEmpty();
-        return new Operations(isManaged ? ConfigSection.parseAddress(management, "mgmt") : null, descriptor != null);
+        boolean hasManagement = management != null && !management.isEmpty();
+        return new Operations(hasManagement ? ConfigSection.parseAddress(management, "mgmt") : null, descriptor != null);
     }
 
     private static DiscoveryList known(ConfigSection json) throws ConfigurationException {
--- a/src/main/java/kelphollow/program/SettingsConfig.java
+++ b/src/main/java/kelphollow/program/SettingsConfig.java
@@ -8,17 +8,17 @@
 import kelphollow.decision.ControlSettings;
 
 /**
- * The {@code settings} object of a configuration, checked. The reader of the simulator's wire takes it for granted that
- * settings are sound; operators' files are not, so each key that a scheduler needs is checked first.
+ * Reads and validates the {@code settings} section of a configuration. {@link SettingsReader}, written for the simulator's
+ * protocol, assumes valid settings; operators' files may be invalid, so each key that a scheduler needs is checked first.
  */
 final class SettingsConfig {
-    /** How endpoints come: pushed to an agent on this machine, or polled from one service for all schedulers. */
+    /** Endpoints are pushed to an agent on this machine, or polled from one service for all schedulers. */
     private static final List<String> DISCOVERY_MODES = List.of("automatic", "subscribe");
-    private static final String EFFECT_WITH_KEY = "token";
+    private static final String EFFECT_TOKEN = "token";
 
     private SettingsConfig() {}
 
-    /** Reads and checks the settings; the decision module checks what is left. */
+    /** Checks the keys and reads the settings; {@link Control} checks the remaining constraints. */
     static ControlSettings read(Map<?, ?> values) throws ConfigurationException {
         ConfigSection settings = new ConfigSection(values, "settings.");
         checkLists(settings);
@@ -34,8 +34,8 @@
             new Control(read, 0, 0);
             return read;
         } catch (MalformedMessageException | IllegalArgumentException e) {
-            String fault = e.getMessage();
-            throw new ConfigurationException(fault.startsWith("settings") ? fault : "settings: " + fault);
+            String message = e.getMessage();
+            throw new ConfigurationException(message.startsWith("settings") ? message : "settings: " + message);
         }
     }
 
@@ -51,7 +51,7 @@
         Object mode = settings.value("discovery");
         if (!(mode instanceof String) || !DISCOVERY_MODES.contains(mode)) {
             String found = mode == null ? " is missing" : " is '" + mode + "'";
-            throw new ConfigurationException(settings.key("discovery") + found + "; it is one of " + String.join(", ",
+            throw new ConfigurationException(settings.key("discovery") + found + ", must be one of " + String.join(", ",
                 DISCOVERY_MODES));
         }
     }
@@ -63,15 +63,15 @@
             if (!(classes.get(i) instanceof Map<?, ?> values)) {
                 throw new ConfigurationException(key + " is not an object");
             }
-            checkRequiredOfClass(new ConfigSection(values, key + "."));
+            checkRequiredClassKeys(new ConfigSection(values, key + "."));
         }
         for (int i = 0; i < classes.size(); i++) {
             String key = settings.key("request_classes[" + i + "]");
-            checkOptionalOfClass(new ConfigSection((Map<?, ?>) classes.get(i), key + "."));
+            checkOptionalClassKeys(new ConfigSection((Map<?, ?>) classes.get(i), key + "."));
         }
     }
 
-    private static void checkRequiredOfClass(ConfigSection requestClass) throws ConfigurationException {
+    private static void checkRequiredClassKeys(ConfigSection requestClass) throws ConfigurationException {
         requestClass.text("name");
         for (String key : List.of("deadline", "aim")) {
             if (!(requestClass.value(key) instanceof Double time) || !(time > 0)) {
@@ -81,10 +81,10 @@
         }
     }
 
-    private static void checkOptionalOfClass(ConfigSection requestClass) throws ConfigurationException {
+    private static void checkOptionalClassKeys(ConfigSection requestClass) throws ConfigurationException {
         requestClass.checkNumbers("worth", "late_share", "window");
-        requestClass.checkTexts("effect", "dedup_scope");
-        if (EFFECT_WITH_KEY.equals(requestClass.value("effect"))) {
+        requestClass.checkStrings("effect", "dedup_scope");
+        if (EFFECT_TOKEN.equals(requestClass.value("effect"))) {
             requestClass.number("window", 0);
             requestClass.text("dedup_scope");
         }
@@ -93,7 +93,7 @@
     private static void checkPlans(ConfigSection settings) throws ConfigurationException {
         for (Object plan : (List<?>) settings.value("grades")) {
             if (!(plan instanceof Map<?, ?> values)) {
-                throw new ConfigurationException(settings.key("grades") + " holds what is not an object");
+                throw new ConfigurationException(settings.key("grades") + " holds an element that is not an object");
             }
             new ConfigSection(values, settings.key("grades") + ".").checkNumbers("reserve", "proportion", "value_factor",
                 "ceiling_rate", "limit_burst", "tolerance");
--- a/src/main/java/kelphollow/program/StoreConfig.java
+++ b/src/main/java/kelphollow/program/StoreConfig.java
@@ -16,16 +16,16 @@
 import kelphollow.store.StoreOptions;
 
 /**
- * The {@code store} object of an operator's file, checked and with its defaults. Sizes in bytes.
+ * The validated {@code store} section of a gateway's configuration file, with defaults applied. Sizes in bytes.
  *
  * @param first folder of the first copy
  * @param second folder of the second copy
- * @param endpointsExpire a cached endpoint list is used up to this age, in milliseconds
+ * @param endpointsExpire maximum age of a stored endpoint list that is still used, in milliseconds
  */
 record StoreConfig(Path first, Path second, StoreOptions options, double endpointsExpire) {
     private static final Logger LOG = Logger.getLogger(StoreConfig.class.getName());
     private static final long MILLIS_PER_HOUR = 3_600_000;
-    private static final double ENDPOINTS_EXPIRE = 3_600_000;
+    private static final double DEFAULT_ENDPOINTS_EXPIRE_MS = 3_600_000;
     private static final long MAX_SCRUB_HOURS = 24 * 366;
     private static final long MIN_SEGMENT_BYTES = 4096;
     private static final long MAX_SEGMENT_BYTES = 1 << 30;
@@ -34,7 +34,7 @@
     private static final long MIN_COMPACT_BYTES = 4096;
     private static final long MAX_BYTES = 1L << 40;
 
-    /** Reads it from the whole file; null where the file has no such object: nothing is stored then. */
+    /** Reads the section from the parsed file; null if it is missing, in which case nothing is stored. */
     static StoreConfig read(ConfigSection json) throws ConfigurationException {
         if (!json.has("store")) {
             return null;
@@ -53,30 +53,31 @@
         }
         boolean checkAll = store.flag("check_all", false);
         StoreOptions options = options(store, checkAll);
-        return new StoreConfig(first, second, options, store.number("list_expires_ms", ENDPOINTS_EXPIRE, 0));
+        return new StoreConfig(first, second, options, store.number("list_expires_ms", DEFAULT_ENDPOINTS_EXPIRE_MS, 0));
     }
 
     private static StoreOptions options(ConfigSection store, boolean checkAll) throws ConfigurationException {
-        StoreOptions usual = StoreOptions.DEFAULTS;
-        long largestBatch = store.integer("largest_batch", usual.largestBatch(), MIN_BATCH_BYTES, MAX_BATCH_BYTES);
+        StoreOptions defaults = StoreOptions.DEFAULTS;
+        long largestBatch = store.integer("largest_batch", defaults.largestBatch(), MIN_BATCH_BYTES, MAX_BATCH_BYTES);
         return new StoreOptions(
-            store.integer("segment_bytes", usual.segmentBytes(), MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES), (int) largestBatch,
-            store.integer("queue_bytes", Math.max(largestBatch, usual.queueBytes()), largestBatch, MAX_BYTES),
-            usual.groupBytes(),
-            store.integer("compact_bytes_per_second", usual.compactBytesPerSecond(), MIN_COMPACT_BYTES, MAX_BYTES),
-            store.integer("scrub_hours", usual.scrubEvery() / MILLIS_PER_HOUR, 0, MAX_SCRUB_HOURS) * MILLIS_PER_HOUR,
+            store.integer("segment_bytes", defaults.segmentBytes(), MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES),
+            (int) largestBatch,
+            store.integer("queue_bytes", Math.max(largestBatch, defaults.queueBytes()), largestBatch, MAX_BYTES),
+            defaults.groupBytes(),
+            store.integer("compact_bytes_per_second", defaults.compactBytesPerSecond(), MIN_COMPACT_BYTES, MAX_BYTES),
+            store.integer("scrub_hours", defaults.scrubEvery() / MILLIS_PER_HOUR, 0, MAX_SCRUB_HOURS) * MILLIS_PER_HOUR,
             checkAll, false);
     }
 
     private static Path folder(List<?> folders, int index) throws ConfigurationException {
         String key = "store.folders[" + index + "]";
         if (!(folders.get(index) instanceof String text) || text.isEmpty()) {
-            throw ConfigurationException.notText(key);
+            throw ConfigurationException.notString(key);
         }
         return ConfigSection.parsePath(text, key).toAbsolutePath().normalize();
     }
 
-    /** Opens the store and begins an incarnation in it. What recovery found and repaired goes into the log. */
+    /** Opens the store, logs what recovery found and repaired, and starts a new incarnation. */
     Ledger open(Executor loop, Ticker ticker) throws ConfigurationException {
         try {
             Store store = Store.open(new FolderDisk(first), new FolderDisk(second), options,
@@ -93,9 +94,9 @@
         }
     }
 
-    /** The system's message, with the file that it is about. */
-    static String message(IOException fault) {
-        return fault instanceof FileSystemException file && file.getReason() == null
-            ? file.getFile() + ": " + fault.getClass().getSimpleName().replace("Exception", "") : fault.getMessage();
+    /** Returns the exception's message; names the file and the kind of failure where Java gives no reason. */
+    static String message(IOException exception) {
+        return exception instanceof FileSystemException file && file.getReason() == null
+            ? file.getFile() + ": " + exception.getClass().getSimpleName().replace("Exception", "") : exception.getMessage();
     }
 }
--- a/src/test/java/kelphollow/program/StoreRestartTest.java
+++ b/src/test/java/kelphollow/program/StoreRestartTest.java
@@ -244,7 +244,7 @@
         String a = folder.resolve("x").toString();
         Object[][] faults = {{Map.of("folders", List.of(a)), "store.folders must be"},
             {Map.of("folders", List.of(a, a)), "store.folders[1] is the same"},
-            {Map.of("folders", List.of(a, 7.0)), "store.folders[1] is not a text"},
+            {Map.of("folders", List.of(a, 7.0)), "store.folders[1] is not a string"},
             {Map.of("folders", List.of(a, a + "b"), "segment_bytes", 1.0), "store.segment_bytes"},
             {Map.of("folders", List.of(a, a + "b"), "segmentbytes", 1.0), "store.segmentbytes is not known"},
             {Map.of("folders", List.of(a, a + "b"), "scrub_hours", -1.0), "store.scrub_hours"},
