--- a/src/main/java/kelphollow/program/GracefulShutdown.java
+++ b/src/main/java/kelphollow/program/GracefulShutdown.java
@@ -9,27 +9,26 @@
 import kelphollow.routing.Invariant;
 import kelphollow.routing.RequestRouter;
 
-/** What SIGTERM starts: the scheduler leaves, what must outlive the process is written, and the process ends with code 0. */
+/** The shutdown hook for SIGTERM: drains the scheduler, writes the state that must survive, and exits with code 0. */
 final class GracefulShutdown {
     private static final Logger LOG = Logger.getLogger(GracefulShutdown.class.getName());
-    // In milliseconds. Nothing waits longer than the longest deadline; the rest is for responses to slow readers.
-    private static final double SLACK = 500;
-    // In milliseconds.
-    private static final long LIMITS_TIMEOUT = 500;
+    // In milliseconds. No request waits longer than the longest deadline; this is extra time for responses to slow readers.
+    private static final double SLOW_READER_GRACE_MS = 500;
+    private static final long LIMITS_TIMEOUT_MS = 500;
 
     private final Scheduler scheduler;
     /** Null without a management address. */
     private final Management management;
     private final double longestDeadline;
 
-    /** {@code longestDeadline} is that of any class, in milliseconds. */
+    /** {@code longestDeadline} is the maximum over all classes, in milliseconds. */
     GracefulShutdown(Scheduler scheduler, Management management, double longestDeadline) {
         this.scheduler = scheduler;
         this.management = management;
         this.longestDeadline = longestDeadline;
     }
 
-    /** Makes it the process's shutdown hook; gives the hook, by which it may be removed. */
+    /** Registers this as a JVM shutdown hook and returns the hook's thread, which removes it again. */
     Thread register() {
         Thread hook = new Thread(this::run, "leave");
         Runtime.getRuntime().addShutdownHook(hook);
@@ -38,28 +37,28 @@
 
     private void run() {
         if (management != null) {
-            management.leaving();
+            management.shutdownStarted();
         }
-        CountDownLatch left = new CountDownLatch(1);
-        scheduler.leave(left::countDown);
+        CountDownLatch done = new CountDownLatch(1);
+        scheduler.shutDown(done::countDown);
         if (management != null && scheduler.hasInheritedSocket()) {
             handOverLimits();
         }
-        boolean allLeft = await(left);
+        boolean drained = await(done);
         LOG.info(scheduler.counters());
-        if (allLeft) {
-            scheduler.end();
+        if (drained) {
+            scheduler.closeAfterShutdown();
         } else {
             scheduler.close();
         }
-        System.err.println("kelphollow: left" + (allLeft ? "" : " with connections open") + "; "
+        System.err.println("kelphollow: left" + (drained ? "" : " with connections open") + "; "
             + Invariant.broken() + " invariants broken");
-        Runtime.getRuntime().halt(0);   // an exit by signal would tell of a failure
+        Runtime.getRuntime().halt(0);   // without it the exit code would be the signal's, which reports a failure
     }
 
     private void handOverLimits() {
         try {
-            management.handover().handOver(scheduler.onLoop(RequestRouter::limitTokens).get(LIMITS_TIMEOUT,
+            management.handover().handOver(scheduler.onLoop(RequestRouter::limitTokens).get(LIMITS_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -68,9 +67,10 @@
         }
     }
 
-    private boolean await(CountDownLatch left) {
+    private boolean await(CountDownLatch done) {
         try {
-            return left.await((long) (scheduler.acceptsFor() + longestDeadline + SLACK), TimeUnit.MILLISECONDS);
+            return done.await((long) (scheduler.acceptsFor() + longestDeadline + SLOW_READER_GRACE_MS),
+                TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
--- a/src/main/java/kelphollow/program/LimitHandoverFile.java
+++ b/src/main/java/kelphollow/program/LimitHandoverFile.java
@@ -4,14 +4,15 @@
 import java.util.TreeMap;
 
 /**
- * The text by which the old process of an upgrade hands over the tokens of volumes' limits: {@code volume tokens} a
- * line, and a last line that shows it is complete.
+ * The file format in which the old process of an upgrade hands over the tokens of the volumes' rate limits: one line
+ * {@code volume tokens} per volume, and a final line {@code end} that marks the file as complete.
  */
 final class LimitHandoverFile {
     private static final String END = "end\n";
 
     private LimitHandoverFile() {}
 
+    /** Formats the tokens, by volume. */
     static String text(Map<String, Double> tokens) {
         StringBuilder text = new StringBuilder();
         new TreeMap<>(tokens).forEach((volume, left) -> text.append(volume).append(' ').append(left).append('\n'));
@@ -21,7 +22,7 @@
     /** @throws IllegalArgumentException if the text is truncated or a line is not a volume and a number */
     static Map<String, Double> read(String text) {
         if (!text.endsWith(END)) {
-            throw new IllegalArgumentException("truncated");
+            throw new IllegalArgumentException("truncated: the last line is not 'end'");
         }
         Map<String, Double> tokens = new TreeMap<>();
         String[] lines = text.split("\n");
--- a/src/main/java/kelphollow/program/MaintenanceFile.java
+++ b/src/main/java/kelphollow/program/MaintenanceFile.java
@@ -9,25 +9,25 @@
 import java.util.logging.Logger;
 import kelphollow.maintenance.MaintenanceSet;
 
-/** The file that keeps the nodes in maintenance, shared by both processes of an upgrade. For one thread. */
+/** The file that lists the nodes in maintenance, shared by both processes of an upgrade. Not thread-safe. */
 final class MaintenanceFile {
     private static final Logger LOG = Logger.getLogger(MaintenanceFile.class.getName());
     private static final String NAME = "kelphollow-bans";
 
     private final Path file;
-    /** The text as this process last wrote or read it. */
+    /** The content that this process last wrote or read; {@link #readChange} reports only other content. */
     private String lastText = "";
 
     MaintenanceFile(Path file) {
         this.file = file;
     }
 
-    /** In {@code $TMPDIR}, the one place that can be written to. */
+    /** Returns the default path, in {@code $TMPDIR}: the only folder that is writable. */
     static Path path() {
         return inTemporaryFolder(NAME);
     }
 
-    /** The same for an installation that runs several instances on one machine. */
+    /** Returns the path for one of several instances on the same machine. */
     static Path path(String instance) {
         return inTemporaryFolder(NAME + "-" + instance);
     }
@@ -37,16 +37,16 @@
         return Path.of(folder == null || folder.isEmpty() ? System.getProperty("java.io.tmpdir") : folder, name);
     }
 
-    /** Writes all, then renames: a reader sees the old text or the new one, never a part. */
+    /** Writes a temporary file and renames it, so that a reader never sees a partial file. */
     void write(Set<String> nodes) throws IOException {
         String text = MaintenanceSet.format(nodes);
-        Path unfinished = file.resolveSibling(file.getFileName() + ".part");
-        Files.writeString(unfinished, text, StandardCharsets.US_ASCII);
-        Files.move(unfinished, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = file.resolveSibling(file.getFileName() + ".part");
+        Files.writeString(temporary, text, StandardCharsets.US_ASCII);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         lastText = text;
     }
 
-    /** The nodes in maintenance if another process has changed them, else null. */
+    /** Returns the nodes in maintenance if another process has changed the file, else null. */
     Set<String> readChange() {
         String text;
         try {
@@ -62,7 +62,7 @@
             lastText = text;
             return nodes;
         } catch (IllegalArgumentException e) {
-            LOG.fine(() -> "bans file not taken yet: " + e.getMessage());
+            LOG.fine(() -> "maintenance file " + file + " ignored until it can be parsed: " + e.getMessage());
             return null;
         }
     }
--- a/src/main/java/kelphollow/program/Management.java
+++ b/src/main/java/kelphollow/program/Management.java
@@ -12,25 +12,25 @@
 import kelphollow.protocol.mgmt.MgmtServer;
 
 /**
- * Carries out the operators' calls: {@code status} from what this side knows, maintenance on the scheduler's loop. The
- * nodes in maintenance are kept in a file before the call is acknowledged, and that file is read again and again, so
- * that a call to either process of an upgrade binds both. Runs on the management loop.
+ * Executes the operators' calls: {@code status} on the management loop, all others on the scheduler's loop. The nodes in
+ * maintenance are written to a file before the call is acknowledged. Both processes of an upgrade poll that file, so a
+ * call to either takes effect in both. Runs on the management loop.
  */
 final class Management implements MgmtServer.Calls {
     private static final Logger LOG = Logger.getLogger(Management.class.getName());
     private static final long POLL_INTERVAL_MS = 200;
-    // In milliseconds after it listens; without a response of discovery a process is ready then, on the list it was given.
-    private static final double READY_WITHOUT_ENDPOINTS = 1_500;
+    // After this time without a response from discovery a process reports ready and uses the configured endpoint list.
+    private static final double READY_WITHOUT_ENDPOINTS_MS = 1_500;
 
     private final Scheduler scheduler;
     private final EventLoop loop;
     private final MaintenanceFile file;
     private final ProcessHandover handover;
-    /** In Unix milliseconds, NaN while it is starting. */
+    /** In Unix milliseconds, NaN until the process listens. */
     private volatile double listeningSince = Double.NaN;
-    private volatile boolean leaving;
+    private volatile boolean shuttingDown;
 
-    /** {@code maintenanceFile} lies in the folder that the processes of an upgrade have in common. */
+    /** {@code maintenanceFile} is in the folder that both processes of an upgrade use. */
     Management(Scheduler scheduler, EventLoop loop, Path maintenanceFile) {
         this.scheduler = scheduler;
         this.loop = loop;
@@ -38,10 +38,10 @@
         this.handover = new ProcessHandover(maintenanceFile.getParent(), ProcessHandle.current().pid());
     }
 
-    /** Takes over the maintenance of an earlier process, before the scheduler listens; shows that this one lives. */
+    /** Applies the maintenance file of an earlier process before the scheduler listens, and starts both periodic tasks. */
     void start() {
-        loop.submit(this::followFile).syncUninterruptibly();
-        loop.scheduleWithFixedDelay(this::followFile, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.submit(this::applyFileChange).syncUninterruptibly();
+        loop.scheduleWithFixedDelay(this::applyFileChange, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(handover::showAlive, 0, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -49,13 +49,13 @@
         return handover;
     }
 
-    /** Clients are accepted, or will be as soon as the process before lets them go; {@code now} in Unix milliseconds. */
+    /** Called once clients are accepted, or will be when the old process stops; {@code now} in Unix milliseconds. */
     void listening(double now) {
         listeningSince = now;
     }
 
-    void leaving() {
-        leaving = true;
+    void shutdownStarted() {
+        shuttingDown = true;
     }
 
     @Override public CompletionStage<String> call(MgmtLine.Call call) {
@@ -73,7 +73,7 @@
     }
 
     private String status() {
-        if (leaving) {
+        if (shuttingDown) {
             return "NAK leaving";
         }
         double since = listeningSince;
@@ -81,11 +81,11 @@
             return "NAK starting";
         }
         boolean ready = scheduler.hasReceivedEndpoints()
-            || System.currentTimeMillis() - since >= READY_WITHOUT_ENDPOINTS;
+            || System.currentTimeMillis() - since >= READY_WITHOUT_ENDPOINTS_MS;
         return ready ? "ACK ready" : "NAK waiting for discovery";
     }
 
-    /** Keeps the nodes in maintenance, null if the call's node is not known, and words the answer. */
+    /** Writes the nodes in maintenance to the file and returns the answer; null {@code nodes} means an unknown node. */
     private String acknowledge(String node, Set<String> nodes, String outcome) {
         if (nodes == null) {
             return "NAK no storage node is named " + node;
@@ -95,13 +95,13 @@
             file.write(nodes);
             return answer;
         } catch (IOException e) {
-            LOG.warning("bans not kept: " + e.getMessage());
+            LOG.warning("maintenance file not written: " + e.getMessage());
             return answer + "; not kept for the next process: " + e.getMessage();
         }
     }
 
-    /** Follows the file when another process has changed it. */
-    private void followFile() {
+    /** Applies the maintenance file to the router if another process has changed it. */
+    private void applyFileChange() {
         Set<String> nodes = file.readChange();
         if (nodes != null) {
             scheduler.onLoop(router -> {
--- a/src/main/java/kelphollow/program/ObjectScheduler.java
+++ b/src/main/java/kelphollow/program/ObjectScheduler.java
@@ -25,13 +25,13 @@
 import kelphollow.transport.ConnectionPools;
 import kelphollow.transport.HttpCall;
 
-/** The gateway of the object API, with its store and its place in a fleet if it has them. */
+/** The scheduler behind the object API, with an optional store and optional membership in a fleet. */
 final class ObjectScheduler extends Scheduler {
     private static final Logger LOG = Logger.getLogger(ObjectScheduler.class.getName());
-    /** How this program names itself to xDS servers. */
+    /** The user agent sent to xDS servers. */
     private static final String USER_AGENT = "kelphollow";
 
-    /** Null if nothing outlives the process. */
+    /** Null if no store is configured. */
     private Ledger ledger;
     private EndpointRecords endpointRecords;
     /** Null if the instance is in no fleet. */
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Opens the store, wires a gateway and takes its place in the fleet; blocks until that is done, on a thread other than
-     * the loop's. It serves once it {@link #listen listens}.
+     * Opens the store, wires a gateway and joins the fleet; blocks until that is done and must not be called on the event
+     * loop. The gateway serves once it {@link #listen listens}.
      *
      * @throws ConfigurationException if the store or the fleet's address cannot be used
      */
@@ -79,7 +79,7 @@
         }
     }
 
-    /** The endpoint list that an earlier incarnation stored, as far as its age allows. */
+    /** Returns the stored endpoints of an earlier incarnation that are not too old to be used. */
     private List<ResolvedEndpoint> cachedEndpoints(ObjectConfig config) throws IOException, StoreFault {
         double now = ticker().now();
         EndpointRecords.Saved saved = endpointRecords.read();
@@ -87,8 +87,8 @@
             return List.of();
         }
         List<ResolvedEndpoint> usable = EndpointRecords.usable(saved, now, config.store().endpointsExpire());
-        LOG.info(() -> "starts from a node list " + (long) ((now - saved.at()) / 1000) + " s old: " + usable.size()
-            + " of its " + saved.members().size() + " nodes are used");
+        LOG.info(() -> "starts from a stored endpoint list, " + (long) ((now - saved.at()) / 1000) + " s old: uses "
+            + usable.size() + " of " + saved.members().size() + " endpoints");
         return usable;
     }
 
@@ -117,9 +117,9 @@
         } else if (config.cluster() instanceof ClusterConfig.Inline inline) {
             router.updateEndpoints(inline.endpoints(), true);
         }
-        router.start(source, false);   // xDS by REST must be polled, whatever the settings say of the platform's list
+        router.start(source, false);   // xDS by REST is always polled; settings.discovery applies only to the platform
         router.restoreLimits(limits);
-        wired(router, new ObjectFront(router, ticker(), config.options(), ledger));
+        setComponents(router, new ObjectFront(router, ticker(), config.options(), ledger));
     }
 
     private XdsPoll poll(ObjectConfig config, ClusterConfig.Polled polled, RequestRouter router) {
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Takes this instance's place in its fleet, under the number of its incarnation in the store. */
+    /** Joins the fleet with the incarnation number from the store. */
     private void joinFleet(ObjectConfig config) throws ConfigurationException, InterruptedException {
         EventLog events = config.fleet().openEvents();
         loop().submit(() -> {
@@ -143,14 +143,14 @@
         }).sync();
         try {
             InetSocketAddress at = fleet.transport().listen(config.fleet().options().listen());
-            LOG.info(() -> "in a fleet at " + Addresses.text(at));
+            LOG.info(() -> "fleet transport listens at " + Addresses.text(at));
         } catch (IOException e) {
             throw new ConfigurationException(e.getMessage());
         }
         loop().submit(fleet::start).sync();
     }
 
-    /** Follows a new configuration in where the endpoints come from: they are read or polled anew. */
+    /** Applies the source of endpoints from a new configuration; nothing else is reloaded. */
     void reload(ObjectConfig config) {
         loop().execute(() -> {
             if (config.cluster() instanceof ClusterConfig.Inline inline) {
@@ -162,7 +162,7 @@
         });
     }
 
-    /** What outlives this process, or null. */
+    /** Returns the persistent state, or null without a store. */
     Ledger ledger() {
         return ledger;
     }
@@ -177,7 +177,7 @@
         }
     }
 
-    @Override void end() {
+    @Override void closeAfterShutdown() {
         if (ledger != null) {
             loop().submit(() -> ledger.limits().recordFinalTokens(router().limitTokens(), ticker().now()))
                 .syncUninterruptibly();
--- a/src/main/java/kelphollow/program/PlatformScheduler.java
+++ b/src/main/java/kelphollow/program/PlatformScheduler.java
@@ -19,27 +19,27 @@
 import kelphollow.transport.HttpCall;
 import kelphollow.transport.ConnectionPools;
 
-/** The scheduler of the platform; whoever had its name before has ended by now. */
+/** The scheduler of the platform. The process that used its name before has ended when this one starts. */
 final class PlatformScheduler extends Scheduler {
-    /** Its versions have nothing to do with those of another discovery service: the complete list is requested. */
+    /** Requests the complete list: versions of different discovery services are not comparable. */
     private static final long NO_VERSION = -1;
 
     private final Random discoveryRandom;
-    /** Discovery has reported its list, or a call to it has failed. */
+    /** Open until discovery has returned its list or a call to it has failed. */
     private final CountDownLatch firstResponse = new CountDownLatch(1);
     private RespFront front;
     private InetSocketAddress discovery;
     private boolean pushed;
-    /** The classes and attempts that bind once what was read last has settled. */
+    /** The classes and attempt limit that apply after the activation delay of the last reload. */
     private SettingsReload.RequestSettings requestSettings;
-    private Ticker.Timeout settling;
+    private Ticker.Timeout pendingActivation;
 
     private PlatformScheduler(PlatformConfig config, EventLoop loop, Ticker ticker) {
         super(loop, ticker, config.sockets(), ShutdownSchedule.platform(config.settings()));
         this.discoveryRandom = new Random(config.seed());
     }
 
-    /** Wires a scheduler and asks discovery; blocks until that is done. It serves once it {@link #listen listens}. */
+    /** Wires a scheduler and starts to watch discovery; blocks until wired. It serves once it {@link #listen listens}. */
     static PlatformScheduler start(PlatformConfig config, EventLoop loop, Ticker ticker) {
         PlatformScheduler scheduler = new PlatformScheduler(config, loop, ticker);
         loop.submit(() -> scheduler.wire(config)).syncUninterruptibly();
@@ -60,10 +60,10 @@
         router.start(watch(router, config.known().version()), pushed);
         front = new RespFront(router, ticker(), settings, clientSockets(config.sockets()));
         requestSettings = requestSettings(settings);
-        wired(router, front);
+        setComponents(router, front);
     }
 
-    /** On the platform the endpoint list binds by the terms of {@link EndpointUpdateBudget}. */
+    /** The lease of the platform's endpoint list, with the delays of {@link EndpointUpdateBudget}. */
     private static EndpointListLease lease(ControlSettings settings) {
         return settings.endpointsPolled()
             ? EndpointListLease.polled(EndpointUpdateBudget.NOTIFIED_AFTER_MS, EndpointUpdateBudget.LOCAL_DELAY_MS, settings
@@ -80,14 +80,14 @@
         return new SettingsReload.RequestSettings(settings.classes(), settings.maxAttempts());
     }
 
-    /** Waits, on the caller's thread, for discovery's first response, so many milliseconds at most; false if none came. */
+    /** Blocks for up to {@code millis} until discovery has responded or failed; returns false on timeout. */
     boolean awaitFirstResponse(long millis) throws InterruptedException {
         return firstResponse.await(millis, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Follows a new configuration in what can change while requests are open: where the endpoints come from, and what the
-     * settings say of classes and attempts.
+     * Applies the parts of a new configuration that can change while requests are open: the source of endpoints, the
+     * classes and the attempt limit.
      */
     void reload(PlatformConfig config) {
         loop().execute(() -> {
@@ -106,18 +106,18 @@
      * SettingsReload#ACTIVATION_DELAY_MS}.
      */
     private void reloadSettings(SettingsReload.RequestSettings next) {
-        if (settling != null) {
-            settling.cancel();
+        if (pendingActivation != null) {
+            pendingActivation.cancel();
         }
         List<SettingsReload.Step> steps = SettingsReload.schedule(requestSettings, next, ticker().now());
-        SettingsReload.Step blend = steps.get(0);
-        SettingsReload.Step settled = steps.get(1);
-        router().changeSettings(blend.classes(), blend.maxAttempts());
-        front.addClasses(blend.classes());
-        requestSettings = new SettingsReload.RequestSettings(settled.classes(), settled.maxAttempts());
-        settling = ticker().after(settled.at() - ticker().now(), () -> {
-            settling = null;
-            router().changeSettings(settled.classes(), settled.maxAttempts());
+        SettingsReload.Step strictest = steps.get(0);
+        SettingsReload.Step activated = steps.get(1);
+        router().changeSettings(strictest.classes(), strictest.maxAttempts());
+        front.addClasses(strictest.classes());
+        requestSettings = new SettingsReload.RequestSettings(activated.classes(), activated.maxAttempts());
+        pendingActivation = ticker().after(activated.at() - ticker().now(), () -> {
+            pendingActivation = null;
+            router().changeSettings(activated.classes(), activated.maxAttempts());
         });
     }
 }
--- a/src/main/java/kelphollow/program/ProcessHandover.java
+++ b/src/main/java/kelphollow/program/ProcessHandover.java
@@ -11,24 +11,23 @@
 import java.util.stream.Stream;
 
 /**
- * How the two processes of an upgrade find each other and hand over the tokens of volumes' limits: by files of one folder
- * that is theirs in common. Blocking; not for the scheduler's event loop.
+ * Lets the two processes of an upgrade find each other and hand over the tokens of the volumes' rate limits, through files
+ * in a shared folder. Blocks on file access; must not run on the scheduler's event loop.
  */
 final class ProcessHandover {
-    /** No process is found. */
+    /** Returned if no other process is alive. */
     static final long NO_PROCESS = -1;
     private static final Logger LOG = Logger.getLogger(ProcessHandover.class.getName());
     private static final String ALIVE_PREFIX = "kelphollow-alive-";
     private static final String HANDOVER_PREFIX = "kelphollow-handover-";
-    private static final String UNFINISHED = "kelphollow-handover.part";
-    // In milliseconds.
-    private static final long ALIVE_TIMEOUT = 1_000;
-    private static final long POLL_INTERVAL = 20;
+    private static final String TEMPORARY_NAME = "kelphollow-handover.part";
+    private static final long ALIVE_TIMEOUT_MS = 1_000;
+    private static final long POLL_INTERVAL_MS = 20;
 
     private final Path folder;
     private final long pid;
 
-    /** {@code pid} tells this process from the other one. */
+    /** {@code pid} is the id of this process, which names its files. */
     ProcessHandover(Path folder, long pid) {
         this.folder = folder;
         this.pid = pid;
@@ -42,7 +41,7 @@
         return folder.resolve(HANDOVER_PREFIX + process);
     }
 
-    /** Shows that this process lives; to be repeated well within a second. */
+    /** Updates this process's liveness file. Must be repeated well within a second, after which it counts as dead. */
     void showAlive() {
         try {
             Path mine = aliveFile(pid);
@@ -51,11 +50,11 @@
             }
             Files.setLastModifiedTime(mine, FileTime.fromMillis(System.currentTimeMillis()));
         } catch (IOException e) {
-            LOG.fine(() -> "cannot show that this process lives: " + e.getMessage());
+            LOG.fine(() -> "liveness file " + aliveFile(pid) + " not updated: " + e.getMessage());
         }
     }
 
-    /** Another process that showed within the last second that it lives, or {@link #NO_PROCESS}. */
+    /** Returns another process whose liveness file was updated within the last second, or {@link #NO_PROCESS}. */
     long otherProcess() {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(file -> file.getFileName().toString()).filter(name -> name.startsWith(ALIVE_PREFIX))
@@ -68,16 +67,16 @@
 
     private static boolean isFresh(Path file) {
         try {
-            return System.currentTimeMillis() - Files.getLastModifiedTime(file).toMillis() < ALIVE_TIMEOUT;
+            return System.currentTimeMillis() - Files.getLastModifiedTime(file).toMillis() < ALIVE_TIMEOUT_MS;
         } catch (IOException e) {
             return false;
         }
     }
 
     /**
-     * Waits until the other process has stopped accepting clients, and returns the tokens of the volumes' limits that it
-     * left: from then on only this process spends them. Gives up waiting, with no tokens, once the other shows no life for a
-     * second or after {@code timeout} milliseconds.
+     * Waits until the other process has stopped accepting clients and returns the tokens it handed over, which only this
+     * process uses from then on. Returns no tokens if the other process's liveness file is a second old, or after
+     * {@code timeout} milliseconds.
      */
     Map<String, Double> await(long process, double timeout) throws InterruptedException {
         long until = System.currentTimeMillis() + (long) timeout;
@@ -87,25 +86,25 @@
                 try {
                     return LimitHandoverFile.read(Files.readString(left, StandardCharsets.US_ASCII));
                 } catch (IOException | IllegalArgumentException e) {
-                    LOG.fine(() -> "handover not complete yet: " + e.getMessage());
+                    LOG.fine(() -> "handover file " + left + " is not complete yet: " + e.getMessage());
                 }
             } else if (!isFresh(aliveFile(process))) {
                 return Map.of();
             }
-            Thread.sleep(POLL_INTERVAL);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
         return Map.of();
     }
 
-    /** Hands over the tokens of this process's limits, once it accepts no new clients. */
+    /** Writes the tokens of this process's limits for the next process; called once no new clients are accepted. */
     void handOver(Map<String, Double> tokens) {
-        Path unfinished = folder.resolve(UNFINISHED);
+        Path temporary = folder.resolve(TEMPORARY_NAME);
         try {
-            Files.writeString(unfinished, LimitHandoverFile.text(tokens), StandardCharsets.US_ASCII);
-            Files.move(unfinished, handoverFile(pid), StandardCopyOption.ATOMIC_MOVE,
+            Files.writeString(temporary, LimitHandoverFile.text(tokens), StandardCharsets.US_ASCII);
+            Files.move(temporary, handoverFile(pid), StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            LOG.warning("limits not handed over: " + e.getMessage());
+            LOG.warning("tokens of volume limits not handed over: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/kelphollow/program/ReloadSignal.java
+++ b/src/main/java/kelphollow/program/ReloadSignal.java
@@ -6,14 +6,14 @@
 import sun.misc.SignalHandler;
 
 /**
- * SIGHUP: the configuration is read again. A signal before clients are accepted is remembered and served then; unhandled it
- * would end the program.
+ * Reloads the configuration on SIGHUP. A signal that arrives before clients are accepted is kept until then; without a
+ * handler it would kill the process.
  */
 final class ReloadSignal {
     private static final Logger LOG = Logger.getLogger(ReloadSignal.class.getName());
     private static final Signal HANG_UP = new Signal("HUP");
 
-    /** Reads the configuration and follows it; one that is faulty or truncated changes nothing. */
+    /** Reads and applies the configuration; an invalid or truncated one changes nothing. */
     interface Reload {
         void run() throws ConfigurationException;
     }
@@ -21,33 +21,30 @@
     private final AtomicBoolean pending = new AtomicBoolean();
     private final boolean wasIgnored;
 
-    /** Remembers signals from now on. */
+    /** Installs a handler that records signals until {@link #activate}. */
     ReloadSignal() {
         wasIgnored = Signal.handle(HANG_UP, signal -> pending.set(true)) == SignalHandler.SIG_IGN;
     }
 
-    /** Reloads at each signal from now on, and now if one came before. */
+    /** Reloads at each signal from now on, and at once if a signal was recorded. */
     void activate(Reload reload) {
         Signal.handle(HANG_UP, signal -> reload(reload));
         if (pending.get()) {
             reload(reload);
         }
         if (wasIgnored) {
-            LOG.warning("SIGHUP is ignored, as whoever started this program left it (nohup does): new configurations"
-                + " will not be read");
+            LOG.warning("SIGHUP is ignored: this process inherited that from the one that started it (for example nohup);"
+                + " the configuration will not be reloaded");
         }
     }
 
-    /**
-     * Guards against a file that is faulty or truncated: it is read as a whole, and if it has a fault all stays as it
-     * was.
-     */
+    /** Keeps the current configuration if the new file is invalid or truncated; a file is applied whole or not at all. */
     private static void reload(Reload reload) {
         try {
             reload.run();
-            LOG.info("read the configuration again");
+            LOG.info("configuration reloaded");
         } catch (ConfigurationException | RuntimeException e) {
-            LOG.severe("configuration, the last good one stands: " + e.getMessage());
+            LOG.severe("configuration not reloaded, the previous one stays in effect: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/kelphollow/program/Scheduler.java
+++ b/src/main/java/kelphollow/program/Scheduler.java
@@ -16,11 +16,10 @@
 
 /**
  * One scheduler: a front, the router with its decision module, a backend and a source of endpoints, all on one event loop.
- * Its methods are for other threads than the loop's.
+ * Unless documented otherwise, methods must be called from other threads than the loop's.
  */
 abstract sealed class Scheduler permits PlatformScheduler, ObjectScheduler {
-    // In milliseconds.
-    private static final long COUNTERS_TIMEOUT = 100;
+    private static final long COUNTERS_TIMEOUT_MS = 100;
 
     private final EventLoop loop;
     private final Ticker ticker;
@@ -30,7 +29,7 @@
     private RequestRouter router;
     private volatile boolean hasInheritedSocket;
 
-    /** {@code sockets} are the descriptors that the program may use. */
+    /** {@code sockets} is the number of file descriptors that the program may use. */
     Scheduler(EventLoop loop, Ticker ticker, int sockets, ShutdownSchedule shutdown) {
         this.loop = loop;
         this.ticker = ticker;
@@ -38,7 +37,7 @@
         this.shutdown = shutdown;
     }
 
-    /** Half of the descriptors are for clients, a third for nodes, the rest for what the program itself holds open. */
+    /** Half of the descriptors are for clients, a third for nodes, the rest for the program's own files and sockets. */
     static int clientSockets(int sockets) {
         return sockets / 2;
     }
@@ -47,8 +46,8 @@
         return sockets / 3;
     }
 
-    /** Sets the parts once they are wired, on the loop and before anybody listens. */
-    final void wired(RequestRouter wiredRouter, Front wiredFront) {
+    /** Sets the wired components; called on the loop, before {@link #listen}. */
+    final void setComponents(RequestRouter wiredRouter, Front wiredFront) {
         router = wiredRouter;
         front = wiredFront;
     }
@@ -65,29 +64,29 @@
         return router;
     }
 
-    /** Accepts clients from the socket that the platform handed down; nothing new is accepted at once on leaving. */
+    /** Accepts clients from the inherited socket. The next process holds it too, so shutdown stops accepting at once. */
     final InetSocketAddress listen(ServerSocketChannel inherited) {
         shutdown = shutdown.acceptingNothing();
         hasInheritedSocket = true;
         return server.listen(loop, inherited, front);
     }
 
-    /** Listens; returns the address with the port that was given. */
+    /** Listens on the address; returns the bound address with the actual port. */
     final InetSocketAddress listen(InetSocketAddress address) {
         return server.listen(loop, address, front);
     }
 
-    /** Whether clients come through a socket that the platform handed down. */
+    /** Whether clients are accepted from a socket inherited from the platform. */
     final boolean hasInheritedSocket() {
         return hasInheritedSocket;
     }
 
-    /** What the process before left of volumes' limits; before the first request. */
+    /** Restores the tokens of the volumes' limits from the previous process; called before the first request. */
     final void restoreLimits(Map<String, Double> tokens) {
         loop.submit(() -> router.restoreLimits(tokens)).syncUninterruptibly();
     }
 
-    /** Runs the step on the loop that owns the router; its result comes when it has run. */
+    /** Runs {@code step} on the event loop, which owns the router, and completes with its result. */
     final <T> CompletableFuture<T> onLoop(Function<RequestRouter, T> step) {
         CompletableFuture<T> result = new CompletableFuture<>();
         loop.execute(() -> {
@@ -105,10 +104,10 @@
         return router != null && router.hasReceivedEndpoints();
     }
 
-    /** What became of requests and attempts, for the log. */
+    /** Returns the counts of requests and attempts by outcome, formatted for the log. */
     final String counters() {
         try {
-            return onLoop(RequestRouter::counters).get(COUNTERS_TIMEOUT, TimeUnit.MILLISECONDS);
+            return onLoop(RequestRouter::counters).get(COUNTERS_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return "requests: not counted";
@@ -118,11 +117,11 @@
     }
 
     /**
-     * Accepts new connections a little longer, answers all that was taken, then runs the task. The platform's clients have
-     * no other scheduler and go on using the connections they have: those are served for as long as there is time, since
-     * what they request after the last one was closed is lost to them.
+     * Starts the shutdown: new connections are accepted for {@link #acceptsFor}, all open requests are answered, then
+     * {@code whenDone} runs. The platform's clients have no other scheduler and keep using their connections; these are
+     * served as long as time allows, since requests made after the last one closes are lost.
      */
-    final void leave(Runnable whenLeft) {
+    final void shutDown(Runnable whenDone) {
         loop.execute(() -> {
             shutdownStarted();
             if (shutdown.answerWithin() < Double.POSITIVE_INFINITY) {
@@ -130,27 +129,27 @@
             }
             ticker.after(shutdown.acceptFor(), () -> {
                 server.stop();
-                front.shutDown(whenLeft);
+                front.shutDown(whenDone);
             });
         });
     }
 
-    /** How long leaving takes until nothing new is accepted, in milliseconds. */
+    /** Returns how long new connections are still accepted after the shutdown has started, in milliseconds. */
     final double acceptsFor() {
         return shutdown.acceptFor();
     }
 
-    /** Leaving has begun; on the loop. */
+    /** Called on the loop when the shutdown starts. */
     void shutdownStarted() {}
 
-    /** What {@code fleet status} shows, or null without a fleet; on the loop. */
+    /** Returns the answer to {@code fleet status}, or null without a fleet; called on the loop. */
     String fleetStatus() {
         return null;
     }
 
-    /** After everybody has left: what must outlive the end is written, and its files are let go. */
-    void end() {}
+    /** Writes the final state and closes the files; called after a shutdown that answered all requests. */
+    void closeAfterShutdown() {}
 
-    /** Lets the files go without a word on what was spent. */
+    /** Closes the files without recording the final tokens of the limits. */
     void close() {}
 }
--- a/src/main/java/kelphollow/program/Serve.java
+++ b/src/main/java/kelphollow/program/Serve.java
@@ -18,17 +18,17 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** {@code serve}: the scheduler. Listens once it is warm and leaves on SIGTERM. */
+/** {@code serve}: runs the scheduler. Listens once it is warmed up and shuts down on SIGTERM. */
 public final class Serve implements Main.Command {
     /** Resolution of the ticker, in milliseconds. */
     static final long TICK = 2;
     private static final Logger LOG = Logger.getLogger(Serve.class.getName());
-    // In milliseconds: the process before is killed at the latest 6 s after the start and 3.7 s after that.
-    private static final double HANDOVER_TIMEOUT = 12_000;
-    // In milliseconds; without a response of discovery a start then goes on from the list it was given.
-    private static final long DISCOVERY_TIMEOUT = 300;
+    // The old process is killed at the latest 9.7 s after this one's start: 6 s, and 3.7 s after that.
+    private static final double HANDOVER_TIMEOUT_MS = 12_000;
+    // After this time without a response from discovery the start continues with the configured endpoint list.
+    private static final long DISCOVERY_TIMEOUT_MS = 300;
 
-    /** What a configuration has started. */
+    /** A scheduler that is started but does not listen yet, and the configuration that the rest of the start needs. */
     private record Started(Scheduler scheduler, InetSocketAddress address, PlatformConfig.Operations operations,
                            double longestDeadline, Supplier<Path> maintenanceFile, ReloadSignal.Reload reload) {}
 
@@ -36,7 +36,7 @@
     private String file;
 
     @Override public int run(PrintStream out, PrintStream err) throws ConfigurationException, InterruptedException {
-        // Until the clients' socket is open nothing has been taken, so an end by SIGTERM is in order at once.
+        // No request can be lost before the clients' socket is open, so SIGTERM exits at once with code 0.
         SignalHandler defaultTerm = Signal.handle(new Signal("TERM"), signal -> Runtime.getRuntime().halt(0));
         ReloadSignal reloadSignal = new ReloadSignal();
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -53,7 +53,7 @@
             address = started.operations().inheritsSocket() ? takeOver(scheduler, management)
                 : scheduler.listen(started.address());
         } finally {
-            if (address == null) {         // a start that failed must not look like an end in order
+            if (address == null) {         // the hook would exit with code 0 and hide the failed start
                 Runtime.getRuntime().removeShutdownHook(shutdown);
             }
         }
@@ -78,16 +78,16 @@
     private static Started startPlatform(EventLoop loop, WheelTicker ticker)
         throws ConfigurationException, InterruptedException {
         PlatformConfig config = PlatformConfig.read(System.getenv());
-        // Discovery is polled first: what it has reported since the list in the file binds from the first request on.
+        // Discovery is asked first, so that changes since the configured endpoint list apply from the first request on.
         PlatformScheduler scheduler = PlatformScheduler.start(config, loop, ticker);
         RespWarmup.run(config.settings(), config.seed());
-        scheduler.awaitFirstResponse(DISCOVERY_TIMEOUT);
+        scheduler.awaitFirstResponse(DISCOVERY_TIMEOUT_MS);
         return new Started(scheduler, config.listen(), config.operations(),
             ShutdownSchedule.longestDeadline(config.settings()), MaintenanceFile::path,
             () -> scheduler.reload(PlatformConfig.read(System.getenv())));
     }
 
-    /** The management address, on an event loop of its own; nodes in maintenance before are so from the start. */
+    /** Starts the management server on its own event loop, after the stored maintenance has been applied. */
     private static Management manage(Scheduler scheduler, InetSocketAddress address, Path maintenanceFile) {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         Management management = new Management(scheduler, loop, maintenanceFile);
@@ -98,8 +98,8 @@
     }
 
     /**
-     * Takes clients from the handed-down socket. While the process before still serves, this one says it is ready but
-     * takes nobody until that one has stopped and handed over its limits: one scheduler spends them, never two.
+     * Listens on the inherited socket. While the old process still serves, this one reports ready but accepts no clients
+     * until the old one has stopped and handed over its limits, so that two schedulers never use the same tokens.
      */
     private static InetSocketAddress takeOver(Scheduler scheduler, Management management)
         throws ConfigurationException, InterruptedException {
@@ -108,14 +108,14 @@
             long predecessor = management.handover().otherProcess();
             if (predecessor != ProcessHandover.NO_PROCESS) {
                 management.listening((double) System.currentTimeMillis());
-                LOG.info(() -> "waits for process " + predecessor + " to hand over");
-                scheduler.restoreLimits(management.handover().await(predecessor, HANDOVER_TIMEOUT));
+                LOG.info(() -> "waits for process " + predecessor + " to hand over its limits");
+                scheduler.restoreLimits(management.handover().await(predecessor, HANDOVER_TIMEOUT_MS));
             }
         }
         return scheduler.listen(channel);
     }
 
-    /** Descriptor 0, when the platform hands down the clients' listening socket. */
+    /** Returns the clients' listening socket, inherited from the platform as descriptor 0. */
     private static ServerSocketChannel inheritedSocket() throws ConfigurationException {
         try {
             if (System.inheritedChannel() instanceof ServerSocketChannel channel) {
@@ -124,6 +124,6 @@
         } catch (IOException e) {
             throw ConfigurationException.failed("GW_SOCKET_FD", e.getMessage());
         }
-        throw new ConfigurationException("GW_SOCKET_FD: descriptor 0 is no listening TCP socket");
+        throw new ConfigurationException("GW_SOCKET_FD: descriptor 0 is not a listening TCP socket");
     }
 }
--- a/src/main/java/kelphollow/program/ShutdownSchedule.java
+++ b/src/main/java/kelphollow/program/ShutdownSchedule.java
@@ -4,35 +4,36 @@
 import kelphollow.decision.ControlSettings.RequestClass;
 
 /**
- * What happens when after SIGTERM, in milliseconds from it.
+ * The timing of a shutdown, in milliseconds from SIGTERM.
  *
- * @param acceptFor how long new connections are accepted, and open ones that are owed nothing stay open
- * @param answerWithin by when each request has its final answer; infinite if nothing kills the program
+ * @param acceptFor how long new connections are accepted and open ones without a pending request stay open
+ * @param answerWithin time by which each request has its final answer; infinite if nothing kills the process
  */
 record ShutdownSchedule(double acceptFor, double answerWithin) {
-    /** Of the object API, whose clients have other instances: new connections keep coming for up to 0.4 s. */
+    /** For the object API, whose clients have other instances: they open new connections for up to 0.4 s. */
     static final ShutdownSchedule GATEWAY = new ShutdownSchedule(450, Double.POSITIVE_INFINITY);
-    // The platform kills no sooner than the longest deadline, counted as 3 s where it is longer, and 0.7 s after SIGTERM.
-    private static final double MAX_DEADLINE_COUNTED = 3_000;
-    private static final double KILLED_AFTER_DEADLINE = 700;
-    // Before the kill, with time for what is slow on its way.
-    private static final double ANSWERED_BEFORE_KILL = 350;
-    // Before the last answers connections that are owed nothing close. Clients keep using those they have for as long as
-    // they stay open and have no other scheduler: what would come later is lost to them, so even a short chance is taken.
-    private static final double CLOSED_BEFORE_KILL = ANSWERED_BEFORE_KILL + 150;
+    // The platform kills the process no sooner than the longest deadline, capped at 3 s, plus 0.7 s after SIGTERM.
+    private static final double DEADLINE_CAP_MS = 3_000;
+    private static final double KILL_DELAY_MS = 700;
+    // Answers end this long before the kill, which leaves time for slow ones to reach the client.
+    private static final double ANSWER_MARGIN_MS = 350;
+    // Connections without a pending request close before the last answers. Clients use a connection as long as it is open
+    // and have no other scheduler: later requests are lost, so connections stay open as long as any request can succeed.
+    private static final double CLOSE_MARGIN_MS = ANSWER_MARGIN_MS + 150;
 
-    /** Of the platform, whose clients have no other scheduler. */
+    /** For the platform, whose clients have no other scheduler. */
     static ShutdownSchedule platform(ControlSettings settings) {
-        double killedAfter = KILLED_AFTER_DEADLINE + Math.min(MAX_DEADLINE_COUNTED, longestDeadline(settings));
-        return new ShutdownSchedule(Math.max(GATEWAY.acceptFor, killedAfter - CLOSED_BEFORE_KILL),
-            killedAfter - ANSWERED_BEFORE_KILL);
+        double killAfter = KILL_DELAY_MS + Math.min(DEADLINE_CAP_MS, longestDeadline(settings));
+        return new ShutdownSchedule(Math.max(GATEWAY.acceptFor, killAfter - CLOSE_MARGIN_MS),
+            killAfter - ANSWER_MARGIN_MS);
     }
 
-    /** The same for clients whose socket the next process holds too: nothing new is accepted. */
+    /** Returns the schedule for a socket that the next process also holds: new connections are left to that process. */
     ShutdownSchedule acceptingNothing() {
         return new ShutdownSchedule(0, answerWithin);
     }
 
+    /** Returns the longest deadline of any class, in milliseconds. */
     static double longestDeadline(ControlSettings settings) {
         return settings.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0);
     }
--- a/src/test/java/kelphollow/program/ServerHarness.java
+++ b/src/test/java/kelphollow/program/ServerHarness.java
@@ -177,7 +177,7 @@
 
     /** As at SIGTERM; the clock stands. */
     void term(Runnable whenLeft) throws InterruptedException {
-        scheduler.leave(whenLeft);
+        scheduler.shutDown(whenLeft);
         loop.submit(() -> {}).sync();
     }
 
@@ -191,7 +191,7 @@
 
     /** As after SIGTERM, when all have left. */
     void end() {
-        scheduler.end();
+        scheduler.closeAfterShutdown();
     }
 
     @Override public void close() {
