--- a/src/main/java/kelphollow/program/AdapterCommand.java
+++ b/src/main/java/kelphollow/program/AdapterCommand.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import kelphollow.adapter.AdapterLoop;
 
-/** {@code adapter}: the module on the simulator's wire, over standard input and output. */
+/** {@code adapter}: runs the decision module on the simulator's protocol over standard input and output. */
 public final class AdapterCommand implements Main.Command {
     @Override public int run(PrintStream out, PrintStream err) {
         return AdapterLoop.run(new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16),
--- a/src/main/java/kelphollow/program/CheckConfig.java
+++ b/src/main/java/kelphollow/program/CheckConfig.java
@@ -3,7 +3,7 @@
 import java.io.PrintStream;
 import org.kohsuke.args4j.Option;
 
-/** {@code check-config}: reads the configuration as {@code serve} would and says whether it is sound. */
+/** {@code check-config}: validates the configuration as {@code serve} does and prints a summary or the first error. */
 public final class CheckConfig implements Main.Command {
     @Option(name = "--config", metaVar = "FILE", usage = "check this file for the object API")
     private String file;
--- a/src/main/java/kelphollow/program/ClassArchiveTraining.java
+++ b/src/main/java/kelphollow/program/ClassArchiveTraining.java
@@ -23,17 +23,17 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * {@code train}: uses what {@code serve} uses, once, and ends. The build runs it under
- * {@code -XX:ArchiveClassesAtExit}: with those classes at hand in an archive a scheduler starts in half the time, and
- * so long its clients are without one after a restart.
+ * {@code train}: loads the classes that {@code serve} uses by serving two commands, then exits. The build runs it under
+ * {@code -XX:ArchiveClassesAtExit}; the resulting class archive halves the start time of a scheduler, during which its
+ * clients are without one after a restart.
  */
 public final class ClassArchiveTraining implements Main.Command {
-    private static final int TIMEOUT_MS = 2_000;
-    private static final int SOCKETS = 256;
+    private static final int READ_TIMEOUT_MS = 2_000;
+    private static final int MAX_SOCKETS = 256;
     private static final int DIAL_TIMEOUT_MS = 250;
     private static final double IDLE_TIME_MS = 12_000;
-    /** The node's errors are retried, then the request is given up. */
-    private static final String REPLIES = "+PONG\r\n-BUSY";
+    /** The node fails each attempt, so OBJ.GET ends in -BUSY once its retries are used up. */
+    private static final String EXPECTED_REPLIES = "+PONG\r\n-BUSY";
 
     @Option(name = "--config", metaVar = "FILE", required = true, usage = "a file for the object API; its settings are used")
     private String file;
@@ -42,38 +42,41 @@
         ControlSettings settings = ObjectConfig.read(file).settings();
         RespWarmup.run(settings, 0);
         InetSocketAddress self;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            self = new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
+        try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            self = new InetSocketAddress(probe.getInetAddress(), probe.getLocalPort());
         }
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         try (WheelTicker ticker = new WheelTicker(loop, Serve.TICK)) {
             PlatformScheduler.start(config(settings, self), loop, ticker).listen(self);
-            String replies = request(self, settings);
-            boolean expected = replies.equals(REPLIES);
-            out.println(expected ? "trained" : "got " + replies);
+            String actualReplies = request(self, settings);
+            boolean expected = actualReplies.equals(EXPECTED_REPLIES);
+            out.println(expected ? "trained" : "got " + actualReplies);
             return expected ? 0 : 1;
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         }
     }
 
-    /** It is its own storage node, which fails a request since its id is open, and its own discovery, which fails. */
+    /**
+     * Points both the storage node and discovery at the scheduler itself. As a node it fails the request, whose id is
+     * already open; as discovery it fails each call.
+     */
     private static PlatformConfig config(ControlSettings settings, InetSocketAddress self) {
         ResolvedEndpoint node = new ResolvedEndpoint(new Endpoint("self", "", 0, EndpointState.HEALTHY, 0), self);
-        return new PlatformConfig("train", self, self, 0, SOCKETS, DIAL_TIMEOUT_MS, IDLE_TIME_MS,
+        return new PlatformConfig("train", self, self, 0, MAX_SOCKETS, DIAL_TIMEOUT_MS, IDLE_TIME_MS,
             new DiscoveryList(1, true, List.of(node)), settings, PlatformConfig.Operations.NONE);
     }
 
-    /** Sends two commands and reads as many bytes as their replies should have. */
+    /** Sends PING and OBJ.GET and reads as many bytes as the expected replies have. */
     private static String request(InetSocketAddress self, ControlSettings settings) throws IOException {
         try (Socket client = new Socket(self.getAddress(), self.getPort())) {
-            client.setSoTimeout(TIMEOUT_MS);
+            client.setSoTimeout(READ_TIMEOUT_MS);
             String fields = "k=k,c=" + settings.classes().get(0).name() + ",t=" + settings.plans().get(0).name()
                 + ",d=1000,volume=v,units=1,shard=0,hosts=1";
             client.getOutputStream().write(("*1\r\n$4\r\nPING\r\n*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$"
                 + fields.length() + "\r\n" + fields + "\r\n").getBytes(StandardCharsets.US_ASCII));
-            return new String(client.getInputStream().readNBytes(REPLIES.length()), StandardCharsets.US_ASCII);
+            return new String(client.getInputStream().readNBytes(EXPECTED_REPLIES.length()), StandardCharsets.US_ASCII);
         }
     }
 }
--- a/src/main/java/kelphollow/program/FleetCommand.java
+++ b/src/main/java/kelphollow/program/FleetCommand.java
@@ -11,14 +11,14 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code fleet status}: asks the running instance, over its management line, how it sees the fleet. */
+/** {@code fleet status}: prints the fleet's status as the running instance reports it on its management address. */
 public final class FleetCommand implements Main.Command {
-    /** The exit code when the instance cannot be reached, or is in no fleet. */
-    static final int UNREACHED = 3;
+    /** Exit code when the instance cannot be reached, is in no fleet, or answers with no valid status. */
+    static final int UNREACHABLE = 3;
     private static final int TIMEOUT_MS = 5_000;
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final String CALL = "fleet status";
-    private static final String ACKNOWLEDGED = "ACK ";
+    private static final String STATUS_CALL = "fleet status";
+    private static final String ACK_PREFIX = "ACK ";
 
     @Argument(metaVar = "WORD", usage = "status")
     private String word;
@@ -36,30 +36,30 @@
         }
         InetSocketAddress management = ObjectConfig.read(file).management();
         if (management == null) {
-            throw new ConfigurationException("mgmt is missing: the running instance is asked there");
+            throw new ConfigurationException("mgmt is missing: the status is read from that address");
         }
         String answer;
         try {
-            answer = call(management, CALL);
+            answer = call(management, STATUS_CALL);
         } catch (IOException e) {
             err.println("kelphollow: " + Addresses.text(management) + " cannot be reached: " + e.getMessage());
-            return UNREACHED;
+            return UNREACHABLE;
         }
-        if (!answer.startsWith(ACKNOWLEDGED + "{")) {
+        if (!answer.startsWith(ACK_PREFIX + "{")) {
             err.println("kelphollow: " + answer);
-            return UNREACHED;
+            return UNREACHABLE;
         }
-        String status = answer.substring(ACKNOWLEDGED.length()).strip();
+        String status = answer.substring(ACK_PREFIX.length()).strip();
         try {
-            out.print(json ? status + "\n" : page((Map<?, ?>) Json.parse(status)));
+            out.print(json ? status + "\n" : formatStatus((Map<?, ?>) Json.parse(status)));
             return 0;
         } catch (IOException e) {
             err.println("kelphollow: the answer cannot be read: " + e.getMessage());
-            return UNREACHED;
+            return UNREACHABLE;
         }
     }
 
-    /** One line there, one line back. */
+    /** Sends one line and reads the answer until the instance closes the connection. */
     private static String call(InetSocketAddress address, String line) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(address, TIMEOUT_MS);
@@ -69,25 +69,25 @@
         }
     }
 
-    private static String page(Map<?, ?> status) {
-        String end = System.lineSeparator();
-        StringBuilder page = new StringBuilder(String.format("%-24s %-8s %6s %9s %9s  %s%n", "instance", "state", "epoch",
+    private static String formatStatus(Map<?, ?> status) {
+        String newline = System.lineSeparator();
+        StringBuilder table = new StringBuilder(String.format("%-24s %-8s %6s %9s %9s  %s%n", "instance", "state", "epoch",
             "since s", "said s", "says"));
         for (Object row : (List<?>) status.get("members")) {
-            page.append(member((Map<?, ?>) row));
+            table.append(formatMember((Map<?, ?>) row));
         }
-        page.append("cordoned by the word of others: ").append(status.get("cordoned")).append(end);
-        page.append("silent by the word of others: ").append(status.get("doubted")).append(end);
-        page.append("silent nodes and who tries them: ").append(status.get("probers")).append(end);
-        page.append("shards at which what is worth less gives way: ").append(status.get("gives_way")).append(end);
+        table.append("cordoned by the word of others: ").append(status.get("cordoned")).append(newline);
+        table.append("silent by the word of others: ").append(status.get("doubted")).append(newline);
+        table.append("silent nodes and who tries them: ").append(status.get("probers")).append(newline);
+        table.append("shards at which what is worth less gives way: ").append(status.get("gives_way")).append(newline);
         if (Boolean.TRUE.equals(status.get("displaced"))) {
-            page.append("GIVES WAY: another instance lives under this name in a later life").append(end);
+            table.append("GIVES WAY: another instance lives under this name in a later life").append(newline);
         }
-        return page.append("ill health ").append(rounded(status.get("ill_health"), 1)).append(", dropped ")
-            .append(status.get("dropped")).append(end).toString();
+        return table.append("ill health ").append(rounded(status.get("ill_health"), 1)).append(", dropped ")
+            .append(status.get("dropped")).append(newline).toString();
     }
 
-    private static String member(Map<?, ?> member) {
+    private static String formatMember(Map<?, ?> member) {
         return String.format("%-24s %-8s %6s %9s %9s  %s%n", member.get("name"), member.get("state"),
             rounded(member.get("epoch"), 1), rounded(member.get("since_ms"), MILLIS_PER_SECOND),
             rounded(member.get("said_ms_ago"), MILLIS_PER_SECOND), member.get("says") == null ? "" : member.get("says"));
--- a/src/main/java/kelphollow/program/LabCommand.java
+++ b/src/main/java/kelphollow/program/LabCommand.java
@@ -7,7 +7,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code lab}: plays a scenario with processes of this program and judges what happened; see docs/LAB.md. */
+/** {@code lab}: runs a scenario against processes of this program and checks the outcome; see docs/LAB.md. */
 public final class LabCommand implements Main.Command {
     @Argument(required = true, metaVar = "SCENARIO.json", usage = "what happens")
     private String scenario;
--- a/src/main/java/kelphollow/program/Main.java
+++ b/src/main/java/kelphollow/program/Main.java
@@ -11,21 +11,21 @@
 
 /** The command line: {@code java -jar kelphollow.jar COMMAND}. */
 public final class Main {
-    /** What a sub-command does; the result is the exit code. */
+    /** A sub-command. */
     interface Command {
         /**
-         * Runs it to its end.
+         * Runs the command and returns its exit code.
          *
-         * @throws ConfigurationException if the configuration has a fault, which is printed
-         * @throws Exception if it fails, which is printed too
+         * @throws ConfigurationException if the configuration is invalid; printed with exit code {@link #USAGE}
+         * @throws Exception if the command fails; printed with exit code 1
          */
         int run(PrintStream out, PrintStream err) throws Exception;
     }
 
-    /** The exit code of a wrong command line or configuration. */
+    /** Exit code for an invalid command line or configuration. */
     static final int USAGE = 2;
-    private static final String LOG_MANAGER = "java.util.logging.manager";
-    private static final String LOG_FORMAT = "java.util.logging.SimpleFormatter.format";
+    private static final String LOG_MANAGER_PROPERTY = "java.util.logging.manager";
+    private static final String LOG_FORMAT_PROPERTY = "java.util.logging.SimpleFormatter.format";
 
     @Argument(required = true, metaVar = "COMMAND", handler = SubCommandHandler.class)
     @SubCommands({
@@ -43,18 +43,18 @@
 
     private Main() {}
 
-    /** Runs the command line and ends the process with its exit code. */
+    /** Runs the command line and exits with its code. */
     public static void main(String[] args) {
-        if (System.getProperty(LOG_FORMAT) == null) {
-            System.setProperty(LOG_FORMAT, "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
+        if (System.getProperty(LOG_FORMAT_PROPERTY) == null) {
+            System.setProperty(LOG_FORMAT_PROPERTY, "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
         }
-        if (System.getProperty(LOG_MANAGER) == null) {
-            System.setProperty(LOG_MANAGER, LastingLogManager.class.getName());
+        if (System.getProperty(LOG_MANAGER_PROPERTY) == null) {
+            System.setProperty(LOG_MANAGER_PROPERTY, NonResettingLogManager.class.getName());
         }
         System.exit(run(List.of(args), System.out, System.err));
     }
 
-    /** Runs one command line; a wrong one prints the usage, bad configuration its faulty key, and both give 2. */
+    /** Runs one command line. An invalid one prints the usage, invalid configuration the key at fault; both return 2. */
     static int run(List<String> args, PrintStream out, PrintStream err) {
         Main main = new Main();
         CmdLineParser parser = new CmdLineParser(main);
--- a/src/main/java/kelphollow/program/ScaleCommand.java
+++ b/src/main/java/kelphollow/program/ScaleCommand.java
@@ -9,7 +9,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code scale}: plays a fleet of target size in one process and measures it; see docs/LAB.md. */
+/** {@code scale}: runs a fleet of target size in one process and measures it; see docs/LAB.md. */
 public final class ScaleCommand implements Main.Command {
     @Argument(metaVar = "SCENARIO.json", required = true, usage = "what is played")
     private String scenario;
--- a/src/main/java/kelphollow/program/SoakCommand.java
+++ b/src/main/java/kelphollow/program/SoakCommand.java
@@ -6,9 +6,9 @@
 import kelphollow.lab.soak.Soak;
 import org.kohsuke.args4j.Option;
 
-/** {@code soak}: plays randomized faults against processes of this program and judges what happened; see docs/LAB.md. */
+/** {@code soak}: injects randomized faults into processes of this program and checks the outcome; see docs/LAB.md. */
 public final class SoakCommand implements Main.Command {
-    /** Every third seed plays lists that are pushed. */
+    /** Every third seed runs with pushed endpoint lists, the others with polled ones. */
     private static final int PUSHED_EVERY = 3;
 
     @Option(name = "--seed", metaVar = "N", usage = "the first seed: faults, load and modes follow from it")
--- a/src/main/java/kelphollow/program/StoreCommand.java
+++ b/src/main/java/kelphollow/program/StoreCommand.java
@@ -24,7 +24,7 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** {@code store}: the operator's tools for a store that no running program holds. */
+/** {@code store}: the operator's tools for a store that no running process has locked. */
 public final class StoreCommand implements Main.Command {
     @Argument(required = true, metaVar = "inspect | verify | dump | compact | repair", handler = SubCommandHandler.class)
     @SubCommands({
@@ -39,9 +39,9 @@
         return tool.run(out, err);
     }
 
-    /** {@code inspect}: what is in it. */
+    /** {@code inspect}: prints the segments, tables and sizes of a store. */
     public static final class Inspect extends StoreTool {
-        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
+        @Override int execute(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             Inspection store = Store.inspect(first(), second(), options(), progress);
             out.println("store id=" + store.store() + " generation=" + store.generation() + " sequence="
                 + store.lastSequence() + " time=" + store.time() + " bytes=" + store.bytes() + " live=" + store.liveBytes());
@@ -57,7 +57,7 @@
 
     /** {@code verify}: reads every byte of both copies and changes nothing. */
     public static final class Verify extends StoreTool {
-        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
+        @Override int execute(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             Inspection store = Store.inspect(first(), second(), options(), progress);
             print(out, store.report());
             String state = "sound";
@@ -74,17 +74,17 @@
         }
     }
 
-    /** {@code dump}: all that it holds, a JSON object a line. Recovers the store first, as a start does. */
+    /** {@code dump}: prints each entry as a JSON object on its own line. Recovers the store first, as a start does. */
     public static final class Dump extends StoreTool {
         private static final JsonFactory JSON = new JsonFactory();
 
         @Option(name = "--table", metaVar = "NAME", usage = "only this table")
-        private String only;
+        private String onlyTable;
 
-        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
+        @Override int execute(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             try (Store store = open(progress); Snapshot snapshot = store.snapshot()) {
                 List<String> tables = new ArrayList<>(store.tableNames());
-                tables.removeIf(table -> only != null && !only.equals(table));
+                tables.removeIf(table -> onlyTable != null && !onlyTable.equals(table));
                 for (String table : tables) {
                     snapshot.scan(table, new byte[0], (key, value) -> {
                         out.println(line(table, key, value));
@@ -107,7 +107,7 @@
             return text.toString();
         }
 
-        /** Text as it is, anything else in base 64 under a name that says so. */
+        /** Writes UTF-8 text as a string, other bytes in base 64 under the name with the suffix {@code _base64}. */
         private static void write(JsonGenerator json, String name, byte[] bytes) throws IOException {
             try {
                 json.writeStringField(name,
@@ -118,9 +118,9 @@
         }
     }
 
-    /** {@code compact}: frees what is dead. */
+    /** {@code compact}: frees the space of overwritten and deleted entries. */
     public static final class Compact extends StoreTool {
-        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
+        @Override int execute(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             try (Store store = open(progress)) {
                 Store.Stats before = store.stats();
                 store.compactAll();
@@ -132,7 +132,7 @@
         }
     }
 
-    /** {@code repair}: repairs what one copy still holds; if the operator says so, gives up what neither does. */
+    /** {@code repair}: restores data from the other copy; {@code --accept-loss} gives up data that neither copy holds. */
     public static final class Repair extends StoreTool {
         private static final String LOSS_USAGE = "give up what is missing: damaged in both copies, or newer than a restored"
             + " backup";
@@ -140,7 +140,7 @@
         @Option(name = "--accept-loss", usage = LOSS_USAGE)
         private boolean acceptLoss;
 
-        @Override int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
+        @Override int execute(PrintStream out, ProgressListener progress) throws IOException, StoreFault {
             checkAll();
             try (Store store = acceptLoss ? openAcceptingLoss(progress) : open(progress)) {
                 print(out, store.report());
--- a/src/main/java/kelphollow/program/StoreTool.java
+++ b/src/main/java/kelphollow/program/StoreTool.java
@@ -13,16 +13,16 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** What the tools of {@code store} share: which store, and what its faults mean for the exit code. */
+/** Base of the {@code store} tools: selects the folders and maps store faults to exit codes. */
 abstract class StoreTool implements Main.Command {
-    /** The copies differ, and one of them is sound. */
+    /** Exit code: the copies differ, and one of them is intact. */
     static final int DIFFERS = 1;
-    /** The folders cannot be used. */
+    /** Exit code: the folders cannot be used. */
     static final int UNUSABLE = 2;
-    /** Something is damaged in both copies. */
+    /** Exit code: data is damaged in both copies. */
     static final int DAMAGED = 3;
-    /** A running program holds the store. */
-    static final int HELD = 4;
+    /** Exit code: a running process has locked the store. */
+    static final int LOCKED = 4;
     private static final long PROGRESS_INTERVAL_NANOS = 1_000_000_000L;
 
     @Option(name = "--config", metaVar = "FILE", usage = "the operator's file whose 'store' names the folders")
@@ -41,12 +41,12 @@
     @Override public final int run(PrintStream out, PrintStream err) throws ConfigurationException {
         findFolders();
         try {
-            return work(out, progress(err));
+            return execute(out, progress(err));
         } catch (StoreFault e) {
             err.println("kelphollow: store: " + e.getMessage());
             return switch (e.kind()) {
                 case DAMAGED -> DAMAGED;
-                case LOCKED -> HELD;
+                case LOCKED -> LOCKED;
                 default -> UNUSABLE;
             };
         } catch (IOException e) {
@@ -55,8 +55,8 @@
         }
     }
 
-    /** Does the tool's work; gives the exit code. */
-    abstract int work(PrintStream out, ProgressListener progress) throws IOException, StoreFault;
+    /** Runs the tool; returns the exit code. */
+    abstract int execute(PrintStream out, ProgressListener progress) throws IOException, StoreFault;
 
     private void findFolders() throws ConfigurationException {
         Path firstPath;
@@ -64,7 +64,7 @@
         if (file != null) {
             StoreConfig config = StoreConfig.read(ConfigSection.readFile("--config", file));
             if (config == null) {
-                throw new ConfigurationException("store is missing in " + file);
+                throw new ConfigurationException("store is missing from " + file);
             }
             firstPath = config.first();
             secondPath = config.second();
@@ -83,12 +83,12 @@
         second = new FolderDisk(secondPath);
     }
 
-    /** A line a second at most, on the side of the output that scripts do not read. */
+    /** Prints at most one progress line a second, to standard error, since scripts read standard output. */
     private static ProgressListener progress(PrintStream err) {
-        long[] lastAt = {System.nanoTime()};
+        long[] lastPrintedAt = {System.nanoTime()};
         return (done, total) -> {
-            if (System.nanoTime() - lastAt[0] > PROGRESS_INTERVAL_NANOS) {
-                lastAt[0] = System.nanoTime();
+            if (System.nanoTime() - lastPrintedAt[0] > PROGRESS_INTERVAL_NANOS) {
+                lastPrintedAt[0] = System.nanoTime();
                 err.println("progress segments=" + done + " of=" + total);
             }
         };
--- a/src/main/java/kelphollow/program/Version.java
+++ b/src/main/java/kelphollow/program/Version.java
@@ -2,7 +2,7 @@
 
 import java.io.PrintStream;
 
-/** {@code version}: what this is. */
+/** {@code version}: prints the program's name and version. */
 public final class Version implements Main.Command {
     @Override public int run(PrintStream out, PrintStream err) {
         String version = Version.class.getPackage().getImplementationVersion();
--- a/src/test/java/kelphollow/program/StoreCommandTest.java
+++ b/src/test/java/kelphollow/program/StoreCommandTest.java
@@ -137,7 +137,7 @@
     @Test void aStoreThatIsHeldIsLeftAlone() throws Exception {
         try (Store held = open()) {
             for (String name : List.of("inspect", "verify", "dump", "compact", "repair")) {
-                assertEquals(StoreTool.HELD, tool(name), name);
+                assertEquals(StoreTool.LOCKED, tool(name), name);
                 assertTrue(err.contains("is held by a running program"), err);
             }
             assertNull(held.fault());
