--- a/src/test/java/kelphollow/names/KeyProbe.java
+++ b/src/test/java/kelphollow/names/KeyProbe.java
@@ -12,35 +12,36 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Shows which keys of an example file a reader reads: the example holds each key with a value that differs from the default,
- * so that a reader that does not know a key any more gives another result, or refuses the file.
+ * Determines which keys of an example file a reader uses, by changing one key at a time and comparing results. The example
+ * sets each key to a value other than its default, so that a reader that no longer knows a key gives a different result or
+ * refuses the file.
  */
 public final class KeyProbe {
-    /** Why a file was refused. */
+    /** Thrown by a {@link Reader} that refuses a file. */
     public static final class Refused extends Exception {
         private static final long serialVersionUID = 1L;
 
-        /** {@code message} is what an operator would see. */
+        /** {@code message} is the error that an operator would see. */
         public Refused(String message) {
             super(message);
         }
     }
 
-    /** The reader of a kind of file. */
+    /** Reads one kind of configuration file. */
     @FunctionalInterface
     public interface Reader {
-        /** Reads a parsed file. */
+        /** Converts a parsed file, or refuses it. */
         Object read(Map<?, ?> json) throws Refused;
     }
 
     private interface Visitor {
-        /** {@code whole} gives the example with another value in the place of this object. */
-        void object(String path, Map<?, ?> object, UnaryOperator<Object> whole);
+        /** {@code rebuild} returns the whole example with this object replaced by its argument. */
+        void object(String path, Map<?, ?> object, UnaryOperator<Object> rebuild);
     }
 
     private static final String REFUSED = "refused: ";
     private static final String UNKNOWN_KEY = "unknown_key";
-    private static final String WRONG_VALUE = "a value that no key takes";
+    private static final String INVALID_VALUE = "a value that no key takes";
 
     private final Map<?, ?> example;
     private final Reader reader;
@@ -52,7 +53,7 @@
         assertFalse(isRefused(outcome(example)), outcome(example));
     }
 
-    /** What the reader makes of a file: the values of the result as text, or why it was refused. */
+    /** Returns the result of reading a file as text, or the reason for which it was refused. */
     public String outcome(Object json) {
         try {
             return RecordText.of(reader.read((Map<?, ?>) json));
@@ -61,46 +62,46 @@
         }
     }
 
-    /** Whether an outcome says that the file was refused. */
+    /** Whether an outcome of this class stands for a refused file. */
     public static boolean isRefused(String outcome) {
         return outcome.startsWith(REFUSED);
     }
 
-    /** Paths of keys whose values are not used: the result is the same when they are missing. */
+    /** Returns the paths of keys that have no effect: the result is the same without them. */
     public SortedSet<String> keysNotUsed() {
-        return keysThatMayBecome((object, key) -> without(object, key));
+        return keysUnaffectedBy((object, key) -> without(object, key));
     }
 
-    /** Paths of keys whose values are not even looked at: the result is the same when they hold nonsense. */
+    /** Returns the paths of keys whose values are not validated: the result is the same with an invalid value. */
     public SortedSet<String> keysNotChecked() {
-        return keysThatMayBecome((object, key) -> with(object, key, WRONG_VALUE));
+        return keysUnaffectedBy((object, key) -> with(object, key, INVALID_VALUE));
     }
 
-    private SortedSet<String> keysThatMayBecome(BiFunction<Map<?, ?>, Object, Object> change) {
+    private SortedSet<String> keysUnaffectedBy(BiFunction<Map<?, ?>, Object, Object> change) {
         String expected = outcome(example);
-        SortedSet<String> same = new TreeSet<>();
-        visit(example, "", whole -> whole, (path, object, whole) -> {
+        SortedSet<String> unaffected = new TreeSet<>();
+        visit(example, "", changed -> changed, (path, object, rebuild) -> {
             for (Object key : object.keySet()) {
-                if (outcome(whole.apply(change.apply(object, key))).equals(expected)) {
-                    same.add(child(path, key));
+                if (outcome(rebuild.apply(change.apply(object, key))).equals(expected)) {
+                    unaffected.add(child(path, key));
                 }
             }
         });
-        return same;
+        return unaffected;
     }
 
-    /** Paths of the objects in which a key that is not known refuses the whole file; the file itself is {@code .}. */
+    /** Returns the paths of objects in which an unknown key makes the reader refuse the file; the root is {@code .}. */
     public SortedSet<String> objectsThatRefuseUnknownKeys() {
         SortedSet<String> refusing = new TreeSet<>();
-        visit(example, "", whole -> whole, (path, object, whole) -> {
-            if (isRefused(outcome(whole.apply(with(object, UNKNOWN_KEY, 1.0))))) {
+        visit(example, "", changed -> changed, (path, object, rebuild) -> {
+            if (isRefused(outcome(rebuild.apply(with(object, UNKNOWN_KEY, 1.0))))) {
                 refusing.add(path.isEmpty() ? "." : path);
             }
         });
         return refusing;
     }
 
-    /** The outcome with this value at each key of this path. */
+    /** Returns the outcome with {@code value} at each key that matches {@code keyPath}. */
     public String outcomeWith(String keyPath, Object value) {
         boolean[] found = new boolean[1];
         Object changed = set(example, "", keyPath, value, found);
@@ -114,9 +115,9 @@
         if (json instanceof Map<?, ?> map) {
             Map<Object, Object> copy = new LinkedHashMap<>();
             map.forEach((key, inner) -> {
-                boolean here = child(path, key).equals(keyPath);
-                found[0] |= here;
-                copy.put(key, here ? value : set(inner, child(path, key), keyPath, value, found));
+                boolean matches = child(path, key).equals(keyPath);
+                found[0] |= matches;
+                copy.put(key, matches ? value : set(inner, child(path, key), keyPath, value, found));
             });
             return copy;
         }
@@ -126,18 +127,18 @@
         return json;
     }
 
-    private static void visit(Object json, String path, UnaryOperator<Object> whole, Visitor visitor) {
+    private static void visit(Object json, String path, UnaryOperator<Object> rebuild, Visitor visitor) {
         if (json instanceof Map<?, ?> map) {
-            visitor.object(path, map, whole);
+            visitor.object(path, map, rebuild);
             map.forEach((key, inner) -> visit(inner, child(path, key),
-                changed -> whole.apply(with(map, key, changed)), visitor));
+                changed -> rebuild.apply(with(map, key, changed)), visitor));
         } else if (json instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
                 int at = i;
                 visit(list.get(i), path + "[]", changed -> {
                     List<Object> copy = new ArrayList<>(list);
                     copy.set(at, changed);
-                    return whole.apply(copy);
+                    return rebuild.apply(copy);
                 }, visitor);
             }
         }
--- a/src/test/java/kelphollow/names/RecordText.java
+++ b/src/test/java/kelphollow/names/RecordText.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The values of a record as text, records within it included, so that two results of a reader can be compared. Names of
- * types and components are left out; arrays are compared by what they hold.
+ * Formats the values of a record and its nested records, to compare two results of a reader. Omits the names of types and
+ * components; formats byte arrays by content.
  */
 final class RecordText {
     private RecordText() {}
--- a/src/test/java/kelphollow/names/RecordedNames.java
+++ b/src/test/java/kelphollow/names/RecordedNames.java
@@ -14,44 +14,44 @@
 import kelphollow.protocol.json.Json;
 
 /**
- * Names that others read, as recorded in {@code src/test/resources/names}. A file with the ending {@code .txt} holds one
- * name a line, sorted; one with the ending {@code .json} is an example in which each key is set.
+ * Names of outside interfaces, recorded in {@code src/test/resources/names}, and assertions that they are unchanged. A
+ * {@code .txt} file holds one name a line, sorted; a {@code .json} file is an example in which each key is set.
  */
 public final class RecordedNames {
     private static final Path FOLDER = Path.of("src/test/resources/names");
 
     private RecordedNames() {}
 
-    /** The lines of a recording as they are. */
+    /** Returns the lines of a recorded file, unchecked. */
     public static List<String> lines(String file) throws IOException {
         return Files.readAllLines(FOLDER.resolve(file));
     }
 
-    /** The names of a recording, which must be sorted and name nothing twice. */
+    /** Returns the names in a recorded file, which must be sorted and without duplicates. */
     public static List<String> read(String file) throws IOException {
         List<String> names = lines(file);
-        assertEquals(new ArrayList<>(new TreeSet<>(names)), names, file + " is sorted and names nothing twice");
+        assertEquals(new ArrayList<>(new TreeSet<>(names)), names, file + " must be sorted and without duplicates");
         return names;
     }
 
-    /** An example file, parsed. */
+    /** Parses an example file. */
     public static Map<?, ?> example(String file) throws IOException {
         return (Map<?, ?>) Json.parse(Files.readString(FOLDER.resolve(file)));
     }
 
-    /** Fails unless just the recorded names were found; the message shows both lists by line. */
+    /** Fails unless the found names are exactly the recorded ones; the message shows both lists line by line. */
     public static void assertRecorded(String file, Collection<String> found) throws IOException {
         assertEquals(String.join("\n", read(file)), String.join("\n", new TreeSet<>(found)), "names of " + file);
     }
 
-    /** Fails if a name was found that is not recorded. */
+    /** Fails if a found name is not recorded. */
     public static void assertAmongRecorded(String file, Collection<String> found) throws IOException {
         SortedSet<String> unknown = new TreeSet<>(found);
         unknown.removeAll(read(file));
-        assertEquals(new TreeSet<>(), unknown, "names that " + file + " does not hold");
+        assertEquals(new TreeSet<>(), unknown, "names not recorded in " + file);
     }
 
-    /** The paths of all keys in a JSON value, with a dot for each level and {@code []} for the items of a list. */
+    /** Returns the paths of all keys in a JSON value; a dot separates levels, {@code []} stands for the items of a list. */
     public static SortedSet<String> keys(Object json) {
         SortedSet<String> keys = new TreeSet<>();
         addKeys(json, "", keys);
