--- a/src/main/java/kelphollow/program/ClassArchiveTraining.java
+++ b/src/main/java/kelphollow/program/ClassArchiveTraining.java
@@ -47,7 +47,7 @@
         }
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        try (WheelTicker ticker = new WheelTicker(loop, Serve.TICK)) {
+        try (WheelTicker ticker = new WheelTicker(loop, Serve.TICK_MS)) {
             PlatformScheduler.start(config(settings, self), loop, ticker).listen(self);
             String actualReplies = request(self, settings);
             boolean expected = actualReplies.equals(EXPECTED_REPLIES);
--- a/src/main/java/kelphollow/program/GracefulShutdown.java
+++ b/src/main/java/kelphollow/program/GracefulShutdown.java
@@ -28,7 +28,7 @@
         this.longestDeadline = longestDeadline;
     }
 
-    /** Registers this as a JVM shutdown hook and returns the hook's thread, which removes it again. */
+    /** Registers this as a JVM shutdown hook; returns the hook's thread, with which the hook can be removed. */
     Thread register() {
         Thread hook = new Thread(this::run, "leave");
         Runtime.getRuntime().addShutdownHook(hook);
--- a/src/main/java/kelphollow/program/Management.java
+++ b/src/main/java/kelphollow/program/Management.java
@@ -38,7 +38,7 @@
         this.handover = new ProcessHandover(maintenanceFile.getParent(), ProcessHandle.current().pid());
     }
 
-    /** Applies the maintenance file of an earlier process before the scheduler listens, and starts both periodic tasks. */
+    /** Applies an earlier process's maintenance before the scheduler listens; starts polling and the liveness updates. */
     void start() {
         loop.submit(this::applyFileChange).syncUninterruptibly();
         loop.scheduleWithFixedDelay(this::applyFileChange, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/kelphollow/program/ObjectConfig.java
+++ b/src/main/java/kelphollow/program/ObjectConfig.java
@@ -46,9 +46,9 @@
         ObjectOptions options = options(json, settings, stallTimeout);
         return new ObjectConfig(json.text("name"), json.address("listen"),
             ConfigSection.parseSeed(json.text("seed", "0")), (int) json.number("sockets", DEFAULT_SOCKETS, MIN_SOCKETS),
-            (int) json.number("dial_timeout_ms", DEFAULT_DIAL_TIMEOUT_MS, 1), json.number("idle_ms", DEFAULT_IDLE_TIME_MS,
-                1), stallTimeout,
-            settings, options, ClusterConfig.read(json, options.cells()), StoreConfig.read(json),
+            (int) json.number("dial_timeout_ms", DEFAULT_DIAL_TIMEOUT_MS, 1),
+            json.number("idle_ms", DEFAULT_IDLE_TIME_MS, 1), stallTimeout, settings, options, ClusterConfig.read(json,
+                options.cells()), StoreConfig.read(json),
             json.has("mgmt") ? json.address("mgmt") : null, FleetConfig.read(json));
     }
 
--- a/src/main/java/kelphollow/program/ObjectScheduler.java
+++ b/src/main/java/kelphollow/program/ObjectScheduler.java
@@ -125,10 +125,10 @@
     private XdsPoll poll(ObjectConfig config, ClusterConfig.Polled polled, RequestRouter router) {
         XdsPoll.Query query = new XdsPoll.Query(Addresses.text(polled.server()), polled.cluster(), config.options().cells(),
             config.name(), USER_AGENT, polled.refreshInterval());
-        return new XdsPoll(new HttpCall(loop(), ticker(), polled.server()), ticker(), router, query, this::store);
+        return new XdsPoll(new HttpCall(loop(), ticker(), polled.server()), ticker(), router, query, this::storeEndpoints);
     }
 
-    private void store(List<ResolvedEndpoint> endpoints) {
+    private void storeEndpoints(List<ResolvedEndpoint> endpoints) {
         if (endpointRecords != null) {
             endpointRecords.received(endpoints, ticker().now());
         }
--- a/src/main/java/kelphollow/program/Serve.java
+++ b/src/main/java/kelphollow/program/Serve.java
@@ -21,7 +21,7 @@
 /** {@code serve}: runs the scheduler. Listens once it is warmed up and shuts down on SIGTERM. */
 public final class Serve implements Main.Command {
     /** Resolution of the ticker, in milliseconds. */
-    static final long TICK = 2;
+    static final long TICK_MS = 2;
     private static final Logger LOG = Logger.getLogger(Serve.class.getName());
     // The old process is killed at the latest 9.7 s after this one's start: 6 s, and 3.7 s after that.
     private static final double HANDOVER_TIMEOUT_MS = 12_000;
@@ -41,16 +41,16 @@
         ReloadSignal reloadSignal = new ReloadSignal();
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        WheelTicker ticker = new WheelTicker(loop, TICK);
+        WheelTicker ticker = new WheelTicker(loop, TICK_MS);
         Started started = file == null ? startPlatform(loop, ticker) : startGateway(loop, ticker);
         Scheduler scheduler = started.scheduler();
         Management management = started.operations().management() == null ? null
-            : manage(scheduler, started.operations().management(), started.maintenanceFile().get());
+            : startManagement(scheduler, started.operations().management(), started.maintenanceFile().get());
         Thread shutdown = new GracefulShutdown(scheduler, management, started.longestDeadline()).register();
         Signal.handle(new Signal("TERM"), defaultTerm);
         InetSocketAddress address = null;
         try {
-            address = started.operations().inheritsSocket() ? takeOver(scheduler, management)
+            address = started.operations().inheritsSocket() ? listenOnInheritedSocket(scheduler, management)
                 : scheduler.listen(started.address());
         } finally {
             if (address == null) {         // the hook would exit with code 0 and hide the failed start
@@ -88,7 +88,7 @@
     }
 
     /** Starts the management server on its own event loop, after the stored maintenance has been applied. */
-    private static Management manage(Scheduler scheduler, InetSocketAddress address, Path maintenanceFile) {
+    private static Management startManagement(Scheduler scheduler, InetSocketAddress address, Path maintenanceFile) {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         Management management = new Management(scheduler, loop, maintenanceFile);
         management.start();
@@ -101,7 +101,7 @@
      * Listens on the inherited socket. While the old process still serves, this one reports ready but accepts no clients
      * until the old one has stopped and handed over its limits, so that two schedulers never use the same tokens.
      */
-    private static InetSocketAddress takeOver(Scheduler scheduler, Management management)
+    private static InetSocketAddress listenOnInheritedSocket(Scheduler scheduler, Management management)
         throws ConfigurationException, InterruptedException {
         ServerSocketChannel channel = inheritedSocket();
         if (management != null) {
