--- a/src/bench/java/kelphollow/store/CompactionPauses.java
+++ b/src/bench/java/kelphollow/store/CompactionPauses.java
@@ -33,7 +33,7 @@
             busy = turns(store);
             Store.Stats stats = store.stats();
             System.out.printf("written for a byte of payload, both copies: %.2f; space for what is live: %.2f%n",
-                stats.written() / (double) stats.payload(), stats.length() / (double) stats.live());
+                stats.writtenBytes() / (double) stats.payloadBytes(), stats.bytes() / (double) stats.liveBytes());
         } finally {
             BenchFolder.delete(folder);
         }
--- a/src/bench/java/kelphollow/store/RecoveryBench.java
+++ b/src/bench/java/kelphollow/store/RecoveryBench.java
@@ -51,7 +51,7 @@
             System.gc();
             long heap = runtime.totalMemory() - runtime.freeMemory() - before;
             Store.Stats stats = store.stats();
-            double amplification = stats.written() / (double) stats.payload();
+            double amplification = stats.writtenBytes() / (double) stats.payloadBytes();
             System.out.printf(
                 "heap a key beside the key: %.1f bytes; written for a byte of payload: %.2f, of it %.2f a copy%n",
                 heap / (double) stats.keys() - KEY_BYTES, amplification, amplification / 2);
--- a/src/main/java/kelphollow/program/StoreCommand.java
+++ b/src/main/java/kelphollow/program/StoreCommand.java
@@ -125,8 +125,8 @@
                 Store.Stats before = store.stats();
                 store.compactAll();
                 Store.Stats after = store.stats();
-                out.println("compacted bytes=" + before.length() + " to=" + after.length() + " segments="
-                    + before.segments() + " to_segments=" + after.segments() + " live=" + after.live());
+                out.println("compacted bytes=" + before.bytes() + " to=" + after.bytes() + " segments="
+                    + before.segments() + " to_segments=" + after.segments() + " live=" + after.liveBytes());
             }
             return 0;
         }
--- a/src/main/java/kelphollow/program/StoreConfig.java
+++ b/src/main/java/kelphollow/program/StoreConfig.java
@@ -58,13 +58,14 @@
 
     private static StoreOptions options(ConfigSection store, boolean checkAll) throws ConfigurationException {
         StoreOptions usual = StoreOptions.DEFAULTS;
-        long largestBatch = store.integer("largest_batch", usual.largestBatch(), MIN_BATCH_BYTES, MAX_BATCH_BYTES);
+        long largestBatch = store.integer("largest_batch", usual.maxBatchBytes(), MIN_BATCH_BYTES, MAX_BATCH_BYTES);
         return new StoreOptions(
             store.integer("segment_bytes", usual.segmentBytes(), MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES), (int) largestBatch,
             store.integer("queue_bytes", Math.max(largestBatch, usual.queueBytes()), largestBatch, MAX_BYTES),
             usual.groupBytes(),
             store.integer("compact_bytes_per_second", usual.compactBytesPerSecond(), MIN_COMPACT_BYTES, MAX_BYTES),
-            store.integer("scrub_hours", usual.scrubEvery() / MILLIS_PER_HOUR, 0, MAX_SCRUB_HOURS) * MILLIS_PER_HOUR,
+            store.integer("scrub_hours", usual.scrubIntervalMillis() / MILLIS_PER_HOUR, 0, MAX_SCRUB_HOURS)
+                * MILLIS_PER_HOUR,
             checkAll, false);
     }
 
--- a/src/main/java/kelphollow/store/Compactor.java
+++ b/src/main/java/kelphollow/store/Compactor.java
@@ -193,9 +193,9 @@
 
     // ---------------------------------------------------------------- scrubbing
 
-    /** Always returns false: after a scrub the next one is not due until {@link StoreOptions#scrubEvery} has passed. */
+    /** Always returns false: after a scrub the next is not due until {@link StoreOptions#scrubIntervalMillis} has passed. */
     private boolean scrubIfDue() throws IOException, StoreFault {
-        if (options.scrubEvery() > 0 && clock.getAsLong() - scrubbedAt >= options.scrubEvery()) {
+        if (options.scrubIntervalMillis() > 0 && clock.getAsLong() - scrubbedAt >= options.scrubIntervalMillis()) {
             scrubbedAt = clock.getAsLong();
             IntegrityReport report = new IntegrityReport();
             scrubber.scrubAll(report);
--- a/src/main/java/kelphollow/store/Store.java
+++ b/src/main/java/kelphollow/store/Store.java
@@ -19,17 +19,18 @@
  */
 public final class Store implements AutoCloseable {
     /**
-     * Counters since the opening, in bytes unless said otherwise.
+     * Counters of the store. Those of written data, payload and syncs start at zero when the store is opened.
      *
-     * @param keys number of keys, and {@code segments} of segments
-     * @param length of all segments, one copy
-     * @param live of it, operations that are the latest of their key
-     * @param written to both copies together
-     * @param payload keys and values as callers passed them
+     * @param keys number of keys
+     * @param segments number of segments
+     * @param bytes size of all segments, one copy
+     * @param liveBytes part of {@code bytes} that is operations which set the current value of a key
+     * @param writtenBytes bytes written to both copies together
+     * @param payloadBytes bytes of the keys and values that callers passed
      * @param syncs number of syncs of the log
      * @param syncedUpTo sequence of the last batch known to be synced
      */
-    public record Stats(int keys, int segments, long length, long live, long written, long payload, long syncs,
+    public record Stats(int keys, int segments, long bytes, long liveBytes, long writtenBytes, long payloadBytes, long syncs,
                         long syncedUpTo) {}
 
     private static final Logger LOG = Logger.getLogger(Store.class.getName());
--- a/src/main/java/kelphollow/store/StoreOptions.java
+++ b/src/main/java/kelphollow/store/StoreOptions.java
@@ -4,17 +4,17 @@
  * What an operator may set. Sizes in bytes, times in milliseconds.
  *
  * @param segmentBytes from this size on a segment is sealed and the next begun
- * @param largestBatch the longest batch, keys and values with their heads; it may be longer than a segment
+ * @param maxBatchBytes the longest batch, keys and values with their heads; it may be longer than a segment
  * @param queueBytes how much may wait to be written; beyond it writes get {@link StoreFault.Kind#QUEUE_FULL}
  * @param groupBytes how much is written under one sync at most
  * @param compactBytesPerSecond what background work may read and write
- * @param scrubEvery how often both copies of all sealed segments are read and repaired; 0 is never
+ * @param scrubIntervalMillis how often both copies of all sealed segments are read and repaired; 0 is never
  * @param checkAll an opening reads every segment completely, instead of the hints of sealed ones
  * @param inline no threads: a batch is written in the call that submits it, background work is done when asked for (tests,
  *     tools)
  */
-public record StoreOptions(long segmentBytes, int largestBatch, long queueBytes, int groupBytes,
-                           long compactBytesPerSecond, long scrubEvery, boolean checkAll, boolean inline) {
+public record StoreOptions(long segmentBytes, int maxBatchBytes, long queueBytes, int groupBytes,
+                           long compactBytesPerSecond, long scrubIntervalMillis, boolean checkAll, boolean inline) {
     private static final int MIB = 1 << 20;
     private static final int GIB = 1 << 30;
     private static final long DAY_MILLIS = 24 * 3_600_000L;
@@ -28,10 +28,10 @@
     /** Throws {@link IllegalArgumentException} for a value that is out of bounds. */
     public StoreOptions {
         require(segmentBytes >= MIN_BYTES && segmentBytes <= GIB, "segmentBytes must be 256 to 1 GiB");
-        require(largestBatch >= MIN_BYTES && largestBatch <= MAX_BATCH, "largestBatch must be 256 to 256 MiB");
-        require(queueBytes >= largestBatch, "queueBytes must be at least largestBatch");
+        require(maxBatchBytes >= MIN_BYTES && maxBatchBytes <= MAX_BATCH, "maxBatchBytes must be 256 to 256 MiB");
+        require(queueBytes >= maxBatchBytes, "queueBytes must be at least maxBatchBytes");
         require(groupBytes >= 1, "groupBytes must be at least 1");
-        require(scrubEvery >= 0, "scrubEvery must be at least 0");
+        require(scrubIntervalMillis >= 0, "scrubIntervalMillis must be at least 0");
         require(compactBytesPerSecond >= 1, "compactBytesPerSecond must be at least 1");
     }
 
@@ -43,36 +43,40 @@
 
     /** A copy with another {@link #segmentBytes}. */
     public StoreOptions withSegmentBytes(long bytes) {
-        return new StoreOptions(bytes, largestBatch, queueBytes, groupBytes, compactBytesPerSecond, scrubEvery, checkAll,
+        return new StoreOptions(bytes, maxBatchBytes, queueBytes, groupBytes, compactBytesPerSecond, scrubIntervalMillis,
+            checkAll,
             inline);
     }
 
     /** A copy with another {@link #checkAll}. */
     public StoreOptions withCheckAll(boolean all) {
-        return new StoreOptions(segmentBytes, largestBatch, queueBytes, groupBytes, compactBytesPerSecond, scrubEvery,
+        return new StoreOptions(segmentBytes, maxBatchBytes, queueBytes, groupBytes, compactBytesPerSecond,
+            scrubIntervalMillis,
             all, inline);
     }
 
     /** A copy with another {@link #inline}. */
     public StoreOptions withInline(boolean isInline) {
-        return new StoreOptions(segmentBytes, largestBatch, queueBytes, groupBytes, compactBytesPerSecond, scrubEvery,
+        return new StoreOptions(segmentBytes, maxBatchBytes, queueBytes, groupBytes, compactBytesPerSecond,
+            scrubIntervalMillis,
             checkAll, isInline);
     }
 
-    /** A copy with another {@link #queueBytes}, and a {@link #largestBatch} that fits into it. */
+    /** A copy with another {@link #queueBytes}, and a {@link #maxBatchBytes} that fits into it. */
     public StoreOptions withQueueBytes(long bytes) {
-        return new StoreOptions(segmentBytes, (int) Math.min(largestBatch, bytes), bytes, groupBytes,
-            compactBytesPerSecond, scrubEvery, checkAll, inline);
+        return new StoreOptions(segmentBytes, (int) Math.min(maxBatchBytes, bytes), bytes, groupBytes,
+            compactBytesPerSecond, scrubIntervalMillis, checkAll, inline);
     }
 
     /** A copy with another {@link #compactBytesPerSecond}. */
     public StoreOptions withCompactBytesPerSecond(long bytes) {
-        return new StoreOptions(segmentBytes, largestBatch, queueBytes, groupBytes, bytes, scrubEvery, checkAll, inline);
+        return new StoreOptions(segmentBytes, maxBatchBytes, queueBytes, groupBytes, bytes, scrubIntervalMillis, checkAll,
+            inline);
     }
 
-    /** A copy with another {@link #scrubEvery}. */
-    public StoreOptions withScrubEvery(long millis) {
-        return new StoreOptions(segmentBytes, largestBatch, queueBytes, groupBytes, compactBytesPerSecond, millis,
+    /** A copy with another {@link #scrubIntervalMillis}. */
+    public StoreOptions withScrubIntervalMillis(long millis) {
+        return new StoreOptions(segmentBytes, maxBatchBytes, queueBytes, groupBytes, compactBytesPerSecond, millis,
             checkAll, inline);
     }
 }
--- a/src/main/java/kelphollow/store/WriteQueue.java
+++ b/src/main/java/kelphollow/store/WriteQueue.java
@@ -53,9 +53,9 @@
         if (state != State.OPEN) {
             return new StoreFault(StoreFault.Kind.CLOSED, "the store is closed");
         }
-        if (batch.bytes() > options.largestBatch()) {
+        if (batch.bytes() > options.maxBatchBytes()) {
             return new StoreFault(StoreFault.Kind.BATCH_TOO_LARGE, "a batch of " + batch.bytes() + " bytes; "
-                + options.largestBatch() + " are allowed");
+                + options.maxBatchBytes() + " are allowed");
         }
         if (queuedBytes + batch.bytes() > options.queueBytes()) {
             return new StoreFault(StoreFault.Kind.QUEUE_FULL, queuedBytes + " bytes wait to be written");
--- a/src/test/java/kelphollow/store/SegmentHintTest.java
+++ b/src/test/java/kelphollow/store/SegmentHintTest.java
@@ -79,11 +79,11 @@
     @Test void anOpeningCountsLiveBytesAsTheWriterDid() throws Exception {
         fill(5_000, 2);
         try (Store store = Store.open(first, second, OPTIONS, () -> 1)) {
-            long byHints = store.stats().live();
+            long byHints = store.stats().liveBytes();
 
             store.compactAll();
 
-            assertEquals(store.stats().live(), byHints);
+            assertEquals(store.stats().liveBytes(), byHints);
         }
     }
 
--- a/src/test/java/kelphollow/store/StoreTest.java
+++ b/src/test/java/kelphollow/store/StoreTest.java
@@ -108,7 +108,7 @@
             harness.store.runMaintenance();
             Store.Stats stats = harness.store.stats();
             if (i > 400) {
-                worst = Math.max(worst, (double) stats.length() / stats.live());
+                worst = Math.max(worst, (double) stats.bytes() / stats.liveBytes());
             }
         }
         assertTrue(worst < 2.5, "space was " + worst + " times what is live");
@@ -128,7 +128,7 @@
             harness.store.runMaintenance();
         }
 
-        assertTrue(harness.store.stats().length() < 10 * 2_048, "length " + harness.store.stats().length());
+        assertTrue(harness.store.stats().bytes() < 10 * 2_048, "length " + harness.store.stats().bytes());
         harness.killAndReopen();
         harness.assertHoldsModel();
     }
@@ -263,7 +263,7 @@
         MemoryDisk first = new MemoryDisk("a", faults);
         MemoryDisk second = new MemoryDisk("b", faults);
         long[] now = {1};
-        StoreOptions options = StoreHarness.SMALL.withScrubEvery(1_000);
+        StoreOptions options = StoreHarness.SMALL.withScrubIntervalMillis(1_000);
         try (Store store = Store.open(first, second, options, () -> now[0])) {
             for (int i = 0; i < 20; i++) {
                 Batch batch = new Batch().put("t", StoreHarness.bytes("k" + i), new byte[200]);
