--- a/src/main/java/kelphollow/store/Batch.java
+++ b/src/main/java/kelphollow/store/Batch.java
@@ -16,7 +16,7 @@
 
         /** Size in bytes of the operation that stores this change in a segment. */
         private long bytes() {
-            return Operation.HEAD + (long) Tables.NUMBER_BYTES + key.length + (isPut() ? value.length : 0);
+            return Operation.HEADER_BYTES + (long) Tables.NUMBER_BYTES + key.length + (isPut() ? value.length : 0);
         }
     }
 
--- a/src/main/java/kelphollow/store/CommitLog.java
+++ b/src/main/java/kelphollow/store/CommitLog.java
@@ -129,7 +129,7 @@
             addOperation(Operation.PUT, key, change.value(), change.expiresAt());
             payloadBytes += change.value().length;
         } else {
-            addOperation(Operation.REMOVE, key, new byte[0], 0);
+            addOperation(Operation.TOMBSTONE, key, new byte[0], 0);
         }
         payloadBytes += change.key().length;
     }
--- a/src/main/java/kelphollow/store/Compactor.java
+++ b/src/main/java/kelphollow/store/Compactor.java
@@ -179,7 +179,7 @@
         Index index = segments.index();
         for (Operation operation : merge.operations()) {
             Index.Location latest = index.get(operation.key());
-            if (operation.kind() == Operation.REMOVE) {
+            if (operation.kind() == Operation.TOMBSTONE) {
                 boolean shadowsOlder = oldestElsewhere < operation.sequence()
                     && (latest == null || latest.sequence() < operation.sequence());
                 if (shadowsOlder) {
--- a/src/main/java/kelphollow/store/EntrySort.java
+++ b/src/main/java/kelphollow/store/EntrySort.java
@@ -24,7 +24,7 @@
     }
 
     private int keyAt(int entry) {
-        return entry + SegmentHint.ENTRY;
+        return entry + SegmentHint.ENTRY_HEADER_BYTES;
     }
 
     private int keyEnd(int entry) {
--- a/src/main/java/kelphollow/store/ManifestRecovery.java
+++ b/src/main/java/kelphollow/store/ManifestRecovery.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * The first step of an opening: finds the manifest of the higher generation and puts it in both folders, or makes one for a
- * new store. Guards against two folders of different stores, and against a new store in place of a damaged one. Confined to
+ * The first step of recovery: finds the manifest of the higher generation and writes it to both folders, or creates one for
+ * a new store. Rejects two folders of different stores, and never creates a new store in place of a damaged one. Confined to
  * the thread that opens the store.
  */
 final class ManifestRecovery {
@@ -19,8 +19,8 @@
     private final IntegrityReport report;
 
     /**
-     * @param now Unix milliseconds, the time of a manifest that is made anew
-     * @param report receives what was found and done
+     * @param now Unix milliseconds, the time recorded in a newly created manifest
+     * @param report receives what was found and repaired
      */
     ManifestRecovery(Disk[] disks, long now, RecoveryMode mode, IntegrityReport report) {
         this.disks = disks;
@@ -29,7 +29,7 @@
         this.report = report;
     }
 
-    /** The manifest in force, which both folders have from here on unless this is an inspection. */
+    /** Returns the current manifest; both folders hold it afterwards, except in {@link RecoveryMode#INSPECT}. */
     Manifest recover() throws IOException, StoreFault {
         byte[][] files = new byte[disks.length][];
         Manifest.ReadResult[] found = new Manifest.ReadResult[disks.length];
@@ -83,7 +83,10 @@
         }
     }
 
-    /** Neither folder has an intact manifest: a new store if they are empty, else the operator has to decide. */
+    /**
+     * Handles two folders without an intact manifest: creates a new store if both are empty, otherwise fails unless the
+     * operator accepts the loss.
+     */
     private Manifest create(byte[][] files) throws IOException, StoreFault {
         for (int i = 0; i < disks.length; i++) {
             boolean hasSegments = disks[i].names().stream().anyMatch(name -> Format.idOf(name) >= 0);
@@ -105,7 +108,7 @@
         return manifest;
     }
 
-    /** The operator accepts the loss of both manifests: all segments whose header is intact make up the store. */
+    /** Rebuilds a lost manifest from all segments whose header is intact, when the operator accepts the loss. */
     private Manifest rebuild() throws IOException, StoreFault {
         StoreId store = null;
         Map<Long, Manifest.Entry> entries = new TreeMap<>();
@@ -128,13 +131,13 @@
         }
         if (store == null) {
             throw new StoreFault(StoreFault.Kind.DAMAGED, "no segment in " + disks[0].path() + " or "
-                + disks[1].path() + " tells which store it belongs to");
+                + disks[1].path() + " has an intact header: the store's id is unknown");
         }
         long last = entries.keySet().stream().mapToLong(Long::longValue).max().orElse(0);
         return new Manifest(store, FIRST_GENERATION, last + 1, 1, now, List.copyOf(entries.values()));
     }
 
-    /** The bytes of a segment whose header is intact, or null. */
+    /** Returns the bytes of a segment file whose header is intact; null for any other file. */
     private static byte[] readSegment(Disk disk, String name) throws IOException {
         if (!name.endsWith(Format.SEGMENT_SUFFIX) || Format.idOf(name) < 0) {
             return null;
--- a/src/main/java/kelphollow/store/PendingTask.java
+++ b/src/main/java/kelphollow/store/PendingTask.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /**
- * A task that the writer's thread runs between two groups, and the thread that waits for its end. Guards against a caller
- * that waits for ever: the task ends with what it returned or threw, or is rejected because the store failed. Thread-safe.
+ * A task that the writer's thread runs between two groups while the caller waits for the result. Every task completes, so
+ * that no caller waits forever: with a result, with an exception, or rejected because the store failed. Thread-safe.
  *
- * @param <T> what the task returns
+ * @param <T> type of the result
  */
 final class PendingTask<T> {
     /** Reads or changes the log on the writer's thread. */
@@ -15,7 +15,7 @@
     }
 
     private final LogTask<T> task;
-    private boolean ended;
+    private boolean completed;
     private T result;
     private IOException thrown;
     private StoreFault rejection;
@@ -24,7 +24,7 @@
         this.task = task;
     }
 
-    /** On the writer's thread; rethrows what the task threw, which ends the writer too. */
+    /** Runs the task on the writer's thread; rethrows an {@link IOException} of the task, which stops the writer too. */
     void run(CommitLog log) throws IOException {
         try {
             result = task.run(log);
@@ -32,27 +32,30 @@
             thrown = e;
             throw e;
         } finally {
-            end();
+            complete();
         }
     }
 
-    /** Ends the wait with this fault, unless the task has run. */
-    synchronized void reject(StoreFault why) {
-        if (!ended) {
-            rejection = why;
-            end();
+    /** Completes the task with this fault, unless it has run already. */
+    synchronized void reject(StoreFault fault) {
+        if (!completed) {
+            rejection = fault;
+            complete();
         }
     }
 
-    private synchronized void end() {
-        ended = true;
+    private synchronized void complete() {
+        completed = true;
         notifyAll();
     }
 
-    /** Waits for the end, through interrupts; returns the result, or throws what the task threw or why it was rejected. */
+    /**
+     * Waits for the task without responding to interrupts. Returns its result, or throws its exception or the fault that it
+     * was rejected with.
+     */
     synchronized T await() throws IOException, StoreFault {
         boolean interrupted = false;
-        while (!ended) {
+        while (!completed) {
             try {
                 wait();
             } catch (InterruptedException e) {
--- a/src/main/java/kelphollow/store/ProgressListener.java
+++ b/src/main/java/kelphollow/store/ProgressListener.java
@@ -5,6 +5,6 @@
     /** Ignores all progress. */
     ProgressListener NONE = (done, total) -> {};
 
-    /** Called when {@code done} of {@code total} segments are processed. */
+    /** Called when {@code done} of {@code total} segments have been processed. */
     void progressed(int done, int total);
 }
--- a/src/main/java/kelphollow/store/Scrubber.java
+++ b/src/main/java/kelphollow/store/Scrubber.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Reads both copies of every sealed segment and repairs the one that is not intact from the other, so that damage of one
- * copy does not stay until the other is damaged too. Confined to one thread at a time.
+ * Reads both copies of every sealed segment and repairs a damaged copy from the other one before that is damaged too. Used
+ * by one thread at a time.
  */
 final class Scrubber {
     private final SegmentSet segments;
@@ -18,14 +18,14 @@
         this.sealed = sealed;
     }
 
-    /** Returns the number of repaired files; fails, and ends all writing, if a record is intact in neither copy. */
+    /** Returns the number of repaired files; fails, and stops the writer, if a record is intact in neither copy. */
     int scrubAll(IntegrityReport report) throws IOException, StoreFault {
         List<Manifest.Entry> entries = writer.call(CommitLog::manifest).segments();
         int repaired = 0;
         for (Manifest.Entry entry : entries) {
             Segment segment = entry.isSealed() ? segments.segment(entry.id()) : null;
             if (segment == null || !segment.pin()) {
-                continue;        // compaction has replaced it meanwhile
+                continue;        // compaction has replaced it in the meantime
             }
             try {
                 repaired += scrub(segment, entry, report);
--- a/src/main/java/kelphollow/store/SealedSegments.java
+++ b/src/main/java/kelphollow/store/SealedSegments.java
@@ -3,8 +3,7 @@
 import java.io.IOException;
 
 /**
- * Reads sealed segments with all their checks and writes their hints, within the rate of background I/O. Confined to one
- * thread at a time.
+ * Reads and verifies sealed segments and writes their hints, throttled as background I/O. Used by one thread at a time.
  */
 final class SealedSegments {
     private final SegmentSet segments;
@@ -17,7 +16,7 @@
         this.throttle = throttle;
     }
 
-    /** Reads and checks a segment; the second copy is read only if the first is not intact. */
+    /** Reads and verifies a segment; the second copy is read only if the first is not intact. */
     SegmentMerge read(Manifest.Entry entry) throws IOException, StoreFault {
         Segment segment = segments.segment(entry.id());
         if (segment == null || !segment.pin()) {
@@ -36,7 +35,7 @@
         }
     }
 
-    /** Reads and checks both copies of a segment that is pinned. */
+    /** Reads and verifies both copies of a pinned segment. */
     SegmentMerge readBoth(Segment segment, Manifest.Entry entry) throws IOException, StoreFault {
         byte[] first = segment.copy(0);
         byte[] second = segment.copy(1);
@@ -44,7 +43,7 @@
         return merge(segment, first, second, entry);
     }
 
-    /** Damage of both copies ends all writing. */
+    /** Merges both copies; stops the writer and fails if a record is intact in neither. */
     private SegmentMerge merge(Segment segment, byte[] first, byte[] second, Manifest.Entry entry) throws StoreFault {
         SegmentMerge merge = new SegmentMerge(first, second, segments.storeId(), entry);
         if (!merge.damages().isEmpty()) {
@@ -56,7 +55,7 @@
         return merge;
     }
 
-    /** Writes the hint of a segment, synced in both folders; it is not in force before the manifest names it. */
+    /** Writes and syncs the hint of a segment in both folders. Recovery ignores it until the manifest lists it. */
     SegmentHint writeHint(long segment, SegmentMerge merge) throws IOException {
         SegmentHint hint = hint(segment, merge);
         throttle.acquire(2L * hint.bytes().length);
@@ -67,7 +66,7 @@
         return hint;
     }
 
-    /** The hint that belongs to a segment. */
+    /** Builds the hint of a segment that was read. */
     SegmentHint hint(long segment, SegmentMerge merge) {
         return SegmentHint.of(segments.storeId(), merge, segment);
     }
--- a/src/main/java/kelphollow/store/Segment.java
+++ b/src/main/java/kelphollow/store/Segment.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.Future;
 
 /**
- * One segment, open in both folders: two files with the same bytes. Any thread may read; only the writer's thread, or who
- * creates the segment, may append and sync. Its files are deleted when compaction has replaced it and no snapshot reads it
- * any more, which is counted by pins.
+ * One segment, open in both folders: two files with the same bytes. Any thread may read; only the writer's thread, or the
+ * thread that creates the segment, may append and sync. Reference-counted by pins: the files are deleted once compaction has
+ * replaced the segment and the last reader has released it.
  */
 final class Segment {
     private final long id;
@@ -30,7 +30,7 @@
         this.length = length;
     }
 
-    /** Creates a segment with its header, synced in both folders. */
+    /** Creates a segment that holds only its header, synced in both folders. */
     static Segment create(Disk[] disks, StoreId store, long id, long firstSequence) throws IOException {
         String name = Format.segmentName(id);
         Disk.File[] files = new Disk.File[disks.length];
@@ -50,7 +50,7 @@
         return new Segment(id, disks, files, firstSequence, Format.SEGMENT_HEADER_BYTES);
     }
 
-    /** Opens a segment that is in both folders; {@code length} and {@code operations} are as recovery found them. */
+    /** Opens an existing segment; {@code length} and {@code operations} are what recovery found. */
     static Segment open(Disk[] disks, Manifest.Entry entry, long length, int operations) throws IOException {
         Disk.File[] files = new Disk.File[disks.length];
         try {
@@ -73,7 +73,7 @@
                     file.close();
                 }
             } catch (IOException e) {
-                // what was synced is safe; what was not is promised to nobody
+                // ignored: synced data is safe, and no durability was promised for the rest
             }
         }
     }
@@ -82,12 +82,12 @@
         return id;
     }
 
-    /** Bytes of one copy. */
+    /** Length of one copy, in bytes. */
     long length() {
         return length;
     }
 
-    /** No operation in it has a lower sequence. */
+    /** Lower bound of the sequences of its operations. */
     long firstSequence() {
         return firstSequence;
     }
@@ -96,7 +96,7 @@
         return operations == 0;
     }
 
-    /** Its entry in the manifest while it is written to. */
+    /** Its entry in the manifest while it is the active segment. */
     Manifest.Entry activeEntry() {
         return new Manifest.Entry(id, 0, firstSequence, 0, 0, 0);
     }
@@ -106,7 +106,7 @@
         return new Manifest.Entry(id, length, firstSequence, operations, 0, 0);
     }
 
-    /** Appends to both copies. After a failure nothing may be appended any more: the copies may differ. */
+    /** Appends to both copies. After a failure nothing more may be appended, since the copies may differ. */
     void append(ByteBuffer bytes, int operationCount) throws IOException {
         int count = bytes.remaining();
         for (Disk.File file : files) {
@@ -123,7 +123,7 @@
         }
     }
 
-    /** Syncs the second copy on the executor and the first here, in parallel; both have ended when this returns. */
+    /** Syncs the second copy on the executor and the first on this thread, in parallel; waits for both. */
     void sync(ExecutorService secondCopy) throws IOException {
         Future<Void> second = secondCopy.submit(() -> {
             files[1].sync();
@@ -143,14 +143,15 @@
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            failure = new IOException("interrupted while the second copy was synced");
+            failure = new IOException("interrupted while waiting for the sync of " + disks[1].path() + "/"
+                + Format.segmentName(id));
         }
         if (failure != null) {
             throw failure;
         }
     }
 
-    /** Reads an operation from the first copy in which it is intact; null if it is in neither. */
+    /** Reads an operation from the first copy in which it is intact; null if it is intact in neither. */
     Operation read(byte[] key, Index.Location location) throws IOException {
         IOException failure = null;
         for (Disk.File file : files) {
@@ -185,7 +186,7 @@
         return files[copy].size();
     }
 
-    /** Whether the headers of both copies are this segment's. */
+    /** Whether both copies have the expected header. */
     boolean hasHeader(StoreId store) throws IOException {
         for (Disk.File file : files) {
             ByteBuffer header = ByteBuffer.allocate(Format.SEGMENT_HEADER_BYTES);
@@ -197,12 +198,12 @@
         return true;
     }
 
-    /** All bytes of one copy. */
+    /** Reads all bytes of one copy. */
     byte[] copy(int copy) throws IOException {
         return Disk.readAll(files[copy]);
     }
 
-    /** Replaces one copy by what it should be. A read in progress there falls back to the other copy. */
+    /** Replaces the file of one copy. A read in progress on the old file falls back to the other copy. */
     void repair(int copy, byte[] image) throws IOException {
         String name = Format.segmentName(id);
         AtomicFile.replace(disks[copy], name, name + FolderFiles.REPLACEMENT_SUFFIX, image);
@@ -211,7 +212,7 @@
         old.close();
     }
 
-    /** Keeps the files until {@link #release}; false if they are closed already. */
+    /** Keeps the files open until {@link #release}; returns false if they are closed already. */
     synchronized boolean pin() {
         if (pins == 0) {
             return false;
@@ -220,7 +221,7 @@
         return true;
     }
 
-    /** Drops a pin; without any the files are closed and, if replaced, deleted. */
+    /** Releases one pin. The last one closes the files, and deletes them if the segment was replaced. */
     synchronized void release() {
         pins--;
         if (pins == 0) {
@@ -231,7 +232,7 @@
         }
     }
 
-    /** The manifests no longer name it: its files go with the last pin. */
+    /** Marks the segment as no longer listed in the manifests, so that its files are deleted with the last pin. */
     synchronized void markReplaced() {
         replaced = true;
     }
@@ -242,7 +243,7 @@
                 disk.delete(Format.segmentName(id));
                 disk.delete(Format.hintName(id));
             } catch (IOException e) {
-                // the next opening finds that the manifest does not name it, and deletes it
+                // the next opening deletes the file, since the manifest does not list it
             }
         }
     }
--- a/src/main/java/kelphollow/store/SegmentHint.java
+++ b/src/main/java/kelphollow/store/SegmentHint.java
@@ -4,33 +4,33 @@
 import java.util.Arrays;
 
 /**
- * The operations of a segment without their values, in the order of their keys: an opening reads it instead of the segment
- * and merges all of them into the index. The manifest has its length and checksum, so that a hint of another segment or of
- * an older state is detected, whatever it says of itself; one whose keys are out of order is rejected like a damaged one.
+ * The operations of a segment without their values, sorted by key. An opening reads hints instead of whole segments and
+ * merges them into the index. The manifest records the hint's length and checksum, so that a hint of another segment or of
+ * an older state is detected even if it is valid in itself; a hint whose keys are out of order is rejected as damaged.
  *
- * <p>An entry is: kind (1 byte), zeros (3), key length (4), offset (4) and length (4) of the operation in the segment,
- * sequence (8), expiry (8), key.
+ * <p>Encoding of an entry: kind (1 byte), zeros (3), key length (4), offset (4) and length (4) of the operation in the
+ * segment, sequence (8), expiry (8), key.
  *
- * <p>Memory: the file's bytes, which are 32 per key and the key, and 4 bytes per key. Immutable.
+ * <p>Memory: the file's bytes, which are 32 per operation plus its key, and 4 more bytes per operation. Immutable.
  */
 final class SegmentHint {
     /** Length of an entry without its key. */
-    static final int ENTRY = 32;
-    /** Places within an entry. */
+    static final int ENTRY_HEADER_BYTES = 32;
+    /** Offsets of fields within an entry. */
     static final int KEY_LENGTH_AT = 4;
     static final int SEQUENCE_AT = 16;
     private static final int OFFSET_AT = 8;
     private static final int LENGTH_AT = 12;
     private static final int EXPIRY_AT = 24;
 
-    private static final int HEAD = 48;
+    private static final int HEADER_BYTES = 48;
     private static final int COUNT_AT = 12;
     private static final int SEGMENT_AT = 32;
     private static final int CHECKSUM_BYTES = 4;
 
     private final long segment;
     private final byte[] bytes;
-    /** Where each entry begins, in the order of the keys; of one key the latest operation first. */
+    /** Offset of each entry, sorted by key; the operations of one key by descending sequence. */
     private final int[] at;
     private final long lastSequence;
     private final long tombstoneBytes;
@@ -43,31 +43,31 @@
         long tombstones = 0;
         for (int i = 0; i < at.length; i++) {
             highest = Math.max(highest, sequence(i));
-            tombstones += kind(i) == Operation.REMOVE ? length(i) : 0;
+            tombstones += kind(i) == Operation.TOMBSTONE ? length(i) : 0;
         }
         this.lastSequence = highest;
         this.tombstoneBytes = tombstones;
     }
 
-    /** The hint of a segment that was read. */
+    /** Builds the hint of a segment from its merged copies. */
     static SegmentHint of(StoreId store, SegmentMerge merge, long segment) {
         UnsortedEntries unsorted = new UnsortedEntries();
         merge.forEachOperation(unsorted::add);
         byte[] entries = unsorted.bytes.array();
         int[] sorted = EntrySort.sorted(entries, unsorted.at, unsorted.count);
-        ByteBuffer file = ByteBuffer.allocate(HEAD + unsorted.bytes.position() + CHECKSUM_BYTES);
+        ByteBuffer file = ByteBuffer.allocate(HEADER_BYTES + unsorted.bytes.position() + CHECKSUM_BYTES);
         file.put(Format.HINT_MAGIC).putInt(Format.VERSION).putInt(unsorted.count);
         file.putLong(store.high()).putLong(store.low()).putLong(segment).putLong(0);
         for (int i = 0; i < unsorted.count; i++) {
             int entry = sorted[i];
             sorted[i] = file.position();
-            file.put(entries, entry, ENTRY + Format.int32(entries, entry + KEY_LENGTH_AT));
+            file.put(entries, entry, ENTRY_HEADER_BYTES + Format.int32(entries, entry + KEY_LENGTH_AT));
         }
         file.putInt(Format.crc(file.array(), 0, file.position()));
         return new SegmentHint(segment, file.array(), sorted);
     }
 
-    /** The entries in the order of the segment, so that it is read in one pass. */
+    /** Collects the entries in the segment's order, in one pass over it. */
     private static final class UnsortedEntries {
         private static final int INITIAL_BYTES = 64 * 1024;
         private static final int INITIAL_ENTRIES = 1024;
@@ -76,7 +76,7 @@
         private int count;
 
         void add(Operation operation) {
-            int length = ENTRY + operation.keyLength();
+            int length = ENTRY_HEADER_BYTES + operation.keyLength();
             if (bytes.remaining() < length) {
                 bytes = ByteBuffer.allocate(2 * bytes.capacity() + length).put(bytes.flip());
             }
@@ -92,31 +92,31 @@
         }
     }
 
-    /** Reads a hint, or null if it is not the one that the manifest names. */
+    /** Decodes a hint file; null if it is damaged or not the one that the manifest lists. */
     static SegmentHint read(byte[] bytes, StoreId store, Manifest.Entry expected) {
-        if (!isNamedBy(bytes, store, expected)) {
+        if (!isListedIn(bytes, store, expected)) {
             return null;
         }
         int end = bytes.length - CHECKSUM_BYTES;
-        int next = HEAD;
+        int next = HEADER_BYTES;
         int[] at = new int[expected.operations()];
         for (int i = 0; i < at.length; i++) {
-            if (end - next < ENTRY) {
+            if (end - next < ENTRY_HEADER_BYTES) {
                 return null;
             }
             at[i] = next;
             int keyLength = Format.int32(bytes, next + KEY_LENGTH_AT);
-            if (keyLength < Tables.NUMBER_BYTES || keyLength > end - next - ENTRY) {
+            if (keyLength < Tables.NUMBER_BYTES || keyLength > end - next - ENTRY_HEADER_BYTES) {
                 return null;
             }
-            next += ENTRY + keyLength;
+            next += ENTRY_HEADER_BYTES + keyLength;
         }
         SegmentHint hint = new SegmentHint(expected.id(), bytes, at);
         return next == end && hint.isSorted() ? hint : null;
     }
 
-    private static boolean isNamedBy(byte[] bytes, StoreId store, Manifest.Entry entry) {
-        return entry.hintLength() != 0 && bytes.length == entry.hintLength() && bytes.length >= HEAD + CHECKSUM_BYTES
+    private static boolean isListedIn(byte[] bytes, StoreId store, Manifest.Entry entry) {
+        return entry.hintLength() != 0 && bytes.length == entry.hintLength() && bytes.length >= HEADER_BYTES + CHECKSUM_BYTES
             && Format.headerState(bytes, Format.HINT_MAGIC, store, bytes.length) == Format.HeaderState.VALID
             && Format.int32(bytes, bytes.length - CHECKSUM_BYTES) == entry.hintCrc()
             && Format.int64(bytes, SEGMENT_AT) == entry.id() && Format.int32(bytes, COUNT_AT) == entry.operations();
@@ -132,7 +132,7 @@
         return true;
     }
 
-    /** The file's bytes; nobody may change them. */
+    /** The file's bytes; callers must not modify them. */
     byte[] bytes() {
         return bytes;
     }
@@ -141,7 +141,7 @@
         return Format.int32(bytes, bytes.length - CHECKSUM_BYTES);
     }
 
-    /** The number of its segment. */
+    /** The id of its segment. */
     long segment() {
         return segment;
     }
@@ -155,12 +155,12 @@
         return lastSequence;
     }
 
-    /** Bytes of the segment that are removals. */
+    /** Total length of the tombstones in the segment, in bytes. */
     long tombstoneBytes() {
         return tombstoneBytes;
     }
 
-    // ---------------------------------------------------------------- one operation, by its position in the order
+    // ---------------------------------------------------------------- one operation, by its position in key order
 
     byte kind(int position) {
         return bytes[at[position]];
@@ -186,7 +186,7 @@
     }
 
     private int keyAt(int position) {
-        return at[position] + ENTRY;
+        return at[position] + ENTRY_HEADER_BYTES;
     }
 
     private int keyEnd(int position) {
@@ -198,8 +198,8 @@
     }
 
     /**
-     * Eight bytes of the key behind the first few, as an unsigned number, padded with zeros: it orders keys whose first
-     * bytes are equal unless the numbers are.
+     * The eight key bytes after the first {@code skip}, zero-padded, as an unsigned big-endian number. Orders keys whose
+     * first {@code skip} bytes are equal, unless these numbers are equal too.
      */
     long prefix(int position, int skip) {
         return Format.prefix(bytes, keyAt(position) + skip, keyEnd(position));
@@ -218,7 +218,7 @@
             other.keyEnd(otherPosition));
     }
 
-    /** The first position whose key is this one or a greater one. */
+    /** The first position whose key is greater than or equal to this one. */
     int lowerBound(byte[] key) {
         int low = 0;
         int high = at.length;
@@ -233,9 +233,9 @@
         return low;
     }
 
-    /** Adds the key and its location to an index without an object for either. */
-    void addTo(IndexLeafBuilder run, int position) {
-        run.add(bytes, keyAt(position), keyEnd(position), (int) segment, offset(position), length(position),
+    /** Adds the key and its location to an index leaf without allocating an object for either. */
+    void addTo(IndexLeafBuilder leafBuilder, int position) {
+        leafBuilder.add(bytes, keyAt(position), keyEnd(position), (int) segment, offset(position), length(position),
             sequence(position), expiresAt(position));
     }
 }
--- a/src/main/java/kelphollow/store/SegmentInspection.java
+++ b/src/main/java/kelphollow/store/SegmentInspection.java
@@ -7,24 +7,24 @@
 import java.util.stream.Stream;
 
 /**
- * What an opening reads of one segment before anything is decided or changed: its hint if that suffices, else both copies
- * and their merge. This is nearly all the work of an opening, so it is done for several segments in parallel on the common
- * pool, as many as fit into a quarter of the heap. Filled by one thread, then confined to the thread that opens the store.
+ * Reads one segment for recovery without changing anything: its hint if that is sufficient, otherwise both copies, which it
+ * merges. This is nearly all the work of an opening, so several segments are read in parallel on the common pool, as many as
+ * fit into a quarter of the heap. Filled by one thread, then confined to the thread that opens the store.
  */
 final class SegmentInspection {
-    /** Fewer bytes are read in the caller's thread, in order. */
+    /** Below this total the segments are read sequentially on the caller's thread. */
     private static final long MIN_PARALLEL_BYTES = 1 << 20;
-    /** Fraction of the heap that may be used: one in this many bytes. */
+    /** The segments held at once use at most 1/{@code HEAP_DIVISOR} of the maximum heap. */
     private static final int HEAP_DIVISOR = 4;
-    /** Bytes on the heap per byte of a hint file: both copies, if they differ. */
+    /** Heap bytes per byte of a hint file: both copies, if they differ. */
     private static final long HINT_FACTOR = 2;
-    /** Bytes on the heap per byte of a segment: both copies, if they differ, and what is made of them. */
+    /** Heap bytes per byte of a segment: both copies, if they differ, and their merged image and hint. */
     private static final long SEGMENT_FACTOR = 4;
 
     private final Manifest.Entry entry;
     private final boolean[] hintFilesIntact = new boolean[2];
     private SegmentHint hint;
-    private boolean byHint;
+    private boolean hintSufficient;
     private byte[] first;
     private byte[] second;
     private SegmentMerge merge;
@@ -35,26 +35,26 @@
         this.entry = entry;
     }
 
-    /** Reads the segments from this position of the list on, as many as can be held at once; at least one. */
+    /** Reads as many segments from this position of the list on as fit into memory at once; at least one. */
     static List<SegmentInspection> readFrom(int position, List<Manifest.Entry> all, Disk[] disks, StoreId store,
-        boolean hintsSuffice) {
-        long room = Runtime.getRuntime().maxMemory() / HEAP_DIVISOR;
+        boolean mayUseHints) {
+        long maxBytes = Runtime.getRuntime().maxMemory() / HEAP_DIVISOR;
         long bytes = 0;
         List<SegmentInspection> inspections = new ArrayList<>();
-        for (int i = position; i < all.size() && (inspections.isEmpty() || bytes < room); i++) {
+        for (int i = position; i < all.size() && (inspections.isEmpty() || bytes < maxBytes); i++) {
             Manifest.Entry entry = all.get(i);
-            bytes += hintsSuffice && entry.hintLength() > 0 ? HINT_FACTOR * entry.hintLength()
+            bytes += mayUseHints && entry.hintLength() > 0 ? HINT_FACTOR * entry.hintLength()
                 : SEGMENT_FACTOR * entry.length();
             inspections.add(new SegmentInspection(entry));
         }
         Stream<SegmentInspection> work = bytes < MIN_PARALLEL_BYTES ? inspections.stream() : inspections.parallelStream();
-        work.forEach(inspection -> inspection.read(disks, store, hintsSuffice));
+        work.forEach(inspection -> inspection.read(disks, store, mayUseHints));
         return inspections;
     }
 
-    private void read(Disk[] disks, StoreId store, boolean hintSuffices) {
+    private void read(Disk[] disks, StoreId store, boolean mayUseHint) {
         try {
-            if (!hintSuffices || !entry.isSealed() || !readHint(disks, store)) {
+            if (!mayUseHint || !entry.isSealed() || !readHint(disks, store)) {
                 readCopies(disks, store);
             }
         } catch (IOException e) {
@@ -76,8 +76,8 @@
             }
             hintFilesIntact[i] = hint != null && Arrays.equals(bytes, hint.bytes());
         }
-        byHint = hint != null;
-        return byHint;
+        hintSufficient = hint != null;
+        return hintSufficient;
     }
 
     private void readCopies(Disk[] disks, StoreId store) throws IOException, StoreFault {
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Reads both copies unless that was done, and throws what went wrong when it was. */
+    /** Reads both copies unless they have been read already; throws the failure of an earlier read. */
     void readBoth(Disk[] disks, StoreId store) throws IOException, StoreFault {
         if (failure != null) {
             throw failure;
@@ -107,7 +107,7 @@
             throw fault;
         }
         if (merge == null) {
-            byHint = false;
+            hintSufficient = false;
             readCopies(disks, store);
         }
     }
@@ -116,17 +116,17 @@
         return entry;
     }
 
-    /** Whether the hint suffices; otherwise both copies were read. */
-    boolean isByHint() {
-        return byHint;
+    /** Whether the hint was read instead of both copies. */
+    boolean isHintSufficient() {
+        return hintSufficient;
     }
 
-    /** What the segment holds, from its hint or from its copies. */
+    /** The operations of the segment, read from its hint file or built from its copies. */
     SegmentHint hint() {
         return hint;
     }
 
-    /** Which of the two hint files is as the manifest says. */
+    /** For each folder, whether its hint file is the one that the manifest lists. */
     boolean[] hintFilesIntact() {
         return hintFilesIntact;
     }
@@ -141,7 +141,7 @@
         return second;
     }
 
-    /** What both copies make together; null before they are read. */
+    /** The merged copies; null before they are read. */
     SegmentMerge merge() {
         return merge;
     }
--- a/src/main/java/kelphollow/store/SegmentMerge.java
+++ b/src/main/java/kelphollow/store/SegmentMerge.java
@@ -6,11 +6,11 @@
 import java.util.function.Consumer;
 
 /**
- * Makes one complete segment of its two copies. Both have the same bytes at the same places, so that each frame head and
- * each payload can be taken from the copy in which its checksum is valid. A place where it is valid in neither is damage,
- * unless it can only be the truncated end of what was never acknowledged: no commit marker, in either copy, says that it
- * was synced. Does no I/O and is not changed after construction; cost is one checksum over the bytes where the copies are
- * equal, two where they are not.
+ * Merges the two copies of a segment into one image. Both copies hold the same bytes at the same offsets, so each frame
+ * header and each payload is taken from the copy in which its checksum is valid. Bytes that are valid in neither copy are
+ * damage, unless they can only be an incomplete end that was never acknowledged as synced: no commit marker in either copy
+ * says so. The image is truncated there. No I/O; immutable after construction. Computes one checksum over bytes
+ * that are equal in both copies, two over others.
  */
 final class SegmentMerge {
     /** One frame of the merged image. */
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Damage of both copies; {@code sequence} is that of the record, or the lowest that it can have had. */
+    /** A range damaged in both copies; {@code sequence} is that of the lost record, or the lowest that it can have. */
     record Damage(int at, int end, long sequence) {}
 
     private final byte[] first;
@@ -55,7 +55,7 @@
         this.length = isSealed ? (int) entry.length() : Math.max(first.length, second.length);
         this.lastSequence = entry.firstSequence() - 1;
         this.syncedUpTo = lastSequence;
-        // The header has nothing in it that the manifest does not have: it can always be made again.
+        // All fields of the header are also in the manifest, so it can always be rebuilt.
         byte[] header = Format.segmentHeader(store, segment, entry.firstSequence());
         boolean firstIsImage = copiesAreEqual && startsWith(first, header) && first.length >= length;
         image = firstIsImage ? first : mergeBase(header);
@@ -109,30 +109,30 @@
         clean = frame.type == Format.COMMIT_MARKER && frame.flags == Format.CLEAN;
     }
 
-    /** The frame here, put together in the image; null if its head or its payload is intact in neither copy. */
+    /** Copies the frame at this offset into the image; null if its header or its payload is intact in neither copy. */
     private Frame frameAt(int at) {
-        byte[] head = copyWithHead(at);
-        if (head == null) {
+        byte[] copy = copyWithHeader(at);
+        if (copy == null) {
             return null;
         }
-        Frame frame = Format.frame(head, at);
+        Frame frame = Format.frame(copy, at);
         if (frame.length < 0 || frame.length > length - frame.payloadAt()
             || frame.type == Format.BATCH && frame.sequence <= lastSequence
             || frame.type == Format.COMMIT_MARKER && frame.length != Format.COMMIT_MARKER_PAYLOAD_BYTES) {
             return null;
         }
-        byte[] payload = copyWithPayload(frame, Format.payloadCrc(head, at));
+        byte[] payload = copyWithPayload(frame, Format.payloadCrc(copy, at));
         if (payload == null) {
             return null;
         }
         if (image != first) {
-            System.arraycopy(head, at, image, at, Format.FRAME_HEADER_BYTES);
+            System.arraycopy(copy, at, image, at, Format.FRAME_HEADER_BYTES);
             System.arraycopy(payload, frame.payloadAt(), image, frame.payloadAt(), frame.length);
         }
         return frame;
     }
 
-    private byte[] copyWithHead(int at) {
+    private byte[] copyWithHeader(int at) {
         if (Format.isFrameHeader(first, at, Math.min(length, first.length), segment)) {
             return first;
         }
@@ -147,7 +147,7 @@
             : null;
     }
 
-    /** Whether a commit marker beyond this place says that a record which is missing here was synced. */
+    /** Whether a commit marker after this offset records that the record expected here was synced. */
     private boolean isSyncedBeyond(int at) {
         if (syncedUpTo > lastSequence) {
             return true;
@@ -160,7 +160,10 @@
         return false;
     }
 
-    /** The next intact frame beyond a place that is damaged. A head is valid in its own place only, so none is made up. */
+    /**
+     * Finds the next intact frame after a damaged offset. The header's checksum covers the frame's offset, so other data is
+     * never mistaken for a frame.
+     */
     private Frame nextFrame(int at) {
         for (int i = at + 1; i + Format.FRAME_HEADER_BYTES <= length; i++) {
             Frame frame = frameAt(i);
@@ -171,7 +174,7 @@
         return null;
     }
 
-    /** The segment as it should be in both folders. */
+    /** The content that both copies of the segment should have. */
     byte[] image() {
         return image;
     }
@@ -180,17 +183,17 @@
         return frames;
     }
 
-    /** What is lost: intact in neither copy though it was synced. */
+    /** The ranges that were synced but are intact in neither copy. */
     List<Damage> damages() {
         return damages;
     }
 
-    /** How many bytes at the end are incomplete and were never acknowledged as synced; they are no part of the image. */
+    /** Number of bytes at the end that were never acknowledged as synced and are left out of the image. */
     int truncatedBytes() {
         return truncatedBytes;
     }
 
-    /** Whether the store was closed, or recovered, behind the last frame. */
+    /** Whether the last frame is a {@link Format#CLEAN} marker: the store was closed or recovered after it. */
     boolean isClean() {
         return clean;
     }
@@ -199,7 +202,7 @@
         return lastSequence;
     }
 
-    /** The latest time in a commit marker, 0 if there is none. */
+    /** The latest time in a commit marker, in Unix milliseconds; 0 if there is none. */
     long time() {
         return time;
     }
@@ -212,7 +215,7 @@
         return copiesAreEqual ? isFirstIntact() : Arrays.equals(second, image);
     }
 
-    /** All operations, in order; those of a frame that do not add up are left out from there on. */
+    /** Visits all operations in order. Skips the rest of a frame after an operation that cannot be decoded. */
     void forEachOperation(Consumer<Operation> consumer) {
         frames.forEach(frame -> forEachOperation(frame, consumer));
     }
--- a/src/main/java/kelphollow/store/SegmentRecovery.java
+++ b/src/main/java/kelphollow/store/SegmentRecovery.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * Recovers segments one after the other, in the manifest's order: makes both copies equal and takes the operations into the
- * index. A segment that was being written to is written anew, so that none is ever appended to behind a failed sync or a
+ * Recovers the segments in the manifest's order: makes both copies equal and adds the operations to the index. An active
+ * segment that was not closed cleanly is rewritten as a new one, so that nothing is ever appended after a failed sync or a
  * truncated end. Confined to the thread that opens the store.
  */
 final class SegmentRecovery {
     private static final int BUFFER_BYTES = 64 * 1024;
 
-    /** What an inspection found of a segment. */
+    /** Size of a segment, as found by an inspection. */
     record Size(long bytes, int operations) {}
 
     private final Disk[] disks;
@@ -30,7 +30,7 @@
     private long time;
     private long lastNewId;
 
-    /** Adds what it opens to {@code segments}, which the caller releases. */
+    /** Adds the segments that it opens to {@code segments}; the caller releases them. */
     SegmentRecovery(Disk[] disks, Manifest manifest, long now, RecoveryMode mode, IntegrityReport report,
         Map<Long, Segment> segments) {
         this.disks = disks;
@@ -41,7 +41,7 @@
         this.segments = segments;
     }
 
-    /** The operations of all segments recovered so far. */
+    /** The index loader, which holds the operations of all segments recovered so far. */
     IndexLoader loader() {
         return loader;
     }
@@ -55,12 +55,12 @@
         return lastSequence;
     }
 
-    /** The latest time that a commit marker has, Unix milliseconds. */
+    /** The latest time in any commit marker that was read, in Unix milliseconds. */
     long time() {
         return time;
     }
 
-    /** Names of tables by number, as far as an inspection came across them. */
+    /** Names of tables by number, collected by an inspection. */
     Map<Integer, String> tableNames() {
         return tableNames;
     }
@@ -70,10 +70,10 @@
         return sizes.get(segment);
     }
 
-    /** Recovers a segment and returns its entry as it is from now on, or null if nothing of it is left. */
+    /** Recovers a segment and returns its new manifest entry; null if no operation of it is left. */
     Manifest.Entry recover(SegmentInspection inspection) throws IOException, StoreFault {
         Manifest.Entry entry = inspection.entry();
-        if (inspection.isByHint() && openByHint(entry, inspection.hint(), inspection.hintFilesIntact())) {
+        if (inspection.isHintSufficient() && openWithHint(entry, inspection.hint(), inspection.hintFilesIntact())) {
             return entry;
         }
         inspection.readBoth(disks, manifest.store());
@@ -83,7 +83,7 @@
         time = Math.max(time, merge.time());
         if (mode == RecoveryMode.INSPECT) {
             reportDifferences(inspection);
-            learnTableNames(merge);
+            collectTableNames(merge);
             load(inspection.hint());
             sizes.put(entry.id(), new Size(merge.image().length, inspection.hint().count()));
             return entry;
@@ -153,8 +153,8 @@
         return writeHint(segment, hint, entry.withHint(0, 0), entry);
     }
 
-    /** Opens a sealed segment whose hint and size are right; its bytes are checked when read, and by scrubbing. */
-    private boolean openByHint(Manifest.Entry entry, SegmentHint hint, boolean[] hintFilesIntact) throws IOException {
+    /** Opens a sealed segment whose header and size match the manifest; reads and scrubs verify its records later. */
+    private boolean openWithHint(Manifest.Entry entry, SegmentHint hint, boolean[] hintFilesIntact) throws IOException {
         for (Disk disk : disks) {
             if (!disk.exists(Format.segmentName(entry.id()))) {
                 return false;
@@ -183,7 +183,7 @@
         lastSequence = Math.max(lastSequence, hint.lastSequence());
     }
 
-    /** Writes to both folders the hint that the manifest will name, where it is missing or not intact. */
+    /** Writes the hint to each folder in which it is missing or differs, and returns the entry that lists it. */
     private Manifest.Entry writeHint(Segment segment, SegmentHint hint, Manifest.Entry entry, Manifest.Entry before)
         throws IOException {
         Manifest.Entry after = new Manifest.Entry(entry.id(), segment.length(), entry.firstSequence(), hint.count(),
@@ -200,7 +200,7 @@
         return after;
     }
 
-    private void learnTableNames(SegmentMerge merge) {
+    private void collectTableNames(SegmentMerge merge) {
         merge.forEachOperation(operation -> {
             byte[] key = operation.key();
             if (operation.kind() == Operation.PUT && Tables.isName(key)
@@ -211,8 +211,8 @@
     }
 
     /**
-     * Writes what is intact of a segment under the next number, with a commit marker that says so. Its old files go only
-     * when the manifests name the new one.
+     * Copies the intact frames of a segment to a new one, followed by a {@link Format#CLEAN} commit marker. The old files
+     * are deleted only after the manifests list the new segment. Returns null if there is nothing to copy.
      */
     private Manifest.Entry rewrite(SegmentMerge merge, Manifest.Entry entry) throws IOException {
         long id = nextId();
@@ -220,7 +220,7 @@
             return null;
         }
         for (Disk disk : disks) {
-            disk.delete(Format.segmentName(id));     // left by a recovery that crashed
+            disk.delete(Format.segmentName(id));     // left over from a recovery that crashed
         }
         Segment segment = Segment.create(disks, manifest.store(), id, entry.firstSequence());
         segments.put(id, segment);
--- a/src/main/java/kelphollow/store/SegmentSet.java
+++ b/src/main/java/kelphollow/store/SegmentSet.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The open segments and the index in force, shared by readers, the writer and the compactor. The writer's thread alone
- * publishes an index, adds and retires segments; any thread may read. A segment is retired only after an index that no
- * longer refers to it was published, so a reader that finds one closed reads again with the newer index.
+ * The open segments and the current index, shared by readers, the writer and the compactor. Only the writer's thread
+ * publishes an index and adds or retires segments; any thread may read. A segment is retired only after an index that no
+ * longer refers to it has been published, so a reader that finds a segment closed retries with the newer index.
  */
 final class SegmentSet {
     private final Disk[] disks;
@@ -32,14 +32,14 @@
         return storeId;
     }
 
-    /** The index in force. */
+    /** The current index. */
     Index index() {
         return index;
     }
 
-    /** The open segment of this number, or null. */
-    Segment segment(long number) {
-        return segments.get(number);
+    /** The open segment with this id, or null. */
+    Segment segment(long id) {
+        return segments.get(id);
     }
 
     void publish(Index next) {
@@ -50,24 +50,24 @@
         segments.put(segment.id(), segment);
     }
 
-    /** Drops a segment that compaction has replaced; its files go when the last snapshot releases it. */
-    void retire(long number) {
-        Segment retired = segments.remove(number);
+    /** Removes a segment that compaction has replaced; its files are deleted when the last reader releases it. */
+    void retire(long id) {
+        Segment retired = segments.remove(id);
         if (retired != null) {
             retired.markReplaced();
             retired.release();
         }
     }
 
-    /** Releases all segments, at the end of the store. */
+    /** Releases all segments when the store is closed. */
     void releaseAll() {
         segments.values().forEach(Segment::release);
     }
 
     /**
-     * The value of a key that has not expired at {@code clock}, or null. Blocks on the disk.
+     * Returns the value of a key, or null if there is none or it has expired by {@code clock}. Blocks on the disk.
      *
-     * @throws StoreFault CLOSED after the end of the store, DAMAGED if the value is intact in neither copy
+     * @throws StoreFault CLOSED after the store was closed, DAMAGED if the value is intact in neither copy
      */
     byte[] get(byte[] key, StoreClock clock) throws IOException, StoreFault {
         while (true) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Reads a value from a segment that is pinned. */
+    /** Reads a value from a pinned segment. */
     byte[] read(Segment segment, byte[] key, Index.Location location) throws IOException, StoreFault {
         Operation operation = segment.read(key, location);
         if (operation == null) {
@@ -102,10 +102,10 @@
     /** The fault for a record that is intact in neither copy. */
     StoreFault damagedRecord(Segment segment, long offset, long sequence) {
         return new StoreFault(StoreFault.Kind.DAMAGED, disks[0].path() + "/" + Format.segmentName(segment.id())
-            + " offset=" + offset + " sequence=" + sequence + " is whole in neither copy");
+            + " offset=" + offset + " sequence=" + sequence + " is intact in neither copy");
     }
 
-    /** An index with all the segments that it refers to, pinned; null if the segments were closed with the store. */
+    /** Pins the current index and all segments that it refers to; null if the store has been closed. */
     Pinned pin() {
         while (true) {
             Index current = index;
@@ -128,7 +128,7 @@
         }
     }
 
-    /** A consistent view; whoever pinned it releases its segments. */
+    /** A consistent view of the store; the caller that pinned it must release it. */
     record Pinned(Index index, List<Segment> segments) {
         void release() {
             segments.forEach(Segment::release);
--- a/src/main/java/kelphollow/store/SegmentUsage.java
+++ b/src/main/java/kelphollow/store/SegmentUsage.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 
 /**
- * How much of each segment is live, and which segments to compact next. No I/O; confined to the writer's thread. Live
- * bytes are those of operations; heads of frames and commit markers count as dead.
+ * Tracks how much of each segment is live and chooses the segments to compact next. No I/O; confined to the writer's thread.
+ * Only operations count as live bytes, frame headers and commit markers as dead.
  *
- * <p>The choice is cost and benefit after Rosenblum and Ousterhout, "The Design and Implementation of a Log-Structured
- * File System" (1991), without their age, since what is rewritten here is not sorted by age: of the segments that free
- * most for what must be copied, as many as fill one new segment. A tombstone must stay while an older segment may hold a
- * value of its key. When such tombstones have piled up, all sealed segments are compacted at once, since only then nothing
- * older is left.
+ * <p>The choice is the cost-benefit policy of Rosenblum and Ousterhout, "The Design and Implementation of a Log-Structured
+ * File System" (1991), without the age factor, since compaction here does not sort data by age: it takes the segments that
+ * free the most space per byte copied, as many as fill one new segment. A tombstone must be kept while an older segment may
+ * hold a value of its key. When such tombstones have accumulated, all sealed segments are compacted at once, since only then
+ * no older segment is left.
  */
 final class SegmentUsage {
-    /** Compaction begins when the segments are this many times as long as what is live in them. */
+    /** Compaction starts when the total length of the segments exceeds this multiple of their live bytes. */
     static final double MAX_LENGTH_TO_LIVE = 1.8;
-    /** Tombstones of this fraction of what is live are a reason to compact everything. */
+    /** All sealed segments are compacted when their tombstones exceed this fraction of the live bytes. */
     static final double MAX_TOMBSTONES_TO_LIVE = 0.25;
-    /** A segment is compacted only if this fraction of it is freed. */
+    /** A segment is compacted only if this frees at least this fraction of it. */
     static final double MIN_FREED = 0.2;
 
     private static final class Usage {
@@ -49,7 +49,7 @@
         usages.get(segment).tombstones += bytes;
     }
 
-    /** The operation here is the latest of its key no more; null is ignored. */
+    /** Records that the operation at this location has been superseded; null is ignored. */
     void addDead(Index.Location location) {
         Usage usage = location == null ? null : usages.get((long) location.segment());
         if (usage != null) {
@@ -61,12 +61,12 @@
         usages.remove(id);
     }
 
-    /** Bytes of all segments, one copy. */
+    /** Total length of all segments, one copy, in bytes. */
     long length() {
         return usages.values().stream().mapToLong(usage -> usage.length).sum();
     }
 
-    /** Bytes of live operations. */
+    /** Total length of all live operations, in bytes. */
     long live() {
         return usages.values().stream().mapToLong(usage -> usage.live).sum();
     }
@@ -77,9 +77,9 @@
     }
 
     /**
-     * The sealed segments to compact now, or none.
+     * Chooses the sealed segments to compact now; empty if there are none.
      *
-     * @param segmentBytes how long a segment becomes; stores of less than two of them are left alone
+     * @param segmentBytes size at which a segment is sealed; a store smaller than two such segments is not compacted
      */
     List<Long> choose(long segmentBytes) {
         long live = live();
@@ -93,7 +93,7 @@
             return sealed.stream().map(Map.Entry::getKey).toList();
         }
         List<Long> chosen = chooseByBenefit(sealed, segmentBytes);
-        return chosen.isEmpty() ? chooseShort(sealed, segmentBytes) : chosen;
+        return chosen.isEmpty() ? chooseSmall(sealed, segmentBytes) : chosen;
     }
 
     private List<Map.Entry<Long, Usage>> sealedByAge() {
@@ -108,7 +108,7 @@
         return sealed;
     }
 
-    /** The segments with the least to copy, as many as fill one new segment; sorts {@code sealed} in that order. */
+    /** Chooses the segments with the lowest share to copy, as many as fill one new segment; sorts {@code sealed} by it. */
     private static List<Long> chooseByBenefit(List<Map.Entry<Long, Usage>> sealed, long segmentBytes) {
         long oldest = sealed.get(0).getKey();
         Map<Long, Long> kept = new HashMap<>();
@@ -122,8 +122,8 @@
         long replaced = 0;
         for (Map.Entry<Long, Usage> entry : sealed) {
             long keep = kept.get(entry.getKey());
-            boolean pays = writtenLength(keep) <= (1 - MIN_FREED) * entry.getValue().length;
-            if (!pays || !chosen.isEmpty() && copied + keep > segmentBytes) {
+            boolean freesEnough = writtenLength(keep) <= (1 - MIN_FREED) * entry.getValue().length;
+            if (!freesEnough || !chosen.isEmpty() && copied + keep > segmentBytes) {
                 break;
             }
             chosen.add(entry.getKey());
@@ -133,14 +133,17 @@
         return replaced > writtenLength(copied) ? chosen : List.of();
     }
 
-    /** Short segments, left by restarts, are joined even though nothing in them is dead. */
-    private static List<Long> chooseShort(List<Map.Entry<Long, Usage>> sealed, long segmentBytes) {
-        List<Long> brief = sealed.stream().filter(entry -> entry.getValue().length < segmentBytes / 4)
+    /** Chooses small segments, which restarts leave behind, to merge them even if nothing in them is dead. */
+    private static List<Long> chooseSmall(List<Map.Entry<Long, Usage>> sealed, long segmentBytes) {
+        List<Long> small = sealed.stream().filter(entry -> entry.getValue().length < segmentBytes / 4)
             .map(Map.Entry::getKey).toList();
-        return brief.size() > 1 ? brief : List.of();
+        return small.size() > 1 ? small : List.of();
     }
 
-    /** How long a segment with these operations becomes. Guards against compacting for ever what is mostly heads. */
+    /**
+     * Length of a segment that holds this many bytes of operations. Including the headers prevents compacting segments again
+     * and again that consist mostly of headers.
+     */
     private static long writtenLength(long operations) {
         return operations == 0 ? 0 : Format.SEGMENT_HEADER_BYTES + operations
             + Format.FRAME_HEADER_BYTES * (1 + operations / CompactionOutput.FRAME_BYTES);
--- a/src/main/java/kelphollow/store/Snapshot.java
+++ b/src/main/java/kelphollow/store/Snapshot.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** A consistent view of the store; pins the files that it needs until it is closed. Any thread, one at a time. */
+/** A consistent view of the store; pins its files until it is closed. Used by one thread at a time. */
 public final class Snapshot implements AutoCloseable {
     /** Receives the keys and values of a scan. */
     public interface Visitor {
-        /** Called with each key and value; false ends the scan. */
+        /** Called with each key and value; returning false ends the scan. */
         boolean visit(byte[] key, byte[] value) throws IOException;
     }
 
@@ -23,7 +23,7 @@
         this.time = time;
     }
 
-    /** The value of a key, or null. Throws a fault of kind DAMAGED if it is intact in neither copy. */
+    /** Returns the value of a key, or null. Throws a fault of kind DAMAGED if it is intact in neither copy. */
     public byte[] get(String table, byte[] key) throws IOException, StoreFault {
         byte[] indexKey = tables.key(table, key);
         Index.Location location = indexKey == null ? null : view.index().get(indexKey);
@@ -35,7 +35,7 @@
         return segments.read(segment, indexKey, location);
     }
 
-    /** All keys of a table from this one on, in the order of their unsigned bytes. */
+    /** Visits the keys of a table from {@code from} (inclusive) on, in unsigned byte order. */
     public void scan(String table, byte[] from, Visitor visitor) throws IOException, StoreFault {
         byte[] start = tables.key(table, from);
         if (start == null) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Number of keys in all tables, expired ones that are not yet removed among them. */
+    /** Number of keys in all tables, including expired ones that have not been removed yet. */
     public int size() {
         return view.index().size();
     }
--- a/src/main/java/kelphollow/store/Store.java
+++ b/src/main/java/kelphollow/store/Store.java
@@ -9,13 +9,13 @@
 
 /**
  * An embedded store for state that must survive a restart: tables of keys and values on an append-only log, kept in two
- * copies in two folders, so that damage to either copy loses nothing. After Bitcask (Sheehy and Smith, 2010): all keys are
- * in memory, values on disk. Writing never blocks: it is acknowledged on the caller's executor once the requested
- * {@link Durability} is reached. Reading looks the key up in memory and then reads one place of one file, which may block
- * on the disk.
+ * copies in two folders, so that damage to either copy loses nothing. Follows Bitcask (Sheehy and Smith, 2010): all keys
+ * are in memory, values on disk. Writing never blocks: a write is acknowledged on the caller's executor once the requested
+ * {@link Durability} is reached. A read looks up the key in memory and then reads one range of one file, which may block on
+ * the disk.
  *
- * <p>Cost: at most 64 bytes of memory per key beside the key; three threads: the writer, the sync of the second copy, and
- * the background work. Thread-safe. File formats and the order of syncs are in {@code docs/design/STORE.md}.
+ * <p>Cost: at most 64 bytes of memory per key in addition to the key; three threads: the writer, the sync of the second
+ * copy, and the background work. Thread-safe. File formats and the order of syncs are in {@code docs/design/STORE.md}.
  */
 public final class Store implements AutoCloseable {
     /**
@@ -58,11 +58,11 @@
     }
 
     /**
-     * Opens the store in two folders, after a crash too, or creates one if both are empty.
+     * Opens the store in two folders, also after a crash, or creates one if both are empty.
      *
-     * @param clock Unix milliseconds, for expiry; a step back counts as standing still
-     * @throws StoreFault LOCKED, FOREIGN_FILES, UNSUPPORTED_VERSION, or DAMAGED if something that was acknowledged is intact
-     *     in neither copy
+     * @param clock Unix milliseconds, for expiry; a backward step is ignored until the clock catches up
+     * @throws StoreFault LOCKED, FOREIGN_FILES, UNSUPPORTED_VERSION, or DAMAGED if acknowledged data is intact in neither
+     *     copy
      * @throws IOException if a folder cannot be used
      */
     public static Store open(Disk first, Disk second, StoreOptions options, LongSupplier clock)
@@ -70,13 +70,13 @@
         return open(first, second, options, clock, RecoveryMode.REJECT_LOSS, ProgressListener.NONE);
     }
 
-    /** Like {@link #open(Disk, Disk, StoreOptions, LongSupplier)}, for tools that show the progress. */
+    /** Like {@link #open(Disk, Disk, StoreOptions, LongSupplier)}, and reports the progress. */
     public static Store open(Disk first, Disk second, StoreOptions options, LongSupplier clock, ProgressListener progress)
         throws IOException, StoreFault {
         return open(first, second, options, clock, RecoveryMode.REJECT_LOSS, progress);
     }
 
-    /** For the operator: opens the store without what is intact in neither copy. The report names what was lost. */
+    /** Opens the store and drops data that is intact in neither copy, for the operator. The report lists what was lost. */
     public static Store openAcceptingLoss(Disk first, Disk second, StoreOptions options, LongSupplier clock,
         ProgressListener progress) throws IOException, StoreFault {
         return open(first, second, options, clock, RecoveryMode.ACCEPT_LOSS, progress);
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Reads all bytes of both copies and changes nothing. */
+    /** Verifies all bytes of both copies without changing anything. */
     public static Inspection inspect(Disk first, Disk second, StoreOptions options, ProgressListener progress)
         throws IOException, StoreFault {
         Disk[] disks = {first, second};
@@ -141,21 +141,21 @@
     // ---------------------------------------------------------------- writing and reading
 
     /**
-     * Writes a batch, all of it or nothing. Returns at once.
+     * Writes a batch atomically. Returns immediately.
      *
-     * @param executor where {@code callback} is called, an event loop for instance
+     * @param executor runs {@code callback}, for example an event loop
      */
     public void write(Batch batch, Durability durability, Executor executor, WriteCallback callback) {
         writer.submit(new PendingWrite(batch, durability, executor, callback));
     }
 
-    /** The value of a key, or null. May block on the disk. */
+    /** Returns the value of a key, or null. May block on the disk. */
     public byte[] get(String table, byte[] key) throws IOException, StoreFault {
         byte[] indexKey = tables.key(table, key);
         return indexKey == null ? null : segments.get(indexKey, clock);
     }
 
-    /** A consistent view for reading while writes go on. Close it soon: it keeps files from being deleted. */
+    /** Returns a consistent view. Close it soon: until then the files that compaction replaces are not deleted. */
     public Snapshot snapshot() throws StoreFault {
         SegmentSet.Pinned pinned = segments.pin();
         while (pinned == null) {
@@ -179,20 +179,20 @@
         return report;
     }
 
-    /** Why nothing can be written any more, or null. */
+    /** The fault that stopped all writing, or null. */
     public StoreFault fault() {
         return writer.fault();
     }
 
-    /** The counters as they are now; waits for the writer's thread. */
+    /** Returns the current counters; waits for the writer's thread. */
     public Stats stats() throws IOException, StoreFault {
         return writer.call(CommitLog::stats);
     }
 
-    /** Does all background work that is due, in this thread; for tools and tests, with {@link StoreOptions#inline}. */
+    /** Runs all background work that is due on this thread; for tools and tests, with {@link StoreOptions#inline}. */
     public void runMaintenance() throws IOException, StoreFault {
         while (compactor.runOnce()) {
-            // until nothing is due
+            // repeats until no task is due
         }
     }
 
@@ -201,12 +201,12 @@
         compactor.compactAll();
     }
 
-    /** Reads both copies of all sealed segments and repairs a damaged one; returns the number of repaired files. */
+    /** Reads both copies of all sealed segments and repairs damaged ones; returns the number of repaired files. */
     public int scrub(IntegrityReport into) throws IOException, StoreFault {
         return compactor.scrub(into);
     }
 
-    /** Writes what is queued, records on disk that nothing is missing, and unlocks the folders. Idempotent. */
+    /** Writes the queued batches, marks the log as cleanly closed, and unlocks the folders. Idempotent. */
     @Override public void close() {
         synchronized (this) {
             if (closed) {
@@ -231,7 +231,7 @@
         return closed;
     }
 
-    /** The index in force, for benchmarks. */
+    /** The current index, for benchmarks. */
     Index index() {
         return segments.index();
     }
--- a/src/main/java/kelphollow/store/StoreFault.java
+++ b/src/main/java/kelphollow/store/StoreFault.java
@@ -1,26 +1,29 @@
 package kelphollow.store;
 
-/** Why the store did not do what it was asked. Its message names the file, what was found and what is wanted. */
+/**
+ * The store rejected an operation, or failed while it ran. The message names the file concerned, what was found and what was
+ * expected.
+ */
 public final class StoreFault extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** What kind of fault it is, and what follows from it. */
+    /** Kinds of faults, with what they mean for the caller. */
     public enum Kind {
         /** The queue is full: nothing was written, and the write may be retried. */
         QUEUE_FULL,
         /** The batch is larger than the store accepts: nothing was written. */
         BATCH_TOO_LARGE,
-        /** The disk failed. What was in progress may or may not be found after the next opening; later calls fail too. */
+        /** An I/O error. Writes in progress may or may not exist after the next opening; all later writes fail too. */
         IO_FAILURE,
         /** The store was closed. */
         CLOSED,
-        /** A record is damaged in both copies; only the operator can accept the loss. */
+        /** An acknowledged record is damaged in both copies; only the operator can accept the loss. */
         DAMAGED,
-        /** Another process holds the store. */
+        /** Another process has locked the store. */
         LOCKED,
-        /** The folder or a file in it is not this store's; nothing was touched. */
+        /** The folder or a file in it does not belong to this store; nothing was changed. */
         FOREIGN_FILES,
-        /** A file is of a format that this program does not know. */
+        /** A file has an unsupported format version. */
         UNSUPPORTED_VERSION
     }
 
@@ -36,7 +39,7 @@
         this.kind = kind;
     }
 
-    /** What kind of fault it is. */
+    /** The kind of the fault. */
     public Kind kind() {
         return kind;
     }
--- a/src/main/java/kelphollow/store/StoreId.java
+++ b/src/main/java/kelphollow/store/StoreId.java
@@ -2,7 +2,7 @@
 
 import java.util.UUID;
 
-/** The 128 random bits that tell one store's files from another's, drawn when the store is created. */
+/** A random 128-bit id that distinguishes the files of different stores; generated when a store is created. */
 record StoreId(long high, long low) {
     static StoreId random() {
         UUID id = UUID.randomUUID();
--- a/src/main/java/kelphollow/store/StoreOpener.java
+++ b/src/main/java/kelphollow/store/StoreOpener.java
@@ -8,13 +8,13 @@
 import java.util.TreeMap;
 
 /**
- * Recovery: from two folders, in whatever state a crash or a fault has left them, to one state in both. In this order: the
- * manifest of the higher generation is put in both folders; each segment is recovered from its two copies; files that it
- * does not name are deleted; the index is built. Idempotent, also after a crash at any step. Confined to the thread that
- * opens the store.
+ * Recovers the store from two folders in any state that a crash or a fault leaves behind, and makes both equal. Steps, in
+ * this order: writes the manifest of the higher generation to both folders; recovers each segment from its two copies;
+ * deletes files that the manifest does not list; builds the index. Idempotent, even if a step crashes. Confined to the
+ * thread that opens the store.
  */
 final class StoreOpener {
-    /** The recovered state. {@code active} is null until something is written, {@code time} in Unix milliseconds. */
+    /** The recovered state. {@code active} is null if there is no active segment; {@code time} is in Unix milliseconds. */
     record Recovered(StoreId storeId, Manifest manifest, Index index, Map<Long, Segment> segments, Segment active,
                      long lastSequence, long time, SegmentUsage usage, IntegrityReport report) {}
 
@@ -38,7 +38,7 @@
         this.progress = progress;
     }
 
-    /** Opens what is there, or creates a new store in two empty folders. */
+    /** Recovers an existing store, or creates a new one in two empty folders. */
     static Recovered open(Disk[] disks, StoreOptions options, long now, RecoveryMode mode, ProgressListener progress)
         throws IOException, StoreFault {
         StoreOpener opener = new StoreOpener(disks, options, now, mode, progress);
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Reads everything and changes nothing. */
+    /** Verifies all files without changing anything. */
     static Inspection inspect(Disk[] disks, StoreOptions options, ProgressListener progress)
         throws IOException, StoreFault {
         StoreOpener opener = new StoreOpener(disks, options.withCheckAll(true), 0, RecoveryMode.INSPECT, progress);
@@ -95,11 +95,11 @@
             }
         }
         if (changed && mode != RecoveryMode.INSPECT && (mode == RecoveryMode.ACCEPT_LOSS || !report.isDamaged())) {
-            adopt(remaining);
+            replaceManifest(remaining);
         }
     }
 
-    private void adopt(List<Manifest.Entry> entries) throws IOException {
+    private void replaceManifest(List<Manifest.Entry> entries) throws IOException {
         long highest = entries.stream().mapToLong(entry -> entry.id() + 1).max().orElse(0);
         manifest = new Manifest(manifest.store(), manifest.generation() + 1, Math.max(manifest.nextSegment(), highest),
             Math.max(manifest.nextSequence(), recovery.lastSequence() + 1), Math.max(manifest.time(), now), entries);
@@ -114,7 +114,7 @@
         return Math.max(recovery.time(), manifest.time());
     }
 
-    /** The usage of each segment, now that all are known and the index is built. */
+    /** Computes the usage of each segment; requires a built index. */
     private SegmentUsage usage() {
         SegmentUsage usage = new SegmentUsage();
         IndexLoader loader = recovery.loader();
@@ -136,16 +136,16 @@
             }
         }
         Map<Long, Long> live = recovery.loader().liveBytes();
-        List<Inspection.SegmentSummary> lines = new ArrayList<>();
+        List<Inspection.SegmentSummary> summaries = new ArrayList<>();
         long length = 0;
         for (Manifest.Entry entry : manifest.segments()) {
             SegmentRecovery.Size size = recovery.size(entry.id());
-            lines.add(new Inspection.SegmentSummary(entry.id(), size.bytes(), size.operations(),
+            summaries.add(new Inspection.SegmentSummary(entry.id(), size.bytes(), size.operations(),
                 live.getOrDefault(entry.id(), 0L), entry.isSealed(), entry.hintLength() > 0));
             length += size.bytes();
         }
         long totalLive = live.values().stream().mapToLong(Long::longValue).sum();
         return new Inspection(manifest.store().toString(), manifest.generation(), time(), lastSequence(), length,
-            totalLive, lines, tables, report);
+            totalLive, summaries, tables, report);
     }
 }
--- a/src/main/java/kelphollow/store/StoreOptions.java
+++ b/src/main/java/kelphollow/store/StoreOptions.java
@@ -1,15 +1,15 @@
 package kelphollow.store;
 
 /**
- * What an operator may set. Sizes in bytes, times in milliseconds.
+ * Options of a store. Sizes are in bytes, times in milliseconds.
  *
- * @param segmentBytes from this size on a segment is sealed and the next begun
+ * @param segmentBytes size at which a segment is sealed and the next one is created
  * @param maxBatchBytes the longest batch, keys and values with their heads; it may be longer than a segment
- * @param queueBytes how much may wait to be written; beyond it writes get {@link StoreFault.Kind#QUEUE_FULL}
- * @param groupBytes how much is written under one sync at most
- * @param compactBytesPerSecond what background work may read and write
+ * @param queueBytes maximum total size of queued batches; beyond it writes fail with {@link StoreFault.Kind#QUEUE_FULL}
+ * @param groupBytes maximum size of a group of batches that share one sync; a single larger batch is still written
+ * @param compactBytesPerSecond rate limit of the reads and writes of background work
  * @param scrubIntervalMillis how often both copies of all sealed segments are read and repaired; 0 is never
- * @param checkAll an opening reads every segment completely, instead of the hints of sealed ones
+ * @param checkAll whether an opening reads every segment completely instead of the hints of sealed ones
  * @param inline no threads: a batch is written in the call that submits it, background work is done when asked for (tests,
  *     tools)
  */
@@ -21,18 +21,21 @@
     private static final int MIN_BYTES = 256;
     private static final int MAX_BATCH = 256 * MIB;
 
-    /** What holds where the operator sets nothing. */
+    /** The default options. */
     public static final StoreOptions DEFAULTS =
         new StoreOptions(16 * MIB, 4 * MIB, 32 * MIB, MIB, 32 * MIB, DAY_MILLIS, false, false);
 
     /** Throws {@link IllegalArgumentException} for a value that is out of bounds. */
     public StoreOptions {
-        require(segmentBytes >= MIN_BYTES && segmentBytes <= GIB, "segmentBytes must be 256 to 1 GiB");
-        require(maxBatchBytes >= MIN_BYTES && maxBatchBytes <= MAX_BATCH, "maxBatchBytes must be 256 to 256 MiB");
-        require(queueBytes >= maxBatchBytes, "queueBytes must be at least maxBatchBytes");
-        require(groupBytes >= 1, "groupBytes must be at least 1");
-        require(scrubIntervalMillis >= 0, "scrubIntervalMillis must be at least 0");
-        require(compactBytesPerSecond >= 1, "compactBytesPerSecond must be at least 1");
+        require(segmentBytes >= MIN_BYTES && segmentBytes <= GIB, "segmentBytes must be 256 to 1 GiB, found "
+            + segmentBytes);
+        require(maxBatchBytes >= MIN_BYTES && maxBatchBytes <= MAX_BATCH, "maxBatchBytes must be 256 to 256 MiB, found "
+            + maxBatchBytes);
+        require(queueBytes >= maxBatchBytes, "queueBytes must be at least maxBatchBytes " + maxBatchBytes + ", found "
+            + queueBytes);
+        require(groupBytes >= 1, "groupBytes must be at least 1, found " + groupBytes);
+        require(scrubIntervalMillis >= 0, "scrubIntervalMillis must be at least 0, found " + scrubIntervalMillis);
+        require(compactBytesPerSecond >= 1, "compactBytesPerSecond must be at least 1, found " + compactBytesPerSecond);
     }
 
     private static void require(boolean holds, String message) {
--- a/src/main/java/kelphollow/store/Tables.java
+++ b/src/main/java/kelphollow/store/Tables.java
@@ -9,12 +9,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The tables' names and the number of two bytes that stands for each in front of its keys in the index. They are kept in
- * the store itself, as keys of table 0, and written in the batch that first names the table. Any thread may read; only the
- * writer's thread, or who opens the store, may add.
+ * Maps the names of tables to two-byte numbers, which prefix the keys of the index. The names are kept in the store itself,
+ * as keys of table 0, and written with the first batch that uses the table. Any thread may read; only the writer's thread,
+ * or the thread that opens the store, may add tables.
  */
 final class Tables {
-    /** Bytes of a table's number. */
+    /** Length of a table's number. */
     static final int NUMBER_BYTES = 2;
     private static final int MAX_TABLES = 0xffff;
     private static final short NAMES_TABLE = 0;
@@ -22,7 +22,7 @@
     private final Map<String, Integer> numbers = new ConcurrentHashMap<>();
     private final Map<Integer, String> names = new ConcurrentHashMap<>();
 
-    // ---------------------------------------------------------------- keys of the index
+    // ---------------------------------------------------------------- index keys
 
     /** The key under which a table's number is stored. */
     static byte[] nameKey(String name) {
@@ -33,7 +33,7 @@
         return ByteBuffer.allocate(NUMBER_BYTES + key.length).putShort(table).put(key).array();
     }
 
-    /** Whether a key of the index is that of a table's number. */
+    /** Whether an index key is that of a table's name. */
     static boolean isName(byte[] indexKey) {
         return numberOf(indexKey) == NAMES_TABLE;
     }
@@ -42,12 +42,12 @@
         return numberOf(indexKey) == numberOf(other);
     }
 
-    /** The table's number at the beginning of a key of the index, or in the value stored for its name. */
+    /** The table's number at the start of an index key, or in the value stored for a table's name. */
     static int numberOf(byte[] bytes) {
         return Format.int16(bytes, 0);
     }
 
-    /** The caller's key in a key of the index. */
+    /** The caller's key within an index key. */
     static byte[] keyOf(byte[] indexKey) {
         return Arrays.copyOfRange(indexKey, NUMBER_BYTES, indexKey.length);
     }
@@ -57,20 +57,20 @@
         return new String(indexKey, NUMBER_BYTES, indexKey.length - NUMBER_BYTES, StandardCharsets.UTF_8);
     }
 
-    /** The key of the index for a caller's key, or null if there is no such table. */
+    /** The index key for a caller's key, or null if the table does not exist. */
     byte[] key(String table, byte[] key) {
         Integer number = numbers.get(table);
         return number == null ? null : indexKey(number.shortValue(), key);
     }
 
-    /** The name of the table that a key of the index belongs to. */
+    /** The name of the table that an index key belongs to. */
     String name(byte[] indexKey) {
         return names.get(numberOf(indexKey));
     }
 
     // ---------------------------------------------------------------- tables
 
-    /** Adds a table as it is stored. */
+    /** Adds a table that was read from the store. */
     void load(byte[] nameKey, byte[] value) {
         register(textOf(nameKey), numberOf(value));
     }
@@ -80,7 +80,7 @@
         numbers.put(name, number);
     }
 
-    /** The tables in these changes that have no number yet, in their order. */
+    /** The tables in these changes that have no number yet, in order of appearance. */
     List<String> missing(List<Batch.Change> changes) {
         List<String> missing = new ArrayList<>(0);
         for (Batch.Change change : changes) {
@@ -91,11 +91,12 @@
         return missing;
     }
 
-    /** Gives a new table its number and returns the value to store for it. */
+    /** Assigns a number to a new table and returns the value to store for its name. */
     byte[] add(String name) {
         int number = numbers.size() + 1;
         if (number > MAX_TABLES) {
-            throw new IllegalStateException("more than " + MAX_TABLES + " tables");
+            throw new IllegalStateException("cannot add table " + name + ": the store has " + MAX_TABLES
+                + " tables, the maximum");
         }
         register(name, number);
         return indexKey((short) number, new byte[0]);
--- a/src/main/java/kelphollow/store/WriteQueue.java
+++ b/src/main/java/kelphollow/store/WriteQueue.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * What waits for the writer's thread: batches, bounded in bytes, and tasks; and whether the writer still takes any.
- * Thread-safe by one lock; only {@link #take} and {@link #awaitClosed} block.
+ * The queue of the writer's thread: batches, bounded in bytes, and tasks. Also holds the writer's state: open, closing or
+ * closed, and its fault. Thread-safe by one lock; only {@link #take} and {@link #awaitClosed} block.
  */
 final class WriteQueue {
-    /** What the writer does next; {@code isLast} when nothing can follow. */
+    /** The writes and tasks to process next; {@code isLast} if no group can follow. */
     record Group(List<PendingWrite> writes, List<PendingTask<?>> tasks, boolean isLast) {}
 
     private enum State { OPEN, CLOSING, CLOSED }
@@ -30,7 +30,7 @@
         this.options = options;
     }
 
-    /** Queues a write, or returns why it is rejected. */
+    /** Queues a write; returns null, or the fault if it is rejected. */
     StoreFault offer(PendingWrite write) {
         lock.lock();
         try {
@@ -54,16 +54,17 @@
             return new StoreFault(StoreFault.Kind.CLOSED, "the store is closed");
         }
         if (batch.bytes() > options.maxBatchBytes()) {
-            return new StoreFault(StoreFault.Kind.BATCH_TOO_LARGE, "a batch of " + batch.bytes() + " bytes; "
-                + options.maxBatchBytes() + " are allowed");
+            return new StoreFault(StoreFault.Kind.BATCH_TOO_LARGE, "batch of " + batch.bytes()
+                + " bytes exceeds the maximum of " + options.maxBatchBytes() + " bytes");
         }
         if (queuedBytes + batch.bytes() > options.queueBytes()) {
-            return new StoreFault(StoreFault.Kind.QUEUE_FULL, queuedBytes + " bytes wait to be written");
+            return new StoreFault(StoreFault.Kind.QUEUE_FULL, "write queue is full: " + queuedBytes + " of "
+                + options.queueBytes() + " bytes queued, batch of " + batch.bytes() + " bytes rejected");
         }
         return null;
     }
 
-    /** Queues a task; throws if the writer takes none any more. */
+    /** Queues a task; throws if the store is closed or has failed. */
     void offer(PendingTask<?> task) throws StoreFault {
         lock.lock();
         try {
@@ -81,10 +82,11 @@
     }
 
     /**
-     * Takes all tasks and a group of writes within {@link StoreOptions#groupBytes}; both may be empty.
+     * Takes all tasks and a group of writes of at most {@link StoreOptions#groupBytes}, or one larger write; both may be
+     * empty.
      *
-     * @param mayWait blocks until there is something to do, or the queue is being closed
-     * @param idleMillis returns with nothing after this long; 0 for never
+     * @param mayWait whether to block until there is work or the queue is being closed
+     * @param idleMillis maximum wait, after which an empty group is returned; 0 waits without limit
      */
     Group take(boolean mayWait, long idleMillis) {
         lock.lock();
@@ -118,12 +120,12 @@
                     return;
                 }
             } catch (InterruptedException e) {
-                state = State.CLOSING;      // nobody interrupts this thread but to end it
+                state = State.CLOSING;      // the writer's thread is interrupted only to end it
             }
         }
     }
 
-    /** Whether no write waits and the queue is open. */
+    /** Whether the queue is open and holds no writes. */
     boolean isIdle() {
         lock.lock();
         try {
@@ -133,7 +135,7 @@
         }
     }
 
-    /** The fault for which everything is rejected, null while there is none. */
+    /** The fault with which everything is rejected, or null. */
     StoreFault fault() {
         lock.lock();
         try {
@@ -143,21 +145,21 @@
         }
     }
 
-    /** Rejects all that comes from now on, with this fault unless there was one before. What is queued stays. */
-    void stop(StoreFault why) {
+    /** Rejects all later offers, with this fault unless there was an earlier one. Queued writes and tasks stay queued. */
+    void stop(StoreFault newFault) {
         lock.lock();
         try {
-            fault = fault == null ? why : fault;
+            fault = fault == null ? newFault : fault;
         } finally {
             lock.unlock();
         }
     }
 
-    /** Rejects all that comes from now on with this fault; returns the writes that were queued. */
-    List<PendingWrite> fail(StoreFault why) {
+    /** Rejects all later offers with this fault; removes and returns the queued writes. */
+    List<PendingWrite> fail(StoreFault newFault) {
         lock.lock();
         try {
-            fault = why;
+            fault = newFault;
             List<PendingWrite> queued = new ArrayList<>(writes);
             writes.clear();
             queuedBytes = 0;
@@ -167,7 +169,7 @@
         }
     }
 
-    /** Takes nothing more; what is queued is still taken out. */
+    /** Rejects all later offers; what is queued can still be taken. */
     void beginClose() {
         lock.lock();
         try {
@@ -180,7 +182,7 @@
         }
     }
 
-    /** The writer has ended. */
+    /** Marks the queue as closed once the writer has ended. */
     void finishClose() {
         lock.lock();
         try {
@@ -191,7 +193,7 @@
         }
     }
 
-    /** Waits until the writer has ended, through interrupts. */
+    /** Waits until the writer has ended, without responding to interrupts. */
     void awaitClosed() {
         lock.lock();
         try {
--- a/src/main/java/kelphollow/store/Writer.java
+++ b/src/main/java/kelphollow/store/Writer.java
@@ -4,13 +4,13 @@
 import java.util.function.Consumer;
 
 /**
- * Group commit: takes all batches that wait, has the {@link CommitLog} write them to both copies, syncs once and
- * acknowledges them. Its thread (the caller's with {@link StoreOptions#inline}) alone uses the log; other threads hand it
- * tasks. The first failure of the disk ends it: what was under way and all that comes later gets the fault, and nothing is
- * written any more, since after a failed sync the contents of the disk are not known.
+ * Group commit: takes the queued batches, has the {@link CommitLog} write them to both copies, syncs once and acknowledges
+ * them. Only its thread (the caller's with {@link StoreOptions#inline}) uses the log; other threads submit tasks. The first
+ * I/O error stops all writing: writes in progress and all later ones fail with the fault, since after a failed sync the
+ * contents of the disk are unknown.
  */
 final class Writer implements Runnable {
-    /** How long after the last write what is not yet synced, a commit marker at least, is synced; milliseconds. */
+    /** Delay after the last write until unsynced data is synced; a commit marker alone counts as unsynced too. */
     private static final long IDLE_SYNC_MILLIS = 1_000;
 
     private final CommitLog log;
@@ -18,7 +18,7 @@
     private final WriteQueue queue;
     private final Consumer<StoreFault> onFault;
 
-    /** Calls {@code onFault} with each fault that ends writing, on the thread that found it. */
+    /** Calls {@code onFault} with each fault that stops writing, on the thread that detected it. */
     Writer(CommitLog log, StoreOptions options, Consumer<StoreFault> onFault) {
         this.log = log;
         this.options = options;
@@ -28,7 +28,7 @@
 
     // ---------------------------------------------------------------- any thread
 
-    /** Never blocks. The callback is called on its executor, also for what is rejected at once. */
+    /** Queues a write without blocking. The callback runs on its executor, also when the write is rejected immediately. */
     void submit(PendingWrite write) {
         StoreFault rejection = queue.offer(write);
         if (rejection != null) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Has the task run between two groups and waits for its end; throws what it threw. */
+    /** Runs a task on the writer's thread between two groups, waits for its result and rethrows its exception. */
     <T> T call(PendingTask.LogTask<T> task) throws IOException, StoreFault {
         PendingTask<T> pending = new PendingTask<>(task);
         queue.offer(pending);
@@ -61,18 +61,18 @@
         });
     }
 
-    /** Ends all writing because of a fault that was found elsewhere. */
-    void stop(StoreFault why) {
-        queue.stop(why);
-        onFault.accept(why);
+    /** Stops all writing because of a fault that was detected elsewhere. */
+    void stop(StoreFault fault) {
+        queue.stop(fault);
+        onFault.accept(fault);
     }
 
-    /** The first fault, null while there is none. */
+    /** The fault that stopped writing, or null. */
     StoreFault fault() {
         return queue.fault();
     }
 
-    /** Writes what waits, records in the segment that nothing is missing, and ends. */
+    /** Writes the queued batches, marks the log as cleanly closed, and ends the writer. */
     void close() {
         queue.beginClose();
         if (options.inline()) {
@@ -83,14 +83,14 @@
 
     // ---------------------------------------------------------------- the writer's thread
 
-    /** Writes group after group until {@link #close}. */
+    /** Processes groups until {@link #close}. */
     @Override public void run() {
         while (runOnce(true)) {
-            // each round is one group
+            // each iteration processes one group
         }
     }
 
-    /** One group; false when there is no further one. */
+    /** Processes one group; returns false if it was the last. */
     private boolean runOnce(boolean mayWait) {
         WriteQueue.Group group = queue.take(mayWait, log.isUnsynced() ? IDLE_SYNC_MILLIS : 0);
         process(group);
@@ -145,13 +145,16 @@
     }
 
     private StoreFault fail(Exception cause) {
-        StoreFault found = new StoreFault(StoreFault.Kind.IO_FAILURE, "the store can write no more: " + cause, cause);
+        StoreFault found = new StoreFault(StoreFault.Kind.IO_FAILURE, "the store has stopped writing: " + cause, cause);
         queue.fail(found).forEach(write -> write.complete(found));
         onFault.accept(found);
         return found;
     }
 
-    /** Records at once what has just been synced, unless a batch follows that would; a commit marker needs no sync. */
+    /**
+     * Appends a commit marker for the synced batches, unless another batch is queued, whose group will do so. The marker
+     * itself needs no sync.
+     */
     private void writeMarkerIfIdle() {
         if (queue.isIdle()) {
             try {
--- a/src/main/java/kelphollow/store/package-info.java
+++ b/src/main/java/kelphollow/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * An embedded key-value store after Bitcask: an append-only log kept in two copies. The entry point is
+ * An embedded key-value store modelled on Bitcask: an append-only log kept in two copies. The entry point is
  * {@link kelphollow.store.Store}.
  * <ul>
  * <li>Writing: {@link kelphollow.store.Batch}, {@code WriteQueue}, {@code Writer}, {@code CommitLog}
--- a/src/test/java/kelphollow/store/SegmentHintTest.java
+++ b/src/test/java/kelphollow/store/SegmentHintTest.java
@@ -112,7 +112,7 @@
     /** A hint of four entries with the one at this position and the next exchanged; the checksum is right. */
     private static byte[] swapWithNext(byte[] hint, int position) {
         byte[] bytes = hint.clone();
-        int length = SegmentHint.ENTRY + 4;
+        int length = SegmentHint.ENTRY_HEADER_BYTES + 4;
         int at = bytes.length - 4 - (4 - position) * length;
         System.arraycopy(hint, at + length, bytes, at, length);
         System.arraycopy(hint, at, bytes, at + length, length);
