--- a/src/test/java/kelphollow/store/CrashTest.java
+++ b/src/test/java/kelphollow/store/CrashTest.java
@@ -41,7 +41,7 @@
         int buffered;
 
         Workload(Faults faults) {
-            harness.on(new MemoryDisk("a", faults), new MemoryDisk("b", faults));
+            harness.useDisks(new MemoryDisk("a", faults), new MemoryDisk("b", faults));
             harness.options = StoreHarness.SMALL;
         }
 
@@ -129,7 +129,7 @@
 
     private static void assertRecovers(Workload workload, Random random, String context) {
         try {
-            StoreHarness harness = new StoreHarness().on(workload.harness.first.afterPowerCut(random),
+            StoreHarness harness = new StoreHarness().useDisks(workload.harness.first.afterPowerCut(random),
                 workload.harness.second.afterPowerCut(random));
             harness.options = workload.harness.options.withCheckAll(random.nextBoolean());
             harness.open();
@@ -158,14 +158,14 @@
             MemoryDisk second = workload.harness.second.afterPowerCut(random);
             for (int recoveryOperation = 1; recoveryOperation < 1_000; recoveryOperation++) {
                 Faults faults = faultsFrom(recoveryOperation, Faults.Kind.POWER_CUT);
-                StoreHarness harness = new StoreHarness().on(first.copy(faults), second.copy(faults));
+                StoreHarness harness = new StoreHarness().useDisks(first.copy(faults), second.copy(faults));
                 harness.options = workload.harness.options;
                 try {
                     harness.open();
                     break;              // recovery completed, so the power was cut at each of its operations
                 } catch (IOException | StoreFault e) {
                     Workload cutOff = new Workload(faults);
-                    cutOff.harness.on(harness.first, harness.second);
+                    cutOff.harness.useDisks(harness.first, harness.second);
                     cutOff.history.addAll(workload.history.subList(1, workload.history.size()));
                     cutOff.synced = workload.synced;
                     assertRecovers(cutOff, random, "power cut at " + operation + ", recovery cut at " + recoveryOperation);
@@ -182,7 +182,7 @@
             workload.run();
             String context = kind + " at operation " + operation;
             try {
-                StoreHarness killed = new StoreHarness().on(workload.harness.first.copy(new Faults()),
+                StoreHarness killed = new StoreHarness().useDisks(workload.harness.first.copy(new Faults()),
                     workload.harness.second.copy(new Faults()));
                 killed.open();
                 workload.assertKept(StoreHarness.contents(killed.store), workload.buffered, context + ", then killed");
@@ -245,7 +245,7 @@
         for (int seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
             StoreHarness afterCut = new StoreHarness()
-                .on(harness.first.afterPowerCut(random), harness.second.afterPowerCut(random)).open();
+                .useDisks(harness.first.afterPowerCut(random), harness.second.afterPowerCut(random)).open();
             assertNotNull(afterCut.get("t", "key"), "seed " + seed);
         }
     }
--- a/src/test/java/kelphollow/store/EveryByteTest.java
+++ b/src/test/java/kelphollow/store/EveryByteTest.java
@@ -58,7 +58,7 @@
     /** Opens damaged copies; asserts that no data is lost, that a second opening changes nothing, and that writes work. */
     private static void assertRepaired(StoreHarness sample, MemoryDisk first, MemoryDisk second, String context) {
         try {
-            StoreHarness harness = new StoreHarness().on(first, second);
+            StoreHarness harness = new StoreHarness().useDisks(first, second);
             harness.options = sample.options;
             harness.now = sample.now;
             harness.open();
@@ -198,7 +198,7 @@
 
     private static StoreHarness damageBoth(StoreHarness sample, String name, int at) {
         MemoryDisk.Faults faults = new MemoryDisk.Faults();
-        StoreHarness harness = new StoreHarness().on(sample.first.copy(faults), sample.second.copy(faults));
+        StoreHarness harness = new StoreHarness().useDisks(sample.first.copy(faults), sample.second.copy(faults));
         for (MemoryDisk disk : List.of(harness.first, harness.second)) {
             byte[] bytes = disk.bytes(name).clone();
             bytes[at] ^= 0x10;
--- a/src/test/java/kelphollow/store/RecordedFolders.java
+++ b/src/test/java/kelphollow/store/RecordedFolders.java
@@ -16,28 +16,28 @@
 import java.util.stream.Stream;
 
 /**
- * Stores that an earlier program wrote, under {@code src/test/resources/stores}: a folder each, with the store's two
- * folders {@code a} and {@code b} and texts of what that program read in them. They are never written anew: what reads
- * or writes them otherwise has changed the stored format.
+ * Reference stores written by an earlier version of the program, under {@code src/test/resources/stores}: one folder for
+ * each, with the store's two folders {@code a} and {@code b} and text files of what that version read from them. They are
+ * never regenerated: code that reads or writes them differently has changed the stored format.
  */
 public final class RecordedFolders {
-    /** The two copies of a store, by the names of their folders. */
+    /** Names of the folders of a store's two copies. */
     public static final List<String> COPIES = List.of("a", "b");
-    /** A store in which nothing was written. Each recorded store began as this one, so that all have its identity. */
+    /** An empty store. Each recorded store began as a copy of it, so all have the same store id. */
     public static final String NEW = "new";
     private static final Path RECORDINGS = Path.of("src/test/resources/stores");
-    /** The file that a running program locks; it is empty and no part of the format. */
+    /** The file that a running program locks; it is empty and not part of the format. */
     private static final String LOCK = "LOCK";
-    private static final String NOTHING = "-";
+    private static final String EMPTY = "-";
 
     private RecordedFolders() {}
 
-    /** Where a recorded store is. */
+    /** The path of a recorded store. */
     public static Path of(String store) {
         return RECORDINGS.resolve(store);
     }
 
-    /** The lines of a recorded text. */
+    /** The lines of a recorded text file. */
     public static List<String> text(String store, String name) throws IOException {
         return Files.readAllLines(of(store).resolve(name), StandardCharsets.UTF_8);
     }
@@ -53,7 +53,7 @@
         return to;
     }
 
-    /** Compares the files of both folders, their names and their bytes. */
+    /** Asserts that both folders have files of the same names and bytes. */
     public static void assertSameFiles(Path expected, Path found) throws IOException {
         for (String copy : COPIES) {
             Path expectedFolder = expected.resolve(copy);
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Folder, name, length and SHA-256 of each file, a line each. */
+    /** One line per file: folder, name, length and SHA-256. */
     public static List<String> listing(Path store) throws IOException {
         List<String> lines = new ArrayList<>();
         for (String copy : COPIES) {
@@ -78,7 +78,7 @@
         return lines;
     }
 
-    /** Table, key and value in hexadecimal digits of all that a store holds, a line each, sorted. */
+    /** One line per key, sorted: table, key and value in hexadecimal. */
     public static List<String> contents(Store store) throws IOException, StoreFault {
         List<String> lines = new ArrayList<>();
         try (Snapshot snapshot = store.snapshot()) {
@@ -102,7 +102,7 @@
     }
 
     private static String hex(byte[] bytes) {
-        return bytes.length == 0 ? NOTHING : HexFormat.of().formatHex(bytes);
+        return bytes.length == 0 ? EMPTY : HexFormat.of().formatHex(bytes);
     }
 
     private static byte[] sha256(byte[] bytes) {
--- a/src/test/java/kelphollow/store/SegmentHintTest.java
+++ b/src/test/java/kelphollow/store/SegmentHintTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The index that an opening merges from hints, and hints that are rejected. */
+/** Tests the index that an opening merges from hints, and the rejection of invalid hints. */
 class SegmentHintTest {
     private static final StoreOptions OPTIONS = StoreHarness.SMALL.withSegmentBytes(64 * 1024).withCheckAll(false);
     private final MemoryDisk.Faults faults = new MemoryDisk.Faults();
     private final MemoryDisk first = new MemoryDisk("a", faults);
     private final MemoryDisk second = new MemoryDisk("b", faults);
 
-    /** Keys that have common prefixes, are prefixes of each other, or differ in zeros at their end only. */
+    /** Returns keys that share prefixes, are prefixes of each other, or differ only in trailing zeros. */
     private static byte[] key(Random random) {
         byte[] key = new byte[random.nextInt(16)];
         for (int i = 0; i < key.length; i++) {
@@ -56,10 +56,11 @@
         return model;
     }
 
-    @ParameterizedTest @ValueSource(booleans = {false, true}) void anOpeningFindsWhatAMapHolds(
+    @ParameterizedTest @ValueSource(booleans = {false, true}) void anOpeningRestoresTheWrittenKeysAndValues(
         boolean checkAll) throws Exception {
         TreeMap<byte[], byte[]> model = fill(80_000, 1);
-        assertTrue(model.size() > IndexLoader.MIN_PARALLEL_OPERATIONS, "cut into ranges of keys: " + model.size());
+        assertTrue(model.size() > IndexLoader.MIN_PARALLEL_OPERATIONS, "enough keys for a merge in parallel key ranges: "
+            + model.size());
         try (Store store = Store.open(first, second, OPTIONS.withCheckAll(checkAll), () -> 1);
              Snapshot snapshot = store.snapshot()) {
             assertTrue(store.stats().segments() > 8, "several segments were merged");
@@ -71,11 +72,11 @@
                 return true;
             });
             assertFalse(expected.hasNext(), "all " + model.size() + " keys were there");
-            assertEquals(model.size() + 1, store.stats().keys(), "and the table's name");
+            assertEquals(model.size() + 1, store.stats().keys(), "the keys and the table's name");
         }
     }
 
-    /** Live bytes decide what compaction takes: the merge of hints must count them as writing did. */
+    /** Compaction chooses segments by their live bytes, so the merge of hints must count them as the writer did. */
     @Test void anOpeningCountsLiveBytesAsTheWriterDid() throws Exception {
         fill(5_000, 2);
         try (Store store = Store.open(first, second, OPTIONS, () -> 1)) {
@@ -87,7 +88,7 @@
         }
     }
 
-    @Test void aHintWhoseKeysAreOutOfOrderIsRejectedThoughItsChecksumIsValid() throws Exception {
+    @Test void aHintWithKeysOutOfOrderIsRejectedEvenIfItsChecksumIsValid() throws Exception {
         try (Store store = Store.open(first, second, OPTIONS, () -> 1)) {
             for (String key : new String[] {"k1", "k2", "k2"}) {
                 Batch batch = new Batch().put("t", StoreHarness.bytes(key), new byte[1]);
@@ -101,7 +102,7 @@
         byte[] hint = SegmentHint.of(manifest.store(), merge, entry.id()).bytes();
         assertNotNull(SegmentHint.read(hint, manifest.store(), withHint(entry, hint)));
 
-        // The name of the table comes first, then k1, and k2 twice, the later first.
+        // Order of the entries: the table's name, k1, and k2 twice, the later operation first.
         for (int position = 1; position < 3; position++) {
             byte[] swapped = swapWithNext(hint, position);
             assertNull(SegmentHint.read(swapped, manifest.store(), withHint(entry, swapped)),
@@ -109,7 +110,7 @@
         }
     }
 
-    /** A hint of four entries with the one at this position and the next exchanged; the checksum is right. */
+    /** Swaps the entry at this position of a four-entry hint with the next, and updates the checksum. */
     private static byte[] swapWithNext(byte[] hint, int position) {
         byte[] bytes = hint.clone();
         int length = SegmentHint.ENTRY_HEADER_BYTES + 4;
--- a/src/test/java/kelphollow/store/StoreHarness.java
+++ b/src/test/java/kelphollow/store/StoreHarness.java
@@ -14,26 +14,26 @@
 import java.util.logging.Logger;
 
 /**
- * A store in two folders in memory, without threads of its own, beside a plain map of what it should hold. Confined to the
- * thread of its test.
+ * A store in two in-memory folders, without threads of its own, and a map of what it should hold. Confined to the test's
+ * thread.
  */
 final class StoreHarness {
-    /** Kept, since loggers are garbage-collected: thousands of faults are injected, and each would be a line in the log. */
+    /** Strong reference, since loggers are garbage-collected. Each of thousands of injected faults would be a log line. */
     private static final Logger SILENCED = Logger.getLogger(Store.class.getName());
 
     static {
         SILENCED.setLevel(Level.OFF);
     }
 
-    /** Options with which a few records fill a segment. */
+    /** Options with segments so small that a few records fill one. */
     static final StoreOptions SMALL = new StoreOptions(512, 4096, 8192, 4096, 1 << 30, 0, true, true);
-    /** What was acknowledged, by {@code table/key}. */
+    /** The acknowledged values, by {@code table/key}. */
     final Map<String, String> model = new TreeMap<>();
     MemoryDisk first;
     MemoryDisk second;
     Store store;
     StoreOptions options = SMALL;
-    /** The store's clock, in milliseconds. */
+    /** The store's clock, in Unix milliseconds. */
     long now = 1_000_000;
 
     StoreHarness() {
@@ -43,7 +43,7 @@
     }
 
     /** Uses these folders from the next opening on. */
-    StoreHarness on(MemoryDisk newFirst, MemoryDisk newSecond) {
+    StoreHarness useDisks(MemoryDisk newFirst, MemoryDisk newSecond) {
         first = newFirst;
         second = newSecond;
         return this;
@@ -54,7 +54,7 @@
         return this;
     }
 
-    /** Opens the store as the operator does who accepts the loss of what is damaged in both copies. */
+    /** Opens the store as an operator who accepts the loss of data that is damaged in both copies. */
     void openAcceptingLoss() throws IOException, StoreFault {
         store = Store.openAcceptingLoss(first, second, options, () -> now, ProgressListener.NONE);
     }
@@ -64,7 +64,7 @@
         open();
     }
 
-    /** Opens the store again as if its process had been killed: nothing is closed, what the system was given stays. */
+    /** Reopens the store as after a kill of its process: nothing is closed, and data written to the system is kept. */
     void killAndReopen() throws IOException, StoreFault {
         first = first.copy(new MemoryDisk.Faults());
         second = second.copy(first.faults);
@@ -83,7 +83,7 @@
     StoreFault write(Batch batch, Durability durability) {
         List<StoreFault> results = new ArrayList<>();
         store.write(batch, durability, Runnable::run, results::add);
-        assertEquals(1, results.size(), "acknowledged once");
+        assertEquals(1, results.size(), "number of acknowledgements");
         if (results.get(0) == null) {
             apply(batch, model);
         }
@@ -117,14 +117,15 @@
         return text(store.get(table, bytes(key)));
     }
 
-    /** All that the store holds, by {@code table/key}; asserts that scans are in order and agree with lookups. */
+    /** Returns all values of the store by {@code table/key}; asserts that scans are in key order and agree with lookups. */
     static Map<String, String> contents(Store store) throws IOException, StoreFault {
         Map<String, String> contents = new TreeMap<>();
         try (Snapshot snapshot = store.snapshot()) {
             for (String table : store.tableNames()) {
                 byte[][] previous = new byte[1][];
                 snapshot.scan(table, new byte[0], (key, value) -> {
-                    assertEquals(true, previous[0] == null || Arrays.compareUnsigned(previous[0], key) < 0, "in order");
+                    assertEquals(true, previous[0] == null || Arrays.compareUnsigned(previous[0], key) < 0,
+                        "scan in key order");
                     previous[0] = key;
                     contents.put(table + "/" + text(key), text(value));
                     assertArrayEquals(value, lookUp(snapshot, table, key));
--- a/src/test/java/kelphollow/store/StoreProperties.java
+++ b/src/test/java/kelphollow/store/StoreProperties.java
@@ -18,28 +18,31 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.Tuple;
 
-/** Any sequence of calls, kills and power cuts, against a plain map. jqwik shrinks a failing one and prints its seed. */
+/** Compares the store with a map after random calls, kills and power cuts. jqwik shrinks failures and prints the seed. */
 class StoreProperties {
-    enum Kind { PUT, PUT_BUFFERED, PUT_UNTIL, REMOVE, PAIR, LATER, MAINTENANCE, COMPACT, REOPEN, KILL, POWER_CUT }
+    enum Kind {
+        PUT, PUT_BUFFERED, PUT_WITH_EXPIRY, REMOVE, PUT_AND_REMOVE, ADVANCE_CLOCK, MAINTENANCE, COMPACT, REOPEN, KILL,
+        POWER_CUT
+    }
 
     record Step(Kind kind, int key, int size) {}
 
     @Provide Arbitrary<List<Step>> steps() {
         Arbitrary<Kind> kinds = Arbitraries.frequencyOf(
-            Tuple.of(12, Arbitraries.of(Kind.PUT, Kind.PUT_BUFFERED, Kind.REMOVE, Kind.PAIR)),
-            Tuple.of(4, Arbitraries.of(Kind.PUT_UNTIL, Kind.LATER, Kind.MAINTENANCE, Kind.COMPACT)),
+            Tuple.of(12, Arbitraries.of(Kind.PUT, Kind.PUT_BUFFERED, Kind.REMOVE, Kind.PUT_AND_REMOVE)),
+            Tuple.of(4, Arbitraries.of(Kind.PUT_WITH_EXPIRY, Kind.ADVANCE_CLOCK, Kind.MAINTENANCE, Kind.COMPACT)),
             Tuple.of(1, Arbitraries.of(Kind.REOPEN, Kind.KILL, Kind.POWER_CUT)));
         return Combinators.combine(kinds, Arbitraries.integers().between(0, 11), Arbitraries.integers().between(0, 300))
             .as(Step::new).list().ofMinSize(1).ofMaxSize(120);
     }
 
-    /** A store and the plain maps that it is compared with. */
+    /** A store and the maps that it is compared with. */
     private static final class Comparison {
         private final Random random;
         private final StoreHarness harness = new StoreHarness();
-        /** When each key expires; part of the model, since an expired key is gone. */
+        /** The expiry of each key, in Unix milliseconds; the model treats expired keys as absent. */
         private final Map<String, Long> expiries = new TreeMap<>();
-        /** The states since the last synced batch, oldest first: what a power cut may fall back to. */
+        /** The states since the last synced batch, oldest first; a power cut may revert the store to any of them. */
         private final List<Map<String, String>> unsynced = new ArrayList<>();
         private Map<String, String> model = new TreeMap<>();
         private int steps;
@@ -57,10 +60,10 @@
             Batch batch = new Batch();
             switch (step.kind) {
                 case PUT, PUT_BUFFERED -> StoreHarness.put(batch, "t", key, value);
-                case PUT_UNTIL -> batch.put("t", StoreHarness.bytes(key), StoreHarness.bytes(value), harness.now + 10);
+                case PUT_WITH_EXPIRY -> batch.put("t", StoreHarness.bytes(key), StoreHarness.bytes(value), harness.now + 10);
                 case REMOVE -> batch.remove("t", StoreHarness.bytes(key));
-                case PAIR -> StoreHarness.put(batch, "t", key, value).remove("t", StoreHarness.bytes("key0"));
-                case LATER -> harness.now += step.size / 10;
+                case PUT_AND_REMOVE -> StoreHarness.put(batch, "t", key, value).remove("t", StoreHarness.bytes("key0"));
+                case ADVANCE_CLOCK -> harness.now += step.size / 10;
                 case MAINTENANCE -> harness.store.runMaintenance();
                 case COMPACT -> harness.store.compactAll();
                 case REOPEN -> harness.reopen();
@@ -88,7 +91,7 @@
         }
 
         private void cutPower() throws IOException, StoreFault {
-            harness.on(harness.first.afterPowerCut(random), harness.second.afterPowerCut(random)).open();
+            harness.useDisks(harness.first.afterPowerCut(random), harness.second.afterPowerCut(random)).open();
             Map<String, String> found = StoreHarness.contents(harness.store);
             List<Map<String, String>> allowed = new ArrayList<>(unsynced);
             allowed.add(model);
@@ -108,7 +111,7 @@
         }
     }
 
-    @Property(tries = 300, seed = "7") void theStoreHoldsWhatAMapWould(@ForAll("steps") List<Step> steps, @ForAll long seed)
+    @Property(tries = 300, seed = "7") void theStoreMatchesAMap(@ForAll("steps") List<Step> steps, @ForAll long seed)
         throws Exception {
         Comparison comparison = new Comparison(seed);
         for (Step step : steps) {
@@ -119,8 +122,8 @@
         comparison.assertSameContents();
     }
 
-    /** The index alone, in sizes at which leaves split and merge. */
-    @Property(tries = 40, seed = "11") void theIndexHoldsWhatATreeMapWould(@ForAll long seed) {
+    /** Tests the index without the store, at sizes at which leaves split and merge. */
+    @Property(tries = 40, seed = "11") void theIndexMatchesATreeMap(@ForAll long seed) {
         Random random = new Random(seed);
         IndexEditor editor = new IndexEditor(Index.EMPTY);
         TreeMap<String, Integer> model = new TreeMap<>();
@@ -138,7 +141,7 @@
                 assertEquals(model.put(key, i), offset(editor.put(key.getBytes(), location)));
             }
             if (random.nextInt(500) == 0) {
-                assertEquals(publishedModel, contents(published), "a published index never changes");
+                assertEquals(publishedModel, contents(published), "a published index is immutable");
                 published = editor.publish();
                 publishedModel = new TreeMap<>(model);
             }
@@ -155,7 +158,7 @@
         Map<String, Integer> contents = new LinkedHashMap<>();
         for (Index.Entry entry : index.entriesFrom(new byte[0])) {
             Integer previous = contents.put(new String(entry.key()), entry.location().offset());
-            assertNull(previous, "each key once");
+            assertNull(previous, "each key appears once");
         }
         return contents;
     }
--- a/src/test/java/kelphollow/store/StoreTest.java
+++ b/src/test/java/kelphollow/store/StoreTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What callers of the store see. */
+/** Tests the store through its public API. */
 class StoreTest {
     private final StoreHarness harness = new StoreHarness();
 
-    @Test void writtenDataIsThereAfterReopening() throws Exception {
+    @Test void writtenDataSurvivesReopening() throws Exception {
         harness.open();
         assertNull(harness.put("parts", "a", "1"));
         assertNull(harness.put("parts", "b", "2"));
@@ -36,7 +36,7 @@
         assertEquals(List.of(), harness.store.report().findings());
     }
 
-    @Test void acknowledgedDataIsThereAfterAKill() throws Exception {
+    @Test void acknowledgedDataSurvivesAKill() throws Exception {
         harness.open();
         for (int i = 0; i < 50; i++) {
             harness.put("t" + i % 3, "key" + i % 7, "value" + i);
@@ -64,7 +64,7 @@
         assertTrue(firstBefore.hasSameFiles(harness.first) && secondBefore.hasSameFiles(harness.second));
     }
 
-    @Test void aBatchOverSeveralTablesIsAtomicAndItsLaterChangeOfAKeyWins() throws Exception {
+    @Test void aBatchAcrossTablesIsAtomicAndTheLastChangeOfAKeyWins() throws Exception {
         harness.open();
         Batch batch = StoreHarness.put(new Batch(), "x", "k", "old").put("y", new byte[0], new byte[0]);
         StoreHarness.put(batch, "x", "k", "new").remove("z", StoreHarness.bytes("nothing"));
@@ -77,7 +77,7 @@
         harness.assertHoldsModel();
     }
 
-    @Test void aRecordLongerThanASegmentGetsASegmentOfItsOwn() throws Exception {
+    @Test void aBatchLargerThanASegmentGetsItsOwnSegment() throws Exception {
         harness.open();
 
         harness.put("t", "small", "1");
@@ -99,25 +99,25 @@
         harness.assertHoldsModel();
     }
 
-    @Test void overwritingKeepsSpaceWithinTwoAndAHalfTimesTheLiveData() throws Exception {
+    @Test void compactionKeepsSpaceBelowTwoAndAHalfTimesTheLiveBytes() throws Exception {
         harness.options = StoreHarness.SMALL.withSegmentBytes(4_096);
         harness.open();
-        double worst = 0;
+        double maxAmplification = 0;
         for (int i = 0; i < 6_000; i++) {
             harness.put("t", "key" + i * 7 % 200, "value" + "x".repeat(100) + i);
             harness.store.runMaintenance();
             Store.Stats stats = harness.store.stats();
             if (i > 400) {
-                worst = Math.max(worst, (double) stats.bytes() / stats.liveBytes());
+                maxAmplification = Math.max(maxAmplification, (double) stats.bytes() / stats.liveBytes());
             }
         }
-        assertTrue(worst < 2.5, "space was " + worst + " times what is live");
+        assertTrue(maxAmplification < 2.5, "space was " + maxAmplification + " times the live bytes");
         harness.assertHoldsModel();
         harness.killAndReopen();
         harness.assertHoldsModel();
     }
 
-    @Test void keysThatAreWrittenAndRemovedLeaveNoSpaceBehind() throws Exception {
+    @Test void compactionReclaimsTheSpaceOfRemovedKeys() throws Exception {
         harness.options = StoreHarness.SMALL.withSegmentBytes(2_048);
         harness.open();
         harness.put("t", "for good", "1");
@@ -133,7 +133,7 @@
         harness.assertHoldsModel();
     }
 
-    @Test void compactionDropsATombstoneOnlyWhenNothingOlderIsLeft() throws Exception {
+    @Test void compactionKeepsATombstoneWhileAnOlderSegmentIsLeft() throws Exception {
         harness.options = StoreHarness.SMALL.withSegmentBytes(600);
         harness.open();
         for (int i = 0; i < 60; i++) {
@@ -151,7 +151,7 @@
         }
     }
 
-    @Test void aSnapshotStaysAsItWasWhileCompactionReplacesItsFiles() throws Exception {
+    @Test void aSnapshotIsUnchangedWhileCompactionReplacesItsFiles() throws Exception {
         harness.open();
         for (int i = 0; i < 40; i++) {
             harness.put("t", "key" + i, "old");
@@ -177,7 +177,7 @@
         assertEquals(files, harness.first.names().size(), "the snapshot's files were deleted when it was closed");
     }
 
-    @Test void anExpiredValueIsGoneAndDoesNotComeBackWhenTheClockGoesBack() throws Exception {
+    @Test void anExpiredValueStaysExpiredWhenTheClockStepsBack() throws Exception {
         harness.open();
         byte[] key = StoreHarness.bytes("k");
         harness.write(new Batch().put("t", key, StoreHarness.bytes("old")), Durability.SYNCED);
@@ -191,7 +191,7 @@
         assertNull(harness.get("t", "k"));
         harness.put("t", "other", "1");
         harness.killAndReopen();
-        assertNull(harness.get("t", "k"), "a commit marker kept the time");
+        assertNull(harness.get("t", "k"), "a commit marker recorded the time");
         harness.store.runMaintenance();
         harness.store.compactAll();
         harness.killAndReopen();
@@ -199,7 +199,7 @@
         assertEquals(Map.of("t/other", "1"), StoreHarness.contents(harness.store));
     }
 
-    @Test void aFullQueueRejectsAtOnceAndAcceptedWritesAreWritten() throws Exception {
+    @Test void aFullQueueRejectsImmediatelyAndAcceptedWritesAreStored() throws Exception {
         StoreOptions options = StoreHarness.SMALL.withQueueBytes(4_096).withInline(false);
         MemoryDisk.Faults faults = new MemoryDisk.Faults();
         MemoryDisk first = new MemoryDisk("a", faults);
@@ -229,7 +229,7 @@
         reopened.close();
     }
 
-    /** The two copies are synced in parallel: whichever fails, nothing is acknowledged then or later. */
+    /** The two copies are synced in parallel; after either fails, no write is acknowledged. */
     @ParameterizedTest @ValueSource(ints = {0, 1}) void aFailedSyncOfEitherCopyFailsAllWaitingAndLaterWrites(int failing)
         throws Exception {
         MemoryDisk.Faults[] faults = {new MemoryDisk.Faults(), new MemoryDisk.Faults()};
@@ -273,12 +273,12 @@
             String segment = first.names(".seg").get(0);
             for (String name : List.of(segment, segment.replace(".seg", ".hint"))) {
                 byte[] bytes = second.bytes(name);
-                bytes[bytes.length / 2] ^= 4;         // in place: the store has the file open
+                bytes[bytes.length / 2] ^= 4;         // in place, since the store has the file open
             }
 
             now[0] += 999;
             store.runMaintenance();
-            assertFalse(first.hasSameFiles(second), "it is not due yet");
+            assertFalse(first.hasSameFiles(second), "scrubbing is not due yet");
 
             now[0]++;
             store.runMaintenance();
--- a/src/test/java/kelphollow/store/StoredBytesTest.java
+++ b/src/test/java/kelphollow/store/StoredBytesTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The bytes on disk after each step of a fixed workload, of a store with a fixed identity. Guards against a change of the
- * format, or of the order in which files are written and compacted, that a store's own reading back would not notice.
+ * Compares a digest of all files after each step of a fixed workload, in a store with a fixed id. Detects changes of the
+ * format, or of the order in which files are written and compacted, that reading the store back does not reveal.
  */
 class StoredBytesTest {
-    private static final StoreId IDENTITY = new StoreId(0x0123456789abcdefL, 0xfedcba9876543210L);
+    private static final StoreId STORE_ID = new StoreId(0x0123456789abcdefL, 0xfedcba9876543210L);
     private final StoreHarness harness = new StoreHarness();
     private final MessageDigest digest = sha256();
 
@@ -30,7 +30,7 @@
     }
 
     @BeforeEach void createStore() {
-        byte[] manifest = new Manifest(IDENTITY, 1, 1, 1, harness.now, List.of()).bytes();
+        byte[] manifest = new Manifest(STORE_ID, 1, 1, 1, harness.now, List.of()).bytes();
         harness.first.set(Manifest.NAME, manifest);
         harness.second.set(Manifest.NAME, manifest);
     }
--- a/src/test/java/kelphollow/store/StoredFormatTest.java
+++ b/src/test/java/kelphollow/store/StoredFormatTest.java
@@ -15,34 +15,35 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Stores that an earlier program wrote are read, recovered and compacted as that program did it, and the same writes give
- * the same bytes. Guards the stored format against changes that the writer and the reader of one program share.
+ * Stores that an earlier version wrote are read, recovered and compacted as that version did, and the same writes produce
+ * the same bytes. Detects format changes that the reader and the writer of one version share, which a round trip does not
+ * reveal.
  */
 class StoredFormatTest {
-    /** What a store holds when it is opened at {@link RecordedStore#OPENED}, as {@link RecordedFolders#contents}. */
+    /** The contents at {@link RecordedStore#OPENED}, in the form of {@link RecordedFolders#contents}. */
     static final String CONTENTS = "contents.txt";
-    /** The same once all that expires has expired. */
+    /** The contents at {@link RecordedStore#ALL_EXPIRED}. */
     static final String CONTENTS_LATER = "contents-later.txt";
-    /** What a check of both copies finds before anything is opened. */
+    /** The findings of an inspection before the store is opened. */
     static final String CHECKED = "checked.txt";
-    /** What an opening repairs, and the files after it and an orderly end. */
+    /** The findings of an opening, and the files after the store was closed cleanly. */
     static final String RECOVERED = "recovered.txt";
     /** The files after a compaction of all sealed segments. */
     static final String COMPACTED = "compacted.txt";
 
     private static final String MANIFEST = "MANIFEST";
-    private static final int IDENTITY_AT = 16;
-    private static final int IDENTITY_END = 32;
+    private static final int STORE_ID_AT = 16;
+    private static final int STORE_ID_END = 32;
     private static final int CHECKSUM_BYTES = 4;
 
     @TempDir
     Path folder;
 
     @ParameterizedTest
-    @EnumSource void readsWhatWasRecorded(RecordedStore recorded) throws Exception {
-        for (boolean byReadingAll : new boolean[] {false, true}) {
-            StoreOptions options = RecordedStore.OPTIONS.withCheckAll(byReadingAll);
-            Path copy = RecordedFolders.copy(recorded.folder(), folder.resolve(byReadingAll ? "all" : "hints"));
+    @EnumSource void anOpeningReadsTheRecordedContents(RecordedStore recorded) throws Exception {
+        for (boolean checkAll : new boolean[] {false, true}) {
+            StoreOptions options = RecordedStore.OPTIONS.withCheckAll(checkAll);
+            Path copy = RecordedFolders.copy(recorded.folder(), folder.resolve(checkAll ? "all" : "hints"));
 
             List<String> found = contents(copy, options, RecordedStore.OPENED);
 
@@ -51,7 +52,7 @@
     }
 
     @ParameterizedTest
-    @EnumSource void expiresWhatWasRecordedToExpire(RecordedStore recorded) throws Exception {
+    @EnumSource void recordedKeysExpire(RecordedStore recorded) throws Exception {
         RecordedFolders.copy(recorded.folder(), folder);
 
         List<String> found = contents(folder, RecordedStore.OPTIONS, RecordedStore.ALL_EXPIRED);
@@ -60,7 +61,7 @@
     }
 
     @ParameterizedTest
-    @EnumSource void aCheckFindsWhatWasRecordedAndChangesNothing(RecordedStore recorded) throws Exception {
+    @EnumSource void anInspectionReportsTheRecordedFindingsAndChangesNothing(RecordedStore recorded) throws Exception {
         RecordedFolders.copy(recorded.folder(), folder);
 
         List<String> found = checked(folder);
@@ -70,7 +71,7 @@
     }
 
     @ParameterizedTest
-    @EnumSource void anOpeningLeavesTheRecordedFiles(RecordedStore recorded) throws Exception {
+    @EnumSource void recoveryProducesTheRecordedFiles(RecordedStore recorded) throws Exception {
         RecordedFolders.copy(recorded.folder(), folder);
 
         List<String> found = recovered(folder);
@@ -79,7 +80,7 @@
     }
 
     @ParameterizedTest
-    @EnumSource void aCompactionLeavesTheRecordedFiles(RecordedStore recorded) throws Exception {
+    @EnumSource void compactionProducesTheRecordedFiles(RecordedStore recorded) throws Exception {
         RecordedFolders.copy(recorded.folder(), folder);
 
         List<String> found = compacted(folder);
@@ -87,9 +88,9 @@
         assertEquals(RecordedFolders.text(recorded.folder(), COMPACTED), found);
     }
 
-    /** The identity is not drawn here but that of the recorded store, so that no byte need be left out. */
+    /** The store starts as a copy with the recorded store's id, so all bytes are compared. */
     @ParameterizedTest
-    @EnumSource void theSameWritesGiveTheSameFiles(RecordedStore recorded) throws Exception {
+    @EnumSource void theSameWritesProduceTheSameFiles(RecordedStore recorded) throws Exception {
         RecordedFolders.copy(RecordedFolders.NEW, folder);
 
         recorded.write(folder, () -> {});
@@ -97,19 +98,19 @@
         RecordedFolders.assertSameFiles(RecordedFolders.of(recorded.folder()), folder);
     }
 
-    /** The identity is drawn at random: it and the checksum over it are left out. */
-    @Test void aNewStoreHasTheRecordedManifestButForItsIdentity() throws Exception {
+    /** The store id is random, so it and the checksum that covers it are left out of the comparison. */
+    @Test void aNewStoreHasTheRecordedManifestExceptForItsId() throws Exception {
         open(folder, RecordedStore.OPTIONS, RecordedStore.START).close();
 
         for (String copy : RecordedFolders.COPIES) {
             Path recorded = RecordedFolders.of(RecordedFolders.NEW).resolve(copy).resolve(MANIFEST);
-            assertArrayEquals(withoutIdentity(recorded), withoutIdentity(folder.resolve(copy).resolve(MANIFEST)), copy);
+            assertArrayEquals(withoutStoreId(recorded), withoutStoreId(folder.resolve(copy).resolve(MANIFEST)), copy);
         }
     }
 
-    private static byte[] withoutIdentity(Path manifest) throws IOException {
+    private static byte[] withoutStoreId(Path manifest) throws IOException {
         byte[] bytes = Files.readAllBytes(manifest);
-        Arrays.fill(bytes, IDENTITY_AT, IDENTITY_END, (byte) 0);
+        Arrays.fill(bytes, STORE_ID_AT, STORE_ID_END, (byte) 0);
         Arrays.fill(bytes, bytes.length - CHECKSUM_BYTES, bytes.length, (byte) 0);
         return bytes;
     }
@@ -126,14 +127,14 @@
         return new FolderDisk(store.resolve("b"));
     }
 
-    /** What a store holds at a time. */
+    /** Opens a store at this time and returns its contents. */
     static List<String> contents(Path store, StoreOptions options, long now) throws IOException, StoreFault {
         try (Store open = open(store, options, now)) {
             return RecordedFolders.contents(open);
         }
     }
 
-    /** What a check finds: the findings, the store, its segments and its tables, a line each. */
+    /** Inspects a store; one line each for the findings, the store, its segments and its tables. */
     static List<String> checked(Path store) throws IOException, StoreFault {
         Inspection inspection = Store.inspect(first(store), second(store), RecordedStore.OPTIONS, ProgressListener.NONE);
         List<String> lines = findings(inspection.report(), store);
@@ -149,7 +150,7 @@
         return lines;
     }
 
-    /** Opens and closes a store: what was repaired, and the files that are left. */
+    /** Opens and closes a store; returns the findings and the remaining files. */
     static List<String> recovered(Path store) throws IOException, StoreFault {
         List<String> lines;
         try (Store open = open(store, RecordedStore.OPTIONS, RecordedStore.OPENED)) {
@@ -159,7 +160,7 @@
         return lines;
     }
 
-    /** Opens a store, compacts all of it and closes it: the files that are left. */
+    /** Opens a store, compacts all sealed segments and closes it; returns the remaining files. */
     static List<String> compacted(Path store) throws IOException, StoreFault {
         try (Store open = open(store, RecordedStore.OPTIONS, RecordedStore.OPENED)) {
             open.compactAll();
--- a/src/test/java/kelphollow/store/WriteQueueTest.java
+++ b/src/test/java/kelphollow/store/WriteQueueTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the writer's queue accepts, and how it hands it out. */
+/** Tests which writes and tasks the queue accepts and in which groups it returns them. */
 class WriteQueueTest {
     private static final StoreFault FAULT = new StoreFault(StoreFault.Kind.IO_FAILURE, "the disk failed");
     private final WriteQueue queue = new WriteQueue(StoreHarness.SMALL);
@@ -24,7 +24,7 @@
         return new PendingTask<>(log -> null);
     }
 
-    @Test void writesAreHandedOutInTheirOrder() {
+    @Test void writesAreTakenInOrder() {
         PendingWrite first = write(10);
         PendingWrite second = write(20);
         assertNull(queue.offer(first));
@@ -58,21 +58,21 @@
         assertEquals(StoreFault.Kind.BATCH_TOO_LARGE, queue.offer(write(5_000)).kind());
     }
 
-    @Test void tasksAreHandedOutAtOnce() throws Exception {
+    @Test void aQueuedTaskIsTakenWithoutWaiting() throws Exception {
         PendingTask<Void> task = task();
         queue.offer(task);
 
         assertEquals(List.of(task), queue.take(true, 0).tasks());
     }
 
-    @Test void anIdleQueueReturnsAnEmptyGroupAfterItsTime() {
+    @Test void anIdleQueueReturnsAnEmptyGroupAfterTheIdleTime() {
         WriteQueue.Group group = queue.take(true, 1);
 
         assertTrue(group.writes().isEmpty() && group.tasks().isEmpty());
         assertFalse(group.isLast());
     }
 
-    @Test void aClosingQueueRejectsAndHandsOutWhatItHas() {
+    @Test void aClosingQueueRejectsOffersAndDrains() {
         PendingWrite queued = write(10);
         queue.offer(queued);
 
@@ -85,7 +85,7 @@
         assertTrue(last.isLast());
     }
 
-    @Test void aFailedQueueReturnsWhatItHadAndRejectsWithTheFault() {
+    @Test void aFailedQueueReturnsQueuedWritesAndRejectsWithTheFault() {
         PendingWrite queued = write(10);
         queue.offer(queued);
 
