--- a/src/main/java/kelphollow/store/SegmentUsage.java
+++ b/src/main/java/kelphollow/store/SegmentUsage.java
@@ -61,7 +61,7 @@
         usages.remove(id);
     }
 
-    /** Total length of all segments, one copy, in bytes. */
+    /** Total length of one copy of all segments, in bytes. */
     long length() {
         return usages.values().stream().mapToLong(usage -> usage.length).sum();
     }
--- a/src/main/java/kelphollow/store/Store.java
+++ b/src/main/java/kelphollow/store/Store.java
@@ -24,7 +24,7 @@
      * @param keys number of keys
      * @param segments number of segments
      * @param bytes size of all segments, one copy
-     * @param liveBytes part of {@code bytes} that is operations which set the current value of a key
+     * @param liveBytes bytes of the operations that set the current value of a key, one copy
      * @param writtenBytes bytes written to both copies together
      * @param payloadBytes bytes of the keys and values that callers passed
      * @param syncs number of syncs of the log
--- a/src/main/java/kelphollow/store/StoreOptions.java
+++ b/src/main/java/kelphollow/store/StoreOptions.java
@@ -4,14 +4,14 @@
  * Options of a store. Sizes are in bytes, times in milliseconds.
  *
  * @param segmentBytes size at which a segment is sealed and the next one is created
- * @param maxBatchBytes the longest batch, keys and values with their heads; it may be longer than a segment
+ * @param maxBatchBytes maximum size of a batch: keys, values and their headers; may exceed {@code segmentBytes}
  * @param queueBytes maximum total size of queued batches; beyond it writes fail with {@link StoreFault.Kind#QUEUE_FULL}
  * @param groupBytes maximum size of a group of batches that share one sync; a single larger batch is still written
  * @param compactBytesPerSecond rate limit of the reads and writes of background work
- * @param scrubIntervalMillis how often both copies of all sealed segments are read and repaired; 0 is never
+ * @param scrubIntervalMillis interval at which both copies of all sealed segments are read and repaired; 0 disables it
  * @param checkAll whether an opening reads every segment completely instead of the hints of sealed ones
- * @param inline no threads: a batch is written in the call that submits it, background work is done when asked for (tests,
- *     tools)
+ * @param inline whether to use no threads, for tests and tools: batches are written by the thread that submits them, and
+ *     background work runs only on request
  */
 public record StoreOptions(long segmentBytes, int maxBatchBytes, long queueBytes, int groupBytes,
                            long compactBytesPerSecond, long scrubIntervalMillis, boolean checkAll, boolean inline) {
@@ -19,7 +19,7 @@
     private static final int GIB = 1 << 30;
     private static final long DAY_MILLIS = 24 * 3_600_000L;
     private static final int MIN_BYTES = 256;
-    private static final int MAX_BATCH = 256 * MIB;
+    private static final int MAX_BATCH_BYTES = 256 * MIB;
 
     /** The default options. */
     public static final StoreOptions DEFAULTS =
@@ -29,8 +29,9 @@
     public StoreOptions {
         require(segmentBytes >= MIN_BYTES && segmentBytes <= GIB, "segmentBytes must be 256 to 1 GiB, found "
             + segmentBytes);
-        require(maxBatchBytes >= MIN_BYTES && maxBatchBytes <= MAX_BATCH, "maxBatchBytes must be 256 to 256 MiB, found "
-            + maxBatchBytes);
+        require(maxBatchBytes >= MIN_BYTES && maxBatchBytes <= MAX_BATCH_BYTES,
+            "maxBatchBytes must be 256 to 256 MiB, found "
+                + maxBatchBytes);
         require(queueBytes >= maxBatchBytes, "queueBytes must be at least maxBatchBytes " + maxBatchBytes + ", found "
             + queueBytes);
         require(groupBytes >= 1, "groupBytes must be at least 1, found " + groupBytes);
