--- a/src/main/java/kelphollow/program/StoreConfig.java
+++ b/src/main/java/kelphollow/program/StoreConfig.java
@@ -58,14 +58,15 @@
 
     private static StoreOptions options(ConfigSection store, boolean checkAll) throws ConfigurationException {
         StoreOptions defaults = StoreOptions.DEFAULTS;
-        long largestBatch = store.integer("largest_batch", defaults.largestBatch(), MIN_BATCH_BYTES, MAX_BATCH_BYTES);
+        long largestBatch = store.integer("largest_batch", defaults.maxBatchBytes(), MIN_BATCH_BYTES, MAX_BATCH_BYTES);
         return new StoreOptions(
             store.integer("segment_bytes", defaults.segmentBytes(), MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES),
             (int) largestBatch,
             store.integer("queue_bytes", Math.max(largestBatch, defaults.queueBytes()), largestBatch, MAX_BYTES),
             defaults.groupBytes(),
             store.integer("compact_bytes_per_second", defaults.compactBytesPerSecond(), MIN_COMPACT_BYTES, MAX_BYTES),
-            store.integer("scrub_hours", defaults.scrubEvery() / MILLIS_PER_HOUR, 0, MAX_SCRUB_HOURS) * MILLIS_PER_HOUR,
+            store.integer("scrub_hours", defaults.scrubIntervalMillis() / MILLIS_PER_HOUR, 0, MAX_SCRUB_HOURS)
+                * MILLIS_PER_HOUR,
             checkAll, false);
     }
 
