--- a/src/main/java/kelphollow/lab/History.java
+++ b/src/main/java/kelphollow/lab/History.java
@@ -75,6 +75,6 @@
 
     /** Any value of maps, lists, texts, numbers and booleans as JSON. */
     static String json(Object value) {
-        return Json.text(value);
+        return Json.write(value);
     }
 }
--- a/src/main/java/kelphollow/program/ClusterConfig.java
+++ b/src/main/java/kelphollow/program/ClusterConfig.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import kelphollow.protocol.xds.XdsClusters;
+import kelphollow.protocol.xds.XdsResourceParser;
 import kelphollow.routing.ResolvedEndpoint;
 
 /** The {@code xds} object of an operator's file, checked: where the endpoints of the object servers come from. */
@@ -31,10 +31,10 @@
             throw new ConfigurationException("xds needs 'server', or 'clusters' with 'endpoints'");
         }
         try {
-            XdsClusters.Cluster found = XdsClusters.cluster(clusters, cluster, cells);
+            XdsResourceParser.Cluster found = XdsResourceParser.cluster(clusters, cluster, cells);
             List<?> endpoints = xds.value("endpoints") instanceof List<?> list ? list : List.of();
             return new Inline(found.inline() != null ? found.inline()
-                : XdsClusters.endpoints(endpoints, found.serviceName(), cells));
+                : XdsResourceParser.endpoints(endpoints, found.serviceName(), cells));
         } catch (IllegalArgumentException e) {
             throw new ConfigurationException("xds." + e.getMessage());
         }
--- a/src/main/java/kelphollow/program/ObjectScheduler.java
+++ b/src/main/java/kelphollow/program/ObjectScheduler.java
@@ -15,7 +15,7 @@
 import kelphollow.ledger.EndpointRecords;
 import kelphollow.protocol.object.ObjectBackend;
 import kelphollow.protocol.object.ObjectFront;
-import kelphollow.protocol.xds.XdsPoll;
+import kelphollow.protocol.xds.XdsPoller;
 import kelphollow.recovery.LimitRecovery;
 import kelphollow.routing.EndpointSource;
 import kelphollow.routing.RequestRouter;
@@ -122,10 +122,11 @@
         wired(router, new ObjectFront(router, ticker(), config.options(), ledger));
     }
 
-    private XdsPoll poll(ObjectConfig config, ClusterConfig.Polled polled, RequestRouter router) {
-        XdsPoll.Query query = new XdsPoll.Query(Addresses.text(polled.server()), polled.cluster(), config.options().cells(),
+    private XdsPoller poll(ObjectConfig config, ClusterConfig.Polled polled, RequestRouter router) {
+        XdsPoller.Query query = new XdsPoller.Query(Addresses.text(polled.server()), polled.cluster(), config.options()
+            .cells(),
             config.name(), USER_AGENT, polled.refreshInterval());
-        return new XdsPoll(new HttpCall(loop(), ticker(), polled.server()), ticker(), router, query, this::store);
+        return new XdsPoller(new HttpCall(loop(), ticker(), polled.server()), ticker(), router, query, this::store);
     }
 
     private void store(List<ResolvedEndpoint> endpoints) {
--- a/src/main/java/kelphollow/protocol/json/Json.java
+++ b/src/main/java/kelphollow/protocol/json/Json.java
@@ -67,7 +67,7 @@
     }
 
     /** Any value of maps, lists, texts, numbers and booleans as JSON on one line. */
-    public static String text(Object value) {
+    public static String write(Object value) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = FACTORY.createGenerator(text)) {
             write(value, out);
--- a/src/main/java/kelphollow/protocol/xds/XdsPoll.java
+++ b/src/main/java/kelphollow/protocol/xds/XdsPoller.java
@@ -16,7 +16,7 @@
  * rejected as a whole and the last good list stands; the router then says when to poll again. Confined to the event
  * loop.
  */
-public final class XdsPoll implements EndpointSource {
+public final class XdsPoller implements EndpointSource {
     /**
      * What to poll, and how often.
      *
@@ -38,7 +38,7 @@
         STOPPED
     }
 
-    private static final Logger LOG = Logger.getLogger(XdsPoll.class.getName());
+    private static final Logger LOG = Logger.getLogger(XdsPoller.class.getName());
     /** Time that a poll may take, in milliseconds. */
     private static final double TIMEOUT = 2_000;
 
@@ -50,11 +50,11 @@
     private State state = State.IDLE;
     private String clusterVersion = "";
     private String endpointVersion = "";
-    private XdsClusters.Cluster cluster;
+    private XdsResourceParser.Cluster cluster;
     private List<ResolvedEndpoint> endpoints = List.of();
 
     /** {@code confirmed}: gets the complete list each time that it was received or found unchanged. */
-    public XdsPoll(HttpCall calls, Ticker ticker, RequestRouter router, Query query,
+    public XdsPoller(HttpCall calls, Ticker ticker, RequestRouter router, Query query,
         Consumer<List<ResolvedEndpoint>> confirmed) {
         this.calls = calls;
         this.ticker = ticker;
@@ -79,9 +79,9 @@
         if (state == State.STOPPED) {
             return;
         }
-        send(new XdsRequest("clusters", XdsClusters.CLUSTER, query.cluster(), clusterVersion), response -> {
+        send(new XdsRequest("clusters", XdsResourceParser.CLUSTER, query.cluster(), clusterVersion), response -> {
             if (response.resources() != null) {
-                take(XdsClusters.cluster(response.resources(), query.cluster(), query.shards()), response.version());
+                take(XdsResourceParser.cluster(response.resources(), query.cluster(), query.shards()), response.version());
             }
             if (cluster.inline() == null) {
                 pollEndpoints();
@@ -91,7 +91,7 @@
         });
     }
 
-    private void take(XdsClusters.Cluster next, String version) {
+    private void take(XdsResourceParser.Cluster next, String version) {
         // The version that is held is of the endpoints of the cluster's former service name.
         if (cluster == null || !cluster.serviceName().equals(next.serviceName())) {
             endpointVersion = "";
@@ -105,11 +105,11 @@
 
     private void pollEndpoints() {
         XdsRequest request =
-            new XdsRequest("endpoints", XdsClusters.ASSIGNMENT, cluster.serviceName(), endpointVersion);
+            new XdsRequest("endpoints", XdsResourceParser.ASSIGNMENT, cluster.serviceName(), endpointVersion);
         send(request, response -> {
             if (response.resources() != null) {
                 List<ResolvedEndpoint> next =
-                    XdsClusters.endpoints(response.resources(), cluster.serviceName(), query.shards());
+                    XdsResourceParser.endpoints(response.resources(), cluster.serviceName(), query.shards());
                 endpointVersion = response.version();
                 update(next);
             }
--- a/src/main/java/kelphollow/protocol/xds/XdsRequest.java
+++ b/src/main/java/kelphollow/protocol/xds/XdsRequest.java
@@ -24,7 +24,7 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     /** The HTTP request, which the caller releases. */
-    FullHttpRequest encode(XdsPoll.Query query) {
+    FullHttpRequest encode(XdsPoller.Query query) {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
             "/v3/discovery:" + collection, Unpooled.copiedBuffer(body(query), StandardCharsets.UTF_8));
         request.headers().set(HttpHeaderNames.HOST, query.host())
@@ -33,7 +33,7 @@
         return request;
     }
 
-    private String body(XdsPoll.Query query) {
+    private String body(XdsPoller.Query query) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
             json.writeStartObject();
--- a/src/main/java/kelphollow/protocol/xds/XdsClusters.java
+++ b/src/main/java/kelphollow/protocol/xds/XdsResourceParser.java
@@ -19,7 +19,7 @@
  * Reads Envoy's Cluster and ClusterLoadAssignment in proto3 JSON into an endpoint list. A faulty resource throws
  * {@link IllegalArgumentException} naming its place, and nothing of it is used. Stateless.
  */
-public final class XdsClusters {
+public final class XdsResourceParser {
     /** Type URL of a cluster. */
     public static final String CLUSTER = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
     /** Type URL of the endpoints of a cluster. */
@@ -28,7 +28,7 @@
     private static final String METADATA = "kelphollow";
     private static final int MAX_PORT = 65_535;
 
-    private XdsClusters() {}
+    private XdsResourceParser() {}
 
     /**
      * A cluster.
--- a/src/main/java/kelphollow/scale/DiscoveryStandIn.java
+++ b/src/main/java/kelphollow/scale/DiscoveryStandIn.java
@@ -55,7 +55,7 @@
     }
 
     private static byte[] response(String version, Object resource) {
-        return Json.text(Map.of("version_info", version, "resources", List.of(resource))).getBytes(StandardCharsets.UTF_8);
+        return Json.write(Map.of("version_info", version, "resources", List.of(resource))).getBytes(StandardCharsets.UTF_8);
     }
 
     private void respond(HttpExchange exchange) throws IOException {
--- a/src/main/java/kelphollow/scale/Scale.java
+++ b/src/main/java/kelphollow/scale/Scale.java
@@ -182,7 +182,7 @@
         if (options.json() != null) {
             Object figures = reports.size() == 1 ? reports.get(0).figures()
                 : Map.of("runs", reports.stream().map(ScaleReport::figures).toList());
-            Files.writeString(options.json(), Json.text(figures) + "\n");
+            Files.writeString(options.json(), Json.write(figures) + "\n");
         }
     }
 
--- a/src/test/java/kelphollow/program/CommandNamesTest.java
+++ b/src/test/java/kelphollow/program/CommandNamesTest.java
@@ -117,7 +117,7 @@
 
     /** The line that the running instance is asked, and the page that is made of its answer. */
     @Test void theFleetIsAskedAndShownAsRecorded() throws Exception {
-        String status = Json.text(RecordedNames.example("example-status.json"));
+        String status = Json.write(RecordedNames.example("example-status.json"));
         assertEquals(RecordedNames.lines("fleet-page.txt"), fleetStatus(status).lines().toList());
         assertEquals(status + "\n", fleetStatus(status, "--json"));
     }
@@ -133,7 +133,7 @@
     private String fileAt(int port) throws Exception {
         Map<Object, Object> json = new LinkedHashMap<>(RecordedNames.example("example-object.json"));
         json.put("mgmt", "127.0.0.1:" + port);
-        return Files.writeString(folder.resolve("config.json"), Json.text(json)).toString();
+        return Files.writeString(folder.resolve("config.json"), Json.write(json)).toString();
     }
 
     private String fleetStatus(String status, String... more) throws Exception {
--- a/src/test/java/kelphollow/program/OutsideNamesTest.java
+++ b/src/test/java/kelphollow/program/OutsideNamesTest.java
@@ -57,7 +57,7 @@
         Map<String, String> environment = new LinkedHashMap<>(variables);
         environment.put(CONFIG_VARIABLE, folder.resolve("platform.json").toString());
         try {
-            Files.writeString(folder.resolve("platform.json"), Json.text(json));
+            Files.writeString(folder.resolve("platform.json"), Json.write(json));
             return PlatformConfig.read(environment);
         } catch (ConfigurationException e) {
             throw new KeyProbe.Refused(e.getMessage());
@@ -110,7 +110,7 @@
     @Test void bothSpellingsOfAnXdsFieldAreRead() throws Exception {
         for (String file : List.of("example-object.json", "example-xds-inline.json")) {
             Map<?, ?> json = file.contains("xds") ? withXds(file) : RecordedNames.example(file);
-            String text = Json.text(json);
+            String text = Json.write(json);
             String other = text;
             for (String line : RecordedNames.read(SPELLINGS)) {
                 String[] spellings = line.split(" ");
--- a/src/test/java/kelphollow/program/XdsTest.java
+++ b/src/test/java/kelphollow/program/XdsTest.java
@@ -18,7 +18,7 @@
 import kelphollow.decision.ControlEvent.EndpointState;
 import kelphollow.program.FakeObjectStore.Stored;
 import kelphollow.protocol.json.Json;
-import kelphollow.protocol.xds.XdsClusters;
+import kelphollow.protocol.xds.XdsResourceParser;
 import kelphollow.routing.ResolvedEndpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -40,14 +40,14 @@
             .replace("port_value", "portValue").replace("health_status", "healthStatus")
             .replace("filter_metadata", "filterMetadata").replace("cluster_name", "clusterName");
 
-        List<ResolvedEndpoint> endpoints = XdsClusters.endpoints(resources(text), SERVICE, 2);
+        List<ResolvedEndpoint> endpoints = XdsResourceParser.endpoints(resources(text), SERVICE, 2);
 
         assertEquals(2, endpoints.size());
         Endpoint second = endpoints.get(1).endpoint();
         assertEquals("127.0.0.1:9102", second.node());
         assertEquals(1, second.cell());
         assertEquals(EndpointState.DRAINING, second.state());
-        assertEquals(endpoints, XdsClusters.endpoints(resources(camelCase), SERVICE, 2));
+        assertEquals(endpoints, XdsResourceParser.endpoints(resources(camelCase), SERVICE, 2));
     }
 
     @Test void aFaultyResourceIsRejectedAndItsPlaceNamed() throws Exception {
@@ -64,7 +64,7 @@
             assertTrue(text.contains(fault[0]));
             String faulty = text.replace(fault[0], fault[1]);
             String message = assertThrows(IllegalArgumentException.class,
-                () -> XdsClusters.endpoints(resources(faulty), SERVICE, 2)).getMessage();
+                () -> XdsResourceParser.endpoints(resources(faulty), SERVICE, 2)).getMessage();
             assertTrue(message.contains(fault[2]), message);
         }
     }
