--- a/src/main/java/kelphollow/protocol/object/GuardedForwarding.java
+++ b/src/main/java/kelphollow/protocol/object/AtMostOnceForwarding.java
@@ -1,7 +1,7 @@
 package kelphollow.protocol.object;
 
 /** Forwards a call that must not run twice, and learns how its attempts ended. For the event loop alone. */
-interface GuardedForwarding {
+interface AtMostOnceForwarding {
     /** A node has responded. */
     void served(NodeResponse response);
 
@@ -9,5 +9,5 @@
     void failed(S3Error error, boolean mayHaveRun);
 
     /** The client has gone, or is not waited for any more; {@code sent} tells whether anything was given to the router. */
-    void withdrawn(boolean sent);
+    void cancelled(boolean sent);
 }
--- a/src/main/java/kelphollow/protocol/object/CompletionForwarding.java
+++ b/src/main/java/kelphollow/protocol/object/CompletionForwarding.java
@@ -13,7 +13,7 @@
  * response again, and one whose outcome is unknown is first looked up at the node, since an upload that is gone was
  * completed or aborted. For the event loop alone.
  */
-final class CompletionForwarding implements GuardedForwarding, UploadQuery.Listener {
+final class CompletionForwarding implements AtMostOnceForwarding, UploadQuery.Listener {
     private final ObjectServices services;
     private final ObjectExchange exchange;
     private final byte[] document;
@@ -35,58 +35,58 @@
 
     void begin() {
         ObjectCall call = exchange.call();
-        completion = services.completions().find(UploadParts.upload(call), services.parts().isComplete(call),
+        completion = services.completions().find(UploadParts.uploadKey(call), services.parts().isFullyTracked(call),
             services.startedAt());
         if (completion == null) {
-            exchange.answer(S3Error.rejected(1));
+            exchange.respond(S3Error.rejected(1));
             return;
         }
         switch (completion.kind()) {
-            case RAN -> answerAgain();
-            case RUNNING -> exchange.answer(S3Error.rejected(1));
+            case RAN -> replayResponse();
+            case RUNNING -> exchange.respond(S3Error.rejected(1));
             case UNKNOWN -> query.send(call.listParts(), exchange);
             case NEVER_RAN -> send();
         }
     }
 
-    private void answerAgain() {
-        RecordedResponse recorded = completion.answer();
+    private void replayResponse() {
+        RecordedResponse recorded = completion.response();
         if (!recorded.partListDigest().equals(documentDigest)) {
-            exchange.answer(new S3Error(404, "NoSuchUpload", "This upload was completed with other parts."));
+            exchange.respond(new S3Error(404, "NoSuchUpload", "This upload was completed with other parts."));
             return;
         }
         HttpHeaders headers = new DefaultHttpHeaders();
         if (recorded.type() != null) {
             headers.set(HttpHeaderNames.CONTENT_TYPE, recorded.type());
         }
-        exchange.answer(new NodeResponse(recorded.status(), headers, recorded.body().getBytes(StandardCharsets.UTF_8)));
+        exchange.respond(new NodeResponse(recorded.status(), headers, recorded.body().getBytes(StandardCharsets.UTF_8)));
     }
 
     private void send() {
         isSender = true;
         intent = new IntentBarrier(services.ticker(), services.writeDeadline(), () -> exchange.send(document),
             error -> failed(error, false));
-        completion.running(services.now(), intent::recorded);
+        completion.markRunning(services.now(), intent::recorded);
     }
 
     // ---------------------------------------------------------------- the node is asked for the upload
 
-    @Override public void answered(NodeResponse response) {
-        double wait = completion.settlesIn(services.now());
+    @Override public void responseReceived(NodeResponse response) {
+        double wait = completion.millisUntilSettled(services.now());
         if (response.status() == 404) {
-            completion.neverRan();                 // the upload is gone: there is nothing to complete any more
-            exchange.answer(response);
+            completion.markNeverRan();                 // the upload is gone: there is nothing to complete any more
+            exchange.respond(response);
         } else if (response.status() != 200) {
-            exchange.answer(response);
+            exchange.respond(response);
         } else if (wait > 0) {
-            exchange.answer(S3Error.rejected(wait));   // the attempt whose outcome is unknown may still be at work
+            exchange.respond(S3Error.rejected(wait));   // the attempt whose outcome is unknown may still be at work
         } else {
             send();
         }
     }
 
     @Override public void failed(S3Error error) {
-        exchange.answer(error);
+        exchange.respond(error);
     }
 
     // ---------------------------------------------------------------- this client's completion was sent
@@ -96,20 +96,20 @@
         String type = response.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (response.isSuccess() && !isError(response)) {
             String body = new String(response.body(), StandardCharsets.UTF_8);
-            completion.ran(new RecordedResponse(documentDigest, response.status(), type, body), services.now());
-            services.parts().finished(UploadParts.upload(exchange.call()));
+            completion.markRan(new RecordedResponse(documentDigest, response.status(), type, body), services.now());
+            services.parts().uploadEnded(UploadParts.uploadKey(exchange.call()));
         } else if (response.isClientError()) {
-            completion.neverRan();
+            completion.markNeverRan();
         } else {
-            completion.unknown(services.now());
+            completion.markUnknown(services.now());
         }
-        exchange.answer(response);
+        exchange.respond(response);
     }
 
     /** S3 begins its response before it is done: a failure then comes with the status 200. */
     private static boolean isError(NodeResponse response) {
         try {
-            return "Error".equals(S3Xml.root(response.body()));
+            return "Error".equals(S3Xml.rootElement(response.body()));
         } catch (XMLStreamException e) {
             return true;
         }
@@ -117,21 +117,21 @@
 
     @Override public void failed(S3Error error, boolean mayHaveRun) {
         abandon(mayHaveRun);
-        exchange.answer(error);
+        exchange.respond(error);
     }
 
     private void abandon(boolean mayHaveRun) {
         if (isSender) {
             isSender = false;
             if (mayHaveRun) {
-                completion.unknown(services.now());
+                completion.markUnknown(services.now());
             } else {
-                completion.neverRan();
+                completion.markNeverRan();
             }
         }
     }
 
-    @Override public void withdrawn(boolean sent) {
+    @Override public void cancelled(boolean sent) {
         if (intent != null) {
             intent.cancel();
         }
--- a/src/main/java/kelphollow/protocol/object/Completions.java
+++ b/src/main/java/kelphollow/protocol/object/Completions.java
@@ -17,11 +17,11 @@
  * loop alone.
  */
 final class Completions {
-    /** One upload's completion: {@code outcome} null while nothing was sent, {@code answer} once it ran. */
+    /** One upload's completion: {@code outcome} null while nothing was sent, {@code response} once it ran. */
     final class Completion {
         private final String upload;
         private RecoveredOutcome outcome;
-        private RecordedResponse answer;
+        private RecordedResponse response;
         private double unknownSince;
 
         private Completion(String upload) {
@@ -33,17 +33,17 @@
         }
 
         /** The recorded response, or null unless it ran. */
-        RecordedResponse answer() {
-            return answer;
+        RecordedResponse response() {
+            return response;
         }
 
         /** How long until what the node does not have will not come any more, in milliseconds. */
-        double settlesIn(double now) {
+        double millisUntilSettled(double now) {
             return Math.max(0, unknownSince + settleTime - now);
         }
 
         /** It is about to be sent; {@code then} gets null once that cannot be forgotten any more, or what hinders it. */
-        void running(double now, Consumer<StoreFault> then) {
+        void markRunning(double now, Consumer<StoreFault> then) {
             outcome = new RecoveredOutcome(Kind.RUNNING, 0);
             if (records == null) {
                 then.accept(null);
@@ -53,22 +53,22 @@
         }
 
         /** It ran, with this response. */
-        void ran(RecordedResponse response, double now) {
+        void markRan(RecordedResponse recorded, double now) {
             outcome = new RecoveredOutcome(Kind.RAN, 0);
-            answer = response;
+            response = recorded;
             if (records != null) {
-                records.recordResponse(upload, response, now);
+                records.recordResponse(upload, recorded, now);
             }
         }
 
         /** It may have run; {@code now} is the time of its last sign. */
-        void unknown(double now) {
+        void markUnknown(double now) {
             outcome = new RecoveredOutcome(Kind.UNKNOWN, now + settleTime);
             unknownSince = now;
         }
 
         /** It is proved that it never ran. */
-        void neverRan() {
+        void markNeverRan() {
             completions.remove(upload, this);
             if (records != null) {
                 records.removeIntent(upload);
@@ -94,10 +94,10 @@
 
     /** Takes over what earlier incarnations have left. */
     void restore(RecoveredOutcomes recovered, double now) throws IOException, StoreFault {
-        records.read((upload, found, epoch, answer) -> {
+        records.read((upload, found, epoch, response) -> {
             Completion completion = new Completion(upload);
             completion.outcome = recovered.classify(found, epoch, false);
-            completion.answer = answer;
+            completion.response = response;
             completion.unknownSince = now;
             completions.put(upload, completion);
         });
@@ -117,7 +117,7 @@
         if (completion == null && (completions.size() < capacity || evict())) {
             completion = new Completion(upload);
             if (!neverSent) {
-                completion.unknown(lastAt);
+                completion.markUnknown(lastAt);
             }
             completions.put(upload, completion);
         }
--- a/src/main/java/kelphollow/protocol/object/ConnectionIdleness.java
+++ b/src/main/java/kelphollow/protocol/object/ConnectionIdleTracker.java
@@ -3,11 +3,11 @@
 import kelphollow.routing.Ticker;
 
 /**
- * How long a connection without an open request has been idle. Each piece that comes counts anew, so that a slow writer is
+ * How long a connection without an open request has been idle. Each chunk that comes counts anew, so that a slow writer is
  * not taken for one that is idle; but a complete head may take no longer than one idle time. In milliseconds; for the event
  * loop alone.
  */
-final class ConnectionIdleness {
+final class ConnectionIdleTracker {
     private static final double NONE = -1;
 
     private final Ticker ticker;
@@ -16,7 +16,7 @@
     /** When the head that has come only in part began to come, or {@link #NONE}. */
     private double partialHeadSince = NONE;
 
-    ConnectionIdleness(Ticker ticker, double maxIdle) {
+    ConnectionIdleTracker(Ticker ticker, double maxIdle) {
         this.ticker = ticker;
         this.maxIdle = maxIdle;
         this.idleSince = ticker.now();
--- a/src/main/java/kelphollow/protocol/object/DemandQueue.java
+++ b/src/main/java/kelphollow/protocol/object/DemandQueue.java
@@ -15,7 +15,7 @@
     private final Consumer<Object> receiver;
     private final ArrayDeque<Object> messages = new ArrayDeque<>();
     private boolean demanded;
-    /** Whether a message is being handed over, or {@link #deferred} holds deliveries back. */
+    /** Whether a message is being handed over, or {@link #withDeliveryDeferred} holds deliveries back. */
     private boolean delivering;
 
     DemandQueue(Channel channel, Consumer<Object> receiver) {
@@ -41,12 +41,12 @@
     }
 
     /** Whether a demand is open for which nothing has been read. */
-    boolean isStarved() {
+    boolean hasUnmetDemand() {
         return demanded && messages.isEmpty();
     }
 
     /** Runs a task; what it demands is handed over once it has ended. */
-    void deferred(Runnable task) {
+    void withDeliveryDeferred(Runnable task) {
         delivering = true;
         try {
             task.run();
--- a/src/main/java/kelphollow/protocol/object/Download.java
+++ b/src/main/java/kelphollow/protocol/object/Download.java
@@ -65,12 +65,12 @@
     }
 
     /** So many more bytes have gone to the client. */
-    void forwarded(int bytes) {
+    void addForwarded(int bytes) {
         forwarded += bytes;
     }
 
     /** Requests what is missing, provided that the object is still the same. */
-    void requestRest(HttpHeaders headers) {
+    void addResumeHeaders(HttpHeaders headers) {
         headers.set(HttpHeaderNames.RANGE, "bytes=" + (firstByte + forwarded) + "-" + (firstByte + length - 1));
         headers.set(HttpHeaderNames.IF_MATCH, entityTag);
     }
--- a/src/main/java/kelphollow/protocol/object/HttpResponses.java
+++ b/src/main/java/kelphollow/protocol/object/HttpResponses.java
@@ -27,7 +27,7 @@
     private HttpResponses() {}
 
     /** The interim response that asks a client for its body. */
-    static FullHttpResponse proceed() {
+    static FullHttpResponse continueResponse() {
         return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER);
     }
 
--- a/src/main/java/kelphollow/protocol/object/IntentBarrier.java
+++ b/src/main/java/kelphollow/protocol/object/IntentBarrier.java
@@ -10,7 +10,7 @@
  */
 final class IntentBarrier {
     // In milliseconds.
-    private static final double RETRY_AFTER = 1_000;
+    private static final double RETRY_AFTER_MS = 1_000;
 
     private final Runnable whenDurable;
     private final Consumer<S3Error> whenRejected;
@@ -39,7 +39,7 @@
     }
 
     private void reject() {
-        whenRejected.accept(S3Error.rejected(RETRY_AFTER));
+        whenRejected.accept(S3Error.rejected(RETRY_AFTER_MS));
     }
 
     private void end(Runnable action) {
--- a/src/main/java/kelphollow/protocol/object/NodeExchange.java
+++ b/src/main/java/kelphollow/protocol/object/NodeExchange.java
@@ -19,24 +19,24 @@
 
 /**
  * One request and its response on a connection to an object server. Releases each message that it receives, and each
- * piece of a body that it does not write; content that it forwards is retained for the client's side. For the event loop
+ * chunk of a body that it does not write; content that it forwards is retained for the client's side. For the event loop
  * alone.
  */
 final class NodeExchange implements PooledConnection.ExchangeHandler, Transfer.BodySink {
     private static final Logger LOG = Logger.getLogger(NodeExchange.class.getName());
     // In milliseconds. A server that ignores "Expect" says nothing; the body then follows after this time, as HTTP advises.
-    private static final double CONTINUE_TIMEOUT = 1_000;
+    private static final double CONTINUE_TIMEOUT_MS = 1_000;
     private static final int FIRST_FINAL_STATUS = 200;
     private static final int FIRST_SERVER_ERROR = 500;
 
-    /** How the body of the request goes up. */
+    /** How the body of the request goes ready. */
     private enum UploadState {
         /** Nothing has been requested of the client: the server may still refuse it. */
         NOT_STARTED,
-        /** The next piece has been requested of the client. */
-        PIECE_REQUESTED,
-        /** The last piece that was requested has been written. */
-        PIECE_WRITTEN
+        /** The next chunk has been requested of the client. */
+        CHUNK_REQUESTED,
+        /** The last chunk that was requested has been written. */
+        CHUNK_WRITTEN
     }
 
     /** What is done with the content of the response. */
@@ -74,20 +74,20 @@
         connection = leased;
     }
 
-    @Override public void connected(PooledConnection up) {
-        connection = up;
+    @Override public void connected(PooledConnection ready) {
+        connection = ready;
         if (!attempt.maySend() || transfer.streamsBody() && transfer.isBodyConsumed()) {
-            up.release();
+            ready.release();
             attempt.ended(AttemptResult.of(AttemptOutcome.NOT_SENT, null, transfer.isBodyConsumed()));
         } else if (transfer.streamsBody()) {
-            up.channel().writeAndFlush(NodeRequests.streamed(transfer));
+            ready.channel().writeAndFlush(NodeRequests.streamed(transfer));
             if (transfer.call().length() > 0) {
-                timer = ticker.after(CONTINUE_TIMEOUT, this::startBody);
+                timer = ticker.after(CONTINUE_TIMEOUT_MS, this::startBody);
             } else {
                 startBody();
             }
         } else {
-            requestWritten = up.channel().writeAndFlush(NodeRequests.complete(transfer));
+            requestWritten = ready.channel().writeAndFlush(NodeRequests.complete(transfer));
         }
     }
 
@@ -99,40 +99,40 @@
         }
         cancelTimer();
         lastProgressAt = ticker.now();
-        uploadState = UploadState.PIECE_REQUESTED;
+        uploadState = UploadState.CHUNK_REQUESTED;
         transfer.forwardBodyTo(this);
     }
 
-    @Override public void piece(ByteBuf piece, boolean last) {
-        uploadState = UploadState.PIECE_WRITTEN;
+    @Override public void chunk(ByteBuf chunk, boolean last) {
+        uploadState = UploadState.CHUNK_WRITTEN;
         if (!attempt.isInFlight() || responseState != ResponseState.AWAITED) {
-            piece.release();
+            chunk.release();
             return;
         }
         attempt.progressed();
-        ChannelFuture write = connection.channel().writeAndFlush(last ? new DefaultLastHttpContent(piece)
-            : new DefaultHttpContent(piece));
+        ChannelFuture write = connection.channel().writeAndFlush(last ? new DefaultLastHttpContent(chunk)
+            : new DefaultHttpContent(chunk));
         if (last) {
             requestWritten = write;
             transfer.bodyForwarded();
             attempt.requestSent();
         } else {
-            requestPiece();
+            requestChunk();
         }
     }
 
-    private void requestPiece() {
-        if (uploadState == UploadState.PIECE_WRITTEN && !transfer.isBodyForwarded() && responseState == ResponseState.AWAITED
+    private void requestChunk() {
+        if (uploadState == UploadState.CHUNK_WRITTEN && !transfer.isBodyForwarded() && responseState == ResponseState.AWAITED
             && connection.channel().isWritable()) {
-            uploadState = UploadState.PIECE_REQUESTED;
-            transfer.requestPiece();
+            uploadState = UploadState.CHUNK_REQUESTED;
+            transfer.requestChunk();
         }
     }
 
     @Override public void writable(PooledConnection on) {
         if (uploadState != UploadState.NOT_STARTED) {
             attempt.progressed();
-            requestPiece();
+            requestChunk();
         }
     }
 
@@ -235,11 +235,11 @@
         content.content().readBytes(bytes);
         collected.writeBytes(bytes);
         if (content instanceof LastHttpContent) {
-            collected();
+            finishCollected();
         }
     }
 
-    private void collected() {
+    private void finishCollected() {
         int status = head.status().code();
         if (status == 503 || status == 429) {
             // Rejected. Once all of a write has come, only the server knows whether that was before it ran.
--- a/src/main/java/kelphollow/protocol/object/NodeRequests.java
+++ b/src/main/java/kelphollow/protocol/object/NodeRequests.java
@@ -55,7 +55,7 @@
             }
         }
         if (transfer.download().isStarted()) {
-            transfer.download().requestRest(to);
+            transfer.download().addResumeHeaders(to);
         }
     }
 }
--- a/src/main/java/kelphollow/protocol/object/ObjectBackend.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectBackend.java
@@ -10,7 +10,7 @@
 /** Carries attempts to object servers over HTTP, each by a {@link NodeExchange}. For the event loop alone. */
 public final class ObjectBackend implements Backend {
     private static final int MAX_HEAD_BYTES = 16 * 1024;
-    private static final int MAX_PIECE_BYTES = 16 * 1024;
+    private static final int MAX_CHUNK_BYTES = 16 * 1024;
 
     private final ConnectionPools pools;
     private final Ticker ticker;
@@ -25,7 +25,7 @@
 
     /** The handlers of a connection to an object server. */
     public static ChannelHandler[] codec() {
-        return new ChannelHandler[] {new HttpClientCodec(MAX_HEAD_BYTES, MAX_HEAD_BYTES, MAX_PIECE_BYTES)};
+        return new ChannelHandler[] {new HttpClientCodec(MAX_HEAD_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES)};
     }
 
     @Override public void start(Attempt attempt) {
--- a/src/main/java/kelphollow/protocol/object/ObjectCall.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectCall.java
@@ -53,11 +53,11 @@
     // What the SDKs of S3 send with each attempt: "attempt=2; max=3", in any order, with or without blanks.
     private static final String RETRY_HEADER = "amz-sdk-request";
     private static final Pattern LATER_ATTEMPT = Pattern.compile("(^|.*;\\s*)attempt=([2-9]|[1-9]\\d{1,4})\\s*(;.*|$)");
-    private static final Set<String> QUERY = Set.of("uploads", "uploadId", "partNumber", "max-parts",
+    private static final Set<String> SUPPORTED_QUERY_PARAMETERS = Set.of("uploads", "uploadId", "partNumber", "max-parts",
         "part-number-marker", "x-id");
     private static final Pattern RANGE = Pattern.compile("bytes=(\\d{0,18})-(\\d{0,18})");
 
-    /** Whether the client marks it as a retry of its own. What cannot be read counts as a first attempt. */
+    /** Whether the client marks it as a retry of its copied. What cannot be read counts as a first attempt. */
     boolean isMarkedRetry() {
         String attempt = headers.get(RETRY_HEADER);
         return attempt != null && attempt.length() < MAX_RETRY_HEADER_LENGTH && LATER_ATTEMPT.matcher(attempt).matches();
@@ -68,12 +68,12 @@
      *
      * @throws S3Error if it is malformed, too large or not served
      */
-    static ObjectCall read(HttpRequest request, long largestBody) throws S3Error {
+    static ObjectCall parse(HttpRequest request, long largestBody) throws S3Error {
         String uri = request.uri();
         if (!uri.startsWith("/")) {
             throw new S3Error(400, "InvalidURI", "Only paths are served.");
         }
-        QueryStringDecoder query = query(uri);
+        QueryStringDecoder query = decodeQuery(uri);
         String path = query.path();
         int slash = path.indexOf('/', 1);
         String bucket = path.substring(1, slash < 0 ? path.length() : slash);
@@ -84,20 +84,20 @@
         if (key.getBytes(StandardCharsets.UTF_8).length > MAX_KEY_BYTES) {
             throw new S3Error(400, "KeyTooLongError", "Your key is too long.");
         }
-        String uploadId = one(query.parameters(), "uploadId");
-        String part = one(query.parameters(), "partNumber");
-        Operation op = op(request.method(), query.parameters().containsKey("uploads"), uploadId, part);
+        String uploadId = singleValue(query.parameters(), "uploadId");
+        String part = singleValue(query.parameters(), "partNumber");
+        Operation op = parseOperation(request.method(), query.parameters().containsKey("uploads"), uploadId, part);
         return new ObjectCall(op, request.method(), uri, bucket, key, request.headers(),
-            length(op, request.headers(), largestBody), range(op, request.headers()), uploadId,
-            op == Operation.PART ? partNumber(part) : 0);
+            parseLength(op, request.headers(), largestBody), parseRangeLength(op, request.headers()), uploadId,
+            op == Operation.PART ? parsePartNumber(part) : 0);
     }
 
-    private static QueryStringDecoder query(String uri) throws S3Error {
+    private static QueryStringDecoder decodeQuery(String uri) throws S3Error {
         try {
             QueryStringDecoder query = new QueryStringDecoder(uri, StandardCharsets.UTF_8);
             query.path();
             for (String name : query.parameters().keySet()) {
-                if (!QUERY.contains(name)) {
+                if (!SUPPORTED_QUERY_PARAMETERS.contains(name)) {
                     throw new S3Error(501, "NotImplemented", "The query '" + name + "' is not served.");
                 }
             }
@@ -107,7 +107,8 @@
         }
     }
 
-    private static Operation op(HttpMethod method, boolean uploads, String uploadId, String part) throws S3Error {
+    private static Operation parseOperation(HttpMethod method, boolean uploads, String uploadId, String part)
+        throws S3Error {
         Operation op = switch (method.name()) {
             case "GET" -> uploadId != null ? Operation.LIST_PARTS : uploads || part != null ? null : Operation.GET;
             case "HEAD" -> uploadId == null && !uploads && part == null ? Operation.HEAD : null;
@@ -123,7 +124,7 @@
         return op;
     }
 
-    private static long length(Operation op, HttpHeaders headers, long largest) throws S3Error {
+    private static long parseLength(Operation op, HttpHeaders headers, long largest) throws S3Error {
         if (headers.contains(HttpHeaderNames.TRANSFER_ENCODING)) {
             throw new S3Error(op.hasBody() ? 411 : 400, op.hasBody() ? "MissingContentLength" : "InvalidRequest",
                 "A body must come with its Content-Length.");
@@ -146,7 +147,7 @@
     }
 
     /** A single range is forwarded; several, or what is no range of bytes, are ignored, as HTTP allows. */
-    private static long range(Operation op, HttpHeaders headers) {
+    private static long parseRangeLength(Operation op, HttpHeaders headers) {
         String value = headers.get(HttpHeaderNames.RANGE);
         if (op != Operation.GET || value == null) {
             return UNKNOWN_LENGTH;
@@ -168,7 +169,7 @@
         return to < 0 ? UNKNOWN_LENGTH : to - from + 1;
     }
 
-    private static int partNumber(String text) throws S3Error {
+    private static int parsePartNumber(String text) throws S3Error {
         if (text.matches("\\d{1,5}")) {
             int number = Integer.parseInt(text);
             if (number >= 1 && number <= MAX_PART_NUMBER) {
@@ -178,7 +179,7 @@
         throw new S3Error(400, "InvalidArgument", "Part number must be an integer between 1 and 10000.");
     }
 
-    private static String one(Map<String, List<String>> query, String name) throws S3Error {
+    private static String singleValue(Map<String, List<String>> query, String name) throws S3Error {
         List<String> values = query.get(name);
         if (values == null) {
             return null;
@@ -209,11 +210,11 @@
     private ObjectCall listParts(String query) {
         String path = uri.substring(0, uri.indexOf('?'));
         String id = URLEncoder.encode(uploadId, StandardCharsets.UTF_8);
-        HttpHeaders own = headers.copy();
+        HttpHeaders copied = headers.copy();
         for (String name : List.of("Content-Length", "Content-MD5", "Content-Type", "Expect")) {
-            own.remove(name);
+            copied.remove(name);
         }
-        return new ObjectCall(Operation.LIST_PARTS, HttpMethod.GET, path + "?uploadId=" + id + query, bucket, key, own, 0,
+        return new ObjectCall(Operation.LIST_PARTS, HttpMethod.GET, path + "?uploadId=" + id + query, bucket, key, copied, 0,
             UNKNOWN_LENGTH, uploadId, partNumber);
     }
 }
--- a/src/main/java/kelphollow/protocol/object/ObjectConnection.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectConnection.java
@@ -19,7 +19,7 @@
     private final ObjectServices services;
     private final Channel channel;
     private final DemandQueue inbound;
-    private final ConnectionIdleness idleness;
+    private final ConnectionIdleTracker idleTracker;
     private ObjectExchange current;
     /** The head of the next request, which waits for its turn. */
     private HttpRequest next;
@@ -30,18 +30,18 @@
         this.front = front;
         this.services = services;
         this.channel = channel;
-        this.inbound = new DemandQueue(channel, this::take);
-        this.idleness = new ConnectionIdleness(services.ticker(), services.options().stallTimeout());
+        this.inbound = new DemandQueue(channel, this::handle);
+        this.idleTracker = new ConnectionIdleTracker(services.ticker(), services.options().stallTimeout());
     }
 
     /** Guards descriptors against clients that connect and then request nothing, or send half a head. */
-    void watchIdleness() {
-        double delay = isIdle() ? idleness.remaining() : services.options().stallTimeout();
+    void scheduleIdleCheck() {
+        double delay = isIdle() ? idleTracker.remaining() : services.options().stallTimeout();
         services.ticker().after(delay, () -> {
-            if (isIdle() && idleness.hasExpired()) {
+            if (isIdle() && idleTracker.hasExpired()) {
                 close();
             } else if (channel.isOpen()) {
-                watchIdleness();
+                scheduleIdleCheck();
             }
         });
     }
@@ -72,25 +72,25 @@
     /** Guards against a head that comes in several segments: a read that made no message must go on. */
     @Override public void channelReadComplete(ChannelHandlerContext context) {
         if (!readMessage && isIdle()) {
-            idleness.partialHead();
+            idleTracker.partialHead();
         }
         readMessage = false;
-        if (inbound.isStarved()) {
+        if (inbound.hasUnmetDemand()) {
             channel.read();
         }
     }
 
-    private void take(Object message) {
+    private void handle(Object message) {
         if (message instanceof HttpRequest request) {
-            idleness.completeHead();
+            idleTracker.completeHead();
             next = request;
             if (current == null) {
-                beginLater();
+                scheduleBegin();
             } else {
                 channel.read();      // sent ahead; it waits its turn, and meanwhile the client's going away is seen
             }
         } else if (message instanceof HttpContent content && current != null && !current.isBodyRead()) {
-            current.piece(content);
+            current.chunk(content);
         } else {
             ReferenceCountUtil.release(message);
             demand();
@@ -101,14 +101,14 @@
      * Begins the next request after one more read: by then it is known whether the client's end came right behind. Guards
      * against forwarding requests of a client that has gone. What else the read brings waits for its demand.
      */
-    private void beginLater() {
+    private void scheduleBegin() {
         channel.read();
         SingleThreadEventLoop loop = (SingleThreadEventLoop) channel.eventLoop();
         loop.executeAfterEventLoopIteration(() -> loop.execute(() -> {
             if (next != null && current == null && channel.isActive()) {
                 HttpRequest request = next;
                 next = null;
-                inbound.deferred(() -> begin(request));
+                inbound.withDeliveryDeferred(() -> begin(request));
             }
         }));
     }
@@ -116,7 +116,7 @@
     private void begin(HttpRequest request) {
         current = new ObjectExchange(services, this, request, front.nextRequestId());
         if (request.decoderResult().isFailure()) {
-            current.unreadable();
+            current.rejectMalformed();
         } else {
             current.begin();
         }
@@ -126,11 +126,11 @@
     void exchangeFinished(boolean keepAlive) {
         boolean bodyRead = current.isBodyRead();
         current = null;
-        idleness.restart();
+        idleTracker.restart();
         if (!keepAlive || !bodyRead || front.isShuttingDown()) {
             close();
         } else if (next != null) {
-            beginLater();
+            scheduleBegin();
         } else {
             demand();
         }
@@ -143,7 +143,7 @@
 
     /** In milliseconds on the ticker's clock. */
     double idleSince() {
-        return idleness.idleSince();
+        return idleTracker.idleSince();
     }
 
     void closeIfIdle() {
--- a/src/main/java/kelphollow/protocol/object/ObjectExchange.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectExchange.java
@@ -16,7 +16,7 @@
 import kelphollow.routing.Ticker;
 
 /**
- * One request of a client, from its head to the last byte of its response. Pieces of the body are released here, by
+ * One request of a client, from its head to the last byte of its response. Chunks of the body are released here, by
  * {@link PartForwarding} or by {@link Transfer}; content of the response is released by its write. For the event loop alone.
  */
 final class ObjectExchange implements ResponseCallback, Transfer.Client {
@@ -44,7 +44,7 @@
     /** The body of a completion while it comes. */
     private ByteArrayOutputStream document;
     private PartForwarding part;
-    private GuardedForwarding forwarding;
+    private AtMostOnceForwarding forwarding;
     private IntentBarrier abortIntent;
     private Ticker.Timeout stallTimer;
 
@@ -75,20 +75,20 @@
     }
 
     /** The head makes no sense: nothing more is read on this connection. */
-    void unreadable() {
+    void rejectMalformed() {
         body = Body.READ;
         keepAlive = false;
-        answer(new S3Error(400, "InvalidRequest", "The request cannot be read."));
+        respond(new S3Error(400, "InvalidRequest", "The request cannot be read."));
     }
 
     void begin() {
         try {
-            call = ObjectCall.read(request, services.options().maxBodyBytes());
+            call = ObjectCall.parse(request, services.options().maxBodyBytes());
             services.mapper().arrival(call);
         } catch (S3Error e) {
             boolean hasBody = HttpUtil.isContentLengthSet(request) || HttpUtil.isTransferEncodingChunked(request);
             body = hasBody ? Body.UNREAD : Body.READ;
-            answer(e);
+            respond(e);
             return;
         }
         switch (call.op()) {
@@ -121,16 +121,16 @@
         try {
             arrival = services.mapper().arrival(call);
         } catch (S3Error e) {
-            answer(e);
+            respond(e);
             return;
         }
-        Request taken = services.router().submit(arrival, transfer, this);
-        routed = finished ? null : taken;
+        Request submitted = services.router().submit(arrival, transfer, this);
+        routed = finished ? null : submitted;
     }
 
     private void abort() {
-        abortIntent = new IntentBarrier(services.ticker(), services.writeDeadline(), () -> send(null), this::answer);
-        services.parts().aborting(UploadParts.upload(call), abortIntent::recorded);
+        abortIntent = new IntentBarrier(services.ticker(), services.writeDeadline(), () -> send(null), this::respond);
+        services.parts().recordAbort(UploadParts.uploadKey(call), abortIntent::recorded);
     }
 
     // ------------------------------------------------------------ the body
@@ -139,7 +139,7 @@
         if (body == Body.UNREAD) {
             body = Body.REQUESTED;
             if (HttpUtil.is100ContinueExpected(request)) {
-                connection.channel().writeAndFlush(HttpResponses.proceed());
+                connection.channel().writeAndFlush(HttpResponses.continueResponse());
             }
         }
         stallTimer = services.ticker().after(services.options().stallTimeout(), () -> {
@@ -151,13 +151,13 @@
     }
 
     private void rejectBody(String code, String message) {
-        withdraw();
+        cancelRequest();
         keepAlive = false;
-        answer(new S3Error(400, code, message));
+        respond(new S3Error(400, code, message));
     }
 
-    /** Takes the next piece of the body, and its ownership. */
-    void piece(HttpContent content) {
+    /** Takes the next chunk of the body, and its ownership. */
+    void chunk(HttpContent content) {
         cancelStallTimer();
         boolean last = content instanceof LastHttpContent;
         if (last) {
@@ -169,9 +169,9 @@
         } else if (document != null) {
             collect(content, last);
         } else if (part != null) {
-            part.piece(content.content(), last);
+            part.chunk(content.content(), last);
         } else if (transfer != null && transfer.isBodyConsumed()) {
-            transfer.piece(content.content(), last);
+            transfer.chunk(content.content(), last);
         } else {
             content.release();
         }
@@ -220,39 +220,39 @@
         }
     }
 
-    @Override public void served(Object answer) {
-        if (answer == null) {
+    @Override public void served(Object served) {
+        if (served == null) {
             finished = true;
             connection.channel().writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
             connection.exchangeFinished(keepAlive);
             return;
         }
-        NodeResponse response = (NodeResponse) answer;
+        NodeResponse response = (NodeResponse) served;
         try {
-            noteUpload(response);
+            trackUpload(response);
         } catch (XMLStreamException e) {
-            answer(new S3Error(502, "BadGateway", "The storage node's answer cannot be read."));
+            respond(new S3Error(502, "BadGateway", "The storage node's answer cannot be read."));
             return;
         }
         if (forwarding != null) {
             forwarding.served(response);
         } else {
-            answer(response);
+            respond(response);
         }
     }
 
     /** Remembers uploads that have been begun or aborted. */
-    private void noteUpload(NodeResponse response) throws XMLStreamException {
+    private void trackUpload(NodeResponse response) throws XMLStreamException {
         if (!response.isSuccess()) {
             return;
         }
         if (call.op() == ObjectCall.Operation.CREATE) {
-            String uploadId = S3Xml.first(response.body(), "UploadId");
+            String uploadId = S3Xml.firstText(response.body(), "UploadId");
             if (uploadId != null) {
-                services.parts().begun(UploadParts.upload(call, uploadId), services.now());
+                services.parts().uploadCreated(UploadParts.uploadKey(call, uploadId), services.now());
             }
         } else if (call.op() == ObjectCall.Operation.ABORT) {
-            services.parts().finished(UploadParts.upload(call));
+            services.parts().uploadEnded(UploadParts.uploadKey(call));
         }
     }
 
@@ -268,16 +268,16 @@
         if (forwarding != null) {
             forwarding.failed(error, mayHaveRun);
         } else {
-            answer(error);
+            respond(error);
         }
     }
 
-    void answer(NodeResponse response) {
+    void respond(NodeResponse response) {
         write(HttpResponses.complete(response, request.method()));
     }
 
     /** A response that has begun can't become an error: its connection closes, so that the client sees it is truncated. */
-    void answer(S3Error error) {
+    void respond(S3Error error) {
         if (transfer != null && transfer.download().isStarted()) {
             finished = true;
             connection.channel().close();
@@ -306,7 +306,7 @@
     void disconnected() {
         finished = true;
         cancelStallTimer();
-        withdraw();
+        cancelRequest();
     }
 
     private void cancelStallTimer() {
@@ -316,7 +316,7 @@
     }
 
     /** No attempt is wanted any more. */
-    private void withdraw() {
+    private void cancelRequest() {
         if (abortIntent != null) {
             abortIntent.cancel();
         }
@@ -325,7 +325,7 @@
             routed = null;
         }
         if (forwarding != null) {
-            forwarding.withdrawn(transfer != null);
+            forwarding.cancelled(transfer != null);
         }
     }
 }
--- a/src/main/java/kelphollow/protocol/object/ObjectFront.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectFront.java
@@ -18,13 +18,13 @@
 /** The front for clients of the object API over HTTP: accepts their connections and closes idle ones. For the event loop. */
 public final class ObjectFront implements Front {
     // In milliseconds; only connections that have been idle for so long are closed to make room, none that has just come.
-    private static final double MIN_IDLE_TO_EVICT = 50;
+    private static final double MIN_IDLE_TO_EVICT_MS = 50;
     // In milliseconds, between the last response and the close.
-    private static final double LINGER = 1_000;
+    private static final double LINGER_MS = 1_000;
     private static final int MAX_LINGERING = 64;
     private static final int MAX_LINE_BYTES = 8 * 1024;
     private static final int MAX_HEAD_BYTES = 16 * 1024;
-    private static final int MAX_PIECE_BYTES = 16 * 1024;
+    private static final int MAX_CHUNK_BYTES = 16 * 1024;
 
     private final ObjectServices services;
     private final Set<ObjectConnection> connections = new LinkedHashSet<>();
@@ -43,7 +43,7 @@
         throws IOException, StoreFault {
         double startedAt = ticker.now();
         double settleTime = options.write().deadline();
-        this.lingering = new LingeringClose(ticker, options.stallTimeout(), LINGER, MAX_LINGERING);
+        this.lingering = new LingeringClose(ticker, options.stallTimeout(), LINGER_MS, MAX_LINGERING);
         UploadParts parts = new UploadParts(options.rememberedParts(), settleTime,
             ledger == null ? null : ledger.parts());
         Completions completions = new Completions(options.rememberedParts(), settleTime,
@@ -64,10 +64,10 @@
 
     @Override public void accept(Channel channel) {
         channel.config().setAutoRead(false);
-        HttpServerCodec codec = new HttpServerCodec(MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_PIECE_BYTES);
+        HttpServerCodec codec = new HttpServerCodec(MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES);
         ObjectConnection connection = new ObjectConnection(this, services, channel);
         connections.add(connection);
-        connection.watchIdleness();
+        connection.scheduleIdleCheck();
         channel.pipeline().addLast(codec, connection);
     }
 
@@ -75,7 +75,7 @@
     @Override public void evictIdle() {
         double now = services.now();
         connections.stream()
-            .filter(connection -> connection.isIdle() && now - connection.idleSince() >= MIN_IDLE_TO_EVICT)
+            .filter(connection -> connection.isIdle() && now - connection.idleSince() >= MIN_IDLE_TO_EVICT_MS)
             .min(Comparator.comparingDouble(ObjectConnection::idleSince)).ifPresent(ObjectConnection::close);
     }
 
--- a/src/main/java/kelphollow/protocol/object/PartForwarding.java
+++ b/src/main/java/kelphollow/protocol/object/PartForwarding.java
@@ -9,7 +9,7 @@
  * content is read and compared with what was written, and the client gets the recorded response or a conflict. For the
  * event loop alone.
  */
-final class PartForwarding implements GuardedForwarding, PartOutcome.Listener, UploadQuery.Listener {
+final class PartForwarding implements AtMostOnceForwarding, PartOutcome.Listener, UploadQuery.Listener {
     private final ObjectServices services;
     private final ObjectExchange exchange;
     private final Md5 digest = new Md5();
@@ -35,18 +35,18 @@
     void begin() {
         part = services.parts().find(exchange.call(), services.now());
         if (part == null) {
-            exchange.answer(S3Error.rejected(1));
+            exchange.respond(S3Error.rejected(1));
             return;
         }
         switch (part.state()) {
-            case BUSY -> compareWith(null);
-            case STORED -> compareWith(part.storedOutcome());
-            case UNKNOWN -> ask();
+            case BUSY -> readAndCompare(null);
+            case STORED -> readAndCompare(part.storedOutcome());
+            case UNKNOWN -> queryNode();
             case UNRECORDED -> {
-                if (services.parts().isComplete(exchange.call())) {
+                if (services.parts().isFullyTracked(exchange.call())) {
                     send();
                 } else {
-                    ask();
+                    queryNode();
                 }
             }
         }
@@ -55,19 +55,19 @@
     private void send() {
         isSender = true;
         intent = new IntentBarrier(services.ticker(), services.writeDeadline(), () -> exchange.send(null),
-            this::notSent);
-        part.sending(services.now(), intent::recorded);
+            this::intentNotRecorded);
+        part.markSending(services.now(), intent::recorded);
     }
 
-    /** Takes a piece of the client's body; it is released here or by what it is forwarded to. */
-    void piece(ByteBuf bytes, boolean last) {
+    /** Takes a chunk of the client's body; it is released here or by what it is forwarded to. */
+    void chunk(ByteBuf bytes, boolean last) {
         digest.update(bytes.nioBuffer());
         size += bytes.readableBytes();
         if (last) {
             content = new PartContent(size, digest.hex());
         }
         if (isSender) {
-            exchange.transfer().piece(bytes, last);
+            exchange.transfer().chunk(bytes, last);
             return;
         }
         bytes.release();
@@ -81,7 +81,7 @@
     // ------------------------------------------------------------ another client's part is sent, or was
 
     /** Reads the body away; the client gets its response once the body is complete and the outcome is known. */
-    private void compareWith(PartOutcome known) {
+    private void readAndCompare(PartOutcome known) {
         outcome = known;
         if (outcome == null) {
             part.addListener(this);
@@ -99,30 +99,30 @@
             return;
         }
         if (outcome.error() != null) {
-            exchange.answer(outcome.error());
+            exchange.respond(outcome.error());
         } else if (outcome.content().equals(content)) {
             exchange.write(HttpResponses.partStored(outcome.etag()));
         } else {
-            exchange.answer(new S3Error(409, "OperationAborted",
+            exchange.respond(new S3Error(409, "OperationAborted",
                 "This part has been sent with other content, which is stored or may be."));
         }
     }
 
     // ------------------------------------------------------------ the node is asked for the part
 
-    private void ask() {
+    private void queryNode() {
         // What is not remembered may have been sent by an earlier incarnation, whose attempts ended when this one began.
         unknownSince = part.state() == UploadPart.State.UNKNOWN ? part.unknownSince() : services.startedAt();
         mayStillBeStored = services.now() - unknownSince < services.writeDeadline();
         stateBeforeQuery = part.state();
-        part.querying();
+        part.markQuerying();
         query.send(exchange.call().listThisPart(), exchange);
     }
 
-    @Override public void answered(NodeResponse response) {
+    @Override public void responseReceived(NodeResponse response) {
         if (response.status() != 200) {
             revert(null);
-            exchange.answer(response);
+            exchange.respond(response);
             return;
         }
         S3Xml.Part stored;
@@ -134,8 +134,8 @@
         }
         if (stored != null) {
             PartContent found = new PartContent(stored.size(), stored.etag().replace("\"", ""));
-            part.stored(found, stored.etag(), services.now());
-            compareWith(PartOutcome.stored(found, stored.etag()));
+            part.markStored(found, stored.etag(), services.now());
+            readAndCompare(PartOutcome.stored(found, stored.etag()));
         } else if (mayStillBeStored) {
             // The attempt whose outcome is unknown may still be at work; sending another now could store the part twice.
             revert(S3Error.rejected(unknownSince + services.writeDeadline() - services.now()));
@@ -152,12 +152,12 @@
     private void revert(S3Error error) {
         S3Error forOthers = error == null ? S3Error.rejected(1) : error;
         if (stateBeforeQuery == UploadPart.State.UNKNOWN) {
-            part.unknown(part.unknownSince(), forOthers);
+            part.markUnknown(part.unknownSince(), forOthers);
         } else {
             part.forget(forOthers);
         }
         if (error != null) {
-            exchange.answer(error);
+            exchange.respond(error);
         }
     }
 
@@ -167,38 +167,38 @@
         isSender = false;
         String etag = response.headers().get(HttpHeaderNames.ETAG);
         if (response.status() == 200 && etag != null && content != null) {
-            part.stored(content, etag, services.now());
+            part.markStored(content, etag, services.now());
         } else if (response.isClientError()) {
             part.forget(S3Error.rejected(1));
         } else {
-            part.unknown(services.now(), S3Error.failed(false));
+            part.markUnknown(services.now(), S3Error.failed(false));
         }
-        exchange.answer(response);
+        exchange.respond(response);
     }
 
     @Override public void failed(S3Error error, boolean mayHaveRun) {
         abandon(error);
-        exchange.answer(error);
+        exchange.respond(error);
     }
 
     /** Nothing was sent, since the record of it is not durable. */
-    private void notSent(S3Error error) {
+    private void intentNotRecorded(S3Error error) {
         isSender = false;
         part.forget(error);
-        exchange.answer(error);
+        exchange.respond(error);
     }
 
     /** Until the last byte of the body has left, no attempt can have stored the part. */
     private void abandon(S3Error error) {
         isSender = false;
         if (exchange.transfer() != null && exchange.transfer().isBodyForwarded()) {
-            part.unknown(services.now(), error);
+            part.markUnknown(services.now(), error);
         } else {
             part.forget(error);
         }
     }
 
-    @Override public void withdrawn(boolean sent) {
+    @Override public void cancelled(boolean sent) {
         if (intent != null) {
             intent.cancel();
         }
--- a/src/main/java/kelphollow/protocol/object/S3Xml.java
+++ b/src/main/java/kelphollow/protocol/object/S3Xml.java
@@ -54,7 +54,7 @@
     }
 
     /** The name of the document's outermost element. */
-    static String root(byte[] document) throws XMLStreamException {
+    static String rootElement(byte[] document) throws XMLStreamException {
         XMLStreamReader xml = INPUT.createXMLStreamReader(new ByteArrayInputStream(document));
         while (xml.hasNext()) {
             if (xml.next() == XMLStreamConstants.START_ELEMENT) {
@@ -65,7 +65,7 @@
     }
 
     /** The text of the first element of this name, or null. */
-    static String first(byte[] document, String element) throws XMLStreamException {
+    static String firstText(byte[] document, String element) throws XMLStreamException {
         XMLStreamReader xml = INPUT.createXMLStreamReader(new ByteArrayInputStream(document));
         while (xml.hasNext()) {
             if (xml.next() == XMLStreamConstants.START_ELEMENT && xml.getLocalName().equals(element)) {
--- a/src/main/java/kelphollow/protocol/object/Transfer.java
+++ b/src/main/java/kelphollow/protocol/object/Transfer.java
@@ -8,15 +8,15 @@
  * content on its way to the client. For the event loop alone.
  */
 final class Transfer {
-    /** Takes the pieces of a body. */
+    /** Takes the chunks of a body. */
     interface BodySink {
-        /** A piece, to be released by the sink. */
-        void piece(ByteBuf piece, boolean last);
+        /** A chunk, to be released by the sink. */
+        void chunk(ByteBuf chunk, boolean last);
     }
 
     /** The client's side. */
     interface Client {
-        /** Requests the next piece of the body. */
+        /** Requests the next chunk of the body. */
         void read();
 
         /** The head of the response; it stays the caller's. */
@@ -89,23 +89,23 @@
         bodyState = BodyState.FORWARDED;
     }
 
-    /** Forwards the body to this sink from its first piece on. */
+    /** Forwards the body to this sink from its first chunk on. */
     void forwardBodyTo(BodySink to) {
         sink = to;
         bodyState = BodyState.FORWARDING;
         client.read();
     }
 
-    void requestPiece() {
+    void requestChunk() {
         client.read();
     }
 
-    /** Hands a piece to the sink, which releases it; without a sink it is released here. */
-    void piece(ByteBuf piece, boolean last) {
+    /** Hands a chunk to the sink, which releases it; without a sink it is released here. */
+    void chunk(ByteBuf chunk, boolean last) {
         if (sink == null) {
-            piece.release();
+            chunk.release();
         } else {
-            sink.piece(piece, last);
+            sink.chunk(chunk, last);
         }
     }
 
@@ -118,7 +118,7 @@
 
     /** Forwards content, and its ownership. */
     void content(ByteBuf content) {
-        download.forwarded(content.readableBytes());
+        download.addForwarded(content.readableBytes());
         client.content(content);
     }
 
--- a/src/main/java/kelphollow/protocol/object/UploadPart.java
+++ b/src/main/java/kelphollow/protocol/object/UploadPart.java
@@ -89,12 +89,12 @@
     }
 
     /** The node is being asked for it. */
-    void querying() {
+    void markQuerying() {
         state = State.BUSY;
     }
 
     /** It is about to be sent; {@code then} gets null once that cannot be forgotten any more, or what hinders it. */
-    void sending(double now, Consumer<StoreFault> then) {
+    void markSending(double now, Consumer<StoreFault> then) {
         state = State.BUSY;
         if (records == null) {
             then.accept(null);
@@ -112,7 +112,7 @@
         listeners.remove(listener);
     }
 
-    void stored(PartContent stored, String tag, double now) {
+    void markStored(PartContent stored, String tag, double now) {
         state = State.STORED;
         content = stored;
         etag = tag;
@@ -124,7 +124,7 @@
     }
 
     /** An attempt may have stored it; {@code since} is the time of its last sign. */
-    void unknown(double since, S3Error error) {
+    void markUnknown(double since, S3Error error) {
         state = State.UNKNOWN;
         unknownSince = since;
         notifyListeners(PartOutcome.failed(error));
--- a/src/main/java/kelphollow/protocol/object/UploadParts.java
+++ b/src/main/java/kelphollow/protocol/object/UploadParts.java
@@ -25,7 +25,7 @@
     private final PartRecords records;
     private final Map<String, UploadPart> parts = new LinkedHashMap<>(16, 0.75f, true);
     /** Uploads begun through this process of which no part was forgotten: what is not in {@link #parts} was never sent. */
-    private final Set<String> complete = new LinkedHashSet<>();
+    private final Set<String> fullyTracked = new LinkedHashSet<>();
 
     /**
      * @param capacity how many parts, and how many uploads, are remembered
@@ -43,7 +43,7 @@
         records.read(new PartRecords.Reader() {
             @Override public void upload(String upload, long sinceEpoch) {
                 if (recovered.classify(StoredRecord.NONE, sinceEpoch, true).kind() == RecoveredOutcome.Kind.NEVER_RAN) {
-                    complete.add(upload);
+                    fullyTracked.add(upload);
                 }
             }
 
@@ -54,8 +54,8 @@
                     md5 == null ? null : new PartContent(size, md5), tag, now);
             }
         });
-        while (complete.size() > capacity) {
-            complete.remove(complete.iterator().next());
+        while (fullyTracked.size() > capacity) {
+            fullyTracked.remove(fullyTracked.iterator().next());
         }
     }
 
@@ -66,39 +66,39 @@
         if (parts.size() < capacity || evict(now)) {
             parts.put(part.name(), part);
         } else {
-            complete.remove(part.upload());
+            fullyTracked.remove(part.upload());
         }
     }
 
     /** The name of a call's upload, unique over objects. */
-    static String upload(ObjectCall call) {
-        return upload(call, call.uploadId());
+    static String uploadKey(ObjectCall call) {
+        return uploadKey(call, call.uploadId());
     }
 
     /** The name of an upload of a call's object. */
-    static String upload(ObjectCall call, String uploadId) {
+    static String uploadKey(ObjectCall call, String uploadId) {
         return call.bucket() + '/' + call.key() + '?' + uploadId;
     }
 
     /** An upload has been begun here. */
-    void begun(String upload, double now) {
-        complete.add(upload);
+    void uploadCreated(String upload, double now) {
+        fullyTracked.add(upload);
         if (records != null) {
             records.recordUpload(upload, now);
         }
-        if (complete.size() > capacity) {
-            markIncomplete(complete.iterator().next());
+        if (fullyTracked.size() > capacity) {
+            markNotFullyTracked(fullyTracked.iterator().next());
         }
     }
 
-    private void markIncomplete(String upload) {
-        if (complete.remove(upload) && records != null) {
+    private void markNotFullyTracked(String upload) {
+        if (fullyTracked.remove(upload) && records != null) {
             records.markIncomplete(upload);
         }
     }
 
     /** An upload has been completed or aborted. */
-    void finished(String upload) {
+    void uploadEnded(String upload) {
         List<Integer> forgotten = forget(upload);
         if (records != null) {
             records.removeUpload(upload, forgotten);
@@ -110,7 +110,7 @@
      * hinders it. From here on its parts are requested of the node: a record that outlived the upload would answer for parts
      * that are gone.
      */
-    void aborting(String upload, Consumer<StoreFault> then) {
+    void recordAbort(String upload, Consumer<StoreFault> then) {
         List<Integer> forgotten = forget(upload);
         if (records == null) {
             then.accept(null);
@@ -121,7 +121,7 @@
 
     /** Gives the numbers of the parts that were remembered. */
     private List<Integer> forget(String upload) {
-        complete.remove(upload);
+        fullyTracked.remove(upload);
         List<Integer> numbers = new ArrayList<>();
         parts.values().removeIf(part -> part.upload().equals(upload) && part.state() != UploadPart.State.BUSY
             && numbers.add(part.number()));
@@ -130,7 +130,7 @@
 
     /** The call's part, which is {@link UploadPart.State#UNRECORDED} if it is new; null when all that fit are busy. */
     UploadPart find(ObjectCall call, double now) {
-        String upload = upload(call);
+        String upload = uploadKey(call);
         UploadPart part = parts.get(UploadPart.name(upload, call.partNumber()));
         if (part == null) {
             if (parts.size() >= capacity && !evict(now)) {
@@ -143,8 +143,8 @@
     }
 
     /** Whether what is not remembered of this call's upload is known never to have been sent. */
-    boolean isComplete(ObjectCall call) {
-        return complete.contains(upload(call));
+    boolean isFullyTracked(ObjectCall call) {
+        return fullyTracked.contains(uploadKey(call));
     }
 
     private boolean evict(double now) {
@@ -153,7 +153,7 @@
             boolean settled = part.state() == UploadPart.State.UNKNOWN && now - part.unknownSince() > settleTime;
             if (part.state() == UploadPart.State.STORED || settled) {
                 all.remove();
-                markIncomplete(part.upload());
+                markNotFullyTracked(part.upload());
                 return true;
             }
         }
--- a/src/main/java/kelphollow/protocol/object/UploadQuery.java
+++ b/src/main/java/kelphollow/protocol/object/UploadQuery.java
@@ -12,7 +12,7 @@
 final class UploadQuery implements ResponseCallback {
     /** Hears one of the two, once, unless the query is cancelled. */
     interface Listener {
-        void answered(NodeResponse response);
+        void responseReceived(NodeResponse response);
 
         void failed(S3Error error);
     }
@@ -39,8 +39,8 @@
             fail(e);
             return;
         }
-        Request taken = router.submit(arrival, new Transfer(list, null, client), this);
-        request = pending ? taken : null;
+        Request submitted = router.submit(arrival, new Transfer(list, null, client), this);
+        request = pending ? submitted : null;
     }
 
     boolean isPending() {
@@ -60,9 +60,9 @@
         listener.failed(error);
     }
 
-    @Override public void served(Object answer) {
+    @Override public void served(Object response) {
         pending = false;
-        listener.answered((NodeResponse) answer);
+        listener.responseReceived((NodeResponse) response);
     }
 
     @Override public void rejected(double retryAfter, boolean timedOut) {
--- a/src/test/java/kelphollow/protocol/object/DownloadTest.java
+++ b/src/test/java/kelphollow/protocol/object/DownloadTest.java
@@ -32,10 +32,10 @@
 
     @Test void theRestOfAnObjectIsRequestedIfItIsStillTheSame() {
         download.start(response(HttpResponseStatus.OK, null, 100, TAG));
-        download.forwarded(30);
+        download.addForwarded(30);
 
         HttpHeaders headers = new DefaultHttpHeaders();
-        download.requestRest(headers);
+        download.addResumeHeaders(headers);
 
         assertEquals("bytes=30-99", headers.get("Range"));
         assertEquals(TAG, headers.get("If-Match"));
@@ -43,17 +43,17 @@
 
     @Test void theRestOfARangeIsCountedFromTheObjectsFirstByte() {
         download.start(partial("bytes 50-149/1000", 100, TAG));
-        download.forwarded(30);
+        download.addForwarded(30);
 
         HttpHeaders headers = new DefaultHttpHeaders();
-        download.requestRest(headers);
+        download.addResumeHeaders(headers);
 
         assertEquals("bytes=80-149", headers.get("Range"));
     }
 
     @Test void onlyTheVeryBytesThatAreMissingContinueIt() {
         download.start(response(HttpResponseStatus.OK, null, 100, TAG));
-        download.forwarded(30);
+        download.addForwarded(30);
 
         assertTrue(download.isContinuedBy(partial("bytes 30-99/100", 70, TAG)));
         assertFalse(download.isContinuedBy(partial("bytes 31-99/100", 69, TAG)), "a byte too late");
--- a/src/test/java/kelphollow/protocol/object/MarkedRetryTest.java
+++ b/src/test/java/kelphollow/protocol/object/MarkedRetryTest.java
@@ -24,10 +24,10 @@
         HttpRequest request = request();
         request.headers().set("amz-sdk-request", header);
 
-        assertEquals(isRetry, ObjectCall.read(request, 1).isMarkedRetry());
+        assertEquals(isRetry, ObjectCall.parse(request, 1).isMarkedRetry());
     }
 
     @Test void missingHeaderCountsAsAFirstAttempt() throws Exception {
-        assertFalse(ObjectCall.read(request(), 1).isMarkedRetry());
+        assertFalse(ObjectCall.parse(request(), 1).isMarkedRetry());
     }
 }
