--- a/src/main/java/kelphollow/protocol/json/Json.java
+++ b/src/main/java/kelphollow/protocol/json/Json.java
@@ -11,29 +11,29 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads one JSON value into lists, maps, strings, numbers and booleans, and writes it. */
+/** Reads a JSON value into lists, maps, strings, numbers and booleans, and writes one. */
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private Json() {}
 
-    /** Reads a text that holds one value; numbers become doubles. */
+    /** Parses a string that holds exactly one value; numbers become doubles. */
     public static Object parse(String line) throws IOException {
         try (JsonParser parser = FACTORY.createParser(line)) {
             parser.nextToken();
             Object value = read(parser);
             if (parser.nextToken() != null) {
-                throw new IOException("more than one value in the text");
+                throw new IOException("unexpected content after the JSON value");
             }
             return value;
         }
     }
 
-    /** Reads the value that begins at the parser's token, whatever format it parses; numbers become doubles. */
+    /** Reads the value at the parser's current token, in any format that Jackson parses; numbers become doubles. */
     public static Object read(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
-            throw new IOException("the text holds no value");
+            throw new IOException("the input holds no value");
         }
         return switch (token) {
             case START_OBJECT -> readObject(parser);
@@ -66,13 +66,13 @@
         return list;
     }
 
-    /** Any value of maps, lists, texts, numbers and booleans as JSON on one line. */
+    /** Writes a value of maps, lists, strings, numbers and booleans as JSON on one line. */
     public static String write(Object value) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = FACTORY.createGenerator(text)) {
             write(value, out);
         } catch (IOException e) {
-            throw new IllegalStateException(e);   // a StringWriter does not fail
+            throw new IllegalStateException(e);   // a StringWriter does not throw
         }
         return text.toString();
     }
--- a/src/main/java/kelphollow/protocol/json/package-info.java
+++ b/src/main/java/kelphollow/protocol/json/package-info.java
@@ -1,5 +1,5 @@
 /**
- * JSON as plain maps, lists, texts, numbers and booleans, for configuration, records and reports; knows no other
+ * JSON as plain maps, lists, strings, numbers and booleans, for configuration, records and reports. Depends on no other
  * package.
  */
 package kelphollow.protocol.json;
--- a/src/main/java/kelphollow/protocol/object/AtMostOnceForwarding.java
+++ b/src/main/java/kelphollow/protocol/object/AtMostOnceForwarding.java
@@ -1,13 +1,16 @@
 package kelphollow.protocol.object;
 
-/** Forwards a call that must not run twice, and learns how its attempts ended. For the event loop alone. */
+/** Forwards a call that must not run twice, and is notified how its attempts ended. Confined to the event loop. */
 interface AtMostOnceForwarding {
-    /** A node has responded. */
+    /** A node responded. */
     void served(NodeResponse response);
 
-    /** No node has responded; {@code mayHaveRun} tells whether an attempt may have taken effect. */
+    /** No node responded; {@code mayHaveRun} tells whether an attempt may have taken effect. */
     void failed(S3Error error, boolean mayHaveRun);
 
-    /** The client has gone, or is not waited for any more; {@code sent} tells whether anything was given to the router. */
+    /**
+     * The client disconnected or its request was given up; {@code sent} tells whether the call was submitted to the
+     * router.
+     */
     void cancelled(boolean sent);
 }
--- a/src/main/java/kelphollow/protocol/object/CompletionForwarding.java
+++ b/src/main/java/kelphollow/protocol/object/CompletionForwarding.java
@@ -9,9 +9,9 @@
 import kelphollow.ledger.CompletionRecords.RecordedResponse;
 
 /**
- * Forwards a client's completion of an upload. It is sent only if it cannot have run yet: one that ran gets the same
- * response again, and one whose outcome is unknown is first looked up at the node, since an upload that is gone was
- * completed or aborted. For the event loop alone.
+ * Forwards a client's CompleteMultipartUpload at most once. It is sent only if no earlier one can have run. If one ran,
+ * its recorded response is replayed. If the outcome of one is unknown, the node is queried first: an upload
+ * that no longer exists was completed or aborted. Confined to the event loop.
  */
 final class CompletionForwarding implements AtMostOnceForwarding, UploadQuery.Listener {
     private final ObjectServices services;
@@ -21,10 +21,10 @@
     private final UploadQuery query;
     private Completions.Completion completion;
     private IntentBarrier intent;
-    /** Whether it is this client's completion that is sent. */
+    /** Whether this client's request is the one that is sent. */
     private boolean isSender;
 
-    /** {@code document} is the client's list of parts. */
+    /** {@code document} is the list of parts in the body of the client's request. */
     CompletionForwarding(ObjectServices services, ObjectExchange exchange, byte[] document) {
         this.services = services;
         this.exchange = exchange;
@@ -69,17 +69,17 @@
         completion.markRunning(services.now(), intent::recorded);
     }
 
-    // ---------------------------------------------------------------- the node is asked for the upload
+    // ---------------------------------------------------------------- the query for the upload
 
     @Override public void responseReceived(NodeResponse response) {
         double wait = completion.millisUntilSettled(services.now());
         if (response.status() == 404) {
-            completion.markNeverRan();                 // the upload is gone: there is nothing to complete any more
+            completion.markNeverRan();                 // the upload no longer exists: nothing is left to complete
             exchange.respond(response);
         } else if (response.status() != 200) {
             exchange.respond(response);
         } else if (wait > 0) {
-            exchange.respond(S3Error.rejected(wait));   // the attempt whose outcome is unknown may still be at work
+            exchange.respond(S3Error.rejected(wait));   // the attempt with the unknown outcome may still run
         } else {
             send();
         }
@@ -89,7 +89,7 @@
         exchange.respond(error);
     }
 
-    // ---------------------------------------------------------------- this client's completion was sent
+    // ---------------------------------------------------------------- the outcome of this client's request
 
     @Override public void served(NodeResponse response) {
         isSender = false;
@@ -106,7 +106,7 @@
         exchange.respond(response);
     }
 
-    /** S3 begins its response before it is done: a failure then comes with the status 200. */
+    /** S3 may send the status 200 before the completion has ended; a later failure is reported in the body. */
     private static boolean isError(NodeResponse response) {
         try {
             return "Error".equals(S3Xml.rootElement(response.body()));
--- a/src/main/java/kelphollow/protocol/object/Completions.java
+++ b/src/main/java/kelphollow/protocol/object/Completions.java
@@ -12,12 +12,12 @@
 import kelphollow.store.StoreFault;
 
 /**
- * What is known of the completions of uploads, so that none runs twice and one that ran gets the same response when its
- * client retries. Memory is bounded: the oldest are forgotten, and their uploads are unknown to the node too. For the event
- * loop alone.
+ * Tracks the completions of multipart uploads, so that none runs twice and a client that retries one that ran gets the
+ * same response. Memory is bounded: the oldest are evicted. The node no longer knows their uploads either. Confined to
+ * the event loop.
  */
 final class Completions {
-    /** One upload's completion: {@code outcome} null while nothing was sent, {@code response} once it ran. */
+    /** The completion of one upload. {@code outcome} is null until it is sent, {@code response} until it has run. */
     final class Completion {
         private final String upload;
         private RecoveredOutcome outcome;
@@ -32,17 +32,20 @@
             return outcome == null ? Kind.NEVER_RAN : outcome.kind();
         }
 
-        /** The recorded response, or null unless it ran. */
+        /** The recorded response, or null unless the completion ran. */
         RecordedResponse response() {
             return response;
         }
 
-        /** How long until what the node does not have will not come any more, in milliseconds. */
+        /** Milliseconds until an attempt with an unknown outcome can no longer take effect. */
         double millisUntilSettled(double now) {
             return Math.max(0, unknownSince + settleTime - now);
         }
 
-        /** It is about to be sent; {@code then} gets null once that cannot be forgotten any more, or what hinders it. */
+        /**
+         * The completion is about to be sent. {@code then} receives null once the intent is durable, or the fault that
+         * prevented it.
+         */
         void markRunning(double now, Consumer<StoreFault> then) {
             outcome = new RecoveredOutcome(Kind.RUNNING, 0);
             if (records == null) {
@@ -52,7 +55,7 @@
             }
         }
 
-        /** It ran, with this response. */
+        /** The completion ran and got this response. */
         void markRan(RecordedResponse recorded, double now) {
             outcome = new RecoveredOutcome(Kind.RAN, 0);
             response = recorded;
@@ -61,13 +64,13 @@
             }
         }
 
-        /** It may have run; {@code now} is the time of its last sign. */
+        /** The completion may have run; {@code now} is the time of its attempt's last activity. */
         void markUnknown(double now) {
             outcome = new RecoveredOutcome(Kind.UNKNOWN, now + settleTime);
             unknownSince = now;
         }
 
-        /** It is proved that it never ran. */
+        /** The completion provably never ran. */
         void markNeverRan() {
             completions.remove(upload, this);
             if (records != null) {
@@ -82,9 +85,9 @@
     private final Map<String, Completion> completions = new LinkedHashMap<>(16, 0.75f, true);
 
     /**
-     * @param capacity how many are remembered
-     * @param settleTime how long after its last sign an attempt may still take effect, in milliseconds
-     * @param records null where nothing outlives this process
+     * @param capacity largest number of completions that are remembered
+     * @param settleTime milliseconds for which an attempt may still take effect after its last activity
+     * @param records null without persistence
      */
     Completions(int capacity, double settleTime, CompletionRecords records) {
         this.capacity = capacity;
@@ -92,7 +95,7 @@
         this.records = records;
     }
 
-    /** Takes over what earlier incarnations have left. */
+    /** Loads the outcomes that earlier incarnations recorded. */
     void restore(RecoveredOutcomes recovered, double now) throws IOException, StoreFault {
         records.read((upload, found, epoch, response) -> {
             Completion completion = new Completion(upload);
@@ -102,15 +105,15 @@
             completions.put(upload, completion);
         });
         while (completions.size() > capacity && evict()) {
-            // what is left out is requested of the node
+            // evicted completions are looked up at the node
         }
     }
 
     /**
-     * The completion of an upload, or null when so many are under way that none can be remembered.
+     * Returns the completion of an upload, or null if the capacity is used up by completions that cannot be evicted.
      *
-     * @param neverSent whether it is known that none was sent yet
-     * @param lastAt when one may have been sent at the latest otherwise
+     * @param neverSent whether it is certain that none was sent yet
+     * @param lastAt otherwise, the latest time at which one may have been sent
      */
     Completion find(String upload, boolean neverSent, double lastAt) {
         Completion completion = completions.get(upload);
--- a/src/main/java/kelphollow/protocol/object/ConnectionIdleTracker.java
+++ b/src/main/java/kelphollow/protocol/object/ConnectionIdleTracker.java
@@ -3,9 +3,9 @@
 import kelphollow.routing.Ticker;
 
 /**
- * How long a connection without an open request has been idle. Each chunk that comes counts anew, so that a slow writer is
- * not taken for one that is idle; but a complete head may take no longer than one idle time. In milliseconds; for the event
- * loop alone.
+ * Measures how long a connection without an open request has been idle. Each read restarts the time, so that a client that
+ * sends slowly does not count as idle. A complete request head must arrive within one idle timeout, however. Times are in
+ * milliseconds. Confined to the event loop.
  */
 final class ConnectionIdleTracker {
     private static final double NONE = -1;
@@ -13,7 +13,7 @@
     private final Ticker ticker;
     private final double maxIdle;
     private double idleSince;
-    /** When the head that has come only in part began to come, or {@link #NONE}. */
+    /** When the first bytes of an incomplete head arrived, or {@link #NONE}. */
     private double partialHeadSince = NONE;
 
     ConnectionIdleTracker(Ticker ticker, double maxIdle) {
@@ -22,12 +22,12 @@
         this.idleSince = ticker.now();
     }
 
-    /** The connection is idle from now on. */
+    /** Restarts the idle time. */
     void restart() {
         idleSince = ticker.now();
     }
 
-    /** A read has brought part of a head. */
+    /** A read brought part of a head. */
     void partialHead() {
         restart();
         if (partialHeadSince == NONE) {
@@ -35,7 +35,7 @@
         }
     }
 
-    /** A head has come. */
+    /** A head is complete. */
     void completeHead() {
         partialHeadSince = NONE;
     }
@@ -48,7 +48,7 @@
         return elapsed(ticker.now()) >= maxIdle;
     }
 
-    /** Until when it expires at the earliest. */
+    /** Shortest time in milliseconds until the connection expires. */
     double remaining() {
         return maxIdle - elapsed(ticker.now());
     }
--- a/src/main/java/kelphollow/protocol/object/DemandQueue.java
+++ b/src/main/java/kelphollow/protocol/object/DemandQueue.java
@@ -6,16 +6,16 @@
 import java.util.function.Consumer;
 
 /**
- * Hands over what a connection brings, one message for each demand. Guards memory against bodies that nobody has
- * demanded yet: one read may bring a head and its body, and the body must wait until the node takes it. Holds at most
- * what one read of the socket brings; a message is the receiver's once it is handed over. For the event loop alone.
+ * Delivers the messages of a connection one per demand. A single read may yield a head and its body; the queue holds back
+ * the body until the node takes it, so that undemanded bodies do not pile up in memory. It holds at most what one read of
+ * the socket yields. The receiver owns a message once it is delivered. Confined to the event loop.
  */
 final class DemandQueue {
     private final Channel channel;
     private final Consumer<Object> receiver;
     private final ArrayDeque<Object> messages = new ArrayDeque<>();
     private boolean demanded;
-    /** Whether a message is being handed over, or {@link #withDeliveryDeferred} holds deliveries back. */
+    /** Whether a message is being delivered, or {@link #withDeliveryDeferred} holds deliveries back. */
     private boolean delivering;
 
     DemandQueue(Channel channel, Consumer<Object> receiver) {
@@ -23,13 +23,13 @@
         this.receiver = receiver;
     }
 
-    /** Takes a message that was read, and its ownership. */
+    /** Adds a message that was read, and takes ownership of it. */
     void add(Object message) {
         messages.add(message);
         deliver();
     }
 
-    /** Demands one more message; it may be demanded while another is being handed over. */
+    /** Demands one more message. May be called while another is being delivered. */
     void demand() {
         demanded = true;
         if (!delivering) {
@@ -40,12 +40,12 @@
         }
     }
 
-    /** Whether a demand is open for which nothing has been read. */
+    /** Whether a message is demanded and none is queued. */
     boolean hasUnmetDemand() {
         return demanded && messages.isEmpty();
     }
 
-    /** Runs a task; what it demands is handed over once it has ended. */
+    /** Runs a task; messages that it demands are delivered after it ends. */
     void withDeliveryDeferred(Runnable task) {
         delivering = true;
         try {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Releases what was not demanded. */
+    /** Releases the messages that were not delivered. */
     void release() {
         messages.forEach(ReferenceCountUtil::release);
         messages.clear();
--- a/src/main/java/kelphollow/protocol/object/Download.java
+++ b/src/main/java/kelphollow/protocol/object/Download.java
@@ -8,8 +8,8 @@
 import java.util.regex.Pattern;
 
 /**
- * How far the content of an object has come on its way to the client, and where another attempt goes on with it. Offsets are
- * bytes of the object. For the event loop alone.
+ * Tracks how much of an object was forwarded to the client, so that another attempt can resume a truncated response.
+ * Offsets are in bytes of the object. Confined to the event loop.
  */
 final class Download {
     private static final Pattern CONTENT_RANGE = Pattern.compile("bytes (\\d{1,18})-(\\d{1,18})/(\\d{1,18}|\\*)");
@@ -27,7 +27,7 @@
         return started;
     }
 
-    /** Takes the head of the first response; false if its range is invalid. */
+    /** Reads the head of the first response; returns false if its range is invalid. */
     boolean start(HttpResponse response) {
         long announced = HttpUtil.getContentLength(response, UNKNOWN);
         if (response.status().code() == PARTIAL_CONTENT) {
@@ -43,7 +43,7 @@
         return true;
     }
 
-    /** Whether a further response holds the very bytes that are missing. */
+    /** Whether a further response holds exactly the missing bytes of the same object. */
     boolean isContinuedBy(HttpResponse response) {
         Matcher range = range(response);
         return response.status().code() == PARTIAL_CONTENT && range.matches()
@@ -64,18 +64,18 @@
         return Long.parseLong(range.group(2));
     }
 
-    /** So many more bytes have gone to the client. */
+    /** Counts bytes that were forwarded to the client. */
     void addForwarded(int bytes) {
         forwarded += bytes;
     }
 
-    /** Requests what is missing, provided that the object is still the same. */
+    /** Requests the missing bytes, on the condition that the object has not changed. */
     void addResumeHeaders(HttpHeaders headers) {
         headers.set(HttpHeaderNames.RANGE, "bytes=" + (firstByte + forwarded) + "-" + (firstByte + length - 1));
         headers.set(HttpHeaderNames.IF_MATCH, entityTag);
     }
 
-    /** A truncated response can go on only where its end is known and its entity tag tells that it is still the same. */
+    /** A truncated response can be resumed only if its end is known and a strong entity tag identifies the object. */
     boolean isResumable() {
         return length >= 0 && entityTag != null && !entityTag.startsWith("W/");
     }
--- a/src/main/java/kelphollow/protocol/object/HttpResponses.java
+++ b/src/main/java/kelphollow/protocol/object/HttpResponses.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Makes the HTTP responses that go to clients. What it returns is released by the write that sends it. */
+/** Creates the HTTP responses to clients. The write that sends a response releases it. */
 final class HttpResponses {
     private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "proxy-connection",
         "transfer-encoding", "upgrade", "te", "trailer");
@@ -26,12 +26,12 @@
 
     private HttpResponses() {}
 
-    /** The interim response that asks a client for its body. */
+    /** The interim response that tells a client to send its body. */
     static FullHttpResponse continueResponse() {
         return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER);
     }
 
-    /** The head of a node's response whose content is streamed behind it. */
+    /** The head of a node's response; its content is streamed after it. */
     static HttpResponse streamed(HttpResponse head, boolean keepAlive) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status());
         copyHeaders(head.headers(), response.headers());
@@ -51,7 +51,7 @@
         return response;
     }
 
-    /** The response for a part that is stored already. */
+    /** The response to an upload of a part that is already stored. */
     static FullHttpResponse partStored(String etag) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
             Unpooled.EMPTY_BUFFER);
@@ -59,7 +59,7 @@
         return response;
     }
 
-    /** An error as S3 words it, without its body in reply to HEAD. */
+    /** An error response in S3's format, without the body if the request is a HEAD. */
     static FullHttpResponse error(S3Error error, HttpRequest request, String requestId) {
         byte[] body = S3Xml.error(error, request.uri(), requestId);
         boolean headOnly = request.method().equals(HttpMethod.HEAD);
--- a/src/main/java/kelphollow/protocol/object/IntentBarrier.java
+++ b/src/main/java/kelphollow/protocol/object/IntentBarrier.java
@@ -5,11 +5,11 @@
 import kelphollow.store.StoreFault;
 
 /**
- * Holds back a request until the record of its intent is durable. It ends once: by the record, by a fault of the store, by
- * its timeout, or by the client's going away; only the first lets anything be sent. For the event loop alone.
+ * Holds back a request until the record of its intent is durable. It ends exactly once: by the record, a fault of the
+ * store, the timeout, or the client's disconnect. Only a durable record lets the request be sent. Confined to the event
+ * loop.
  */
 final class IntentBarrier {
-    // In milliseconds.
     private static final double RETRY_AFTER_MS = 1_000;
 
     private final Runnable whenDurable;
@@ -18,9 +18,9 @@
     private boolean ended;
 
     /**
-     * @param timeoutMillis when it has passed nothing was sent, and the client may retry
+     * @param timeoutMillis milliseconds after which the request is rejected unsent, so that the client may retry
      * @param whenDurable sends the request
-     * @param whenRejected gets the error for the client
+     * @param whenRejected receives the error for the client
      */
     IntentBarrier(Ticker ticker, double timeoutMillis, Runnable whenDurable, Consumer<S3Error> whenRejected) {
         this.whenDurable = whenDurable;
@@ -28,12 +28,12 @@
         this.timeout = ticker.after(timeoutMillis, () -> end(this::reject));
     }
 
-    /** The record has ended: durable if there is no fault. */
+    /** The write of the record has ended; {@code fault} is null if the record is durable. */
     void recorded(StoreFault fault) {
         end(fault == null ? whenDurable : this::reject);
     }
 
-    /** The client has gone. */
+    /** The client disconnected. */
     void cancel() {
         end(() -> {});
     }
--- a/src/main/java/kelphollow/protocol/object/Md5.java
+++ b/src/main/java/kelphollow/protocol/object/Md5.java
@@ -5,7 +5,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** An MD5 digest as it grows, which S3 gives as the entity tag of a part. */
+/** An incremental MD5 digest; S3 uses it as the entity tag of a part. */
 final class Md5 {
     private final MessageDigest digest;
 
@@ -13,7 +13,7 @@
         try {
             digest = MessageDigest.getInstance("MD5");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);   // every Java has it
+            throw new IllegalStateException(e);   // every Java platform must support MD5
         }
     }
 
@@ -22,7 +22,7 @@
         return this;
     }
 
-    /** The digest in hexadecimal; nothing may be added after it. */
+    /** Ends the digest and returns it in hexadecimal; it cannot be updated afterwards. */
     String hex() {
         return HexFormat.of().formatHex(digest.digest());
     }
--- a/src/main/java/kelphollow/protocol/object/NodeExchange.java
+++ b/src/main/java/kelphollow/protocol/object/NodeExchange.java
@@ -18,34 +18,34 @@
 import kelphollow.transport.PooledConnection;
 
 /**
- * One request and its response on a connection to an object server. Releases each message that it receives, and each
- * chunk of a body that it does not write; content that it forwards is retained for the client's side. For the event loop
- * alone.
+ * One request and its response on a connection to an object server. Releases each message that it receives, and each chunk
+ * of a body that it does not write. Content that it forwards is retained for the client's side. Confined to the event
+ * loop.
  */
 final class NodeExchange implements PooledConnection.ExchangeHandler, Transfer.BodySink {
     private static final Logger LOG = Logger.getLogger(NodeExchange.class.getName());
-    // In milliseconds. A server that ignores "Expect" says nothing; the body then follows after this time, as HTTP advises.
+    // A server that ignores "Expect" sends no interim response; the body is then sent after this time, as RFC 9110 advises.
     private static final double CONTINUE_TIMEOUT_MS = 1_000;
     private static final int FIRST_FINAL_STATUS = 200;
     private static final int FIRST_SERVER_ERROR = 500;
 
-    /** How the body of the request goes ready. */
+    /** Progress of the request body. */
     private enum UploadState {
-        /** Nothing has been requested of the client: the server may still refuse it. */
+        /** No chunk was requested from the client: the server may still reject the request. */
         NOT_STARTED,
-        /** The next chunk has been requested of the client. */
+        /** The next chunk was requested from the client. */
         CHUNK_REQUESTED,
-        /** The last chunk that was requested has been written. */
+        /** The last requested chunk was written. */
         CHUNK_WRITTEN
     }
 
-    /** What is done with the content of the response. */
+    /** How the content of the response is handled. */
     private enum ResponseState {
-        /** The head has not come. */
+        /** The head has not been received. */
         AWAITED,
-        /** It is collected, to be handed over as a whole. */
+        /** The content is collected and handed over as a whole. */
         COLLECTING,
-        /** It is forwarded as it comes. */
+        /** The content is forwarded as it arrives. */
         STREAMING
     }
 
@@ -69,7 +69,7 @@
         this.stallTimeout = stallTimeout;
     }
 
-    /** The connection that was leased for it, which may still be dialled. */
+    /** Sets the connection that was acquired for this exchange, which may not be established yet. */
     void connection(PooledConnection leased) {
         connection = leased;
     }
@@ -91,7 +91,7 @@
         }
     }
 
-    // ------------------------------------------------------------ the body goes up
+    // ------------------------------------------------------------ request body
 
     private void startBody() {
         if (uploadState != UploadState.NOT_STARTED || !attempt.isInFlight()) {
@@ -136,7 +136,7 @@
         }
     }
 
-    // ------------------------------------------------------------ the response comes down
+    // ------------------------------------------------------------ response
 
     @Override public void received(PooledConnection on, Object message) {
         try {
@@ -188,7 +188,7 @@
             return transfer.download().isContinuedBy(response);
         }
         if (!transfer.download().start(response)) {
-            LOG.warning(() -> attempt.target().endpoint().node() + " gave an invalid range");
+            LOG.warning(() -> attempt.target().endpoint().node() + " sent a response with an invalid Content-Range");
             return false;
         }
         transfer.head(response);
@@ -242,13 +242,13 @@
     private void finishCollected() {
         int status = head.status().code();
         if (status == 503 || status == 429) {
-            // Rejected. Once all of a write has come, only the server knows whether that was before it ran.
+            // Rejected. Once a whole write was sent, only the server knows whether it rejected it before running it.
             boolean neverRan = transfer.call().op().isIdempotent() || transfer.streamsBody() && !transfer.isBodyForwarded();
             AttemptOutcome outcome = neverRan ? AttemptOutcome.AT_CAPACITY : AttemptOutcome.ERROR;
             finish(AttemptResult.of(outcome, null, transfer.isBodyConsumed()));
         } else if (transfer.download().isStarted()) {
-            // The rest of a truncated response is not to be had, say since the object has changed (412): another response
-            // must not be written into the middle of the first.
+            // The rest of a truncated response is unavailable, for example because the object has changed (412). Another
+            // response must not be written into the middle of the first.
             finish(AttemptResult.of(AttemptOutcome.ERROR, null, true));
         } else if (status >= FIRST_SERVER_ERROR) {
             finish(AttemptResult.of(AttemptOutcome.ERROR, null, transfer.isBodyConsumed()));
@@ -258,7 +258,7 @@
         }
     }
 
-    // ------------------------------------------------------------ ends
+    // ------------------------------------------------------------ termination
 
     private void finish(AttemptResult result) {
         cancelTimer();
@@ -273,13 +273,13 @@
     }
 
     private void malformedResponse() {
-        LOG.warning(() -> attempt.target().endpoint().node() + " gave a response that cannot be read");
+        LOG.warning(() -> attempt.target().endpoint().node() + " sent a malformed or oversized response");
         close();
         attempt.ended(AttemptResult.of(AttemptOutcome.ERROR, null,
             transfer.isBodyConsumed() || transfer.download().isStarted()));
     }
 
-    /** A request whose last byte was not written never ran; a body that is consumed can't be sent again. */
+    /** A request whose last byte was not written never ran; a body that was consumed cannot be sent again. */
     @Override public void connectionFailed(PooledConnection on, Throwable cause) {
         cancelTimer();
         boolean neverRan = requestWritten == null || !requestWritten.isSuccess();
@@ -314,7 +314,7 @@
         }
     }
 
-    /** Closes the connection, the sign to the node that its response is no longer awaited. */
+    /** Closes the connection, which tells the node that its response is no longer awaited. */
     void close() {
         cancelTimer();
         if (connection != null) {
--- a/src/main/java/kelphollow/protocol/object/NodeRequests.java
+++ b/src/main/java/kelphollow/protocol/object/NodeRequests.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Makes the HTTP requests that go to object servers from clients' calls. */
+/** Creates the HTTP requests to object servers from clients' calls. */
 final class NodeRequests {
     private static final Set<String> FORWARDED_HEADERS = Set.of("authorization", "cache-control", "content-disposition",
         "content-encoding", "content-language", "content-md5", "content-type", "date", "expires", "host", "if-match",
@@ -22,7 +22,7 @@
 
     private NodeRequests() {}
 
-    /** The head of a request whose body is streamed behind it. */
+    /** The head of a request; its body is streamed after it. */
     static HttpRequest streamed(Transfer transfer) {
         ObjectCall call = transfer.call();
         HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri());
@@ -34,7 +34,7 @@
         return request;
     }
 
-    /** A request with its body, if it has one. */
+    /** A complete request, with its body if it has one. */
     static FullHttpRequest complete(Transfer transfer) {
         ObjectCall call = transfer.call();
         byte[] document = transfer.document();
--- a/src/main/java/kelphollow/protocol/object/ObjectBackend.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectBackend.java
@@ -7,7 +7,7 @@
 import kelphollow.routing.Ticker;
 import kelphollow.transport.ConnectionPools;
 
-/** Carries attempts to object servers over HTTP, each by a {@link NodeExchange}. For the event loop alone. */
+/** Sends attempts to object servers over HTTP, each by a {@link NodeExchange}. Confined to the event loop. */
 public final class ObjectBackend implements Backend {
     private static final int MAX_HEAD_BYTES = 16 * 1024;
     private static final int MAX_CHUNK_BYTES = 16 * 1024;
@@ -16,14 +16,14 @@
     private final Ticker ticker;
     private final double stallTimeout;
 
-    /** {@code stallTimeout} is how long a body may make no progress before its attempt is given up, in milliseconds. */
+    /** {@code stallTimeout} is how many milliseconds a body may make no progress before its attempt is given up. */
     public ObjectBackend(ConnectionPools pools, Ticker ticker, double stallTimeout) {
         this.pools = pools;
         this.ticker = ticker;
         this.stallTimeout = stallTimeout;
     }
 
-    /** The handlers of a connection to an object server. */
+    /** Creates the channel handlers of a connection to an object server. */
     public static ChannelHandler[] codec() {
         return new ChannelHandler[] {new HttpClientCodec(MAX_HEAD_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES)};
     }
--- a/src/main/java/kelphollow/protocol/object/ObjectCall.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectCall.java
@@ -15,16 +15,16 @@
 import java.util.zip.CRC32;
 
 /**
- * A client's request of the object API.
+ * A client's request to the object API.
  *
- * @param length of its body, in bytes
- * @param rangeLength bytes of the range that it reads, negative where that is not known beforehand
- * @param uploadId null unless it is for an upload
+ * @param length length of its body in bytes
+ * @param rangeLength bytes of the range that it reads, negative if not known beforehand
+ * @param uploadId null unless it belongs to a multipart upload
  * @param partNumber 0 unless it is for a part
  */
 record ObjectCall(Operation op, HttpMethod method, String uri, String bucket, String key, HttpHeaders headers, long length,
                   long rangeLength, String uploadId, int partNumber) {
-    /** The operations, and whether each may be retried freely. */
+    /** The operations, and whether they are idempotent. */
     enum Operation {
         GET(true), HEAD(true), LIST_PARTS(true), PUT(false), DELETE(false), CREATE(false), PART(false),
         COMPLETE(false), ABORT(false);
@@ -44,29 +44,29 @@
         }
     }
 
-    /** Largest body of a call, or of a response, that is a document, in bytes. */
+    /** Largest size in bytes of a document in the body of a call or of a response. */
     static final int MAX_DOCUMENT_BYTES = 1024 * 1024;
     private static final int MAX_KEY_BYTES = 1024;
     private static final int MAX_PART_NUMBER = 10_000;
     private static final int MAX_RETRY_HEADER_LENGTH = 100;
     private static final long UNKNOWN_LENGTH = -1;
-    // What the SDKs of S3 send with each attempt: "attempt=2; max=3", in any order, with or without blanks.
+    // S3 SDKs send "attempt=2; max=3" with each attempt, in any order, with or without blanks.
     private static final String RETRY_HEADER = "amz-sdk-request";
     private static final Pattern LATER_ATTEMPT = Pattern.compile("(^|.*;\\s*)attempt=([2-9]|[1-9]\\d{1,4})\\s*(;.*|$)");
     private static final Set<String> SUPPORTED_QUERY_PARAMETERS = Set.of("uploads", "uploadId", "partNumber", "max-parts",
         "part-number-marker", "x-id");
     private static final Pattern RANGE = Pattern.compile("bytes=(\\d{0,18})-(\\d{0,18})");
 
-    /** Whether the client marks it as a retry of its copied. What cannot be read counts as a first attempt. */
+    /** Whether the client marks the request as its own retry. A malformed header counts as a first attempt. */
     boolean isMarkedRetry() {
         String attempt = headers.get(RETRY_HEADER);
         return attempt != null && attempt.length() < MAX_RETRY_HEADER_LENGTH && LATER_ATTEMPT.matcher(attempt).matches();
     }
 
     /**
-     * Reads the head of a request. A range that is invalid is removed from its headers.
+     * Parses the head of a request. An invalid range is removed from its headers.
      *
-     * @throws S3Error if it is malformed, too large or not served
+     * @throws S3Error if the request is malformed, too large or not supported
      */
     static ObjectCall parse(HttpRequest request, long largestBody) throws S3Error {
         String uri = request.uri();
@@ -146,7 +146,7 @@
         return length;
     }
 
-    /** A single range is forwarded; several, or what is no range of bytes, are ignored, as HTTP allows. */
+    /** A single byte range is forwarded. Several ranges, or other units, are ignored, as HTTP allows. */
     private static long parseRangeLength(Operation op, HttpHeaders headers) {
         String value = headers.get(HttpHeaderNames.RANGE);
         if (op != Operation.GET || value == null) {
@@ -190,19 +190,19 @@
         return values.get(0);
     }
 
-    /** The cell of its object, which its uploads share, whatever nodes come and go. */
+    /** The cell of the object, shared by its uploads. It does not depend on which nodes exist. */
     int cell(int cells) {
         CRC32 sum = new CRC32();
         sum.update((bucket + '/' + key).getBytes(StandardCharsets.UTF_8));
         return (int) (sum.getValue() % cells);
     }
 
-    /** The call that tells whether this part is stored. */
+    /** Creates the call that tells whether this part is stored. */
     ObjectCall listThisPart() {
         return listParts("&max-parts=1&part-number-marker=" + (partNumber - 1));
     }
 
-    /** The call that tells whether this upload is still open. */
+    /** Creates the call that tells whether this upload is still open. */
     ObjectCall listParts() {
         return listParts("&max-parts=1");
     }
--- a/src/main/java/kelphollow/protocol/object/ObjectConnection.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectConnection.java
@@ -11,8 +11,8 @@
 import kelphollow.routing.Invariant;
 
 /**
- * One client's connection, with one exchange at a time. It reads only when something is demanded, so that no body piles up.
- * Content that no exchange takes is released here. For the event loop alone.
+ * A client's connection, with one exchange at a time. It reads only on demand, so that bodies do not pile up in memory.
+ * Content that no exchange takes is released here. Confined to the event loop.
  */
 final class ObjectConnection extends ChannelInboundHandlerAdapter {
     private final ObjectFront front;
@@ -21,9 +21,9 @@
     private final DemandQueue inbound;
     private final ConnectionIdleTracker idleTracker;
     private ObjectExchange current;
-    /** The head of the next request, which waits for its turn. */
+    /** The head of a pipelined request that waits for the current exchange to end. */
     private HttpRequest next;
-    /** Whether the read that is going on has brought a message. */
+    /** Whether the current read has yielded a message. */
     private boolean readMessage;
 
     ObjectConnection(ObjectFront front, ObjectServices services, Channel channel) {
@@ -34,7 +34,7 @@
         this.idleTracker = new ConnectionIdleTracker(services.ticker(), services.options().stallTimeout());
     }
 
-    /** Guards descriptors against clients that connect and then request nothing, or send half a head. */
+    /** Closes clients that send no request or only part of a head, which would otherwise hold file descriptors. */
     void scheduleIdleCheck() {
         double delay = isIdle() ? idleTracker.remaining() : services.options().stallTimeout();
         services.ticker().after(delay, () -> {
@@ -50,12 +50,12 @@
         return channel;
     }
 
-    /** Whether connections close once they are owed nothing. */
+    /** Whether connections close as soon as no response is outstanding. */
     boolean isShuttingDown() {
         return front.isShuttingDown();
     }
 
-    /** Demands one more message; it may be demanded while another is being handed over. */
+    /** Demands one more message. May be called while another is being delivered. */
     void demand() {
         inbound.demand();
     }
@@ -69,7 +69,7 @@
         inbound.add(message);
     }
 
-    /** Guards against a head that comes in several segments: a read that made no message must go on. */
+    /** Reads on if the read yielded no message, as happens when a head arrives in several segments. */
     @Override public void channelReadComplete(ChannelHandlerContext context) {
         if (!readMessage && isIdle()) {
             idleTracker.partialHead();
@@ -87,7 +87,7 @@
             if (current == null) {
                 scheduleBegin();
             } else {
-                channel.read();      // sent ahead; it waits its turn, and meanwhile the client's going away is seen
+                channel.read();      // pipelined: it waits, and the read detects a disconnect meanwhile
             }
         } else if (message instanceof HttpContent content && current != null && !current.isBodyRead()) {
             current.chunk(content);
@@ -98,8 +98,8 @@
     }
 
     /**
-     * Begins the next request after one more read: by then it is known whether the client's end came right behind. Guards
-     * against forwarding requests of a client that has gone. What else the read brings waits for its demand.
+     * Begins the next request after one more read, which detects a client that disconnected right after its request: the
+     * request of such a client must not be forwarded. Anything else that this read yields stays queued until demanded.
      */
     private void scheduleBegin() {
         channel.read();
@@ -122,7 +122,7 @@
         }
     }
 
-    /** The exchange has its response; what is left of its body is read away, or the connection closes. */
+    /** The exchange has its response. The connection closes, or what is left of the body is discarded. */
     void exchangeFinished(boolean keepAlive) {
         boolean bodyRead = current.isBodyRead();
         current = null;
@@ -136,12 +136,12 @@
         }
     }
 
-    /** No request is open and none waits for its turn. */
+    /** Whether no request is open or waiting. */
     boolean isIdle() {
         return current == null && next == null;
     }
 
-    /** In milliseconds on the ticker's clock. */
+    /** Clock time in milliseconds since which the connection has been idle. */
     double idleSince() {
         return idleTracker.idleSince();
     }
@@ -152,7 +152,7 @@
         }
     }
 
-    /** Closes it once the last response has left; what crosses that is not taken. */
+    /** Closes the connection once the last response is written; requests that arrive meanwhile are discarded. */
     void close() {
         next = null;
         if (front.remove(this)) {
@@ -179,6 +179,6 @@
 
     @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         context.close();
-        Invariant.holds(cause instanceof IOException, "a client's connection ends by a fault of ours: " + cause);
+        Invariant.holds(cause instanceof IOException, "a client connection failed by an internal error: " + cause);
     }
 }
--- a/src/main/java/kelphollow/protocol/object/ObjectExchange.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectExchange.java
@@ -16,17 +16,17 @@
 import kelphollow.routing.Ticker;
 
 /**
- * One request of a client, from its head to the last byte of its response. Chunks of the body are released here, by
- * {@link PartForwarding} or by {@link Transfer}; content of the response is released by its write. For the event loop alone.
+ * One request of a client, from its head to the last byte of its response. Chunks of the body are released here, by {@link
+ * PartForwarding} or by {@link Transfer}; content of the response is released by its write. Confined to the event loop.
  */
 final class ObjectExchange implements ResponseCallback, Transfer.Client {
-    /** How far the client's body has been read. */
+    /** How much of the client's body was read. */
     private enum Body {
-        /** None of it has been requested. */
+        /** None of it was requested. */
         UNREAD,
-        /** Some of it has been requested, after a "100 Continue" if the client waits for one. */
+        /** Some of it was requested, after a "100 Continue" if the client expects one. */
         REQUESTED,
-        /** Its end has come, or there is none. */
+        /** All of it was read, or there is none. */
         READ
     }
 
@@ -36,19 +36,19 @@
     private final String id;
     private Body body = Body.UNREAD;
     private boolean keepAlive;
-    /** Whether the response is complete, or nobody waits for it any more. */
+    /** Whether the response is complete or no longer awaited. */
     private boolean finished;
     private ObjectCall call;
     private Transfer transfer;
     private Request routed;
-    /** The body of a completion while it comes. */
+    /** The body of a CompleteMultipartUpload, collected until it is complete. */
     private ByteArrayOutputStream document;
     private PartForwarding part;
     private AtMostOnceForwarding forwarding;
     private IntentBarrier abortIntent;
     private Ticker.Timeout stallTimer;
 
-    /** {@code id} names the request to its client if there is an error. */
+    /** {@code id} identifies the request in an error response. */
     ObjectExchange(ObjectServices services, ObjectConnection connection, HttpRequest request, String id) {
         this.services = services;
         this.connection = connection;
@@ -69,12 +69,12 @@
         return call;
     }
 
-    /** What was given to the router, or null. */
+    /** The transfer that was submitted to the router, or null. */
     Transfer transfer() {
         return transfer;
     }
 
-    /** The head makes no sense: nothing more is read on this connection. */
+    /** Rejects a request whose head is malformed; nothing more is read from this connection. */
     void rejectMalformed() {
         body = Body.READ;
         keepAlive = false;
@@ -107,14 +107,14 @@
             }
             default -> {
                 if (!call.op().hasBody()) {
-                    connection.demand();   // the empty end of the request, and later the client's going away
+                    connection.demand();   // the empty last chunk, and a later disconnect
                 }
                 send(null);
             }
         }
     }
 
-    /** Gives the call to the router; {@code complete} is its body, or null if it is streamed or there is none. */
+    /** Submits the call to the router; {@code complete} is its body, or null if it is streamed or there is none. */
     void send(byte[] complete) {
         transfer = new Transfer(call, complete, this);
         RequestArrived arrival;
@@ -133,7 +133,7 @@
         services.parts().recordAbort(UploadParts.uploadKey(call), abortIntent::recorded);
     }
 
-    // ------------------------------------------------------------ the body
+    // ------------------------------------------------------------ request body
 
     @Override public void read() {
         if (body == Body.UNREAD) {
@@ -156,7 +156,7 @@
         respond(new S3Error(400, code, message));
     }
 
-    /** Takes the next chunk of the body, and its ownership. */
+    /** Handles the next chunk of the body, and takes ownership of it. */
     void chunk(HttpContent content) {
         cancelStallTimer();
         boolean last = content instanceof LastHttpContent;
@@ -176,7 +176,7 @@
             content.release();
         }
         if (last && !finished) {
-            connection.demand();     // so that the client's going away is seen
+            connection.demand();     // to detect a disconnect
         }
     }
 
@@ -196,7 +196,7 @@
         completion.begin();
     }
 
-    // ------------------------------------------------------------ the response
+    // ------------------------------------------------------------ response
 
     @Override public void head(HttpResponse head) {
         connection.channel().write(HttpResponses.streamed(head, keepAlive && !connection.isShuttingDown()));
@@ -241,7 +241,7 @@
         }
     }
 
-    /** Remembers uploads that have been begun or aborted. */
+    /** Tracks uploads that were created or aborted. */
     private void trackUpload(NodeResponse response) throws XMLStreamException {
         if (!response.isSuccess()) {
             return;
@@ -276,7 +276,10 @@
         write(HttpResponses.complete(response, request.method()));
     }
 
-    /** A response that has begun can't become an error: its connection closes, so that the client sees it is truncated. */
+    /**
+     * Sends an error. A response that was begun cannot become one: the connection closes, which shows the client that the
+     * response is truncated.
+     */
     void respond(S3Error error) {
         if (transfer != null && transfer.download().isStarted()) {
             finished = true;
@@ -286,7 +289,7 @@
         }
     }
 
-    /** Writes the response, or releases it if there was one already. */
+    /** Writes the response, or releases it if one was written already. */
     void write(FullHttpResponse response) {
         if (finished) {
             response.release();
@@ -300,9 +303,9 @@
         connection.exchangeFinished(keep);
     }
 
-    // ------------------------------------------------------------ ends
+    // ------------------------------------------------------------ termination
 
-    /** The client has gone. */
+    /** The client disconnected. */
     void disconnected() {
         finished = true;
         cancelStallTimer();
@@ -315,7 +318,7 @@
         }
     }
 
-    /** No attempt is wanted any more. */
+    /** Cancels the attempts of the request. */
     private void cancelRequest() {
         if (abortIntent != null) {
             abortIntent.cancel();
--- a/src/main/java/kelphollow/protocol/object/ObjectFront.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectFront.java
@@ -15,11 +15,14 @@
 import kelphollow.transport.Front;
 import kelphollow.transport.LingeringClose;
 
-/** The front for clients of the object API over HTTP: accepts their connections and closes idle ones. For the event loop. */
+/**
+ * The client-facing side of the object API over HTTP: accepts clients' connections and closes idle ones. Confined to the
+ * event loop.
+ */
 public final class ObjectFront implements Front {
-    // In milliseconds; only connections that have been idle for so long are closed to make room, none that has just come.
+    // Only connections idle for at least this long are closed to make room, so that a new connection is not.
     private static final double MIN_IDLE_TO_EVICT_MS = 50;
-    // In milliseconds, between the last response and the close.
+    // Time between the last response and the close.
     private static final double LINGER_MS = 1_000;
     private static final int MAX_LINGERING = 64;
     private static final int MAX_LINE_BYTES = 8 * 1024;
@@ -33,9 +36,9 @@
     private long requests;
 
     /**
-     * A front whose connections are handed over by {@link #accept}.
+     * Creates a front whose connections are handed over by {@link #accept}.
      *
-     * @param ledger null where nothing outlives this process; otherwise what it holds is taken over
+     * @param ledger null without persistence; otherwise its records are loaded
      * @throws IOException if the ledger cannot be read
      * @throws StoreFault if the ledger's store is damaged or closed
      */
@@ -71,7 +74,10 @@
         channel.pipeline().addLast(codec, connection);
     }
 
-    /** Guards usual clients against others that hold connections and request nothing: the longest idle one goes. */
+    /**
+     * Closes the connection that has been idle longest, so that clients that hold connections without sending requests
+     * cannot keep others out.
+     */
     @Override public void evictIdle() {
         double now = services.now();
         connections.stream()
@@ -89,14 +95,14 @@
         return whenShutDown != null;
     }
 
-    /** Ends the shutdown once the last connection has gone. */
+    /** Ends the shutdown if the last connection is closed. */
     void checkShutdown() {
         if (isShuttingDown() && connections.isEmpty() && lingering.connections() == 0) {
             whenShutDown.run();
         }
     }
 
-    /** False if it was not there any more. */
+    /** Returns false if the connection was already removed. */
     boolean remove(ObjectConnection connection) {
         return connections.remove(connection);
     }
@@ -105,7 +111,7 @@
         lingering.begin(channel);
     }
 
-    /** Names a request to its client if there is an error. */
+    /** Creates an id that identifies a request in an error response. */
     String nextRequestId() {
         return Long.toString(++requests, Character.MAX_RADIX);
     }
--- a/src/main/java/kelphollow/protocol/object/ObjectRequestMapper.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectRequestMapper.java
@@ -5,7 +5,7 @@
 import kelphollow.protocol.object.ObjectOptions.ClientClass;
 import kelphollow.routing.Ticker;
 
-/** Maps calls of the object API to requests as the decision module sees them. */
+/** Maps calls of the object API to the requests of the decision module. */
 final class ObjectRequestMapper {
     private final ObjectOptions options;
     private final Ticker ticker;
@@ -16,9 +16,9 @@
     }
 
     /**
-     * The request of a call that arrives now.
+     * Maps a call that arrives now.
      *
-     * @throws S3Error if the operator has not set up its bucket
+     * @throws S3Error if its bucket is not configured
      */
     RequestArrived arrival(ObjectCall call) throws S3Error {
         Bucket bucket = options.buckets().get(call.bucket());
--- a/src/main/java/kelphollow/protocol/object/ObjectServices.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectServices.java
@@ -4,9 +4,9 @@
 import kelphollow.routing.Ticker;
 
 /**
- * What the exchanges of the object API share.
+ * Services shared by the exchanges of the object API.
  *
- * @param startedAt when this incarnation began, in milliseconds on the ticker's clock
+ * @param startedAt when this incarnation started, in milliseconds on the ticker's clock
  */
 record ObjectServices(RequestRouter router, Ticker ticker, ObjectOptions options, ObjectRequestMapper mapper,
                       UploadParts parts, Completions completions, double startedAt) {
@@ -14,7 +14,9 @@
         return ticker.now();
     }
 
-    /** How long a write may take, in milliseconds; an attempt whose outcome is unknown may still take effect so long. */
+    /**
+     * Longest duration of a write in milliseconds; for as long, an attempt with an unknown outcome may still take effect.
+     */
     double writeDeadline() {
         return options.write().deadline();
     }
--- a/src/main/java/kelphollow/protocol/object/PartContent.java
+++ b/src/main/java/kelphollow/protocol/object/PartContent.java
@@ -1,4 +1,4 @@
 package kelphollow.protocol.object;
 
-/** The content of a part: its size in bytes and its MD5 in hexadecimal, which S3 gives as its entity tag. */
+/** The content of a part: its size in bytes and its MD5 in hexadecimal, which is its entity tag in S3. */
 record PartContent(long size, String md5) {}
--- a/src/main/java/kelphollow/protocol/object/PartForwarding.java
+++ b/src/main/java/kelphollow/protocol/object/PartForwarding.java
@@ -5,9 +5,9 @@
 import javax.xml.stream.XMLStreamException;
 
 /**
- * Forwards one client's part of an upload. It is sent only if the part cannot have been written yet; otherwise its
- * content is read and compared with what was written, and the client gets the recorded response or a conflict. For the
- * event loop alone.
+ * Forwards a client's part of an upload at most once. It is sent only if the part cannot have been stored yet. Otherwise
+ * its content is read and compared with what was stored, and the client gets the recorded response or a conflict. Confined
+ * to the event loop.
  */
 final class PartForwarding implements AtMostOnceForwarding, PartOutcome.Listener, UploadQuery.Listener {
     private final ObjectServices services;
@@ -16,11 +16,11 @@
     private final UploadQuery query;
     private UploadPart part;
     private IntentBarrier intent;
-    /** Whether it is this client's part that is sent, rather than compared. */
+    /** Whether this client's part is sent rather than compared. */
     private boolean isSender;
     private UploadPart.State stateBeforeQuery;
     private double unknownSince;
-    /** Whether an attempt whose outcome is unknown might still store the part after the node was asked for it. */
+    /** Whether an attempt with an unknown outcome might still store the part after the query was sent. */
     private boolean mayStillBeStored;
     private long size;
     private PartContent content;
@@ -59,7 +59,7 @@
         part.markSending(services.now(), intent::recorded);
     }
 
-    /** Takes a chunk of the client's body; it is released here or by what it is forwarded to. */
+    /** Handles a chunk of the client's body, which is released here or by the transfer that forwards it. */
     void chunk(ByteBuf bytes, boolean last) {
         digest.update(bytes.nioBuffer());
         size += bytes.readableBytes();
@@ -78,9 +78,9 @@
         }
     }
 
-    // ------------------------------------------------------------ another client's part is sent, or was
+    // ------------------------------------------------------------ comparison with a part that is sent or stored
 
-    /** Reads the body away; the client gets its response once the body is complete and the outcome is known. */
+    /** Reads and discards the body; the client gets its response once the body is complete and the outcome is known. */
     private void readAndCompare(PartOutcome known) {
         outcome = known;
         if (outcome == null) {
@@ -108,10 +108,10 @@
         }
     }
 
-    // ------------------------------------------------------------ the node is asked for the part
+    // ------------------------------------------------------------ the query for the part
 
     private void queryNode() {
-        // What is not remembered may have been sent by an earlier incarnation, whose attempts ended when this one began.
+        // A part without a record may have been sent by an earlier incarnation, whose attempts ended when this one started.
         unknownSince = part.state() == UploadPart.State.UNKNOWN ? part.unknownSince() : services.startedAt();
         mayStillBeStored = services.now() - unknownSince < services.writeDeadline();
         stateBeforeQuery = part.state();
@@ -137,7 +137,7 @@
             part.markStored(found, stored.etag(), services.now());
             readAndCompare(PartOutcome.stored(found, stored.etag()));
         } else if (mayStillBeStored) {
-            // The attempt whose outcome is unknown may still be at work; sending another now could store the part twice.
+            // The attempt with the unknown outcome may still run; sending another now could store the part twice.
             revert(S3Error.rejected(unknownSince + services.writeDeadline() - services.now()));
         } else {
             send();
@@ -148,7 +148,7 @@
         revert(error);
     }
 
-    /** The query brought nothing: the part is as before it; this client gets the error, if there is one. */
+    /** Restores the part's state before a query without a result; this client gets {@code error} unless it is null. */
     private void revert(S3Error error) {
         S3Error forOthers = error == null ? S3Error.rejected(1) : error;
         if (stateBeforeQuery == UploadPart.State.UNKNOWN) {
@@ -161,7 +161,7 @@
         }
     }
 
-    // ------------------------------------------------------------ this client's part was sent
+    // ------------------------------------------------------------ the outcome of this client's request
 
     @Override public void served(NodeResponse response) {
         isSender = false;
@@ -181,14 +181,14 @@
         exchange.respond(error);
     }
 
-    /** Nothing was sent, since the record of it is not durable. */
+    /** Nothing was sent, because the intent did not become durable. */
     private void intentNotRecorded(S3Error error) {
         isSender = false;
         part.forget(error);
         exchange.respond(error);
     }
 
-    /** Until the last byte of the body has left, no attempt can have stored the part. */
+    /** Until the last byte of the body is written, no attempt can have stored the part. */
     private void abandon(S3Error error) {
         isSender = false;
         if (exchange.transfer() != null && exchange.transfer().isBodyForwarded()) {
--- a/src/main/java/kelphollow/protocol/object/PartOutcome.java
+++ b/src/main/java/kelphollow/protocol/object/PartOutcome.java
@@ -1,14 +1,14 @@
 package kelphollow.protocol.object;
 
 /**
- * How forwarding a part ended, for all that wait for it.
+ * The outcome of forwarding a part, for all clients that wait for it.
  *
- * @param content what was stored, or null
- * @param etag its entity tag as the node gave it, or null
- * @param error what the others get too, or null if the part is stored
+ * @param content the stored content, or null
+ * @param etag the entity tag from the node, or null
+ * @param error the error that the waiting clients get, or null if the part is stored
  */
 record PartOutcome(PartContent content, String etag, S3Error error) {
-    /** Hears the outcome of the forwarding that it waits for, once. */
+    /** Notified once, when the forwarding has ended. */
     interface Listener {
         void ended(PartOutcome outcome);
     }
--- a/src/main/java/kelphollow/protocol/object/S3Error.java
+++ b/src/main/java/kelphollow/protocol/object/S3Error.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** An error in S3's terms, for the client. */
+/** An error response with the status and code that S3 defines. */
 final class S3Error extends Exception {
     private static final long serialVersionUID = 1L;
     private final HttpResponseStatus status;
@@ -14,18 +14,18 @@
     }
 
     private S3Error(int status, String code, String message, double retryAfter) {
-        super(message, null, false, false);   // a response, not a fault of the program: it needs no stack
+        super(message, null, false, false);   // a response rather than a program error: no stack trace
         this.status = HttpResponseStatus.valueOf(status);
         this.code = code;
         this.retryAfter = retryAfter;
     }
 
-    /** Not executed: the client may retry after so many milliseconds, 1 at least. */
+    /** The request was not executed; the client may retry after {@code retryAfter} milliseconds, at least 1. */
     static S3Error rejected(double retryAfter) {
         return new S3Error(503, "SlowDown", "Reduce your request rate.", Math.max(1, retryAfter));
     }
 
-    /** It may have run. */
+    /** The request may have been executed. */
     static S3Error failed(boolean timedOut) {
         return timedOut ? new S3Error(504, "GatewayTimeout", "The storage node did not answer in time.")
             : new S3Error(502, "BadGateway", "The storage node failed; the request may have taken effect.");
@@ -39,7 +39,7 @@
         return code;
     }
 
-    /** In milliseconds, 0 for no advice. */
+    /** Milliseconds after which the client may retry; 0: no advice. */
     double retryAfter() {
         return retryAfter;
     }
--- a/src/main/java/kelphollow/protocol/object/S3Xml.java
+++ b/src/main/java/kelphollow/protocol/object/S3Xml.java
@@ -12,23 +12,23 @@
 import javax.xml.stream.XMLStreamReader;
 import javax.xml.stream.XMLStreamWriter;
 
-/** The few XML documents of S3 that the gateway writes or has to understand. */
+/** Reads and writes the S3 XML documents that the gateway needs. */
 final class S3Xml {
-    /** A part as ListParts names it. */
+    /** A part in a ListParts result. */
     record Part(String etag, long size) {}
 
     private static final XMLInputFactory INPUT = XMLInputFactory.newInstance();
     private static final XMLOutputFactory OUTPUT = XMLOutputFactory.newInstance();
 
     static {
-        // A node's answer must not make the gateway read files or call others.
+        // Prevents XML external entities: a node's response must not make the gateway open files or connections.
         INPUT.setProperty(XMLInputFactory.SUPPORT_DTD, false);
         INPUT.setProperty(XMLInputFactory.IS_SUPPORTING_EXTERNAL_ENTITIES, false);
     }
 
     private S3Xml() {}
 
-    /** The document of an error response. */
+    /** The body of an error response. */
     static byte[] error(S3Error error, String resource, String requestId) {
         StringWriter text = new StringWriter();
         try {
@@ -42,7 +42,7 @@
             xml.writeEndElement();
             xml.writeEndDocument();
         } catch (XMLStreamException e) {
-            throw new IllegalStateException(e);   // a StringWriter does not fail
+            throw new IllegalStateException(e);   // a StringWriter does not throw
         }
         return text.toString().getBytes(StandardCharsets.UTF_8);
     }
@@ -53,7 +53,7 @@
         xml.writeEndElement();
     }
 
-    /** The name of the document's outermost element. */
+    /** The name of the root element, or null. */
     static String rootElement(byte[] document) throws XMLStreamException {
         XMLStreamReader xml = INPUT.createXMLStreamReader(new ByteArrayInputStream(document));
         while (xml.hasNext()) {
@@ -64,7 +64,7 @@
         return null;
     }
 
-    /** The text of the first element of this name, or null. */
+    /** The text of the first element with this name, or null. */
     static String firstText(byte[] document, String element) throws XMLStreamException {
         XMLStreamReader xml = INPUT.createXMLStreamReader(new ByteArrayInputStream(document));
         while (xml.hasNext()) {
@@ -75,7 +75,7 @@
         return null;
     }
 
-    /** The parts of a ListPartsResult by number. */
+    /** The parts of a ListPartsResult by part number. */
     static Map<Integer, Part> parts(byte[] document) throws XMLStreamException {
         XMLStreamReader xml = INPUT.createXMLStreamReader(new ByteArrayInputStream(document));
         Map<Integer, Part> parts = new HashMap<>();
@@ -97,7 +97,7 @@
             }
         }
         if (!isResult) {
-            throw new XMLStreamException("no ListPartsResult");
+            throw new XMLStreamException("the document has no ListPartsResult element");
         }
         return parts;
     }
@@ -107,7 +107,7 @@
             into.put(Integer.parseInt(part.get("PartNumber")),
                 new Part(part.getOrDefault("ETag", ""), Long.parseLong(part.get("Size"))));
         } catch (NumberFormatException e) {
-            throw new XMLStreamException("a part without its number or size");
+            throw new XMLStreamException("a Part has no valid PartNumber or Size");
         }
     }
 }
--- a/src/main/java/kelphollow/protocol/object/Transfer.java
+++ b/src/main/java/kelphollow/protocol/object/Transfer.java
@@ -4,40 +4,40 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * One request of the object API as its front and its backend share it: the call, the body on its way to the node, and the
- * content on its way to the client. For the event loop alone.
+ * One request of the object API, shared by its front and its backend: the call, its body on the way to the node, and the
+ * response's content on the way to the client. Confined to the event loop.
  */
 final class Transfer {
-    /** Takes the chunks of a body. */
+    /** Receives the chunks of a body. */
     interface BodySink {
-        /** A chunk, to be released by the sink. */
+        /** Receives a chunk and takes ownership of it. */
         void chunk(ByteBuf chunk, boolean last);
     }
 
-    /** The client's side. */
+    /** The client's side of the transfer. */
     interface Client {
         /** Requests the next chunk of the body. */
         void read();
 
-        /** The head of the response; it stays the caller's. */
+        /** Receives the head of the response; the caller keeps ownership. */
         void head(HttpResponse head);
 
-        /** Content of the response, to be released by the client's side. */
+        /** Receives content of the response and takes ownership of it. */
         void content(ByteBuf content);
 
         boolean isWritable();
 
-        /** The client has taken nothing for too long. */
+        /** The client has read nothing for too long. */
         void stalled();
     }
 
-    /** How far the client's body has come. */
+    /** How much of the client's body was forwarded. */
     private enum BodyState {
-        /** None of it has been read for a node. */
+        /** Nothing was read for a node. */
         NOT_STARTED,
-        /** Part of it is used up: it cannot be sent again. */
+        /** Part of it was consumed: it cannot be sent again. */
         FORWARDING,
-        /** The last byte has left for the node: the request may take effect from here on. */
+        /** The last byte was written to the node: the request may take effect from now on. */
         FORWARDED
     }
 
@@ -69,13 +69,13 @@
         return download;
     }
 
-    // ---------------------------------------------------------------- the body
+    // ---------------------------------------------------------------- request body
 
     boolean streamsBody() {
         return call.op().hasBody() && document == null;
     }
 
-    /** A body that has begun to be forwarded cannot be sent again. */
+    /** Whether forwarding of the body began; it cannot be sent again then. */
     boolean isBodyConsumed() {
         return bodyState != BodyState.NOT_STARTED;
     }
@@ -84,12 +84,12 @@
         return bodyState == BodyState.FORWARDED;
     }
 
-    /** The last byte of the body has been written to the node. */
+    /** The last byte of the body was written to the node. */
     void bodyForwarded() {
         bodyState = BodyState.FORWARDED;
     }
 
-    /** Forwards the body to this sink from its first chunk on. */
+    /** Forwards the body to this sink, starting with its first chunk. */
     void forwardBodyTo(BodySink to) {
         sink = to;
         bodyState = BodyState.FORWARDING;
@@ -100,7 +100,7 @@
         client.read();
     }
 
-    /** Hands a chunk to the sink, which releases it; without a sink it is released here. */
+    /** Passes a chunk to the sink, which releases it; without a sink it is released here. */
     void chunk(ByteBuf chunk, boolean last) {
         if (sink == null) {
             chunk.release();
@@ -109,20 +109,20 @@
         }
     }
 
-    // ---------------------------------------------------------------- the content
+    // ---------------------------------------------------------------- response content
 
-    /** Forwards the head of the first response, which the {@link #download} has taken. */
+    /** Forwards the head of the first response, after {@link #download} has read it. */
     void head(HttpResponse head) {
         client.head(head);
     }
 
-    /** Forwards content, and its ownership. */
+    /** Forwards content and its ownership. */
     void content(ByteBuf content) {
         download.addForwarded(content.readableBytes());
         client.content(content);
     }
 
-    /** Runs the task at once if the client can take more, else when it can. */
+    /** Runs the task at once if the client is writable, otherwise when it becomes writable. */
     void whenWritable(Runnable task) {
         if (client.isWritable()) {
             task.run();
@@ -131,7 +131,7 @@
         }
     }
 
-    /** The client can take more. */
+    /** The client became writable. */
     void writable() {
         Runnable task = whenWritable;
         whenWritable = null;
--- a/src/main/java/kelphollow/protocol/object/UploadPart.java
+++ b/src/main/java/kelphollow/protocol/object/UploadPart.java
@@ -6,29 +6,29 @@
 import kelphollow.ledger.PartRecords;
 import kelphollow.store.StoreFault;
 
-/** One part of one upload, and what is known of it. For the event loop alone. */
+/** A part of a multipart upload, and what is known about its state. Confined to the event loop. */
 final class UploadPart {
-    /** What a client's part has to wait for, or what may be done with it. */
+    /** What is known about the part, which decides how a client's request for it is handled. */
     enum State {
-        /** Nothing is known: the node must be asked first. */
+        /** Nothing is known: the node must be queried first. */
         UNRECORDED,
-        /** A client's part is being forwarded, or the node is being asked. */
+        /** A client's part is being forwarded, or the node is being queried. */
         BUSY,
-        /** It is stored; {@link UploadPart#content} tells with which content. */
+        /** The part is stored with {@link UploadPart#content}. */
         STORED,
-        /** An attempt may have stored it, or may do so yet. */
+        /** An attempt may have stored it, or may still do so. */
         UNKNOWN
     }
 
     private final UploadParts parts;
-    /** Null where nothing outlives this process. */
+    /** Null without persistence. */
     private final PartRecords records;
     private final String upload;
     private final String name;
     private final int number;
     private final List<PartOutcome.Listener> listeners = new ArrayList<>(1);
     private State state;
-    /** Whether there is a record that it may have been sent. */
+    /** Whether there is a record that the part may have been sent. */
     private boolean isRecorded;
     private PartContent content;
     private String etag;
@@ -43,12 +43,12 @@
         this.state = State.UNRECORDED;
     }
 
-    /** The name of a part among all, unique over uploads. */
+    /** The name of a part, unique over all uploads. */
     static String name(String upload, int number) {
         return upload + '#' + number;
     }
 
-    /** Takes over what an earlier incarnation has recorded; {@code known} is null where only the intent was. */
+    /** Sets the state that an earlier incarnation recorded; {@code known} is null if only the intent was recorded. */
     void restore(State restored, PartContent known, String tag, double since) {
         state = restored;
         isRecorded = true;
@@ -73,27 +73,29 @@
         return state;
     }
 
-    /** The content that is stored, or null. */
+    /** The stored content, or null. */
     PartContent content() {
         return content;
     }
 
-    /** What clients get that bring the stored content again. */
+    /** The outcome for clients that send the stored content again. */
     PartOutcome storedOutcome() {
         return PartOutcome.stored(content, etag);
     }
 
-    /** The time of the last sign of an attempt whose outcome is unknown. */
+    /** Time of the last activity of the attempt with an unknown outcome. */
     double unknownSince() {
         return unknownSince;
     }
 
-    /** The node is being asked for it. */
+    /** The node is being queried for the part. */
     void markQuerying() {
         state = State.BUSY;
     }
 
-    /** It is about to be sent; {@code then} gets null once that cannot be forgotten any more, or what hinders it. */
+    /**
+     * The part is about to be sent. {@code then} receives null once the intent is durable, or the fault that prevented it.
+     */
     void markSending(double now, Consumer<StoreFault> then) {
         state = State.BUSY;
         if (records == null) {
@@ -123,14 +125,14 @@
         notifyListeners(PartOutcome.stored(stored, tag));
     }
 
-    /** An attempt may have stored it; {@code since} is the time of its last sign. */
+    /** An attempt may have stored the part; {@code since} is the time of its last activity. */
     void markUnknown(double since, S3Error error) {
         state = State.UNKNOWN;
         unknownSince = since;
         notifyListeners(PartOutcome.failed(error));
     }
 
-    /** Nothing was stored: the next client's part starts anew. */
+    /** Nothing was stored: a client may send the part again. */
     void forget(S3Error error) {
         parts.remove(this);
         if (isRecorded) {
--- a/src/main/java/kelphollow/protocol/object/UploadParts.java
+++ b/src/main/java/kelphollow/protocol/object/UploadParts.java
@@ -16,21 +16,23 @@
 import kelphollow.store.StoreFault;
 
 /**
- * What is known of the parts of uploads, so that none is written twice. Memory is bounded: what is forgotten is requested of
- * the node again, by ListParts, before anything is sent. With records it outlives the process. For the event loop alone.
+ * Tracks the parts of multipart uploads, so that none is stored twice. Memory is bounded: for an evicted part the node is
+ * queried by ListParts before anything is sent. With records the state survives a restart. Confined to the event loop.
  */
 final class UploadParts {
     private final int capacity;
     private final double settleTime;
     private final PartRecords records;
     private final Map<String, UploadPart> parts = new LinkedHashMap<>(16, 0.75f, true);
-    /** Uploads begun through this process of which no part was forgotten: what is not in {@link #parts} was never sent. */
+    /**
+     * Uploads created through this gateway of which no part was evicted: a part missing in {@link #parts} was never sent.
+     */
     private final Set<String> fullyTracked = new LinkedHashSet<>();
 
     /**
-     * @param capacity how many parts, and how many uploads, are remembered
-     * @param settleTime how long after its last sign an attempt may still take effect, in milliseconds
-     * @param records null where nothing outlives this process
+     * @param capacity largest number of parts, and of uploads, that are remembered
+     * @param settleTime milliseconds for which an attempt may still take effect after its last activity
+     * @param records null without persistence
      */
     UploadParts(int capacity, double settleTime, PartRecords records) {
         this.capacity = capacity;
@@ -38,7 +40,7 @@
         this.records = records;
     }
 
-    /** Takes over what earlier incarnations have left, as far as there is room for it. */
+    /** Loads what earlier incarnations recorded, up to the capacity. */
     void restore(RecoveredOutcomes recovered, double now) throws IOException, StoreFault {
         records.read(new PartRecords.Reader() {
             @Override public void upload(String upload, long sinceEpoch) {
@@ -70,17 +72,17 @@
         }
     }
 
-    /** The name of a call's upload, unique over objects. */
+    /** The key of the call's upload, unique over objects. */
     static String uploadKey(ObjectCall call) {
         return uploadKey(call, call.uploadId());
     }
 
-    /** The name of an upload of a call's object. */
+    /** The key of an upload of the call's object. */
     static String uploadKey(ObjectCall call, String uploadId) {
         return call.bucket() + '/' + call.key() + '?' + uploadId;
     }
 
-    /** An upload has been begun here. */
+    /** An upload was created through this gateway. */
     void uploadCreated(String upload, double now) {
         fullyTracked.add(upload);
         if (records != null) {
@@ -97,7 +99,7 @@
         }
     }
 
-    /** An upload has been completed or aborted. */
+    /** An upload was completed or aborted. */
     void uploadEnded(String upload) {
         List<Integer> forgotten = forget(upload);
         if (records != null) {
@@ -106,9 +108,9 @@
     }
 
     /**
-     * An abort of the upload is about to be sent; {@code then} gets null once that cannot be forgotten any more, or what
-     * hinders it. From here on its parts are requested of the node: a record that outlived the upload would answer for parts
-     * that are gone.
+     * An abort of the upload is about to be sent; {@code then} receives null once the removal of its records is durable,
+     * or the fault that prevented it. From now on the node is queried for its parts: a record that outlived the upload
+     * would report parts as stored that no longer exist.
      */
     void recordAbort(String upload, Consumer<StoreFault> then) {
         List<Integer> forgotten = forget(upload);
@@ -119,7 +121,7 @@
         }
     }
 
-    /** Gives the numbers of the parts that were remembered. */
+    /** Returns the numbers of the parts that were remembered. */
     private List<Integer> forget(String upload) {
         fullyTracked.remove(upload);
         List<Integer> numbers = new ArrayList<>();
@@ -128,7 +130,9 @@
         return numbers;
     }
 
-    /** The call's part, which is {@link UploadPart.State#UNRECORDED} if it is new; null when all that fit are busy. */
+    /**
+     * Returns the call's part, {@link UploadPart.State#UNRECORDED} if it is new, or null if no part can be evicted for it.
+     */
     UploadPart find(ObjectCall call, double now) {
         String upload = uploadKey(call);
         UploadPart part = parts.get(UploadPart.name(upload, call.partNumber()));
@@ -142,7 +146,7 @@
         return part;
     }
 
-    /** Whether what is not remembered of this call's upload is known never to have been sent. */
+    /** Whether a part of this call's upload that is not remembered was certainly never sent. */
     boolean isFullyTracked(ObjectCall call) {
         return fullyTracked.contains(uploadKey(call));
     }
--- a/src/main/java/kelphollow/protocol/object/UploadQuery.java
+++ b/src/main/java/kelphollow/protocol/object/UploadQuery.java
@@ -6,11 +6,11 @@
 import kelphollow.routing.ResponseCallback;
 
 /**
- * Asks the node what it has of an upload, on behalf of a call that must not be sent before that is known. For the event loop
- * alone.
+ * Queries the node for the parts of an upload, on behalf of a call that must not be sent before they are known. Confined
+ * to the event loop.
  */
 final class UploadQuery implements ResponseCallback {
-    /** Hears one of the two, once, unless the query is cancelled. */
+    /** Exactly one of the methods is called, once, unless the query is cancelled. */
     interface Listener {
         void responseReceived(NodeResponse response);
 
@@ -29,7 +29,7 @@
         this.listener = listener;
     }
 
-    /** Sends this call, which lists parts. */
+    /** Sends this ListParts call. */
     void send(ObjectCall list, Transfer.Client client) {
         pending = true;
         RequestArrived arrival;
@@ -47,7 +47,7 @@
         return pending;
     }
 
-    /** The response is of no use any more. */
+    /** Cancels the query if it is pending. */
     void cancel() {
         if (pending) {
             pending = false;
--- a/src/main/java/kelphollow/protocol/xds/ProtoJson.java
+++ b/src/main/java/kelphollow/protocol/xds/ProtoJson.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Fields of a message in proto3 JSON. Both spellings of a name are read, {@code lb_endpoints} and {@code
- * lbEndpoints}. Each method throws {@link IllegalArgumentException} naming the path of a field that has another type.
+ * Reads fields of a message in proto3 JSON. A field name is accepted in both spellings, {@code lb_endpoints} and {@code
+ * lbEndpoints}. Each method throws {@link IllegalArgumentException} with the path of a field that has the wrong type.
  * Stateless.
  */
 final class ProtoJson {
@@ -25,7 +25,7 @@
         return camel.toString();
     }
 
-    /** The value as a message; {@code path} names it. */
+    /** Returns the value as a message; {@code path} names it in an error. */
     static Map<?, ?> message(Object value, String path) {
         if (value instanceof Map<?, ?> map) {
             return map;
@@ -33,7 +33,7 @@
         throw new IllegalArgumentException(path + " is missing or not an object");
     }
 
-    /** A repeated field; proto3 JSON leaves empty ones out. */
+    /** A repeated field, which proto3 JSON omits if it is empty. */
     static List<?> list(Map<?, ?> message, String path, String name) {
         Object value = field(message, name);
         if (value == null) {
@@ -45,19 +45,19 @@
         throw new IllegalArgumentException(path + "." + name + " is not a list");
     }
 
-    /** A field with a text that is not empty. */
+    /** A string field that is not empty. */
     static String text(Map<?, ?> message, String path, String name) {
         if (field(message, name) instanceof String value && !value.isEmpty()) {
             return value;
         }
-        throw new IllegalArgumentException(path + "." + name + " is missing or not a text");
+        throw new IllegalArgumentException(path + "." + name + " is missing, empty or not a string");
     }
 
-    /** The value as a whole number within bounds, both included. */
+    /** Returns the value as an integer within inclusive bounds. */
     static int integer(Object value, String path, int min, int max) {
         if (value instanceof Double number && number >= min && number <= max && number == Math.rint(number)) {
             return number.intValue();
         }
-        throw new IllegalArgumentException(path + " must be a whole number from " + min + " to " + max);
+        throw new IllegalArgumentException(path + " must be an integer from " + min + " to " + max);
     }
 }
--- a/src/main/java/kelphollow/protocol/xds/XdsPoller.java
+++ b/src/main/java/kelphollow/protocol/xds/XdsPoller.java
@@ -12,35 +12,35 @@
 import kelphollow.transport.HttpCall;
 
 /**
- * Polls xDS by REST: the cluster, then its endpoints, again and again while both succeed. An invalid response is
- * rejected as a whole and the last good list stands; the router then says when to poll again. Confined to the event
- * loop.
+ * Polls xDS over REST: first the cluster, then its endpoints, and repeats while both succeed. An invalid response is
+ * rejected as a whole and the last valid list stays in use; the router then decides when to poll again. Confined to the
+ * event loop.
  */
 public final class XdsPoller implements EndpointSource {
     /**
-     * What to poll, and how often.
+     * What to poll, and the interval.
      *
      * @param host value of the header {@code Host}
      * @param cluster name of the cluster
-     * @param shards how many shards there are
-     * @param nodeId id of this instance for the control plane
-     * @param nodeCluster name of the cluster of this instance for the control plane
+     * @param shards number of shards
+     * @param nodeId id of this instance as reported to the control plane
+     * @param nodeCluster cluster of this instance as reported to the control plane
      * @param refresh milliseconds between two polls
      */
     public record Query(String host, String cluster, int shards, String nodeId, String nodeCluster, double refresh) {}
 
     private enum State {
-        /** Nothing is polled. */
+        /** No poll is scheduled or in flight. */
         IDLE,
-        /** A poll is under way, or the next one is due by time. */
+        /** A poll is in flight, or the next one is scheduled. */
         POLLING,
-        /** Ended for good. */
+        /** Stopped permanently. */
         STOPPED
     }
 
     private static final Logger LOG = Logger.getLogger(XdsPoller.class.getName());
-    /** Time that a poll may take, in milliseconds. */
-    private static final double TIMEOUT = 2_000;
+    /** Time limit of a poll. */
+    private static final double TIMEOUT_MS = 2_000;
 
     private final HttpCall calls;
     private final Ticker ticker;
@@ -53,7 +53,7 @@
     private XdsResourceParser.Cluster cluster;
     private List<ResolvedEndpoint> endpoints = List.of();
 
-    /** {@code confirmed}: gets the complete list each time that it was received or found unchanged. */
+    /** {@code confirmed} receives the complete list whenever it was received or found unchanged. */
     public XdsPoller(HttpCall calls, Ticker ticker, RequestRouter router, Query query,
         Consumer<List<ResolvedEndpoint>> confirmed) {
         this.calls = calls;
@@ -81,7 +81,8 @@
         }
         send(new XdsRequest("clusters", XdsResourceParser.CLUSTER, query.cluster(), clusterVersion), response -> {
             if (response.resources() != null) {
-                take(XdsResourceParser.cluster(response.resources(), query.cluster(), query.shards()), response.version());
+                applyCluster(XdsResourceParser.cluster(response.resources(), query.cluster(), query.shards()), response
+                    .version());
             }
             if (cluster.inline() == null) {
                 pollEndpoints();
@@ -91,8 +92,8 @@
         });
     }
 
-    private void take(XdsResourceParser.Cluster next, String version) {
-        // The version that is held is of the endpoints of the cluster's former service name.
+    private void applyCluster(XdsResourceParser.Cluster next, String version) {
+        // The known version belongs to the endpoints of the cluster's former service name.
         if (cluster == null || !cluster.serviceName().equals(next.serviceName())) {
             endpointVersion = "";
         }
@@ -122,14 +123,14 @@
         router.updateEndpoints(next, true);
     }
 
-    /** All polls of a round have succeeded. */
+    /** All polls of a round succeeded. */
     private void scheduleNext() {
         confirmed.accept(endpoints);
         ticker.after(query.refresh(), this::pollCluster);
     }
 
     private void send(XdsRequest request, Consumer<XdsResponse> handler) {
-        calls.send(request.encode(query), TIMEOUT, new HttpCall.ResponseHandler() {
+        calls.send(request.encode(query), TIMEOUT_MS, new HttpCall.ResponseHandler() {
             @Override public void responseReceived(int status, String body) {
                 try {
                     handler.accept(XdsResponse.parse(status, body, request.version()));
@@ -145,7 +146,7 @@
     }
 
     private void fail(String reason) {
-        LOG.warning(() -> "xDS, last good list stands: " + reason);
+        LOG.warning(() -> "xDS: poll failed, keeping the last valid endpoint list: " + reason);
         if (state == State.POLLING) {
             state = State.IDLE;
         }
--- a/src/main/java/kelphollow/protocol/xds/XdsRequest.java
+++ b/src/main/java/kelphollow/protocol/xds/XdsRequest.java
@@ -15,15 +15,15 @@
 /**
  * A DiscoveryRequest for one resource.
  *
- * @param collection last word of its path
+ * @param collection last word of the request path
  * @param typeUrl type of the resource
- * @param resource its name
- * @param version of the resource that is held; empty: none
+ * @param resource name of the resource
+ * @param version known version of the resource; empty: none
  */
 record XdsRequest(String collection, String typeUrl, String resource, String version) {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** The HTTP request, which the caller releases. */
+    /** Encodes the HTTP request, which the caller releases. */
     FullHttpRequest encode(XdsPoller.Query query) {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
             "/v3/discovery:" + collection, Unpooled.copiedBuffer(body(query), StandardCharsets.UTF_8));
@@ -48,7 +48,7 @@
             json.writeStringField("type_url", typeUrl);
             json.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException(e);   // a StringWriter does not fail
+            throw new IllegalStateException(e);   // a StringWriter does not throw
         }
         return text.toString();
     }
--- a/src/main/java/kelphollow/protocol/xds/XdsResourceParser.java
+++ b/src/main/java/kelphollow/protocol/xds/XdsResourceParser.java
@@ -16,16 +16,16 @@
 import kelphollow.routing.ResolvedEndpoint;
 
 /**
- * Reads Envoy's Cluster and ClusterLoadAssignment in proto3 JSON into an endpoint list. A faulty resource throws
- * {@link IllegalArgumentException} naming its place, and nothing of it is used. Stateless.
+ * Parses Envoy's Cluster and ClusterLoadAssignment in proto3 JSON into an endpoint list. An invalid resource throws {@link
+ * IllegalArgumentException} with the path of the field, and nothing of it is used. Stateless.
  */
 public final class XdsResourceParser {
     /** Type URL of a cluster. */
     public static final String CLUSTER = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
     /** Type URL of the endpoints of a cluster. */
     public static final String ASSIGNMENT = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
-    /** Namespace of an endpoint's metadata that holds its shard and, if known, its last start. */
-    private static final String METADATA = "kelphollow";
+    /** Metadata namespace of an endpoint that holds its shard and, if known, when it last started. */
+    private static final String METADATA_NAMESPACE = "kelphollow";
     private static final int MAX_PORT = 65_535;
 
     private XdsResourceParser() {}
@@ -33,13 +33,13 @@
     /**
      * A cluster.
      *
-     * @param name its own
-     * @param serviceName the name by which its endpoints are requested
-     * @param inline the endpoints that it brings itself, or null
+     * @param name name of the cluster
+     * @param serviceName name under which its endpoints are requested
+     * @param inline endpoints that the cluster resource contains, or null
      */
     public record Cluster(String name, String serviceName, List<ResolvedEndpoint> inline) {}
 
-    /** Finds the named cluster among resources; {@code shards}: how many there are. */
+    /** Finds the named cluster among resources; {@code shards} is the number of shards. */
     public static Cluster cluster(List<?> resources, String wanted, int shards) {
         for (int i = 0; i < resources.size(); i++) {
             String path = "clusters[" + i + "]";
@@ -51,7 +51,7 @@
                     inline == null ? null : endpoints(inline, path + ".load_assignment", shards));
             }
         }
-        throw new IllegalArgumentException("clusters: '" + wanted + "' is missing");
+        throw new IllegalArgumentException("clusters: no cluster named '" + wanted + "'");
     }
 
     private static String serviceName(Map<?, ?> cluster, String name) {
@@ -59,7 +59,7 @@
             && field(config, "service_name") instanceof String service && !service.isEmpty() ? service : name;
     }
 
-    /** Finds the endpoints of a cluster among resources; {@code shards}: how many there are. */
+    /** Finds the endpoints of a cluster among resources; {@code shards} is the number of shards. */
     public static List<ResolvedEndpoint> endpoints(List<?> resources, String service, int shards) {
         for (int i = 0; i < resources.size(); i++) {
             String path = "endpoints[" + i + "]";
@@ -68,7 +68,7 @@
                 return endpoints(assignment, path, shards);
             }
         }
-        throw new IllegalArgumentException("endpoints: those of '" + service + "' are missing");
+        throw new IllegalArgumentException("endpoints: no ClusterLoadAssignment for '" + service + "'");
     }
 
     private static List<ResolvedEndpoint> endpoints(Object assignment, String path, int shards) {
@@ -79,11 +79,11 @@
         Set<String> names = new HashSet<>();
         List<?> localities = list(map, path, "endpoints");
         for (int i = 0; i < localities.size(); i++) {
-            String place = path + ".endpoints[" + i + "]";
+            String localityPath = path + ".endpoints[" + i + "]";
             if (!(localities.get(i) instanceof Map<?, ?> locality)) {
-                throw new IllegalArgumentException(place + " is not an object");
+                throw new IllegalArgumentException(localityPath + " is not an object");
             }
-            addEndpoints(locality, place, shards, names, found);
+            addEndpoints(locality, localityPath, shards, names, found);
         }
         return found;
     }
@@ -111,9 +111,9 @@
         if (!host.matches("[0-9.]+|[0-9a-fA-F:.]*:[0-9a-fA-F:.]*")) {
             throw new IllegalArgumentException(socketPath + ".address is no IP address");
         }
-        String metadataPath = path + ".metadata.filter_metadata." + METADATA;
+        String metadataPath = path + ".metadata.filter_metadata." + METADATA_NAMESPACE;
         Map<?, ?> metadata = message(message(field(message(field(endpoint, "metadata"), path + ".metadata"),
-            "filter_metadata"), path + ".metadata.filter_metadata").get(METADATA), metadataPath);
+            "filter_metadata"), path + ".metadata.filter_metadata").get(METADATA_NAMESPACE), metadataPath);
         int shard = ProtoJson.integer(metadata.get("shard"), metadataPath + ".shard", 0, shards - 1);
         double startedAt = metadata.get("born_ms") instanceof Double time ? time : 0;
         EndpointState state = state(field(endpoint, "health_status"), path);
@@ -127,13 +127,14 @@
         return message(field(address, "socket_address"), path + ".endpoint.address.socket_address");
     }
 
-    /** Only what is healthy accepts new requests; the list is not asked why another does not. */
+    /** Only healthy endpoints accept new requests; the reason why others do not is ignored. */
     private static EndpointState state(Object health, String path) {
-        String word = health == null ? "UNKNOWN" : String.valueOf(health);
-        return switch (word) {
+        String status = health == null ? "UNKNOWN" : String.valueOf(health);
+        return switch (status) {
             case "UNKNOWN", "HEALTHY", "DEGRADED" -> EndpointState.HEALTHY;
             case "DRAINING", "UNHEALTHY", "TIMEOUT" -> EndpointState.DRAINING;
-            default -> throw new IllegalArgumentException(path + ".health_status is '" + word + "'");
+            default -> throw new IllegalArgumentException(path + ".health_status is '" + status
+                + "', which is not a known status");
         };
     }
 
@@ -141,7 +142,7 @@
         Map<?, ?> resource = message(value, path);
         Object found = resource.get("@type");
         if (found != null && !found.equals(type)) {
-            throw new IllegalArgumentException(path + ".@type is '" + found + "'");
+            throw new IllegalArgumentException(path + ".@type is '" + found + "', expected '" + type + "'");
         }
         return resource;
     }
--- a/src/main/java/kelphollow/protocol/xds/XdsResponse.java
+++ b/src/main/java/kelphollow/protocol/xds/XdsResponse.java
@@ -8,33 +8,33 @@
 /**
  * A DiscoveryResponse.
  *
- * @param version of the resources
- * @param resources null if they are unchanged since the version that was asked with
+ * @param version version of the resources
+ * @param resources null if unchanged since the version in the request
  */
 record XdsResponse(String version, List<?> resources) {
     private static final int OK = 200;
     private static final int NOT_MODIFIED = 304;
 
     /**
-     * Reads a response.
+     * Parses a response.
      *
-     * @param heldVersion the version that was asked with
-     * @throws IOException if the body is no JSON
-     * @throws IllegalArgumentException if it is no DiscoveryResponse
+     * @param knownVersion the version in the request
+     * @throws IOException if the body is not valid JSON
+     * @throws IllegalArgumentException if it is not a DiscoveryResponse
      */
-    static XdsResponse parse(int status, String body, String heldVersion) throws IOException {
+    static XdsResponse parse(int status, String body, String knownVersion) throws IOException {
         if (status == NOT_MODIFIED) {
-            return new XdsResponse(heldVersion, null);
+            return new XdsResponse(knownVersion, null);
         }
         if (status != OK) {
-            throw new IllegalArgumentException("status " + status);
+            throw new IllegalArgumentException("HTTP status " + status + ", expected 200 or 304");
         }
         if (!(Json.parse(body) instanceof Map<?, ?> map)) {
-            throw new IllegalArgumentException("the answer is not an object");
+            throw new IllegalArgumentException("the response is not a JSON object");
         }
         Object found = map.containsKey("version_info") ? map.get("version_info") : map.get("versionInfo");
         String version = found instanceof String text ? text : "";
-        if (!version.isEmpty() && version.equals(heldVersion)) {
+        if (!version.isEmpty() && version.equals(knownVersion)) {
             return new XdsResponse(version, null);
         }
         if (!(map.get("resources") instanceof List<?> resources)) {
--- a/src/main/java/kelphollow/protocol/xds/package-info.java
+++ b/src/main/java/kelphollow/protocol/xds/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Envoy's xDS by REST: clusters and endpoints in proto3 JSON, read into an endpoint list, and the polls that keep it
+ * Envoy's xDS over REST: parses clusters and endpoints in proto3 JSON into an endpoint list, and polls to keep it
  * up to date.
  */
 package kelphollow.protocol.xds;
--- a/src/test/java/kelphollow/protocol/object/DownloadTest.java
+++ b/src/test/java/kelphollow/protocol/object/DownloadTest.java
@@ -12,7 +12,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.junit.jupiter.api.Test;
 
-/** Where a truncated response goes on. */
+/** Resumption of a truncated response. */
 class DownloadTest {
     private static final String TAG = "\"e\"";
     private final Download download = new Download();
@@ -30,7 +30,7 @@
         return response(HttpResponseStatus.PARTIAL_CONTENT, range, length, etag);
     }
 
-    @Test void theRestOfAnObjectIsRequestedIfItIsStillTheSame() {
+    @Test void missingBytesAreRequestedWithIfMatch() {
         download.start(response(HttpResponseStatus.OK, null, 100, TAG));
         download.addForwarded(30);
 
@@ -41,7 +41,7 @@
         assertEquals(TAG, headers.get("If-Match"));
     }
 
-    @Test void theRestOfARangeIsCountedFromTheObjectsFirstByte() {
+    @Test void resumedRangeIsRelativeToTheWholeObject() {
         download.start(partial("bytes 50-149/1000", 100, TAG));
         download.addForwarded(30);
 
@@ -51,7 +51,7 @@
         assertEquals("bytes=80-149", headers.get("Range"));
     }
 
-    @Test void onlyTheVeryBytesThatAreMissingContinueIt() {
+    @Test void onlyExactlyTheMissingBytesContinueAResponse() {
         download.start(response(HttpResponseStatus.OK, null, 100, TAG));
         download.addForwarded(30);
 
@@ -62,13 +62,13 @@
         assertFalse(download.isContinuedBy(response(HttpResponseStatus.OK, null, 100, TAG)), "the whole object");
     }
 
-    @Test void aRangeThatIsNotOfItsLengthDoesNotStartIt() {
+    @Test void rangeThatContradictsContentLengthIsInvalid() {
         assertFalse(download.start(partial("bytes 0-9/100", 11, TAG)));
         assertFalse(download.start(partial("bytes */100", 10, TAG)));
         assertFalse(download.isStarted());
     }
 
-    @Test void itIsResumableOnlyWithAStrongEntityTag() {
+    @Test void responseIsResumableOnlyWithAStrongEntityTag() {
         download.start(response(HttpResponseStatus.OK, null, 100, "W/\"e\""));
         assertFalse(download.isResumable());
 
--- a/src/test/java/kelphollow/protocol/xds/XdsResponseTest.java
+++ b/src/test/java/kelphollow/protocol/xds/XdsResponseTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which responses of a control plane bring resources, which say that nothing has changed, and which are invalid. */
+/** Parsing of control plane responses: with resources, unchanged, and invalid. */
 class XdsResponseTest {
     @Test void resourcesOfANewVersionAreRead() throws IOException {
         XdsResponse response = XdsResponse.parse(200, "{\"version_info\":\"2\",\"resources\":[7]}", "1");
@@ -28,19 +28,19 @@
         assertEquals(List.of(7.0), response.resources());
     }
 
-    @Test void theVersionThatIsHeldBringsNothing() throws IOException {
+    @Test void knownVersionYieldsNoResources() throws IOException {
         assertNull(XdsResponse.parse(200, "{\"version_info\":\"1\",\"resources\":[7]}", "1").resources());
-        assertNull(XdsResponse.parse(200, "{\"version_info\":\"1\"}", "1").resources(), "nor need it name any");
+        assertNull(XdsResponse.parse(200, "{\"version_info\":\"1\"}", "1").resources(), "resources may be omitted");
     }
 
-    @Test void notModifiedKeepsTheVersionThatIsHeld() throws IOException {
+    @Test void notModifiedKeepsTheKnownVersion() throws IOException {
         XdsResponse response = XdsResponse.parse(304, "", "1");
 
         assertEquals("1", response.version());
         assertNull(response.resources());
     }
 
-    @Test void whatIsNoResponseIsRejected() {
+    @Test void invalidResponsesAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> XdsResponse.parse(503, "", "1"));
         assertThrows(IllegalArgumentException.class, () -> XdsResponse.parse(200, "[]", "1"));
         assertThrows(IllegalArgumentException.class, () -> XdsResponse.parse(200, "{\"version_info\":\"2\"}", "1"));
