--- a/src/main/java/kelphollow/protocol/object/ObjectServices.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectServices.java
@@ -14,9 +14,7 @@
         return ticker.now();
     }
 
-    /**
-     * Longest duration of a write in milliseconds; for as long, an attempt with an unknown outcome may still take effect.
-     */
+    /** Time limit of a write in milliseconds, within which an attempt with an unknown outcome may still take effect. */
     double writeDeadline() {
         return options.write().deadline();
     }
--- a/src/main/java/kelphollow/protocol/object/Transfer.java
+++ b/src/main/java/kelphollow/protocol/object/Transfer.java
@@ -75,7 +75,7 @@
         return call.op().hasBody() && document == null;
     }
 
-    /** Whether forwarding of the body began; it cannot be sent again then. */
+    /** Whether forwarding of the body has begun; the body can then not be sent again. */
     boolean isBodyConsumed() {
         return bodyState != BodyState.NOT_STARTED;
     }
--- a/src/main/java/kelphollow/protocol/object/UploadParts.java
+++ b/src/main/java/kelphollow/protocol/object/UploadParts.java
@@ -131,7 +131,7 @@
     }
 
     /**
-     * Returns the call's part, {@link UploadPart.State#UNRECORDED} if it is new, or null if no part can be evicted for it.
+     * Returns the call's part, {@link UploadPart.State#UNRECORDED} if it is new, or null if memory is full and no part can be evicted.
      */
     UploadPart find(ObjectCall call, double now) {
         String upload = uploadKey(call);
