--- a/src/main/java/kelphollow/protocol/object/UploadParts.java
+++ b/src/main/java/kelphollow/protocol/object/UploadParts.java
@@ -131,7 +131,8 @@
     }
 
     /**
-     * Returns the call's part, {@link UploadPart.State#UNRECORDED} if it is new, or null if memory is full and no part can be evicted.
+     * Returns the call's part, {@link UploadPart.State#UNRECORDED} if it is new, or null if the capacity is used up by parts
+     * that cannot be evicted.
      */
     UploadPart find(ObjectCall call, double now) {
         String upload = uploadKey(call);
