--- a/src/main/java/kelphollow/program/ClusterConfig.java
+++ b/src/main/java/kelphollow/program/ClusterConfig.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import kelphollow.protocol.xds.XdsClusters;
+import kelphollow.protocol.xds.XdsResourceParser;
 import kelphollow.routing.ResolvedEndpoint;
 
 /** The validated {@code xds} section of a gateway's configuration file: the source of the object servers' endpoints. */
@@ -31,10 +31,10 @@
             throw new ConfigurationException("xds needs 'server', or 'clusters' with 'endpoints'");
         }
         try {
-            XdsClusters.Cluster found = XdsClusters.cluster(clusters, cluster, shards);
+            XdsResourceParser.Cluster found = XdsResourceParser.cluster(clusters, cluster, shards);
             List<?> endpoints = xds.value("endpoints") instanceof List<?> list ? list : List.of();
             return new Inline(found.inline() != null ? found.inline()
-                : XdsClusters.endpoints(endpoints, found.serviceName(), shards));
+                : XdsResourceParser.endpoints(endpoints, found.serviceName(), shards));
         } catch (IllegalArgumentException e) {
             throw new ConfigurationException("xds." + e.getMessage());
         }
--- a/src/main/java/kelphollow/protocol/object/NodeExchange.java
+++ b/src/main/java/kelphollow/protocol/object/NodeExchange.java
@@ -18,34 +18,34 @@
 import kelphollow.transport.PooledConnection;
 
 /**
- * One request and its response on a connection to an object server. Releases each message that it receives, and each
- * piece of a body that it does not write; content that it forwards is retained for the client's side. For the event loop
- * alone.
+ * One request and its response on a connection to an object server. Releases each message that it receives, and each chunk
+ * of a body that it does not write. Content that it forwards is retained for the client's side. Confined to the event
+ * loop.
  */
 final class NodeExchange implements PooledConnection.ExchangeHandler, Transfer.BodySink {
     private static final Logger LOG = Logger.getLogger(NodeExchange.class.getName());
-    // In milliseconds. A server that ignores "Expect" says nothing; the body then follows after this time, as HTTP advises.
-    private static final double CONTINUE_TIMEOUT = 1_000;
+    // A server that ignores "Expect" sends no interim response; the body is then sent after this time, as RFC 9110 advises.
+    private static final double CONTINUE_TIMEOUT_MS = 1_000;
     private static final int FIRST_FINAL_STATUS = 200;
     private static final int FIRST_SERVER_ERROR = 500;
 
-    /** How the body of the request goes up. */
+    /** Progress of the request body. */
     private enum UploadState {
-        /** Nothing has been requested of the client: the server may still refuse it. */
+        /** No chunk was requested from the client: the server may still reject the request. */
         NOT_STARTED,
-        /** The next piece has been requested of the client. */
-        PIECE_REQUESTED,
-        /** The last piece that was requested has been written. */
-        PIECE_WRITTEN
+        /** The next chunk was requested from the client. */
+        CHUNK_REQUESTED,
+        /** The last requested chunk was written. */
+        CHUNK_WRITTEN
     }
 
-    /** What is done with the content of the response. */
+    /** How the content of the response is handled. */
     private enum ResponseState {
-        /** The head has not come. */
+        /** The head has not been received. */
         AWAITED,
-        /** It is collected, to be handed over as a whole. */
+        /** The content is collected and handed over as a whole. */
         COLLECTING,
-        /** It is forwarded as it comes. */
+        /** The content is forwarded as it arrives. */
         STREAMING
     }
 
@@ -69,29 +69,29 @@
         this.stallTimeout = stallTimeout;
     }
 
-    /** The connection that was leased for it, which may still be dialled. */
+    /** Sets the connection that was acquired for this exchange, which may not be established yet. */
     void connection(PooledConnection leased) {
         connection = leased;
     }
 
-    @Override public void connected(PooledConnection up) {
-        connection = up;
+    @Override public void connected(PooledConnection ready) {
+        connection = ready;
         if (!attempt.maySend() || transfer.streamsBody() && transfer.isBodyConsumed()) {
-            up.release();
+            ready.release();
             attempt.ended(AttemptResult.of(AttemptOutcome.NOT_SENT, null, transfer.isBodyConsumed()));
         } else if (transfer.streamsBody()) {
-            up.channel().writeAndFlush(NodeRequests.streamed(transfer));
+            ready.channel().writeAndFlush(NodeRequests.streamed(transfer));
             if (transfer.call().length() > 0) {
-                timer = ticker.after(CONTINUE_TIMEOUT, this::startBody);
+                timer = ticker.after(CONTINUE_TIMEOUT_MS, this::startBody);
             } else {
                 startBody();
             }
         } else {
-            requestWritten = up.channel().writeAndFlush(NodeRequests.complete(transfer));
+            requestWritten = ready.channel().writeAndFlush(NodeRequests.complete(transfer));
         }
     }
 
-    // ------------------------------------------------------------ the body goes up
+    // ------------------------------------------------------------ request body
 
     private void startBody() {
         if (uploadState != UploadState.NOT_STARTED || !attempt.isInFlight()) {
@@ -99,44 +99,44 @@
         }
         cancelTimer();
         lastProgressAt = ticker.now();
-        uploadState = UploadState.PIECE_REQUESTED;
+        uploadState = UploadState.CHUNK_REQUESTED;
         transfer.forwardBodyTo(this);
     }
 
-    @Override public void piece(ByteBuf piece, boolean last) {
-        uploadState = UploadState.PIECE_WRITTEN;
+    @Override public void chunk(ByteBuf chunk, boolean last) {
+        uploadState = UploadState.CHUNK_WRITTEN;
         if (!attempt.isInFlight() || responseState != ResponseState.AWAITED) {
-            piece.release();
+            chunk.release();
             return;
         }
         attempt.progressed();
-        ChannelFuture write = connection.channel().writeAndFlush(last ? new DefaultLastHttpContent(piece)
-            : new DefaultHttpContent(piece));
+        ChannelFuture write = connection.channel().writeAndFlush(last ? new DefaultLastHttpContent(chunk)
+            : new DefaultHttpContent(chunk));
         if (last) {
             requestWritten = write;
             transfer.bodyForwarded();
             attempt.requestSent();
         } else {
-            requestPiece();
+            requestChunk();
         }
     }
 
-    private void requestPiece() {
-        if (uploadState == UploadState.PIECE_WRITTEN && !transfer.isBodyForwarded() && responseState == ResponseState.AWAITED
+    private void requestChunk() {
+        if (uploadState == UploadState.CHUNK_WRITTEN && !transfer.isBodyForwarded() && responseState == ResponseState.AWAITED
             && connection.channel().isWritable()) {
-            uploadState = UploadState.PIECE_REQUESTED;
-            transfer.requestPiece();
+            uploadState = UploadState.CHUNK_REQUESTED;
+            transfer.requestChunk();
         }
     }
 
     @Override public void writable(PooledConnection on) {
         if (uploadState != UploadState.NOT_STARTED) {
             attempt.progressed();
-            requestPiece();
+            requestChunk();
         }
     }
 
-    // ------------------------------------------------------------ the response comes down
+    // ------------------------------------------------------------ response
 
     @Override public void received(PooledConnection on, Object message) {
         try {
@@ -188,7 +188,7 @@
             return transfer.download().isContinuedBy(response);
         }
         if (!transfer.download().start(response)) {
-            LOG.warning(() -> attempt.target().endpoint().node() + " gave an invalid range");
+            LOG.warning(() -> attempt.target().endpoint().node() + " sent a response with an invalid Content-Range");
             return false;
         }
         transfer.head(response);
@@ -235,20 +235,20 @@
         content.content().readBytes(bytes);
         collected.writeBytes(bytes);
         if (content instanceof LastHttpContent) {
-            collected();
+            finishCollected();
         }
     }
 
-    private void collected() {
+    private void finishCollected() {
         int status = head.status().code();
         if (status == 503 || status == 429) {
-            // Rejected. Once all of a write has come, only the server knows whether that was before it ran.
+            // Rejected. Once a whole write was sent, only the server knows whether it rejected it before running it.
             boolean neverRan = transfer.call().op().isIdempotent() || transfer.streamsBody() && !transfer.isBodyForwarded();
             AttemptOutcome outcome = neverRan ? AttemptOutcome.AT_CAPACITY : AttemptOutcome.ERROR;
             finish(AttemptResult.of(outcome, null, transfer.isBodyConsumed()));
         } else if (transfer.download().isStarted()) {
-            // The rest of a truncated response is not to be had, say since the object has changed (412): another response
-            // must not be written into the middle of the first.
+            // The rest of a truncated response is unavailable, for example because the object has changed (412). Another
+            // response must not be written into the middle of the first.
             finish(AttemptResult.of(AttemptOutcome.ERROR, null, true));
         } else if (status >= FIRST_SERVER_ERROR) {
             finish(AttemptResult.of(AttemptOutcome.ERROR, null, transfer.isBodyConsumed()));
@@ -258,7 +258,7 @@
         }
     }
 
-    // ------------------------------------------------------------ ends
+    // ------------------------------------------------------------ termination
 
     private void finish(AttemptResult result) {
         cancelTimer();
@@ -273,13 +273,13 @@
     }
 
     private void malformedResponse() {
-        LOG.warning(() -> attempt.target().endpoint().node() + " gave a response that cannot be read");
+        LOG.warning(() -> attempt.target().endpoint().node() + " sent a malformed or oversized response");
         close();
         attempt.ended(AttemptResult.of(AttemptOutcome.ERROR, null,
             transfer.isBodyConsumed() || transfer.download().isStarted()));
     }
 
-    /** A request whose last byte was not written never ran; a body that is consumed can't be sent again. */
+    /** A request whose last byte was not written never ran; a body that was consumed cannot be sent again. */
     @Override public void connectionFailed(PooledConnection on, Throwable cause) {
         cancelTimer();
         boolean neverRan = requestWritten == null || !requestWritten.isSuccess();
@@ -314,7 +314,7 @@
         }
     }
 
-    /** Closes the connection, the sign to the node that its response is no longer awaited. */
+    /** Closes the connection, which tells the node that its response is no longer awaited. */
     void close() {
         cancelTimer();
         if (connection != null) {
--- a/src/main/java/kelphollow/protocol/object/ObjectCall.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectCall.java
@@ -15,16 +15,16 @@
 import java.util.zip.CRC32;
 
 /**
- * A client's request of the object API.
+ * A client's request to the object API.
  *
- * @param length of its body, in bytes
- * @param rangeLength bytes of the range that it reads, negative where that is not known beforehand
- * @param uploadId null unless it is for an upload
+ * @param length length of its body in bytes
+ * @param rangeLength bytes of the range that it reads, negative if not known beforehand
+ * @param uploadId null unless it belongs to a multipart upload
  * @param partNumber 0 unless it is for a part
  */
 record ObjectCall(Operation op, HttpMethod method, String uri, String bucket, String key, HttpHeaders headers, long length,
                   long rangeLength, String uploadId, int partNumber) {
-    /** The operations, and whether each may be retried freely. */
+    /** The operations, and whether they are idempotent. */
     enum Operation {
         GET(true), HEAD(true), LIST_PARTS(true), PUT(false), DELETE(false), CREATE(false), PART(false),
         COMPLETE(false), ABORT(false);
@@ -44,36 +44,36 @@
         }
     }
 
-    /** Largest body of a call, or of a response, that is a document, in bytes. */
+    /** Largest size in bytes of a document in the body of a call or of a response. */
     static final int MAX_DOCUMENT_BYTES = 1024 * 1024;
     private static final int MAX_KEY_BYTES = 1024;
     private static final int MAX_PART_NUMBER = 10_000;
     private static final int MAX_RETRY_HEADER_LENGTH = 100;
     private static final long UNKNOWN_LENGTH = -1;
-    // What the SDKs of S3 send with each attempt: "attempt=2; max=3", in any order, with or without blanks.
+    // S3 SDKs send "attempt=2; max=3" with each attempt, in any order, with or without blanks.
     private static final String RETRY_HEADER = "amz-sdk-request";
     private static final Pattern LATER_ATTEMPT = Pattern.compile("(^|.*;\\s*)attempt=([2-9]|[1-9]\\d{1,4})\\s*(;.*|$)");
-    private static final Set<String> QUERY = Set.of("uploads", "uploadId", "partNumber", "max-parts",
+    private static final Set<String> SUPPORTED_QUERY_PARAMETERS = Set.of("uploads", "uploadId", "partNumber", "max-parts",
         "part-number-marker", "x-id");
     private static final Pattern RANGE = Pattern.compile("bytes=(\\d{0,18})-(\\d{0,18})");
 
-    /** Whether the client marks it as a retry of its own. What cannot be read counts as a first attempt. */
+    /** Whether the client marks the request as its own retry. A malformed header counts as a first attempt. */
     boolean isMarkedRetry() {
         String attempt = headers.get(RETRY_HEADER);
         return attempt != null && attempt.length() < MAX_RETRY_HEADER_LENGTH && LATER_ATTEMPT.matcher(attempt).matches();
     }
 
     /**
-     * Reads the head of a request. A range that is invalid is removed from its headers.
+     * Parses the head of a request. An invalid range is removed from its headers.
      *
-     * @throws S3Error if it is malformed, too large or not served
+     * @throws S3Error if the request is malformed, too large or not supported
      */
-    static ObjectCall read(HttpRequest request, long largestBody) throws S3Error {
+    static ObjectCall parse(HttpRequest request, long largestBody) throws S3Error {
         String uri = request.uri();
         if (!uri.startsWith("/")) {
             throw new S3Error(400, "InvalidURI", "Only paths are served.");
         }
-        QueryStringDecoder query = query(uri);
+        QueryStringDecoder query = decodeQuery(uri);
         String path = query.path();
         int slash = path.indexOf('/', 1);
         String bucket = path.substring(1, slash < 0 ? path.length() : slash);
@@ -84,20 +84,20 @@
         if (key.getBytes(StandardCharsets.UTF_8).length > MAX_KEY_BYTES) {
             throw new S3Error(400, "KeyTooLongError", "Your key is too long.");
         }
-        String uploadId = one(query.parameters(), "uploadId");
-        String part = one(query.parameters(), "partNumber");
-        Operation op = op(request.method(), query.parameters().containsKey("uploads"), uploadId, part);
+        String uploadId = singleValue(query.parameters(), "uploadId");
+        String part = singleValue(query.parameters(), "partNumber");
+        Operation op = parseOperation(request.method(), query.parameters().containsKey("uploads"), uploadId, part);
         return new ObjectCall(op, request.method(), uri, bucket, key, request.headers(),
-            length(op, request.headers(), largestBody), range(op, request.headers()), uploadId,
-            op == Operation.PART ? partNumber(part) : 0);
+            parseLength(op, request.headers(), largestBody), parseRangeLength(op, request.headers()), uploadId,
+            op == Operation.PART ? parsePartNumber(part) : 0);
     }
 
-    private static QueryStringDecoder query(String uri) throws S3Error {
+    private static QueryStringDecoder decodeQuery(String uri) throws S3Error {
         try {
             QueryStringDecoder query = new QueryStringDecoder(uri, StandardCharsets.UTF_8);
             query.path();
             for (String name : query.parameters().keySet()) {
-                if (!QUERY.contains(name)) {
+                if (!SUPPORTED_QUERY_PARAMETERS.contains(name)) {
                     throw new S3Error(501, "NotImplemented", "The query '" + name + "' is not served.");
                 }
             }
@@ -107,7 +107,8 @@
         }
     }
 
-    private static Operation op(HttpMethod method, boolean uploads, String uploadId, String part) throws S3Error {
+    private static Operation parseOperation(HttpMethod method, boolean uploads, String uploadId, String part)
+        throws S3Error {
         Operation op = switch (method.name()) {
             case "GET" -> uploadId != null ? Operation.LIST_PARTS : uploads || part != null ? null : Operation.GET;
             case "HEAD" -> uploadId == null && !uploads && part == null ? Operation.HEAD : null;
@@ -123,7 +124,7 @@
         return op;
     }
 
-    private static long length(Operation op, HttpHeaders headers, long largest) throws S3Error {
+    private static long parseLength(Operation op, HttpHeaders headers, long largest) throws S3Error {
         if (headers.contains(HttpHeaderNames.TRANSFER_ENCODING)) {
             throw new S3Error(op.hasBody() ? 411 : 400, op.hasBody() ? "MissingContentLength" : "InvalidRequest",
                 "A body must come with its Content-Length.");
@@ -145,8 +146,8 @@
         return length;
     }
 
-    /** A single range is forwarded; several, or what is no range of bytes, are ignored, as HTTP allows. */
-    private static long range(Operation op, HttpHeaders headers) {
+    /** A single byte range is forwarded. Several ranges, or other units, are ignored, as HTTP allows. */
+    private static long parseRangeLength(Operation op, HttpHeaders headers) {
         String value = headers.get(HttpHeaderNames.RANGE);
         if (op != Operation.GET || value == null) {
             return UNKNOWN_LENGTH;
@@ -168,7 +169,7 @@
         return to < 0 ? UNKNOWN_LENGTH : to - from + 1;
     }
 
-    private static int partNumber(String text) throws S3Error {
+    private static int parsePartNumber(String text) throws S3Error {
         if (text.matches("\\d{1,5}")) {
             int number = Integer.parseInt(text);
             if (number >= 1 && number <= MAX_PART_NUMBER) {
@@ -178,7 +179,7 @@
         throw new S3Error(400, "InvalidArgument", "Part number must be an integer between 1 and 10000.");
     }
 
-    private static String one(Map<String, List<String>> query, String name) throws S3Error {
+    private static String singleValue(Map<String, List<String>> query, String name) throws S3Error {
         List<String> values = query.get(name);
         if (values == null) {
             return null;
@@ -189,19 +190,19 @@
         return values.get(0);
     }
 
-    /** The cell of its object, which its uploads share, whatever nodes come and go. */
+    /** The cell of the object, shared by its uploads. It does not depend on which nodes exist. */
     int cell(int cells) {
         CRC32 sum = new CRC32();
         sum.update((bucket + '/' + key).getBytes(StandardCharsets.UTF_8));
         return (int) (sum.getValue() % cells);
     }
 
-    /** The call that tells whether this part is stored. */
+    /** Creates the call that tells whether this part is stored. */
     ObjectCall listThisPart() {
         return listParts("&max-parts=1&part-number-marker=" + (partNumber - 1));
     }
 
-    /** The call that tells whether this upload is still open. */
+    /** Creates the call that tells whether this upload is still open. */
     ObjectCall listParts() {
         return listParts("&max-parts=1");
     }
@@ -209,11 +210,11 @@
     private ObjectCall listParts(String query) {
         String path = uri.substring(0, uri.indexOf('?'));
         String id = URLEncoder.encode(uploadId, StandardCharsets.UTF_8);
-        HttpHeaders own = headers.copy();
+        HttpHeaders copied = headers.copy();
         for (String name : List.of("Content-Length", "Content-MD5", "Content-Type", "Expect")) {
-            own.remove(name);
+            copied.remove(name);
         }
-        return new ObjectCall(Operation.LIST_PARTS, HttpMethod.GET, path + "?uploadId=" + id + query, bucket, key, own, 0,
+        return new ObjectCall(Operation.LIST_PARTS, HttpMethod.GET, path + "?uploadId=" + id + query, bucket, key, copied, 0,
             UNKNOWN_LENGTH, uploadId, partNumber);
     }
 }
--- a/src/main/java/kelphollow/protocol/object/ObjectExchange.java
+++ b/src/main/java/kelphollow/protocol/object/ObjectExchange.java
@@ -16,17 +16,17 @@
 import kelphollow.routing.Ticker;
 
 /**
- * One request of a client, from its head to the last byte of its response. Pieces of the body are released here, by
- * {@link PartForwarding} or by {@link Transfer}; content of the response is released by its write. For the event loop alone.
+ * One request of a client, from its head to the last byte of its response. Chunks of the body are released here, by {@link
+ * PartForwarding} or by {@link Transfer}; content of the response is released by its write. Confined to the event loop.
  */
 final class ObjectExchange implements ResponseCallback, Transfer.Client {
-    /** How far the client's body has been read. */
+    /** How much of the client's body was read. */
     private enum Body {
-        /** None of it has been requested. */
+        /** None of it was requested. */
         UNREAD,
-        /** Some of it has been requested, after a "100 Continue" if the client waits for one. */
+        /** Some of it was requested, after a "100 Continue" if the client expects one. */
         REQUESTED,
-        /** Its end has come, or there is none. */
+        /** All of it was read, or there is none. */
         READ
     }
 
@@ -36,19 +36,19 @@
     private final String id;
     private Body body = Body.UNREAD;
     private boolean keepAlive;
-    /** Whether the response is complete, or nobody waits for it any more. */
+    /** Whether the response is complete or no longer awaited. */
     private boolean finished;
     private ObjectCall call;
     private Transfer transfer;
     private Request routed;
-    /** The body of a completion while it comes. */
+    /** The body of a CompleteMultipartUpload, collected until it is complete. */
     private ByteArrayOutputStream document;
     private PartForwarding part;
-    private GuardedForwarding forwarding;
+    private AtMostOnceForwarding forwarding;
     private IntentBarrier abortIntent;
     private Ticker.Timeout stallTimer;
 
-    /** {@code id} names the request to its client if there is an error. */
+    /** {@code id} identifies the request in an error response. */
     ObjectExchange(ObjectServices services, ObjectConnection connection, HttpRequest request, String id) {
         this.services = services;
         this.connection = connection;
@@ -69,26 +69,26 @@
         return call;
     }
 
-    /** What was given to the router, or null. */
+    /** The transfer that was submitted to the router, or null. */
     Transfer transfer() {
         return transfer;
     }
 
-    /** The head makes no sense: nothing more is read on this connection. */
-    void unreadable() {
+    /** Rejects a request whose head is malformed; nothing more is read from this connection. */
+    void rejectMalformed() {
         body = Body.READ;
         keepAlive = false;
-        answer(new S3Error(400, "InvalidRequest", "The request cannot be read."));
+        respond(new S3Error(400, "InvalidRequest", "The request cannot be read."));
     }
 
     void begin() {
         try {
-            call = ObjectCall.read(request, services.options().maxBodyBytes());
+            call = ObjectCall.parse(request, services.options().maxBodyBytes());
             services.mapper().arrival(call);
         } catch (S3Error e) {
             boolean hasBody = HttpUtil.isContentLengthSet(request) || HttpUtil.isTransferEncodingChunked(request);
             body = hasBody ? Body.UNREAD : Body.READ;
-            answer(e);
+            respond(e);
             return;
         }
         switch (call.op()) {
@@ -107,39 +107,39 @@
             }
             default -> {
                 if (!call.op().hasBody()) {
-                    connection.demand();   // the empty end of the request, and later the client's going away
+                    connection.demand();   // the empty last chunk, and a later disconnect
                 }
                 send(null);
             }
         }
     }
 
-    /** Gives the call to the router; {@code complete} is its body, or null if it is streamed or there is none. */
+    /** Submits the call to the router; {@code complete} is its body, or null if it is streamed or there is none. */
     void send(byte[] complete) {
         transfer = new Transfer(call, complete, this);
         RequestArrived arrival;
         try {
             arrival = services.mapper().arrival(call);
         } catch (S3Error e) {
-            answer(e);
+            respond(e);
             return;
         }
-        Request taken = services.router().submit(arrival, transfer, this);
-        routed = finished ? null : taken;
+        Request submitted = services.router().submit(arrival, transfer, this);
+        routed = finished ? null : submitted;
     }
 
     private void abort() {
-        abortIntent = new IntentBarrier(services.ticker(), services.writeDeadline(), () -> send(null), this::answer);
-        services.parts().aborting(UploadParts.upload(call), abortIntent::recorded);
+        abortIntent = new IntentBarrier(services.ticker(), services.writeDeadline(), () -> send(null), this::respond);
+        services.parts().recordAbort(UploadParts.uploadKey(call), abortIntent::recorded);
     }
 
-    // ------------------------------------------------------------ the body
+    // ------------------------------------------------------------ request body
 
     @Override public void read() {
         if (body == Body.UNREAD) {
             body = Body.REQUESTED;
             if (HttpUtil.is100ContinueExpected(request)) {
-                connection.channel().writeAndFlush(HttpResponses.proceed());
+                connection.channel().writeAndFlush(HttpResponses.continueResponse());
             }
         }
         stallTimer = services.ticker().after(services.options().stallTimeout(), () -> {
@@ -151,13 +151,13 @@
     }
 
     private void rejectBody(String code, String message) {
-        withdraw();
+        cancelRequest();
         keepAlive = false;
-        answer(new S3Error(400, code, message));
+        respond(new S3Error(400, code, message));
     }
 
-    /** Takes the next piece of the body, and its ownership. */
-    void piece(HttpContent content) {
+    /** Handles the next chunk of the body, and takes ownership of it. */
+    void chunk(HttpContent content) {
         cancelStallTimer();
         boolean last = content instanceof LastHttpContent;
         if (last) {
@@ -169,14 +169,14 @@
         } else if (document != null) {
             collect(content, last);
         } else if (part != null) {
-            part.piece(content.content(), last);
+            part.chunk(content.content(), last);
         } else if (transfer != null && transfer.isBodyConsumed()) {
-            transfer.piece(content.content(), last);
+            transfer.chunk(content.content(), last);
         } else {
             content.release();
         }
         if (last && !finished) {
-            connection.demand();     // so that the client's going away is seen
+            connection.demand();     // to detect a disconnect
         }
     }
 
@@ -196,7 +196,7 @@
         completion.begin();
     }
 
-    // ------------------------------------------------------------ the response
+    // ------------------------------------------------------------ response
 
     @Override public void head(HttpResponse head) {
         connection.channel().write(HttpResponses.streamed(head, keepAlive && !connection.isShuttingDown()));
@@ -220,39 +220,39 @@
         }
     }
 
-    @Override public void served(Object answer) {
-        if (answer == null) {
+    @Override public void served(Object served) {
+        if (served == null) {
             finished = true;
             connection.channel().writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
             connection.exchangeFinished(keepAlive);
             return;
         }
-        NodeResponse response = (NodeResponse) answer;
+        NodeResponse response = (NodeResponse) served;
         try {
-            noteUpload(response);
+            trackUpload(response);
         } catch (XMLStreamException e) {
-            answer(new S3Error(502, "BadGateway", "The storage node's answer cannot be read."));
+            respond(new S3Error(502, "BadGateway", "The storage node's answer cannot be read."));
             return;
         }
         if (forwarding != null) {
             forwarding.served(response);
         } else {
-            answer(response);
+            respond(response);
         }
     }
 
-    /** Remembers uploads that have been begun or aborted. */
-    private void noteUpload(NodeResponse response) throws XMLStreamException {
+    /** Tracks uploads that were created or aborted. */
+    private void trackUpload(NodeResponse response) throws XMLStreamException {
         if (!response.isSuccess()) {
             return;
         }
         if (call.op() == ObjectCall.Operation.CREATE) {
-            String uploadId = S3Xml.first(response.body(), "UploadId");
+            String uploadId = S3Xml.firstText(response.body(), "UploadId");
             if (uploadId != null) {
-                services.parts().begun(UploadParts.upload(call, uploadId), services.now());
+                services.parts().uploadCreated(UploadParts.uploadKey(call, uploadId), services.now());
             }
         } else if (call.op() == ObjectCall.Operation.ABORT) {
-            services.parts().finished(UploadParts.upload(call));
+            services.parts().uploadEnded(UploadParts.uploadKey(call));
         }
     }
 
@@ -268,16 +268,19 @@
         if (forwarding != null) {
             forwarding.failed(error, mayHaveRun);
         } else {
-            answer(error);
+            respond(error);
         }
     }
 
-    void answer(NodeResponse response) {
+    void respond(NodeResponse response) {
         write(HttpResponses.complete(response, request.method()));
     }
 
-    /** A response that has begun can't become an error: its connection closes, so that the client sees it is truncated. */
-    void answer(S3Error error) {
+    /**
+     * Sends an error. A response that was begun cannot become one: the connection closes, which shows the client that the
+     * response is truncated.
+     */
+    void respond(S3Error error) {
         if (transfer != null && transfer.download().isStarted()) {
             finished = true;
             connection.channel().close();
@@ -286,7 +289,7 @@
         }
     }
 
-    /** Writes the response, or releases it if there was one already. */
+    /** Writes the response, or releases it if one was written already. */
     void write(FullHttpResponse response) {
         if (finished) {
             response.release();
@@ -300,13 +303,13 @@
         connection.exchangeFinished(keep);
     }
 
-    // ------------------------------------------------------------ ends
+    // ------------------------------------------------------------ termination
 
-    /** The client has gone. */
+    /** The client disconnected. */
     void disconnected() {
         finished = true;
         cancelStallTimer();
-        withdraw();
+        cancelRequest();
     }
 
     private void cancelStallTimer() {
@@ -315,8 +318,8 @@
         }
     }
 
-    /** No attempt is wanted any more. */
-    private void withdraw() {
+    /** Cancels the attempts of the request. */
+    private void cancelRequest() {
         if (abortIntent != null) {
             abortIntent.cancel();
         }
@@ -325,7 +328,7 @@
             routed = null;
         }
         if (forwarding != null) {
-            forwarding.withdrawn(transfer != null);
+            forwarding.cancelled(transfer != null);
         }
     }
 }
--- a/src/main/java/kelphollow/protocol/object/UploadParts.java
+++ b/src/main/java/kelphollow/protocol/object/UploadParts.java
@@ -16,21 +16,23 @@
 import kelphollow.store.StoreFault;
 
 /**
- * What is known of the parts of uploads, so that none is written twice. Memory is bounded: what is forgotten is requested of
- * the node again, by ListParts, before anything is sent. With records it outlives the process. For the event loop alone.
+ * Tracks the parts of multipart uploads, so that none is stored twice. Memory is bounded: for an evicted part the node is
+ * queried by ListParts before anything is sent. With records the state survives a restart. Confined to the event loop.
  */
 final class UploadParts {
     private final int capacity;
     private final double settleTime;
     private final PartRecords records;
     private final Map<String, UploadPart> parts = new LinkedHashMap<>(16, 0.75f, true);
-    /** Uploads begun through this process of which no part was forgotten: what is not in {@link #parts} was never sent. */
-    private final Set<String> complete = new LinkedHashSet<>();
+    /**
+     * Uploads created through this gateway of which no part was evicted: a part missing in {@link #parts} was never sent.
+     */
+    private final Set<String> fullyTracked = new LinkedHashSet<>();
 
     /**
-     * @param capacity how many parts, and how many uploads, are remembered
-     * @param settleTime how long after its last sign an attempt may still take effect, in milliseconds
-     * @param records null where nothing outlives this process
+     * @param capacity largest number of parts, and of uploads, that are remembered
+     * @param settleTime milliseconds for which an attempt may still take effect after its last activity
+     * @param records null without persistence
      */
     UploadParts(int capacity, double settleTime, PartRecords records) {
         this.capacity = capacity;
@@ -38,12 +40,12 @@
         this.records = records;
     }
 
-    /** Takes over what earlier incarnations have left, as far as there is room for it. */
+    /** Loads what earlier incarnations recorded, up to the capacity. */
     void restore(RecoveredOutcomes recovered, double now) throws IOException, StoreFault {
         records.read(new PartRecords.Reader() {
             @Override public void upload(String upload, long sinceEpoch) {
                 if (recovered.classify(StoredRecord.NONE, sinceEpoch, true).kind() == RecoveredOutcome.Kind.NEVER_RAN) {
-                    complete.add(upload);
+                    fullyTracked.add(upload);
                 }
             }
 
@@ -54,8 +56,8 @@
                     md5 == null ? null : new PartContent(size, md5), tag, now);
             }
         });
-        while (complete.size() > capacity) {
-            complete.remove(complete.iterator().next());
+        while (fullyTracked.size() > capacity) {
+            fullyTracked.remove(fullyTracked.iterator().next());
         }
     }
 
@@ -66,39 +68,39 @@
         if (parts.size() < capacity || evict(now)) {
             parts.put(part.name(), part);
         } else {
-            complete.remove(part.upload());
+            fullyTracked.remove(part.upload());
         }
     }
 
-    /** The name of a call's upload, unique over objects. */
-    static String upload(ObjectCall call) {
-        return upload(call, call.uploadId());
+    /** The key of the call's upload, unique over objects. */
+    static String uploadKey(ObjectCall call) {
+        return uploadKey(call, call.uploadId());
     }
 
-    /** The name of an upload of a call's object. */
-    static String upload(ObjectCall call, String uploadId) {
+    /** The key of an upload of the call's object. */
+    static String uploadKey(ObjectCall call, String uploadId) {
         return call.bucket() + '/' + call.key() + '?' + uploadId;
     }
 
-    /** An upload has been begun here. */
-    void begun(String upload, double now) {
-        complete.add(upload);
+    /** An upload was created through this gateway. */
+    void uploadCreated(String upload, double now) {
+        fullyTracked.add(upload);
         if (records != null) {
             records.recordUpload(upload, now);
         }
-        if (complete.size() > capacity) {
-            markIncomplete(complete.iterator().next());
+        if (fullyTracked.size() > capacity) {
+            markNotFullyTracked(fullyTracked.iterator().next());
         }
     }
 
-    private void markIncomplete(String upload) {
-        if (complete.remove(upload) && records != null) {
+    private void markNotFullyTracked(String upload) {
+        if (fullyTracked.remove(upload) && records != null) {
             records.markIncomplete(upload);
         }
     }
 
-    /** An upload has been completed or aborted. */
-    void finished(String upload) {
+    /** An upload was completed or aborted. */
+    void uploadEnded(String upload) {
         List<Integer> forgotten = forget(upload);
         if (records != null) {
             records.removeUpload(upload, forgotten);
@@ -106,11 +108,11 @@
     }
 
     /**
-     * An abort of the upload is about to be sent; {@code then} gets null once that cannot be forgotten any more, or what
-     * hinders it. From here on its parts are requested of the node: a record that outlived the upload would answer for parts
-     * that are gone.
+     * An abort of the upload is about to be sent; {@code then} receives null once the removal of its records is durable,
+     * or the fault that prevented it. From now on the node is queried for its parts: a record that outlived the upload
+     * would report parts as stored that no longer exist.
      */
-    void aborting(String upload, Consumer<StoreFault> then) {
+    void recordAbort(String upload, Consumer<StoreFault> then) {
         List<Integer> forgotten = forget(upload);
         if (records == null) {
             then.accept(null);
@@ -119,18 +121,21 @@
         }
     }
 
-    /** Gives the numbers of the parts that were remembered. */
+    /** Returns the numbers of the parts that were remembered. */
     private List<Integer> forget(String upload) {
-        complete.remove(upload);
+        fullyTracked.remove(upload);
         List<Integer> numbers = new ArrayList<>();
         parts.values().removeIf(part -> part.upload().equals(upload) && part.state() != UploadPart.State.BUSY
             && numbers.add(part.number()));
         return numbers;
     }
 
-    /** The call's part, which is {@link UploadPart.State#UNRECORDED} if it is new; null when all that fit are busy. */
+    /**
+     * Returns the call's part, {@link UploadPart.State#UNRECORDED} if it is new, or null if the capacity is used up by parts
+     * that cannot be evicted.
+     */
     UploadPart find(ObjectCall call, double now) {
-        String upload = upload(call);
+        String upload = uploadKey(call);
         UploadPart part = parts.get(UploadPart.name(upload, call.partNumber()));
         if (part == null) {
             if (parts.size() >= capacity && !evict(now)) {
@@ -142,9 +147,9 @@
         return part;
     }
 
-    /** Whether what is not remembered of this call's upload is known never to have been sent. */
-    boolean isComplete(ObjectCall call) {
-        return complete.contains(upload(call));
+    /** Whether a part of this call's upload that is not remembered was certainly never sent. */
+    boolean isFullyTracked(ObjectCall call) {
+        return fullyTracked.contains(uploadKey(call));
     }
 
     private boolean evict(double now) {
@@ -153,7 +158,7 @@
             boolean settled = part.state() == UploadPart.State.UNKNOWN && now - part.unknownSince() > settleTime;
             if (part.state() == UploadPart.State.STORED || settled) {
                 all.remove();
-                markIncomplete(part.upload());
+                markNotFullyTracked(part.upload());
                 return true;
             }
         }
--- a/src/main/java/kelphollow/protocol/object/UploadQuery.java
+++ b/src/main/java/kelphollow/protocol/object/UploadQuery.java
@@ -6,13 +6,13 @@
 import kelphollow.routing.ResponseCallback;
 
 /**
- * Asks the node what it has of an upload, on behalf of a call that must not be sent before that is known. For the event loop
- * alone.
+ * Queries the node for the parts of an upload, on behalf of a call that must not be sent before they are known. Confined
+ * to the event loop.
  */
 final class UploadQuery implements ResponseCallback {
-    /** Hears one of the two, once, unless the query is cancelled. */
+    /** Exactly one of the methods is called, once, unless the query is cancelled. */
     interface Listener {
-        void answered(NodeResponse response);
+        void responseReceived(NodeResponse response);
 
         void failed(S3Error error);
     }
@@ -29,7 +29,7 @@
         this.listener = listener;
     }
 
-    /** Sends this call, which lists parts. */
+    /** Sends this ListParts call. */
     void send(ObjectCall list, Transfer.Client client) {
         pending = true;
         RequestArrived arrival;
@@ -39,15 +39,15 @@
             fail(e);
             return;
         }
-        Request taken = router.submit(arrival, new Transfer(list, null, client), this);
-        request = pending ? taken : null;
+        Request submitted = router.submit(arrival, new Transfer(list, null, client), this);
+        request = pending ? submitted : null;
     }
 
     boolean isPending() {
         return pending;
     }
 
-    /** The response is of no use any more. */
+    /** Cancels the query if it is pending. */
     void cancel() {
         if (pending) {
             pending = false;
@@ -60,9 +60,9 @@
         listener.failed(error);
     }
 
-    @Override public void served(Object answer) {
+    @Override public void served(Object response) {
         pending = false;
-        listener.answered((NodeResponse) answer);
+        listener.responseReceived((NodeResponse) response);
     }
 
     @Override public void rejected(double retryAfter, boolean timedOut) {
