--- a/src/main/java/kelphollow/fleet/Fleet.java
+++ b/src/main/java/kelphollow/fleet/Fleet.java
@@ -15,9 +15,9 @@
 import kelphollow.membership.Membership;
 import kelphollow.membership.MembershipOutput;
 import kelphollow.protocol.peer.Packet;
-import kelphollow.protocol.peer.PeerLine;
 import kelphollow.protocol.peer.PeerListener;
 import kelphollow.protocol.peer.PeerTransport;
+import kelphollow.protocol.peer.SocketPeerTransport;
 import kelphollow.routing.FleetRouting;
 import kelphollow.routing.Ticker;
 
@@ -66,9 +66,8 @@
      */
     public Fleet(FleetOptions options, ControlSettings settings, long epoch, EventLoop loop, Ticker ticker,
         FleetRouting routing, Random random, EventLog events, LongConsumer epochRaised) {
-        this(options, settings, epoch, (name, currentEpoch, listener) -> new PeerLine(loop, name, currentEpoch, options
-            .key(),
-            options.membership().maxMembers(), listener), ticker, routing, random, events, epochRaised);
+        this(options, settings, epoch, (name, currentEpoch, listener) -> new SocketPeerTransport(loop, name, currentEpoch,
+            options.key(), options.membership().maxMembers(), listener), ticker, routing, random, events, epochRaised);
     }
 
     /** Creates a fleet member over the transport that {@code transports} creates. */
--- a/src/main/java/kelphollow/fleet/StatusReport.java
+++ b/src/main/java/kelphollow/fleet/StatusReport.java
@@ -145,7 +145,7 @@
         Traffic traffic = transport.traffic();
         out.writeObjectFieldStart(TRAFFIC);
         for (Traffic.Kind kind : Traffic.Kind.values()) {
-            out.writeArrayFieldStart(kind.word());
+            out.writeArrayFieldStart(kind.label());
             out.writeNumber(traffic.packetsOut(kind));
             out.writeNumber(traffic.bytesOut(kind));
             out.writeNumber(traffic.packetsIn(kind));
@@ -158,7 +158,7 @@
     private void writeDropped(JsonGenerator out) throws IOException {
         out.writeObjectFieldStart(DROPPED);
         for (Map.Entry<DropReason, Long> dropped : transport.drops().entrySet()) {
-            out.writeNumberField(dropped.getKey().word(), dropped.getValue());
+            out.writeNumberField(dropped.getKey().label(), dropped.getValue());
         }
         out.writeEndObject();
     }
--- a/src/main/java/kelphollow/program/Management.java
+++ b/src/main/java/kelphollow/program/Management.java
@@ -16,7 +16,7 @@
  * nodes in maintenance are kept in a file before the call is acknowledged, and that file is read again and again, so
  * that a call to either process of an upgrade binds both. Runs on the management loop.
  */
-final class Management implements MgmtServer.Calls {
+final class Management implements MgmtServer.CommandHandler {
     private static final Logger LOG = Logger.getLogger(Management.class.getName());
     private static final long POLL_INTERVAL_MS = 200;
     // In milliseconds after it listens; without a response of discovery a process is ready then, on the list it was given.
@@ -58,17 +58,17 @@
         leaving = true;
     }
 
-    @Override public CompletionStage<String> call(MgmtLine.Call call) {
-        return switch (call.verb()) {
+    @Override public CompletionStage<String> handle(MgmtLine.Command command) {
+        return switch (command.verb()) {
             case STATUS -> CompletableFuture.completedFuture(status());
             case FLEET_STATUS -> scheduler.onLoop(router -> scheduler.fleetStatus())
                 .thenApply(text -> text == null ? "NAK this instance is in no fleet" : "ACK " + text);
-            case MAINTENANCE_ON -> scheduler.onLoop(router -> router.startMaintenance(call.node()) ? router
+            case MAINTENANCE_ON -> scheduler.onLoop(router -> router.startMaintenance(command.node()) ? router
                 .nodesInMaintenance() : null)
-                .thenApplyAsync(nodes -> acknowledge(call.node(), nodes, " is out"), loop);
-            case MAINTENANCE_OFF -> scheduler.onLoop(router -> router.endMaintenance(call.node()) ? router
+                .thenApplyAsync(nodes -> acknowledge(command.node(), nodes, " is out"), loop);
+            case MAINTENANCE_OFF -> scheduler.onLoop(router -> router.endMaintenance(command.node()) ? router
                 .nodesInMaintenance() : null)
-                .thenApplyAsync(nodes -> acknowledge(call.node(), nodes, " may serve"), loop);
+                .thenApplyAsync(nodes -> acknowledge(command.node(), nodes, " may serve"), loop);
         };
     }
 
--- a/src/main/java/kelphollow/protocol/mgmt/MgmtLine.java
+++ b/src/main/java/kelphollow/protocol/mgmt/MgmtLine.java
@@ -36,7 +36,7 @@
     }
 
     /** A call that can be carried out. {@code node} is null where none is named. */
-    record Call(Verb verb, String node) implements MgmtLine {}
+    record Command(Verb verb, String node) implements MgmtLine {}
 
     /** A line that is no call; {@code reason} goes behind {@code NAK}. */
     record Invalid(String reason) implements MgmtLine {}
@@ -59,8 +59,8 @@
                 + "'; known: status, maint-on ID, maint-off ID, fleet status");
         }
         return switch (verb) {
-            case STATUS -> words.length == 1 ? new Call(verb, null) : new Invalid("status takes no argument");
-            case FLEET_STATUS -> words.length == 2 && words[1].equals(Verb.STATUS.word) ? new Call(verb, null)
+            case STATUS -> words.length == 1 ? new Command(verb, null) : new Invalid("status takes no argument");
+            case FLEET_STATUS -> words.length == 2 && words[1].equals(Verb.STATUS.word) ? new Command(verb, null)
                 : new Invalid("fleet takes one word: status");
             case MAINTENANCE_ON, MAINTENANCE_OFF -> maintenance(verb, words);
         };
@@ -70,7 +70,7 @@
         if (words.length != 2) {
             return new Invalid(verb.word + " takes one storage node's id");
         }
-        return MaintenanceSet.isValidId(words[1]) ? new Call(verb, words[1])
+        return MaintenanceSet.isValidId(words[1]) ? new Command(verb, words[1])
             : new Invalid("'" + shortened(words[1]) + "' is no id");
     }
 
--- a/src/main/java/kelphollow/protocol/mgmt/MgmtServer.java
+++ b/src/main/java/kelphollow/protocol/mgmt/MgmtServer.java
@@ -34,20 +34,20 @@
     public static final int MAX_CONNECTIONS = 64;
 
     /** What carries out the calls; the answer is the whole line without its end. */
-    public interface Calls {
+    public interface CommandHandler {
         /** Carries out a call, on the loop of the server; a failure's message goes behind {@code NAK}. */
-        CompletionStage<String> call(MgmtLine.Call call);
+        CompletionStage<String> handle(MgmtLine.Command command);
     }
 
     private final EventLoop loop;
-    private final Calls calls;
+    private final CommandHandler handler;
     private final ArrayDeque<Channel> open = new ArrayDeque<>();
     private Channel listener;
 
     /** A server whose connections live on this loop. */
-    public MgmtServer(EventLoop loop, Calls calls) {
+    public MgmtServer(EventLoop loop, CommandHandler handler) {
         this.loop = loop;
-        this.calls = calls;
+        this.handler = handler;
     }
 
     /** Opens the socket; blocks until it listens; returns the address with its port. */
@@ -95,7 +95,7 @@
                 answer(context, "NAK " + invalid.reason());
                 return;
             }
-            calls.call((MgmtLine.Call) line).whenComplete(
+            handler.handle((MgmtLine.Command) line).whenComplete(
                 (text, fault) -> loop.execute(() -> answer(context, fault == null ? text : "NAK " + fault.getMessage())));
         }
 
--- a/src/main/java/kelphollow/protocol/peer/DropReason.java
+++ b/src/main/java/kelphollow/protocol/peer/DropReason.java
@@ -16,7 +16,7 @@
     CROWDED;
 
     /** The word for it in the log and in {@code fleet status}. */
-    public String word() {
+    public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/kelphollow/protocol/peer/ExchangeHandler.java
+++ b/src/main/java/kelphollow/protocol/peer/ExchangeHandler.java
@@ -28,7 +28,7 @@
     /** Adds the time-out and the framing. */
     static void addFraming(Channel channel) {
         channel.pipeline().addLast(new ReadTimeoutHandler(TIMEOUT_SECONDS, TimeUnit.SECONDS),
-            new LengthFieldBasedFrameDecoder(PeerLine.MAX_EXCHANGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+            new LengthFieldBasedFrameDecoder(SocketPeerTransport.MAX_EXCHANGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
             new LengthFieldPrepender(LENGTH_BYTES));
     }
 
--- a/src/main/java/kelphollow/protocol/peer/PacketSealer.java
+++ b/src/main/java/kelphollow/protocol/peer/PacketSealer.java
@@ -42,7 +42,7 @@
     }
 
     /**
-     * A datagram, of at most {@link PeerLine#MAX_DATAGRAM_BYTES} unless it is no {@link Packet.Membership}, and how
+     * A datagram, of at most {@link SocketPeerTransport#MAX_DATAGRAM_BYTES} unless it is no {@link Packet.Membership}, and how
      * many states fit into it.
      */
     public record Datagram(byte[] bytes, int states) {}
@@ -54,7 +54,7 @@
         }
         List<InstanceState> states = membership.states();
         byte[] bytes = sealedDatagram(membership, states);
-        while (bytes.length > PeerLine.MAX_DATAGRAM_BYTES && !states.isEmpty()) {
+        while (bytes.length > SocketPeerTransport.MAX_DATAGRAM_BYTES && !states.isEmpty()) {
             states = states.subList(0, states.size() - 1);
             bytes = sealedDatagram(membership, states);
         }
--- a/src/main/java/kelphollow/protocol/peer/PeerTransport.java
+++ b/src/main/java/kelphollow/protocol/peer/PeerTransport.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * Carries packets to other instances and from them. {@link PeerLine} has sockets; a simulation carries the same packets
+ * Carries packets to other instances and from them. {@link SocketPeerTransport} has sockets; a simulation carries the same packets
  * on its own clock. All calls but {@link #listen} come on one loop.
  */
 public interface PeerTransport {
--- a/src/main/java/kelphollow/protocol/peer/PeerLine.java
+++ b/src/main/java/kelphollow/protocol/peer/SocketPeerTransport.java
@@ -30,8 +30,8 @@
  * {@link Packet.FullExchange}. Confined to the event loop that it is given. Datagrams are guarded against replay by
  * counters, exchanges by challenges, see {@link ExchangeHandler}.
  */
-public final class PeerLine implements PeerTransport {
-    private static final Logger LOG = Logger.getLogger(PeerLine.class.getName());
+public final class SocketPeerTransport implements PeerTransport {
+    private static final Logger LOG = Logger.getLogger(SocketPeerTransport.class.getName());
     /** Largest datagram, in bytes; states that do not fit wait for a full exchange. */
     public static final int MAX_DATAGRAM_BYTES = 8_192;
     /** Largest side of a full exchange, in bytes. */
@@ -45,7 +45,7 @@
     private final PacketSealer sealer;
     private final PacketOpener opener;
     private final PeerListener listener;
-    private final ChannelStages stages;
+    private final ChannelCustomizer customizer;
     private final Traffic traffic = new Traffic();
     private final DropCounter drops = new DropCounter();
     private final SecureRandom random = new SecureRandom();
@@ -58,18 +58,20 @@
      * @param key the fleet's, at least 16 bytes; an {@link IllegalArgumentException} is thrown if it is shorter
      * @param maxMembers instances whose counters are remembered
      */
-    public PeerLine(EventLoop loop, String name, LongSupplier epoch, byte[] key, int maxMembers, PeerListener listener) {
-        this(loop, name, epoch, key, maxMembers, listener, ChannelStages.NONE);
+    public SocketPeerTransport(EventLoop loop, String name, LongSupplier epoch, byte[] key, int maxMembers,
+        PeerListener listener) {
+        this(loop, name, epoch, key, maxMembers, listener, ChannelCustomizer.NONE);
     }
 
     /** The same with further handlers on its channels. */
-    public PeerLine(EventLoop loop, String name, LongSupplier epoch, byte[] key, int maxMembers, PeerListener listener,
-        ChannelStages stages) {
+    public SocketPeerTransport(EventLoop loop, String name, LongSupplier epoch, byte[] key, int maxMembers,
+        PeerListener listener,
+        ChannelCustomizer customizer) {
         this.loop = loop;
         this.sealer = new PacketSealer(name, epoch, key);
         this.opener = new PacketOpener(name, sealer, new ReplayGuard(maxMembers), drops, traffic);
         this.listener = listener;
-        this.stages = stages;
+        this.customizer = customizer;
     }
 
     // ---------------------------------------------------------------- opening
@@ -87,7 +89,7 @@
             .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES + 1))
             .handler(new ChannelInitializer<Channel>() {
                 @Override protected void initChannel(Channel channel) {
-                    stages.datagrams(channel.pipeline());
+                    customizer.customizeDatagrams(channel.pipeline());
                     channel.pipeline().addLast(new DatagramHandler());
                 }
             }).bind(bound));
@@ -165,7 +167,7 @@
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .handler(new ChannelInitializer<Channel>() {
                 @Override protected void initChannel(Channel channel) {
-                    stages.exchange(channel.pipeline());
+                    customizer.customizeExchange(channel.pipeline());
                     ExchangeHandler.addFraming(channel);
                     channel.pipeline().addLast(new ExchangeCaller(with, ours));
                 }
--- a/src/main/java/kelphollow/protocol/peer/Traffic.java
+++ b/src/main/java/kelphollow/protocol/peer/Traffic.java
@@ -26,7 +26,7 @@
         EXCHANGE;
 
         /** The word for it in reports. */
-        public String word() {
+        public String label() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
--- a/src/main/java/kelphollow/scale/NetworkDelays.java
+++ b/src/main/java/kelphollow/scale/NetworkDelays.java
@@ -14,13 +14,13 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntPredicate;
-import kelphollow.protocol.peer.ChannelStages;
+import kelphollow.protocol.peer.ChannelCustomizer;
 
 /**
  * Stages of one instance's line that delay or drop what it sends, and what it receives from processes, as the {@link
  * NetworkModel} says. Each handler is confined to its channel's event loop and owns the messages that it holds.
  */
-final class NetworkDelays implements ChannelStages {
+final class NetworkDelays implements ChannelCustomizer {
     private static final double NANOS_PER_MILLI = 1e6;
     private static final double MICROS_PER_MILLI = 1e3;
 
@@ -38,11 +38,11 @@
         this.isProcess = isProcess;
     }
 
-    @Override public void datagrams(ChannelPipeline pipeline) {
+    @Override public void customizeDatagrams(ChannelPipeline pipeline) {
         pipeline.addLast(new DatagramDelay());
     }
 
-    @Override public void exchange(ChannelPipeline pipeline) {
+    @Override public void customizeExchange(ChannelPipeline pipeline) {
         pipeline.addLast(new ExchangeDelay());
     }
 
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -13,9 +13,9 @@
 import kelphollow.protocol.peer.DropReason;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PacketSealer;
-import kelphollow.protocol.peer.PeerLine;
 import kelphollow.protocol.peer.PeerListener;
 import kelphollow.protocol.peer.PeerTransport;
+import kelphollow.protocol.peer.SocketPeerTransport;
 import kelphollow.protocol.peer.Traffic;
 import kelphollow.routing.Ticker;
 
@@ -132,7 +132,7 @@
         @Override public long send(InetSocketAddress to, Packet packet) {
             PacketSealer.Datagram datagram = sealer.datagram(packet);
             int bytes = datagram.bytes().length;
-            if (bytes > PeerLine.MAX_DATAGRAM_BYTES) {
+            if (bytes > SocketPeerTransport.MAX_DATAGRAM_BYTES) {
                 drops.merge(DropReason.OVERSIZED, 1L, Long::sum);
                 return 0;
             }
@@ -149,7 +149,7 @@
                     line.peers.comparisonReceived(name, comparison);
                 }
             });
-            return (long) bytes + PeerLine.HEADER_BYTES;
+            return (long) bytes + SocketPeerTransport.HEADER_BYTES;
         }
 
         private void deliver(int target, double delay, Consumer<Line> arrive) {
--- a/src/main/java/kelphollow/scale/SocketHost.java
+++ b/src/main/java/kelphollow/scale/SocketHost.java
@@ -14,8 +14,8 @@
 import java.util.function.Supplier;
 import kelphollow.fleet.Fleet;
 import kelphollow.protocol.peer.Packet;
-import kelphollow.protocol.peer.PeerLine;
 import kelphollow.protocol.peer.PeerListener;
+import kelphollow.protocol.peer.SocketPeerTransport;
 import kelphollow.routing.Ticker;
 import kelphollow.transport.WheelTicker;
 import org.HdrHistogram.Histogram;
@@ -89,7 +89,7 @@
 
     @Override public Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key,
         int mostMembers) {
-        return (name, epoch, peers) -> new PeerLine(loop(instance), name, epoch, key, mostMembers,
+        return (name, epoch, peers) -> new SocketPeerTransport(loop(instance), name, epoch, key, mostMembers,
             new SuspendablePeers(instance, process, peers), new NetworkDelays(network, instance, isProcess));
     }
 
--- a/src/test/java/kelphollow/fleet/DisseminationWorld.java
+++ b/src/test/java/kelphollow/fleet/DisseminationWorld.java
@@ -22,7 +22,7 @@
 import kelphollow.membership.Message;
 import kelphollow.protocol.peer.Packet;
 import kelphollow.protocol.peer.PacketSizes;
-import kelphollow.protocol.peer.PeerLine;
+import kelphollow.protocol.peer.SocketPeerTransport;
 
 /**
  * Seeded simulation of a fleet's gossip on one clock: 3 regions of 2 zones each, and a network that delays, loses and
@@ -213,12 +213,12 @@
 
     @Override public long send(String from, String to, Packet packet) {
         datagrams++;
-        int header = PeerLine.HEADER_BYTES + PacketSizes.SEAL;
+        int header = SocketPeerTransport.HEADER_BYTES + PacketSizes.SEAL_BYTES;
         int all = PacketSizes.of(packet);
         if (packet instanceof Packet.Membership membership) {
             boolean statesOnly = membership.message() instanceof Message.Gossip && membership.message().updates().isEmpty();
-            int message = statesOnly ? 0 : header + (membership.states().isEmpty() ? all : PacketSizes.of(PacketSizes.bare(
-                packet)));
+            int message = statesOnly ? 0
+                : header + (membership.states().isEmpty() ? all : PacketSizes.of(PacketSizes.withoutStates(packet)));
             countBytes(from, Kind.MEMBERSHIP, message);
             countBytes(from, Kind.STATES, header + all - message);
         } else {
@@ -247,9 +247,9 @@
                 from)) {
                 return;
             }
-            countBytes(from, Kind.EXCHANGE, CONNECTION_BYTES + PacketSizes.SEAL + PacketSizes.of(ours));
+            countBytes(from, Kind.EXCHANGE, CONNECTION_BYTES + PacketSizes.SEAL_BYTES + PacketSizes.of(ours));
             Packet.FullExchange theirs = called.exchangeRequested(now, from, ours);
-            countBytes(with, Kind.EXCHANGE, CONNECTION_BYTES + PacketSizes.SEAL + PacketSizes.of(theirs));
+            countBytes(with, Kind.EXCHANGE, CONNECTION_BYTES + PacketSizes.SEAL_BYTES + PacketSizes.of(theirs));
             recordDrains(with, called);
             scheduleMembershipTick(with, called);
             at(now + oneWayDelay, () -> {
--- a/src/test/java/kelphollow/fleet/GossipProperties.java
+++ b/src/test/java/kelphollow/fleet/GossipProperties.java
@@ -97,7 +97,7 @@
     }
 
     private void deliver(Sent sent) {
-        Packet packet = PacketSizes.readBack(sent.packet);
+        Packet packet = PacketSizes.roundTrip(sent.packet);
         if (packet instanceof Packet.Membership membership) {
             at(sent.to).received(now, sent.from, membership);
         } else {
--- a/src/test/java/kelphollow/protocol/mgmt/MgmtLineTest.java
+++ b/src/test/java/kelphollow/protocol/mgmt/MgmtLineTest.java
@@ -14,9 +14,9 @@
     }
 
     @Test void readsTheThreeCalls() {
-        assertEquals(new MgmtLine.Call(MgmtLine.Verb.STATUS, null), parse("status"));
-        assertEquals(new MgmtLine.Call(MgmtLine.Verb.MAINTENANCE_ON, "s-1"), parse("maint-on s-1"));
-        assertEquals(new MgmtLine.Call(MgmtLine.Verb.MAINTENANCE_OFF, "s-1"), parse(" maint-off  s-1 "));
+        assertEquals(new MgmtLine.Command(MgmtLine.Verb.STATUS, null), parse("status"));
+        assertEquals(new MgmtLine.Command(MgmtLine.Verb.MAINTENANCE_ON, "s-1"), parse("maint-on s-1"));
+        assertEquals(new MgmtLine.Command(MgmtLine.Verb.MAINTENANCE_OFF, "s-1"), parse(" maint-off  s-1 "));
     }
 
     @Test void everyInvalidLineIsRejectedWithAReason() {
--- a/src/test/java/kelphollow/protocol/mgmt/MgmtServerTest.java
+++ b/src/test/java/kelphollow/protocol/mgmt/MgmtServerTest.java
@@ -22,7 +22,7 @@
 /** The management line on the loopback: one line in, one line back, whatever else holds a connection. */
 class MgmtServerTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final List<MgmtLine.Call> calls = new ArrayList<>();
+    private final List<MgmtLine.Command> calls = new ArrayList<>();
     private final MgmtServer server = new MgmtServer(group.next(), call -> {
         synchronized (calls) {
             calls.add(call);
--- a/src/test/java/kelphollow/protocol/peer/PacketSizes.java
+++ b/src/test/java/kelphollow/protocol/peer/PacketSizes.java
@@ -6,7 +6,7 @@
 /** Sizes of encoded packets, for simulations without sockets. */
 public final class PacketSizes {
     /** What {@link Seal} adds with a name of thirteen characters, in bytes. */
-    public static final int SEAL = 80;
+    public static final int SEAL_BYTES = 80;
 
     private PacketSizes() {}
 
@@ -16,7 +16,7 @@
     }
 
     /** The packet as the other end reads it. */
-    public static Packet readBack(Packet packet) {
+    public static Packet roundTrip(Packet packet) {
         try {
             return PeerCodec.read(PeerCodec.write(packet));
         } catch (IOException e) {
@@ -25,7 +25,7 @@
     }
 
     /** The same message without states. */
-    public static Packet bare(Packet packet) {
+    public static Packet withoutStates(Packet packet) {
         return packet instanceof Packet.Membership membership ? new Packet.Membership(membership.message(), List.of())
             : packet;
     }
--- a/src/test/java/kelphollow/protocol/peer/PeerLineTest.java
+++ b/src/test/java/kelphollow/protocol/peer/SocketPeerTransportTest.java
@@ -34,7 +34,7 @@
 
 /** The transport on real sockets: what is authentic is received once, and nothing else. */
 @Timeout(30)
-class PeerLineTest {
+class SocketPeerTransportTest {
     private static final byte[] KEY = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
     private static final MemberUpdate UPDATE = new MemberUpdate("x", "127.0.0.1:1", 7, 2, MemberUpdate.State.SUSPECT, "y");
     private static final InstanceState STATE = new InstanceState("a", 3, 4, 12.5, Map.of("drain", Map.of("n1", 5.0),
@@ -42,21 +42,21 @@
         Map.of("n2", 1.0)));
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final List<PeerLine> lines = new ArrayList<>();
+    private final List<SocketPeerTransport> lines = new ArrayList<>();
 
     @AfterEach void end() {
-        lines.forEach(PeerLine::close);
+        lines.forEach(SocketPeerTransport::close);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
     /** One instance, which keeps what it receives as text. */
     private final class Instance implements PeerListener {
         final BlockingQueue<String> received = new LinkedBlockingQueue<>();
-        final PeerLine line;
+        final SocketPeerTransport line;
         final InetSocketAddress at;
 
         Instance(String name, long epoch, byte[] key) throws Exception {
-            line = new PeerLine(group.next(), name, () -> epoch, key, 8, this);
+            line = new SocketPeerTransport(group.next(), name, () -> epoch, key, 8, this);
             lines.add(line);
             at = line.listen(new InetSocketAddress("127.0.0.1", 0));
         }
@@ -145,7 +145,8 @@
 
     private static byte[] tapped(Instance from, InetSocketAddress at, DatagramSocket tap, long sequence) throws Exception {
         from.send(at, new Message.Ack(sequence, List.of()));
-        DatagramPacket packet = new DatagramPacket(new byte[PeerLine.MAX_DATAGRAM_BYTES], PeerLine.MAX_DATAGRAM_BYTES);
+        DatagramPacket packet = new DatagramPacket(new byte[SocketPeerTransport.MAX_DATAGRAM_BYTES],
+            SocketPeerTransport.MAX_DATAGRAM_BYTES);
         tap.receive(packet);
         return Arrays.copyOf(packet.getData(), packet.getLength());
     }
@@ -172,7 +173,7 @@
                 raw(tap, b.at, noise);
                 b.awaitDrops(DropReason.FORGED, 2 * i + 3);
             }
-            raw(tap, b.at, new byte[PeerLine.MAX_DATAGRAM_BYTES + 1]);
+            raw(tap, b.at, new byte[SocketPeerTransport.MAX_DATAGRAM_BYTES + 1]);
             b.awaitDrops(DropReason.OVERSIZED, 1);
             assertTrue(b.received.isEmpty());
             raw(tap, b.at, good);
