--- a/src/main/java/kelphollow/protocol/resp/ConnectionActivity.java
+++ b/src/main/java/kelphollow/protocol/resp/ConnectionActivity.java
@@ -2,18 +2,18 @@
 
 import kelphollow.routing.Ticker;
 
-/** When a client's connection last showed activity, and whether it has been idle for too long. For the event loop alone. */
+/** Tracks a client connection's last activity and decides when it has been idle for too long. Confined to the event loop. */
 final class ConnectionActivity {
-    // In milliseconds: of a connection without a request so far, or with a command that came only in part.
-    private static final double MAX_SILENCE = 2_200;
-    // In milliseconds: of one with requests before, while there is room; no command may take longer to arrive either.
-    private static final double MAX_IDLE = 10_000;
+    // For a connection that has not sent a request or has sent part of a command, or while connections are crowded.
+    private static final double SHORT_IDLE_TIMEOUT_MS = 2_200;
+    // For a connection that has sent requests, while connections are not crowded; also bounds the arrival of one command.
+    private static final double IDLE_TIMEOUT_MS = 10_000;
     private static final double NONE = -1;
 
     private final Ticker ticker;
     private boolean hasRequested;
     private double lastAt;
-    /** When the command that has come only in part began to come, or {@link #NONE}. */
+    /** Clock time at which the first part of an incomplete command arrived, or {@link #NONE}. */
     private double incompleteSince = NONE;
 
     ConnectionActivity(Ticker ticker) {
@@ -21,22 +21,22 @@
         this.lastAt = ticker.now();
     }
 
-    /** Something has been read or written. */
+    /** Records that data was read or written. */
     void touch() {
         lastAt = ticker.now();
     }
 
-    /** A read has ended; {@code complete} tells whether it brought a whole command. */
+    /** Records the end of a read; {@code complete} says whether it brought at least one whole command. */
     void readEnded(boolean complete) {
         touch();
         if (complete) {
             incompleteSince = NONE;
         } else if (incompleteSince == NONE) {
-            incompleteSince = lastAt;      // not since the last reply: a client may rest before it writes slowly
+            incompleteSince = lastAt;      // not the time of the last reply: a client may be idle before it sends slowly
         }
     }
 
-    /** A command has been read. */
+    /** Records that the client has sent a command. */
     void requested() {
         hasRequested = true;
     }
@@ -45,16 +45,16 @@
         return hasRequested;
     }
 
-    /** In milliseconds. */
-    double idleFor() {
+    /** Returns the milliseconds since the last activity. */
+    double idleMs() {
         return ticker.now() - lastAt;
     }
 
-    /** Whether it has been idle for long enough to be closed; sooner where connections are {@code crowded}. */
+    /** Whether the connection has been idle for long enough to be closed; sooner if connections are {@code crowded}. */
     boolean hasExpired(boolean crowded) {
         boolean incomplete = incompleteSince != NONE;
-        boolean impatient = !hasRequested || incomplete || crowded;
-        return idleFor() >= (impatient ? MAX_SILENCE : MAX_IDLE)
-            || incomplete && ticker.now() - incompleteSince >= MAX_IDLE;
+        boolean useShortTimeout = !hasRequested || incomplete || crowded;
+        return idleMs() >= (useShortTimeout ? SHORT_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS)
+            || incomplete && ticker.now() - incompleteSince >= IDLE_TIMEOUT_MS;
     }
 }
--- a/src/main/java/kelphollow/protocol/resp/MalformedCommandException.java
+++ b/src/main/java/kelphollow/protocol/resp/MalformedCommandException.java
@@ -1,6 +1,6 @@
 package kelphollow.protocol.resp;
 
-/** A command in a form that this protocol does not know; the message goes to the client. */
+/** Thrown for a command that does not conform to the protocol; the message is sent to the client. */
 final class MalformedCommandException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/kelphollow/protocol/resp/NodeReply.java
+++ b/src/main/java/kelphollow/protocol/resp/NodeReply.java
@@ -12,9 +12,9 @@
 import kelphollow.decision.ControlEvent.AttemptOutcome;
 import kelphollow.routing.AttemptResult;
 
-/** Reads a storage node's reply: a value, what the node reports of the volume's use, and its load report. */
+/** Parses a storage node's reply: the value, the volume's usage as the node reports it, and the node's load report. */
 final class NodeReply {
-    /** Elements of the array of a reply: the value, the use of the volume and the load report. */
+    /** Elements of a reply's array: the value, the volume's usage and the load report. */
     static final int ELEMENTS = 3;
 
     private static final Logger LOG = Logger.getLogger(NodeReply.class.getName());
@@ -24,9 +24,9 @@
     private NodeReply() {}
 
     /**
-     * The result that a reply tells, or null if it cannot be read. The message stays the caller's.
+     * Returns the result in a reply, or null if the reply is malformed. The caller keeps ownership of the message.
      *
-     * @param valueStreamed whether the value has gone ahead of the message
+     * @param valueStreamed whether the value was streamed ahead of the message, which then does not contain it
      */
     static AttemptResult read(RedisMessage message, boolean valueStreamed) {
         if (message instanceof ErrorRedisMessage error) {
@@ -53,9 +53,9 @@
 
     private static AttemptResult readError(ErrorRedisMessage error) {
         String[] words = error.content().split(" ");
-        boolean busy = words[0].equals(RespWords.BUSY);
-        if (!busy && !words[0].equals(RespWords.ERROR)) {
-            LOG.fine(() -> "a node replied -" + error.content());
+        boolean busy = words[0].equals(RespWireNames.BUSY);
+        if (!busy && !words[0].equals(RespWireNames.ERROR)) {
+            LOG.fine(() -> "node replied with unknown error prefix: " + error.content());
             return null;
         }
         Map<String, Double> numbers = new HashMap<>();
@@ -66,22 +66,22 @@
     }
 
     /**
-     * Reads {@code used=37,cost=4}. What is no number is ignored: guards against failing a request that was served well
-     * because a node reports nonsense about itself.
+     * Parses fields such as {@code used=37,cost=4}. Fields that are not numbers are ignored, so that a request that was
+     * served does not fail because the node's report about itself is malformed.
      */
-    private static void readNumbers(String text, Map<String, Double> into) {
+    private static void readNumbers(String text, Map<String, Double> numbers) {
         for (String field : text.split(",")) {
-            Matcher number = NUMBER_FIELD.matcher(field);
-            if (number.matches()) {
-                into.put(number.group(1), Double.parseDouble(number.group(2)));
+            Matcher matcher = NUMBER_FIELD.matcher(field);
+            if (matcher.matches()) {
+                numbers.put(matcher.group(1), Double.parseDouble(matcher.group(2)));
             }
         }
     }
 
     private static AttemptResult result(AttemptOutcome outcome, byte[] value, Map<String, Double> numbers) {
-        Double inFlight = numbers.get(RespWords.IN_FLIGHT);
-        return new AttemptResult(outcome, value, false, numbers.getOrDefault(RespWords.UNITS_ELSEWHERE, 0.0),
-            numbers.getOrDefault(RespWords.USAGE_PERCENT, NOT_REPORTED),
-            inFlight == null ? Map.of() : Map.of(RespWords.REPORTED_IN_FLIGHT, inFlight));
+        Double inFlight = numbers.get(RespWireNames.IN_FLIGHT);
+        return new AttemptResult(outcome, value, false, numbers.getOrDefault(RespWireNames.UNITS_ELSEWHERE, 0.0),
+            numbers.getOrDefault(RespWireNames.USAGE_PERCENT, NOT_REPORTED),
+            inFlight == null ? Map.of() : Map.of(RespWireNames.REPORTED_IN_FLIGHT, inFlight));
     }
 }
--- a/src/main/java/kelphollow/protocol/resp/ReadThrottle.java
+++ b/src/main/java/kelphollow/protocol/resp/ReadThrottle.java
@@ -4,17 +4,15 @@
 import kelphollow.routing.Ticker;
 
 /**
- * Whether a client's connection is read. Guards memory against a client that does not read what it is sent; when it
- * goes, it resets the connection, and the write that waits for it shows that. Guards against floods of invalid commands:
- * each gets its reply, but after some of them the next is read after a pause. While a request is open only the former
- * stops the reading, since a connection that is not read does not show that its client has gone. For the event loop
- * alone.
+ * Decides whether a client's connection is read. Reading stops while the channel is not writable, which bounds the memory
+ * held for a client that does not read its replies; when such a client disconnects, the pending write fails. Reading also
+ * pauses after each further invalid command once a few have been received, which limits floods of them; each still gets
+ * its reply. That pause does not apply while a request is open, because a disconnect is only detected on a connection that
+ * is read. Confined to the event loop.
  */
 final class ReadThrottle {
-    // After so many invalid commands each further one pauses the reading.
-    private static final int INVALID_ALLOWANCE = 3;
-    // In milliseconds.
-    private static final double PAUSE = 50;
+    private static final int MAX_INVALID_WITHOUT_PAUSE = 3;
+    private static final double PAUSE_MS = 50;
 
     private enum State { READING, PAUSED, STOPPED }
 
@@ -30,12 +28,12 @@
         this.ticker = ticker;
     }
 
-    /** An invalid command was read. */
+    /** Records an invalid command; pauses reading if there have been too many. */
     void invalidCommand() {
-        if (++invalidCommands > INVALID_ALLOWANCE && state == State.READING) {
+        if (++invalidCommands > MAX_INVALID_WITHOUT_PAUSE && state == State.READING) {
             state = State.PAUSED;
             update();
-            ticker.after(PAUSE, () -> {
+            ticker.after(PAUSE_MS, () -> {
                 if (state == State.PAUSED) {
                     state = State.READING;
                     update();
@@ -44,7 +42,7 @@
         }
     }
 
-    /** The socket's buffer or the number of open requests has changed. */
+    /** Applies the current state; called after the channel's writability or the number of open requests has changed. */
     void update() {
         if (state != State.STOPPED) {
             boolean paused = state == State.PAUSED && connection.openRequests() == 0;
@@ -52,7 +50,7 @@
         }
     }
 
-    /** The connection is closing: whether it is read is no more decided here. */
+    /** Leaves the channel's reading as it is from now on, because the connection is closing. */
     void stop() {
         state = State.STOPPED;
     }
--- a/src/main/java/kelphollow/protocol/resp/ReplySlot.java
+++ b/src/main/java/kelphollow/protocol/resp/ReplySlot.java
@@ -7,17 +7,17 @@
 import kelphollow.routing.RequestRouter;
 import kelphollow.routing.ResponseCallback;
 
-/** The place of one command's reply among those of its connection. For the event loop alone. */
+/** One command's position in its connection's reply order. Confined to the event loop. */
 final class ReplySlot implements ResponseCallback, StreamedValue.Receiver {
     private final RespConnection connection;
     private final RequestIntake intake;
     private final RequestRouter router;
-    /** The request while it is open and its client is there. */
+    /** The request while it is open and its client is connected, otherwise null. */
     private Request request;
-    /** The id that is open in the intake, or null. */
+    /** The id held open in the intake, or null. */
     private String id;
-    /** Whether it is one of the connection's open requests. */
-    private boolean counted;
+    /** Whether the request is included in the connection's number of open requests. */
+    private boolean countedAsOpen;
     private RedisMessage reply;
     private StreamedValue value;
 
@@ -27,20 +27,20 @@
         this.router = router;
     }
 
-    /** The id was opened in the intake for this command. */
+    /** Records the id that the intake has opened for this command; released when the command is finished. */
     void reserve(String openId) {
         id = openId;
     }
 
-    /** Hands the request to the router, which may reply at once. */
+    /** Submits the request to the router, which may reply before this returns. */
     void submit(RequestArrived arrival, RespCommand command) {
-        counted = true;
+        countedAsOpen = true;
         connection.requestOpened();
-        Request submitted = router.submit(arrival, new RespCall(command, this), this);
+        Request submitted = router.submit(arrival, new RespRequest(command, this), this);
         request = reply == null ? submitted : null;
     }
 
-    /** Whether there is something to write: a reply, or a value that streams. */
+    /** Whether there is something to write: a reply or a streamed value. */
     boolean isReady() {
         return reply != null || value != null;
     }
@@ -49,7 +49,7 @@
         return reply;
     }
 
-    /** The value that streams in place of a reply, or null. */
+    /** The value that is streamed in place of a reply, or null. */
     StreamedValue value() {
         return value;
     }
@@ -64,8 +64,8 @@
     }
 
     private void finish() {
-        if (counted) {
-            counted = false;
+        if (countedAsOpen) {
+            countedAsOpen = false;
             connection.requestFinished();
         }
         request = null;
@@ -73,36 +73,36 @@
         connection.flushReplies();
     }
 
-    @Override public void valueBegan(StreamedValue began) {
+    @Override public void valueStarted(StreamedValue started) {
         if (request == null) {
-            began.discard();           // answered or gone meanwhile, and the attempt could not be cancelled
+            started.discard();         // already replied to or disconnected, but the attempt could not be cancelled
         } else {
-            value = began;
+            value = started;
             connection.flushReplies();
         }
     }
 
-    @Override public void served(Object answer) {
+    @Override public void served(Object response) {
         if (value != null) {
             finish();
         } else {
-            reply(RespCodec.bulk((byte[]) answer));
+            reply(RespCodec.bulk((byte[]) response));
         }
     }
 
     @Override public void rejected(double retryAfter, boolean timedOut) {
-        error(retryAfter > 0 ? RespWords.BUSY + " " + (long) Math.ceil(retryAfter) : RespWords.BUSY);
+        error(retryAfter > 0 ? RespWireNames.BUSY + " " + (long) Math.ceil(retryAfter) : RespWireNames.BUSY);
     }
 
     @Override public void failed(boolean timedOut) {
-        error(RespWords.ERROR + (timedOut ? " timed out" : " failed"));
+        error(RespWireNames.ERROR + (timedOut ? " timed out" : " failed"));
     }
 
-    /** A value that has begun to stream can't become an error: its connection closes, so that it is seen to be truncated. */
+    /** Replies with an error; closes the connection instead if a value is streaming, which shows the truncation. */
     private void error(String error) {
         if (value != null && value.isStreaming()) {
             request = null;
-            value.cutOff();
+            value.abort();
             return;
         }
         if (value != null) {
@@ -112,7 +112,7 @@
         reply(new ErrorRedisMessage(error));
     }
 
-    /** The client has gone: nothing is owed any more. */
+    /** Cancels the request and discards its value, because the client has disconnected. */
     void disconnected() {
         intake.release(id);
         if (request != null) {
--- a/src/main/java/kelphollow/protocol/resp/RequestIntake.java
+++ b/src/main/java/kelphollow/protocol/resp/RequestIntake.java
@@ -11,8 +11,8 @@
 import kelphollow.decision.ControlSettings.RequestClass;
 
 /**
- * Maps commands to requests by the classes and plans of the settings, and knows the ids of those that are open: nodes see
- * them, so that no two may be alike. For the event loop alone.
+ * Validates commands against the classes and plans of the settings, maps them to requests, and tracks the ids of open
+ * requests. Ids are forwarded to nodes, so no two open requests may have the same one. Confined to the event loop.
  */
 final class RequestIntake {
     private final Map<String, RequestClass> classes = new HashMap<>();
@@ -24,15 +24,15 @@
         settings.plans().forEach(plan -> plans.add(plan.name()));
     }
 
-    /** Classes of new settings; those known before stay, for clients that lag. */
+    /** Adds the classes of new settings; earlier ones stay valid for clients that still use them. */
     void addClasses(List<RequestClass> added) {
         added.forEach(requestClass -> classes.put(requestClass.name(), requestClass));
     }
 
     /**
-     * The request of a command that arrived at {@code now}. Its id counts as open until it is {@link #release released}.
+     * Returns the request of a command that arrived at {@code now}. Its id is open until it is {@link #release released}.
      *
-     * @throws MalformedCommandException if a field does not fit the settings, or a request with its id is open
+     * @throws MalformedCommandException if the class or plan is unknown, a required field is missing, or the id is open
      */
     RequestArrived open(RespCommand command, double now) throws MalformedCommandException {
         RequestArrived arrival = command.arrival(now);
@@ -41,7 +41,7 @@
             throw new MalformedCommandException("class or plan is not known");
         }
         if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
-            command.word(RespWords.IDEMPOTENCY_KEY);   // without it no node could filter out a duplicate
+            command.required(RespWireNames.IDEMPOTENCY_KEY);   // required: nodes deduplicate by it
         }
         if (!openIds.add(command.idText())) {
             throw new MalformedCommandException("a request with this id is open");
@@ -49,7 +49,7 @@
         return arrival;
     }
 
-    /** The request with this id is over; null is allowed and means none. */
+    /** Removes an id from the open ones; null has no effect. */
     void release(String id) {
         openIds.remove(id);
     }
--- a/src/main/java/kelphollow/protocol/resp/RespBackend.java
+++ b/src/main/java/kelphollow/protocol/resp/RespBackend.java
@@ -6,18 +6,18 @@
 import kelphollow.routing.Ticker;
 import kelphollow.transport.ConnectionPools;
 
-/** Carries attempts to the platform's storage nodes, each by a {@link RespExchange}. For the event loop alone. */
+/** Carries attempts to the platform's storage nodes, one {@link RespExchange} each. Confined to the event loop. */
 public final class RespBackend implements Backend {
     private final ConnectionPools pools;
     private final Ticker ticker;
 
-    /** A backend over these connections, whose codec must be that of {@link #codec}. */
+    /** Creates a backend on connection pools whose codec is {@link #codec}. */
     public RespBackend(ConnectionPools pools, Ticker ticker) {
         this.pools = pools;
         this.ticker = ticker;
     }
 
-    /** The handlers of a connection to a node. */
+    /** Returns new codec handlers for one exchange on a connection to a node. */
     public static ChannelHandler[] codec() {
         return RespCodec.forNode();
     }
--- a/src/main/java/kelphollow/protocol/resp/RespCodec.java
+++ b/src/main/java/kelphollow/protocol/resp/RespCodec.java
@@ -17,43 +17,44 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Netty's RESP codec with the sizes of this protocol, and what both sides need to read and write its messages. */
+/** Netty's RESP codec with this protocol's size limits, and helpers to read and build its messages. */
 final class RespCodec {
-    /** In bytes. A longer value is streamed, see {@link StreamedValue}; the body of a command may not be longer. */
+    /** Longest body of a command, and longest value that is buffered; longer ones are streamed by {@link StreamedValue}. */
     static final int MAX_BUFFERED_BYTES = 64 * 1024;
-    /** No node gives a longer value, in bytes. */
+    /** Longest value that a node returns. */
     static final int MAX_VALUE_BYTES = 4 * 1024 * 1024;
     private static final int MAX_LINE_BYTES = 4 * 1024;
     private static final int MAX_ELEMENTS = 8;
 
     private RespCodec() {}
 
-    /** For a client's connection. */
+    /** Returns the handlers for a client's connection. */
     static ChannelHandler[] forClient() {
         return handlers(new SizeGuard());
     }
 
-    /** For one exchange on a node's connection. */
+    /** Returns the handlers for one exchange on a connection to a node. */
     static ChannelHandler[] forNode() {
         return handlers(new StreamedValueSplitter());
     }
 
-    private static ChannelHandler[] handlers(ChannelHandler longValues) {
-        return new ChannelHandler[] {new RedisDecoder(MAX_LINE_BYTES, FixedRedisMessagePool.INSTANCE), longValues,
+    private static ChannelHandler[] handlers(ChannelHandler longValueHandler) {
+        return new ChannelHandler[] {new RedisDecoder(MAX_LINE_BYTES, FixedRedisMessagePool.INSTANCE), longValueHandler,
             new RedisBulkStringAggregator(), new RedisArrayAggregator(MAX_ELEMENTS, 1), new RedisEncoder()};
     }
 
-    /** Guards against a header that announces more than the protocol allows: Netty's own bound is 512 MiB. */
+    /** Rejects a bulk string header above the protocol's limit; Netty's own limit is 512 MiB. */
     private static final class SizeGuard extends ChannelInboundHandlerAdapter {
         @Override public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
             if (message instanceof BulkStringHeaderRedisMessage header && header.bulkStringLength() > MAX_BUFFERED_BYTES) {
-                throw new TooLongFrameException("a value of " + header.bulkStringLength() + " bytes");
+                throw new TooLongFrameException("bulk string of " + header.bulkStringLength()
+                    + " bytes exceeds " + MAX_BUFFERED_BYTES);
             }
             context.fireChannelRead(message);
         }
     }
 
-    /** A copy of the bytes of a bulk string, or null where it is null or another type; the message stays the caller's. */
+    /** Copies the bytes of a bulk string; null if it is null or another type. The caller keeps ownership of the message. */
     static byte[] bytes(RedisMessage message) {
         if (message instanceof FullBulkStringRedisMessage bulk && !bulk.isNull()) {
             byte[] bytes = new byte[bulk.content().readableBytes()];
@@ -63,13 +64,13 @@
         return null;
     }
 
-    /** The text of a bulk string, or null where it is null or another type. */
+    /** Returns the text of a bulk string, or null if it is null or another type. */
     static String text(RedisMessage message) {
         byte[] bytes = bytes(message);
         return bytes == null ? null : new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** A bulk string over these bytes, which are not copied. */
+    /** Wraps the bytes in a bulk string without copying them. */
     static FullBulkStringRedisMessage bulk(byte[] bytes) {
         return new FullBulkStringRedisMessage(Unpooled.wrappedBuffer(bytes));
     }
--- a/src/main/java/kelphollow/protocol/resp/RespCommand.java
+++ b/src/main/java/kelphollow/protocol/resp/RespCommand.java
@@ -11,13 +11,13 @@
 import kelphollow.decision.ControlEvent.RequestArrived;
 
 /**
- * A client's request on the platform's wire: {@code OBJ.GET} or {@code OBJ.PUT} with its fields.
+ * A client's {@code OBJ.GET} or {@code OBJ.PUT} command.
  *
- * @param name the command's name in capitals
- * @param objectKey the object that it is for
- * @param id tells it from other open requests; nodes see it
- * @param fields the fields of its fourth argument in their order, see {@link RespWords}
- * @param body what is written, or null for a command without a body
+ * @param name the command's name in upper case
+ * @param objectKey the key of the object
+ * @param id unique among open requests; forwarded to nodes
+ * @param fields the fields of the fourth argument in their order, see {@link RespWireNames}
+ * @param body the data to write, or null for a command without a body
  */
 record RespCommand(String name, byte[] objectKey, byte[] id, Map<String, String> fields, byte[] body) {
     private static final int ARGUMENTS = 4;
@@ -26,11 +26,11 @@
     private static final double MAX_UNITS = 1_000_000;
     private static final double MAX_INSTANCES = 1_000_000;
     private static final int NEW_OBJECT = -1;
-    private static final Pattern WORD = Pattern.compile("[!-~]{1,128}");
-    // Java's own reading takes "1d", "NaN" and more for numbers, which nodes do not.
+    private static final Pattern TOKEN = Pattern.compile("[!-~]{1,128}");
+    // Stricter than Double.parseDouble, which accepts "1d", "NaN" and other forms that nodes reject.
     private static final Pattern NUMBER = Pattern.compile("-?\\d{1,12}(\\.\\d{1,9})?");
 
-    /** The id as text, by which two are told apart. */
+    /** Returns the id as text, for comparison with other ids. */
     String idText() {
         return ascii(id);
     }
@@ -39,23 +39,23 @@
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads a command, whose messages stay the caller's; all of it is checked, its fields included. */
-    static RespCommand read(List<RedisMessage> words) throws MalformedCommandException {
-        String name = RespCodec.text(words.get(0)).toUpperCase(Locale.ROOT);
-        int expected = name.equals(RespWords.PUT) ? ARGUMENTS_WITH_BODY : ARGUMENTS;
-        if (words.size() != expected) {
+    /** Parses and validates a command and its fields. The caller keeps ownership of the messages. */
+    static RespCommand read(List<RedisMessage> elements) throws MalformedCommandException {
+        String name = RespCodec.text(elements.get(0)).toUpperCase(Locale.ROOT);
+        int expected = name.equals(RespWireNames.PUT) ? ARGUMENTS_WITH_BODY : ARGUMENTS;
+        if (elements.size() != expected) {
             throw new MalformedCommandException("wrong number of arguments for '" + name + "'");
         }
         List<byte[]> arguments = new ArrayList<>();
-        for (RedisMessage word : words) {
-            byte[] bytes = RespCodec.bytes(word);
+        for (RedisMessage element : elements) {
+            byte[] bytes = RespCodec.bytes(element);
             if (bytes == null) {
                 throw new MalformedCommandException("arguments must be bulk strings");
             }
             arguments.add(bytes);
         }
-        Map<String, String> fields = fields(RespCodec.text(words.get(3)));
-        if (!WORD.matcher(ascii(arguments.get(1))).matches() || !WORD.matcher(ascii(arguments.get(2))).matches()) {
+        Map<String, String> fields = fields(RespCodec.text(elements.get(3)));
+        if (!TOKEN.matcher(ascii(arguments.get(1))).matches() || !TOKEN.matcher(ascii(arguments.get(2))).matches()) {
             throw new MalformedCommandException("the piece or the id is missing or no word");
         }
         RespCommand command = new RespCommand(name, arguments.get(1), arguments.get(2), fields,
@@ -75,35 +75,35 @@
         return fields;
     }
 
-    /** The request as the decision module sees it, if it arrived at {@code now}. */
+    /** Returns the request for the decision module, with {@code now} as its arrival time. */
     RequestArrived arrival(double now) throws MalformedCommandException {
-        return new RequestArrived("", word(RespWords.REQUEST_CLASS), word(RespWords.PLAN), ascii(objectKey),
-            now + number(RespWords.TIME_LEFT, Double.NaN, 0, MAX_TIME_LEFT_MS), word(RespWords.VOLUME),
-            number(RespWords.UNITS, 1, 0, MAX_UNITS),
-            (int) number(RespWords.CELL, NEW_OBJECT, NEW_OBJECT, Integer.MAX_VALUE),
-            (int) number(RespWords.INSTANCES, 1, 1, MAX_INSTANCES),
-            RespWords.MARKED.equals(fields.get(RespWords.RETRY)));
+        return new RequestArrived("", required(RespWireNames.REQUEST_CLASS), required(RespWireNames.PLAN), ascii(objectKey),
+            now + number(RespWireNames.TIME_LEFT, Double.NaN, 0, MAX_TIME_LEFT_MS), required(RespWireNames.VOLUME),
+            number(RespWireNames.UNITS, 1, 0, MAX_UNITS),
+            (int) number(RespWireNames.CELL, NEW_OBJECT, NEW_OBJECT, Integer.MAX_VALUE),
+            (int) number(RespWireNames.INSTANCES, 1, 1, MAX_INSTANCES),
+            RespWireNames.RETRY_MARK.equals(fields.get(RespWireNames.RETRY)));
     }
 
     /**
-     * The command for a node that is to know how long it will be waited for; all else passes on unchanged.
+     * Returns the command to forward to a node: unchanged but for the time left until the deadline.
      *
-     * @param timeLeft in milliseconds, sent as 1 at least
+     * @param timeLeft milliseconds until the attempt's deadline; sent as at least 1
      */
     RedisMessage forNode(double timeLeft) {
         StringBuilder line = new StringBuilder();
         fields.forEach((field, value) -> line.append(line.isEmpty() ? "" : ",").append(field).append('=')
-            .append(field.equals(RespWords.TIME_LEFT) ? Long.toString(Math.max(1, (long) timeLeft)) : value));
-        List<RedisMessage> words = new ArrayList<>(List.of(RespCodec.bulk(name), RespCodec.bulk(objectKey),
+            .append(field.equals(RespWireNames.TIME_LEFT) ? Long.toString(Math.max(1, (long) timeLeft)) : value));
+        List<RedisMessage> elements = new ArrayList<>(List.of(RespCodec.bulk(name), RespCodec.bulk(objectKey),
             RespCodec.bulk(id), RespCodec.bulk(line.toString())));
         if (body != null) {
-            words.add(RespCodec.bulk(body));
+            elements.add(RespCodec.bulk(body));
         }
-        return RespCodec.array(words);
+        return RespCodec.array(elements);
     }
 
-    /** The value of a field that must be there. */
-    String word(String field) throws MalformedCommandException {
+    /** Returns the value of a required field. */
+    String required(String field) throws MalformedCommandException {
         String value = fields.get(field);
         if (value == null || value.isEmpty()) {
             throw new MalformedCommandException("'" + field + "' is missing");
@@ -111,14 +111,14 @@
         return value;
     }
 
-    private double number(String field, double absent, double least, double most) throws MalformedCommandException {
+    private double number(String field, double defaultValue, double min, double max) throws MalformedCommandException {
         String value = fields.get(field);
         if (value == null || NUMBER.matcher(value).matches()) {
-            double number = value == null ? absent : Double.parseDouble(value);
-            if (number >= least && number <= most) {
+            double number = value == null ? defaultValue : Double.parseDouble(value);
+            if (number >= min && number <= max) {
                 return number;
             }
         }
-        throw new MalformedCommandException("'" + field + "' must be a number from " + (long) least + " to " + (long) most);
+        throw new MalformedCommandException("'" + field + "' must be a number from " + (long) min + " to " + (long) max);
     }
 }
--- a/src/main/java/kelphollow/protocol/resp/RespConnection.java
+++ b/src/main/java/kelphollow/protocol/resp/RespConnection.java
@@ -20,25 +20,25 @@
 import kelphollow.transport.LingeringClose;
 
 /**
- * One client's connection: replies leave in the order of its commands. Releases each decoded message once the command has
- * been handled or thrown away. For the event loop alone.
+ * One client's connection. Sends replies in the order of the commands. Releases each decoded message once its command has
+ * been handled or discarded. Confined to the event loop.
  */
 final class RespConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = Logger.getLogger(RespConnection.class.getName());
-    // Further ones are rejected as they come. Reading never stops for that: only a connection that is read shows that its
-    // client has gone.
+    // Further requests are rejected on arrival. Reading does not stop at the limit, because a client's disconnect is only
+    // detected on a connection that is read.
     private static final int MAX_OPEN_REQUESTS = 256;
-    // Commands whose replies have not left; memory: some 100 bytes each. More end the connection.
+    // Commands whose replies are not yet written, about 100 bytes each. One more closes the connection.
     private static final int MAX_PENDING_REPLIES = 4_096;
     private static final int MAX_ERROR_LENGTH = 200;
 
     private enum State {
-        /** Commands are taken. */
+        /** Commands are accepted. */
         SERVING,
-        /** What was taken still gets its reply; what comes is thrown away. */
-        ENDING,
-        /** Nothing is owed any more, or the client has gone. */
-        ENDED
+        /** Accepted commands still get their replies; further input is discarded. */
+        CLOSING,
+        /** All replies are written, or the client has disconnected. */
+        CLOSED
     }
 
     private final RespFront front;
@@ -49,10 +49,10 @@
     private final ConnectionActivity activity;
     private final ReadThrottle throttle;
     private final ArrayDeque<ReplySlot> slots = new ArrayDeque<>();
-    /** Decoded and not yet handled. */
+    /** Messages that are decoded and not yet handled. */
     private final ArrayDeque<RedisMessage> decoded = new ArrayDeque<>();
     private State state = State.SERVING;
-    /** Whether a turn of the loop that handles what was decoded is due or going on; replies leave at its end. */
+    /** Whether a loop task that handles decoded messages is scheduled or running; replies are flushed at its end. */
     private boolean handling;
     private boolean unflushed;
     private ChannelFuture lastWrite;
@@ -68,7 +68,7 @@
         this.throttle = new ReadThrottle(this, channel, ticker);
     }
 
-    /** Nothing is owed on it: no request is open and the last reply has left. */
+    /** Whether no command awaits its reply and the last reply has been written to the socket. */
     boolean isIdle() {
         return slots.isEmpty() && decoded.isEmpty() && (lastWrite == null || lastWrite.isDone());
     }
@@ -94,13 +94,13 @@
     }
 
     /**
-     * Commands are handled after the read that brought them: by then it is known whether the client's end came right behind.
-     * Guards against forwarding requests of a client that has gone.
+     * Schedules the handling of decoded commands for after the read. If the client closed right behind its commands, the
+     * channel is inactive by then, and its requests are not forwarded.
      */
     @Override public void channelReadComplete(ChannelHandlerContext context) {
         boolean complete = !decoded.isEmpty();
         activity.readEnded(complete);
-        front.active(this);
+        front.markActive(this);
         if (!complete) {
             flushReplies();
         } else if (!handling) {
@@ -126,20 +126,20 @@
     private void handle(RedisMessage message) {
         ReplySlot slot = addSlot();
         if (slots.size() > MAX_PENDING_REPLIES) {
-            endWith(slot, "ERR too many commands at once");
+            failConnection(slot, "ERR too many commands at once");
             return;
         }
         String name = message instanceof ArrayRedisMessage array && !array.isNull() && !array.children().isEmpty()
             ? RespCodec.text(array.children().get(0)) : null;
         if (name == null) {
-            endWith(slot, "ERR Protocol error: expected a command");
+            failConnection(slot, "ERR Protocol error: expected a command");
             return;
         }
         activity.requested();
         switch (name.toUpperCase(Locale.ROOT)) {
             case "PING" -> slot.reply(new SimpleStringRedisMessage("PONG"));
             case "CLIENT", "SELECT" -> slot.reply(new SimpleStringRedisMessage("OK"));
-            case RespWords.GET, RespWords.PUT -> submit(slot, (ArrayRedisMessage) message);
+            case RespWireNames.GET, RespWireNames.PUT -> submit(slot, (ArrayRedisMessage) message);
             default -> invalid(slot, "unknown command");
         }
     }
@@ -173,32 +173,32 @@
     }
 
     private void invalid(ReplySlot slot, String error) {
-        slot.reply(new ErrorRedisMessage(RespWords.ERROR + " " + error));
+        slot.reply(new ErrorRedisMessage(RespWireNames.ERROR + " " + error));
         throttle.invalidCommand();
     }
 
-    /** An error that leaves the connection unreadable: what came before it still gets its reply, in order. */
-    private void endWith(ReplySlot slot, String error) {
-        state = State.ENDING;
+    /** Replies with an error after which no input can be parsed. Earlier commands still get their replies, in order. */
+    private void failConnection(ReplySlot slot, String error) {
+        state = State.CLOSING;
         channel.pipeline().addFirst(new LingeringClose.Discard());
         slot.reply(new ErrorRedisMessage(error));
     }
 
-    /** Closes it once all that it is owed has left; what crosses that is never forwarded. */
+    /** Closes the connection once the written replies are sent; commands that arrive meanwhile are not forwarded. */
     void close() {
-        if (state != State.ENDED) {
-            end();
+        if (state != State.CLOSED) {
+            markClosed();
             front.lingeringClose(channel);
         }
     }
 
-    private void end() {
-        state = State.ENDED;
+    private void markClosed() {
+        state = State.CLOSED;
         throttle.stop();
         front.remove(this);
     }
 
-    /** Writes the replies whose turn has come; they are flushed at the end of a turn that handles commands. */
+    /** Writes the replies that are next in order; while commands are being handled, they are flushed at the end of that. */
     void flushReplies() {
         for (ReplySlot next; (next = slots.peek()) != null && next.isReady() && write(next);) {
             slots.poll();
@@ -207,15 +207,15 @@
             unflushed = false;
             channel.flush();
             activity.touch();
-            front.active(this);
+            front.markActive(this);
         }
-        if (slots.isEmpty() && decoded.isEmpty() && (state == State.ENDING || front.isShuttingDown())) {
+        if (slots.isEmpty() && decoded.isEmpty() && (state == State.CLOSING || front.isShuttingDown())) {
             close();
         }
         throttle.update();
     }
 
-    /** Writes a slot's reply; false while its value streams: what is behind it waits. */
+    /** Writes a slot's reply. Returns false while its value is still streaming, which holds back the replies after it. */
     private boolean write(ReplySlot slot) {
         if (slot.value() == null) {
             lastWrite = channel.write(slot.reply());
@@ -238,7 +238,7 @@
     }
 
     @Override public void channelInactive(ChannelHandlerContext context) {
-        end();
+        markClosed();
         for (RedisMessage message; (message = decoded.poll()) != null;) {
             ReferenceCountUtil.release(message);
         }
@@ -251,9 +251,9 @@
         if (cause instanceof IOException) {
             context.close();
         } else if (state == State.SERVING) {
-            LOG.log(Level.FINE, "unreadable input", cause);
-            handleDecoded();               // what came before it
-            endWith(addSlot(), "ERR Protocol error");
+            LOG.log(Level.FINE, "malformed RESP input from client", cause);
+            handleDecoded();               // commands received before the malformed input
+            failConnection(addSlot(), "ERR Protocol error");
         }
     }
 }
--- a/src/main/java/kelphollow/protocol/resp/RespExchange.java
+++ b/src/main/java/kelphollow/protocol/resp/RespExchange.java
@@ -13,17 +13,18 @@
 import kelphollow.transport.PooledConnection;
 
 /**
- * One command and its reply on a connection to a node. Releases each message that it receives; the bytes of a streamed value
- * go to {@link StreamedValue#take}, which owns them from there on. For the event loop alone.
+ * One command and its reply on a connection to a node. Releases each message that it receives, except the bytes of a
+ * streamed value, whose ownership passes to {@link StreamedValue#append}. Confined to the event loop.
  */
 final class RespExchange implements PooledConnection.ExchangeHandler {
     private static final Logger LOG = Logger.getLogger(RespExchange.class.getName());
-    // In milliseconds, of a reply of which nothing has been forwarded.
-    private static final double REPLY_STALL = 200;
-    // In milliseconds, of a node whose value is being forwarded: it cannot be had again, and peers may take seconds over it.
-    private static final double STREAM_STALL = 2_000;
-    // In milliseconds; a client that takes nothing of its value for so long is gone.
-    private static final double CLIENT_STALL = 10_000;
+    // For a reply of which nothing has been forwarded.
+    private static final double REPLY_STALL_TIMEOUT_MS = 200;
+    // For a node whose value is being forwarded. Longer, because the value cannot be requested again, and peers may take
+    // seconds to deliver it.
+    private static final double STREAM_STALL_TIMEOUT_MS = 2_000;
+    // A client that reads nothing of its value for this long counts as disconnected.
+    private static final double CLIENT_STALL_TIMEOUT_MS = 10_000;
 
     private final Attempt attempt;
     private final Ticker ticker;
@@ -38,23 +39,23 @@
         this.ticker = ticker;
     }
 
-    /** The connection that was leased for it, which may still be dialled. */
-    void connection(PooledConnection leased) {
-        connection = leased;
+    /** Sets the connection acquired for this exchange, which may still be connecting. */
+    void connection(PooledConnection acquired) {
+        connection = acquired;
     }
 
-    @Override public void connected(PooledConnection up) {
-        connection = up;
+    @Override public void connected(PooledConnection established) {
+        connection = established;
         if (!attempt.maySend()) {
-            up.release();
+            established.release();
             attempt.ended(AttemptResult.of(AttemptOutcome.NOT_SENT));
             return;
         }
-        commandWritten = up.channel().writeAndFlush(call().command().forNode(attempt.remaining()));
+        commandWritten = established.channel().writeAndFlush(request().command().forNode(attempt.remaining()));
     }
 
-    private RespCall call() {
-        return (RespCall) attempt.request().message();
+    private RespRequest request() {
+        return (RespRequest) attempt.request().message();
     }
 
     @Override public void received(PooledConnection on, Object message) {
@@ -64,9 +65,9 @@
         } else if (message instanceof ByteBuf bytes) {
             attempt.progressed();
             partialMessage(on);
-            if (value.take(bytes) && !value.isAnnounced()) {
+            if (value.append(bytes) && !value.isAnnounced()) {
                 attempt.responseStarted();
-                value.announce(call().receiver());
+                value.announce(request().receiver());
             }
         } else {
             reply(on, (RedisMessage) message);
@@ -81,7 +82,7 @@
             ReferenceCountUtil.release(message);
         }
         if (result == null) {
-            malformedReply();
+            failReply();
             return;
         }
         cancelTimer();
@@ -92,65 +93,66 @@
         attempt.ended(result);
     }
 
-    /** A reply that cannot be read: the request has run, and the connection is of no further use. */
-    private void malformedReply() {
-        LOG.fine(() -> attempt.target().endpoint().node() + " gave a reply that cannot be read");
+    /** Ends the attempt after a malformed or stalled reply: the request was executed, and the connection is not reusable. */
+    private void failReply() {
+        LOG.fine(() -> "node " + attempt.target().endpoint().node()
+            + ": malformed or stalled reply, closing the connection");
         close();
         attempt.ended(failure(AttemptOutcome.ERROR));
     }
 
-    /** A value that has begun to be forwarded cannot be had again. */
+    /** Returns the result of a failed attempt, marked as already streaming if the client may have part of the value. */
     private AttemptResult failure(AttemptOutcome outcome) {
-        return AttemptResult.of(outcome, null, isStreaming());
+        return AttemptResult.of(outcome, null, isValueAnnounced());
     }
 
-    private boolean isStreaming() {
+    private boolean isValueAnnounced() {
         return value != null && value.isAnnounced();
     }
 
-    /** Guards against a reply that begins and never ends, such as a length that announces too much. */
+    /** Starts the stall timer: guards against a reply that never ends, such as one shorter than its announced length. */
     @Override public void partialMessage(PooledConnection on) {
         incompleteSince = ticker.now();
         if (stallTimer == null) {
-            stallTimer = ticker.after(REPLY_STALL, this::checkStall);
+            stallTimer = ticker.after(REPLY_STALL_TIMEOUT_MS, this::checkStall);
         }
     }
 
     private void checkStall() {
-        boolean streaming = isStreaming();
-        double stalled = streaming ? value.stalledFor() : ticker.now() - incompleteSince;
-        double bound = stallBound(streaming);
-        if (stalled < bound) {
-            // Checked again soon enough for the shorter bound, whoever is waited for by then.
-            double left = bound - stalled;
-            stallTimer = ticker.after(streaming ? Math.min(left, STREAM_STALL) : left, this::checkStall);
+        boolean streaming = isValueAnnounced();
+        double stalled = streaming ? value.stalledMs() : ticker.now() - incompleteSince;
+        double timeout = stallTimeout(streaming);
+        if (stalled < timeout) {
+            // Checks again within the shorter timeout, because the wait may change from the client to the node meanwhile.
+            double left = timeout - stalled;
+            stallTimer = ticker.after(streaming ? Math.min(left, STREAM_STALL_TIMEOUT_MS) : left, this::checkStall);
         } else if (streaming && value.waitsForClient()) {
-            value.cutOff();            // or its turn has not come, and the reply before it is what is stalled
-            stallTimer = ticker.after(STREAM_STALL, this::checkStall);
+            value.abort();             // no effect if an earlier reply on the client connection is what is stalled
+            stallTimer = ticker.after(STREAM_STALL_TIMEOUT_MS, this::checkStall);
         } else {
-            malformedReply();
+            failReply();
         }
     }
 
-    private double stallBound(boolean streaming) {
+    private double stallTimeout(boolean streaming) {
         if (!streaming) {
-            return REPLY_STALL;
+            return REPLY_STALL_TIMEOUT_MS;
         }
-        return value.waitsForClient() ? CLIENT_STALL : STREAM_STALL;
+        return value.waitsForClient() ? CLIENT_STALL_TIMEOUT_MS : STREAM_STALL_TIMEOUT_MS;
     }
 
     /**
-     * A connection that ends before the last byte was written proves that the attempt never ran. Noise in place of a reply
-     * is an error, no sign of a dead node.
+     * If the connection ends before the command was completely written, the attempt was not executed. Undecodable data in
+     * place of a reply is reported as an error, not as a connection failure that suggests a dead node.
      */
     @Override public void connectionFailed(PooledConnection on, Throwable cause) {
         cancelTimer();
-        boolean neverRan = commandWritten == null || !commandWritten.isSuccess();
+        boolean notExecuted = commandWritten == null || !commandWritten.isSuccess();
         discardUnannounced();
         if (cause instanceof CodecException) {
             attempt.ended(failure(AttemptOutcome.ERROR));
         } else {
-            attempt.ended(failure(neverRan ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET));
+            attempt.ended(failure(notExecuted ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET));
         }
     }
 
@@ -160,7 +162,7 @@
         }
     }
 
-    /** Closes the connection, the sign to the node that its reply is no longer awaited. */
+    /** Closes the connection, which tells the node that its reply is no longer awaited. */
     void close() {
         cancelTimer();
         discardUnannounced();
@@ -169,7 +171,7 @@
         }
     }
 
-    /** What no client knows of yet is discarded here, all else by the client's side. */
+    /** Discards a value that has not been announced; an announced one is discarded by its receiver. */
     private void discardUnannounced() {
         if (value != null && !value.isAnnounced()) {
             value.discard();
--- a/src/main/java/kelphollow/protocol/resp/RespFront.java
+++ b/src/main/java/kelphollow/protocol/resp/RespFront.java
@@ -11,38 +11,43 @@
 import kelphollow.transport.Front;
 import kelphollow.transport.LingeringClose;
 
-/** The front for the platform's clients: accepts their connections and closes idle ones. For the event loop alone. */
+/** The RESP front for the platform's clients: accepts connections and closes idle ones. Confined to the event loop. */
 public final class RespFront implements Front {
-    // In milliseconds.
-    private static final double SWEEP_INTERVAL = 100;
-    // In milliseconds, between the last reply and the close, and in all with a client that is slow to read: at SIGTERM
-    // connections close from 500 ms before the kill on, and by then the process has to be gone.
-    private static final double LINGER = 250;
-    private static final double LINGER_OVERALL = 400;
-    private static final int LINGERING_PART = 6;
-    // In milliseconds; only connections that have been idle for so long are closed to make room, none that has just come.
-    private static final double MIN_IDLE_TO_EVICT = 50;
+    private static final double SWEEP_INTERVAL_MS = 100;
+    // Timeouts of a lingering close: after the last reply, and in total with a client that is slow to read. After SIGTERM
+    // connections start to close 500 ms before the kill, and the process must have exited by then.
+    private static final double LINGER_CLIENT_TIMEOUT_MS = 250;
+    private static final double LINGER_OVERALL_TIMEOUT_MS = 400;
+    /** One connection may be in a lingering close for this many that may be open. */
+    private static final int CONNECTIONS_PER_LINGERING = 6;
+    // Only connections that have been idle for this long are evicted, so that new ones are not.
+    private static final double MIN_IDLE_TO_EVICT_MS = 50;
 
     private final RequestRouter router;
     private final Ticker ticker;
     private final int maxConnections;
     private final RequestIntake intake;
-    /** In the order of their last activity. */
+    /** In the order of their last activity, least recent first. */
     private final Set<RespConnection> connections = new LinkedHashSet<>();
     private final LingeringClose lingering;
     private Runnable whenShutDown;
 
-    /** {@code maxConnections} is how many there may be in all, beside some that are being closed. */
+    /**
+     * Creates a front.
+     *
+     * @param maxConnections how many connections may be open, not counting those in a lingering close
+     */
     public RespFront(RequestRouter router, Ticker ticker, ControlSettings settings, int maxConnections) {
         this.router = router;
         this.ticker = ticker;
         this.maxConnections = maxConnections;
-        this.lingering = new LingeringClose(ticker, LINGER_OVERALL, LINGER, maxConnections / LINGERING_PART);
+        this.lingering = new LingeringClose(ticker, LINGER_OVERALL_TIMEOUT_MS, LINGER_CLIENT_TIMEOUT_MS,
+            maxConnections / CONNECTIONS_PER_LINGERING);
         this.intake = new RequestIntake(settings);
         scheduleSweep();
     }
 
-    /** Classes that new settings name are accepted from now on; those known before stay, for clients that lag. */
+    /** Accepts the classes of new settings from now on; earlier ones stay valid for clients that still use them. */
     public void addClasses(List<RequestClass> classes) {
         intake.addClasses(classes);
     }
@@ -58,11 +63,11 @@
         channel.pipeline().addLast(connection);
     }
 
-    /** Guards descriptors and memory against clients that connect and send nothing, half a command, or nothing more. */
+    /** Closes idle connections periodically, so that clients that send nothing, or part of a command, hold no resources. */
     private void scheduleSweep() {
-        ticker.after(SWEEP_INTERVAL, () -> {
-            long used = connections.stream().filter(connection -> connection.activity().hasRequested()).count();
-            boolean crowded = used > maxConnections / 2;
+        ticker.after(SWEEP_INTERVAL_MS, () -> {
+            long withRequests = connections.stream().filter(connection -> connection.activity().hasRequested()).count();
+            boolean crowded = withRequests > maxConnections / 2;
             List.copyOf(connections).stream()
                 .filter(connection -> connection.isIdle() && connection.activity().hasExpired(crowded))
                 .forEach(RespConnection::close);
@@ -70,11 +75,11 @@
         });
     }
 
-    /** Those without a request so far go first, then those that have been idle longest. */
+    /** Closes the longest idle connection that has sent no request, or else the longest idle one. */
     @Override public void evictIdle() {
         RespConnection evicted = null;
         for (RespConnection connection : connections) {
-            if (connection.activity().idleFor() < MIN_IDLE_TO_EVICT) {
+            if (connection.activity().idleMs() < MIN_IDLE_TO_EVICT_MS) {
                 break;
             }
             boolean preferred = evicted == null
@@ -98,15 +103,15 @@
         return whenShutDown != null;
     }
 
-    /** Ends the shutdown once the last connection has gone. */
+    /** Completes the shutdown once the last connection is closed. */
     void checkShutdown() {
         if (isShuttingDown() && connections.isEmpty() && lingering.connections() == 0) {
             whenShutDown.run();
         }
     }
 
-    /** The connection has just shown activity: it is the last to be closed for want of room. */
-    void active(RespConnection connection) {
+    /** Moves the connection to the end of the eviction order after activity on it. */
+    void markActive(RespConnection connection) {
         connections.remove(connection);
         connections.add(connection);
     }
--- /dev/null
+++ b/src/main/java/kelphollow/protocol/resp/RespRequest.java
@@ -0,0 +1,9 @@
+package kelphollow.protocol.resp;
+
+/**
+ * What the front passes to the backend with a request.
+ *
+ * @param command the command to forward to a node
+ * @param receiver receives a value that is too long to be buffered
+ */
+record RespRequest(RespCommand command, StreamedValue.Receiver receiver) {}
--- a/src/main/java/kelphollow/protocol/resp/RespWarmup.java
+++ b/src/main/java/kelphollow/protocol/resp/RespWarmup.java
@@ -21,8 +21,8 @@
 import kelphollow.routing.Ticker;
 
 /**
- * Plays requests through a scheduler of its own, without sockets, before the real one listens. Guards against
- * the first clients waiting while classes are loaded and code is compiled.
+ * Runs requests through a separate router without sockets before the real one listens, so that the first clients do not
+ * wait for class loading and compilation.
  */
 public final class RespWarmup {
     private static final int REQUESTS = 200;
@@ -33,24 +33,24 @@
 
     private RespWarmup() {}
 
-    /** Warms up for two seconds at most; returns how many requests got a value. */
+    /** Runs the warm-up for at most two seconds; returns the number of requests that got a value. */
     public static int run(ControlSettings settings, long seed) {
         long end = System.nanoTime() + MAX_NANOS;
-        SimulatedWorld world = new SimulatedWorld();
-        RequestRouter router = new RequestRouter(new Control(settings, seed, world.now()), world, world);
+        SimulatedEnvironment environment = new SimulatedEnvironment();
+        RequestRouter router = new RequestRouter(new Control(settings, seed, environment.now()), environment, environment);
         router.disableLogging();
         router.restoreEndpoints(endpoints());
         router.start(() -> {}, false);
         EmbeddedChannel client = new EmbeddedChannel();
-        new RespFront(router, world, settings, 1).accept(client);
+        new RespFront(router, environment, settings, 1).accept(client);
         int served = 0;
         for (int i = 0; i < REQUESTS && System.nanoTime() < end; i++) {
             client.writeInbound(command(i, settings));
-            world.advance(i % 7 == 0 ? 60 : 3);
-            served += values(client);
+            environment.advance(i % 7 == 0 ? 60 : 3);
+            served += readReplies(client);
         }
         client.finishAndReleaseAll();
-        world.node.finishAndReleaseAll();
+        environment.node.finishAndReleaseAll();
         return served;
     }
 
@@ -71,8 +71,8 @@
         return ascii("*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$1\r\ni\r\n$" + fields.length() + "\r\n" + fields + "\r\n");
     }
 
-    /** Reads all replies; gives the number of those that are values. */
-    private static int values(EmbeddedChannel client) {
+    /** Reads and releases all replies; returns how many of them are values. */
+    private static int readReplies(EmbeddedChannel client) {
         int values = 0;
         for (ByteBuf reply; (reply = client.readOutbound()) != null;) {
             values += reply.isReadable() && reply.getByte(reply.readerIndex()) == '$' ? 1 : 0;
@@ -85,9 +85,9 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
     }
 
-    /** A clock that is moved by hand, and nodes that reply when it moves. */
-    private static final class SimulatedWorld implements Ticker, Backend {
-        /** No record: linking the equality that Java makes for one takes as long as many requests. */
+    /** A manually advanced clock, and nodes that reply whenever it advances. */
+    private static final class SimulatedEnvironment implements Ticker, Backend {
+        /** Not a record: linking the generated {@code equals} of a record takes as long as many requests. */
         private static final class Timer {
             final double dueAt;
             final Runnable task;
@@ -103,7 +103,7 @@
         private final ArrayDeque<Attempt> pending = new ArrayDeque<>();
         private double now = 1_000;
 
-        SimulatedWorld() {
+        SimulatedEnvironment() {
             node.pipeline().addLast(RespCodec.forNode());
         }
 
@@ -142,7 +142,7 @@
         }
 
         private void serve(Attempt attempt) {
-            RespCommand command = ((RespCall) attempt.request().message()).command();
+            RespCommand command = ((RespRequest) attempt.request().message()).command();
             node.writeOutbound(command.forNode(attempt.remaining()));
             ReferenceCountUtil.release(node.readOutbound());
             node.writeInbound(ascii(REPLY));
--- a/src/main/java/kelphollow/protocol/resp/StreamedValue.java
+++ b/src/main/java/kelphollow/protocol/resp/StreamedValue.java
@@ -10,25 +10,25 @@
 import kelphollow.routing.Ticker;
 
 /**
- * A value on its way from a node's connection to a client's that is never buffered as a whole: while the client's socket is
- * full, or its turn among the client's replies has not come, nothing more is read from the node. Buffers at most
- * {@link RespCodec#MAX_BUFFERED_BYTES} and what one read brings (64 KiB) beside the client's own write buffer. Owns the
- * buffers that it was given until they are written or released. For the event loop alone.
+ * Streams a value from a node's connection to a client's connection without buffering it as a whole. Reading from the node
+ * pauses while the client's channel is not writable, and, once {@link RespCodec#MAX_BUFFERED_BYTES} are buffered, while
+ * earlier replies to the client are pending. Buffers at most that many bytes plus one read (64 KiB), beside the client
+ * channel's write buffer. Owns the buffers that it is given until they are written or released. Confined to the event loop.
  */
 final class StreamedValue {
     /** The client's side of a request whose reply may be a streamed value. */
     interface Receiver {
-        /** The value begins; the receiver lets it {@link #streamTo} a client when its turn has come, or discards it. */
-        void valueBegan(StreamedValue value);
+        /** A value has started; the receiver calls {@link #streamTo} once the reply is next in order, or discards it. */
+        void valueStarted(StreamedValue value);
     }
 
-    /** How far the value has come; it only moves forward. */
+    /** Stages of the value, in the order in which it passes them. */
     private enum Stage {
-        /** The receiver does not know of it: what breaks off may still be requested anew. */
+        /** The receiver has not been notified: if the node fails, the request may still be retried. */
         BUFFERING,
-        /** The receiver knows of it, and its turn has not come. */
+        /** The receiver has been notified; earlier replies to the client are pending. */
         ANNOUNCED,
-        /** The client has been given some of it: it can only go on or be cut off. */
+        /** Part of it has been written to the client: it can only be completed or aborted. */
         STREAMING
     }
 
@@ -42,7 +42,7 @@
     private long bufferedBytes;
     private double lastProgressAt;
 
-    /** {@code length} is the value's length in bytes as its header announces it. */
+    /** {@code length} is the value's length in bytes as announced by the node. */
     StreamedValue(long length, Channel node, Ticker ticker) {
         this.length = length;
         this.node = node;
@@ -50,8 +50,8 @@
         this.lastProgressAt = ticker.now();
     }
 
-    /** Takes bytes that came, and their ownership. True once so many have come that the receiver should be notified. */
-    boolean take(ByteBuf bytes) {
+    /** Appends bytes and takes ownership of them. Returns true if enough is buffered to notify the receiver. */
+    boolean append(ByteBuf bytes) {
         lastProgressAt = ticker.now();
         if (discarded) {
             bytes.release();
@@ -65,11 +65,11 @@
         return bufferedBytes >= RespCodec.MAX_BUFFERED_BYTES;
     }
 
-    /** Notifies the receiver of it, the first time. */
+    /** Notifies the receiver; no effect after the first call. */
     void announce(Receiver receiver) {
         if (stage == Stage.BUFFERING) {
             stage = Stage.ANNOUNCED;
-            receiver.valueBegan(this);
+            receiver.valueStarted(this);
         }
     }
 
@@ -78,7 +78,7 @@
         return stage != Stage.BUFFERING;
     }
 
-    /** Its turn has come on this client's connection; what has come so far leaves at once. */
+    /** Starts streaming to this client connection, beginning with the buffered bytes. No effect if started or discarded. */
     void streamTo(Channel target) {
         if (stage == Stage.STREAMING || discarded) {
             return;
@@ -93,17 +93,17 @@
         progressed();
     }
 
-    /** Whether the client has been given some of it. */
+    /** Whether part of the value has been written to the client. */
     boolean isStreaming() {
         return stage == Stage.STREAMING;
     }
 
-    /** The last byte has come and gone; the future is that of the end of the bulk string. */
+    /** Writes the terminator of the bulk string after the last byte; returns the future of that write. */
     ChannelFuture end() {
         return client.writeAndFlush(Unpooled.copiedBuffer("\r\n", StandardCharsets.US_ASCII));
     }
 
-    /** The client takes more, or has stopped taking. */
+    /** Called when the client channel's writability has changed: records progress and updates backpressure. */
     void progressed() {
         lastProgressAt = ticker.now();
         applyBackpressure();
@@ -113,7 +113,7 @@
         node.config().setAutoRead(discarded || !waitsForClient());
     }
 
-    /** Whether it is the client that must take something before more is read. */
+    /** Whether reading from the node is paused until the client has read more. */
     boolean waitsForClient() {
         if (discarded) {
             return false;
@@ -121,17 +121,17 @@
         return stage == Stage.STREAMING ? !client.isWritable() : bufferedBytes >= RespCodec.MAX_BUFFERED_BYTES;
     }
 
-    /** How long neither side has made progress, in milliseconds. */
-    double stalledFor() {
+    /** Returns the milliseconds since either side last made progress. */
+    double stalledMs() {
         return ticker.now() - lastProgressAt;
     }
 
-    /** The node has given all: its connection is read as before. */
+    /** Resumes reading the node's connection after the last byte of the value. */
     void complete() {
         node.config().setAutoRead(true);
     }
 
-    /** Nobody wants it any more; what still comes is read and released. */
+    /** Discards the value: buffered bytes and those that still arrive are released. */
     void discard() {
         discarded = true;
         for (ByteBuf bytes; (bytes = buffered.poll()) != null;) {
@@ -140,8 +140,8 @@
         applyBackpressure();
     }
 
-    /** The client has taken nothing for too long, or the rest cannot be had: its connection closes. */
-    void cutOff() {
+    /** Closes the client connection if the value is streaming: the client has stalled, or the rest of the value is lost. */
+    void abort() {
         if (stage == Stage.STREAMING) {
             client.close();
         }
--- a/src/main/java/kelphollow/protocol/resp/StreamedValueSplitter.java
+++ b/src/main/java/kelphollow/protocol/resp/StreamedValueSplitter.java
@@ -9,27 +9,27 @@
 import io.netty.handler.codec.redis.LastBulkStringRedisContent;
 
 /**
- * Takes a value that is too long to be buffered out of a node's reply: its length goes on as a {@link Head}, its bytes as
- * they come, and what stands behind it as an array of its own. All else passes unchanged. One for each exchange, behind
- * the decoder. Guards memory, also against a header that announces more than any node may give.
+ * Splits a value that is too long to be buffered out of a node's reply: passes on its length as a {@link Head}, then its
+ * bytes as they arrive, then the remaining elements as a separate array. All other messages pass unchanged. Rejects a
+ * header that announces more than {@link RespCodec#MAX_VALUE_BYTES}. Follows the decoder; one instance per exchange.
  */
 final class StreamedValueSplitter extends ChannelInboundHandlerAdapter {
-    /** A value of so many bytes begins; its bytes follow as buffers that the receiver releases. */
+    /** Announces a value of {@code length} bytes; they follow as buffers that the receiver releases. */
     record Head(long length) {}
 
     private enum State {
-        /** Nothing of the reply has come. */
+        /** Nothing of the reply has been received. */
         AWAITING_REPLY,
-        /** The reply's array header is withheld until its first element tells how long it is. */
+        /** The reply's array header is held back until the length of its first element is known. */
         AWAITING_VALUE,
-        /** The bytes of a long value come. */
+        /** The bytes of a long value are being received. */
         IN_VALUE,
-        /** All passes unchanged. */
+        /** Messages pass unchanged. */
         PASSING
     }
 
     private State state = State.AWAITING_REPLY;
-    private ArrayHeaderRedisMessage withheld;
+    private ArrayHeaderRedisMessage heldHeader;
 
     @Override public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
         if (state == State.IN_VALUE) {
@@ -37,7 +37,7 @@
         } else if (state == State.AWAITING_REPLY && message instanceof ArrayHeaderRedisMessage array
             && array.length() == NodeReply.ELEMENTS) {
             state = State.AWAITING_VALUE;
-            withheld = array;
+            heldHeader = array;
         } else if (message instanceof BulkStringHeaderRedisMessage value
             && value.bulkStringLength() > RespCodec.MAX_BUFFERED_BYTES) {
             longValue(context, value);
@@ -59,17 +59,19 @@
 
     private void longValue(ChannelHandlerContext context, BulkStringHeaderRedisMessage value) {
         if (state != State.AWAITING_VALUE || value.bulkStringLength() > RespCodec.MAX_VALUE_BYTES) {
-            throw new TooLongFrameException("a value of " + value.bulkStringLength() + " bytes");
+            throw new TooLongFrameException("unexpected bulk string of " + value.bulkStringLength()
+                + " bytes, allowed: a first"
+                + " element of up to " + RespCodec.MAX_VALUE_BYTES);
         }
-        withheld = null;
+        heldHeader = null;
         state = State.IN_VALUE;
         context.fireChannelRead(new Head(value.bulkStringLength()));
     }
 
     private void pass(ChannelHandlerContext context, Object message) {
         if (state == State.AWAITING_VALUE) {
-            context.fireChannelRead(withheld);
-            withheld = null;
+            context.fireChannelRead(heldHeader);
+            heldHeader = null;
         }
         state = State.PASSING;
         context.fireChannelRead(message);
--- a/src/test/java/kelphollow/protocol/resp/ConnectionActivityTest.java
+++ b/src/test/java/kelphollow/protocol/resp/ConnectionActivityTest.java
@@ -6,7 +6,7 @@
 import kelphollow.routing.Ticker;
 import org.junit.jupiter.api.Test;
 
-/** How long a client's connection may be idle. */
+/** Checks how long a client connection may be idle before it is closed. */
 class ConnectionActivityTest {
     private double now = 1_000;
     private final ConnectionActivity activity = new ConnectionActivity(new Ticker() {
@@ -19,7 +19,7 @@
         }
     });
 
-    @Test void aConnectionWithoutARequestExpiresAfterItsSilence() {
+    @Test void connectionWithoutRequestExpiresAfterShortTimeout() {
         now += 2_199;
         assertFalse(activity.hasExpired(false));
 
@@ -27,7 +27,7 @@
         assertTrue(activity.hasExpired(false));
     }
 
-    @Test void oneWithRequestsExpiresLaterUnlessConnectionsAreCrowded() {
+    @Test void connectionWithRequestsExpiresLaterUnlessCrowded() {
         activity.requested();
         now += 9_999;
         assertFalse(activity.hasExpired(false));
@@ -37,7 +37,7 @@
         assertTrue(activity.hasExpired(false));
     }
 
-    @Test void aCommandThatDripsExpiresThoughEachByteIsActivity() {
+    @Test void slowlySentCommandExpiresDespiteActivity() {
         activity.requested();
         for (int i = 0; i < 10; i++) {
             activity.readEnded(false);
@@ -45,10 +45,10 @@
             now += 1_000;
         }
         activity.touch();
-        assertTrue(activity.hasExpired(false), "10 s since its first byte");
+        assertTrue(activity.hasExpired(false), "10 s since the first byte");
     }
 
-    @Test void aCompleteCommandStartsTheTimeAnew() {
+    @Test void completeCommandRestartsTheTimeout() {
         activity.requested();
         activity.readEnded(false);
         now += 9_000;
