--- a/src/main/java/kelphollow/protocol/discovery/DiscoveryList.java
+++ b/src/main/java/kelphollow/protocol/discovery/DiscoveryList.java
@@ -4,10 +4,10 @@
 import kelphollow.routing.ResolvedEndpoint;
 
 /**
- * An endpoint list of discovery.
+ * An endpoint list as received from discovery.
  *
- * @param version counted up by the service with each change; below 0: of no service
- * @param complete whether these are all endpoints, or those that have changed
- * @param endpoints in the order of the list
+ * @param version increased by the service with each change; negative if the list does not come from a service
+ * @param complete whether the list has all endpoints, or only the changed ones
+ * @param endpoints the entries in the order received
  */
 public record DiscoveryList(long version, boolean complete, List<ResolvedEndpoint> endpoints) {}
--- a/src/main/java/kelphollow/protocol/discovery/DiscoveryListParser.java
+++ b/src/main/java/kelphollow/protocol/discovery/DiscoveryListParser.java
@@ -8,19 +8,19 @@
 import kelphollow.decision.ControlEvent.EndpointState;
 import kelphollow.routing.ResolvedEndpoint;
 
-/** Reads discovery's JSON form of an endpoint list, and maps its words to the terms used here. Stateless. */
+/** Parses discovery's JSON form of an endpoint list and maps its names to the terms of this code. Stateless. */
 public final class DiscoveryListParser {
     private DiscoveryListParser() {}
 
     /**
-     * Reads a list.
+     * Parses an endpoint list.
      *
      * @param json the parsed document
-     * @throws IllegalArgumentException naming the fault; nothing of a faulty list is used
+     * @throws IllegalArgumentException naming the malformed key; a malformed list is rejected as a whole
      */
     public static DiscoveryList parse(Object json) {
         if (!(json instanceof Map<?, ?> map) || !(map.get("hosts") instanceof List<?> rows)) {
-            throw new IllegalArgumentException("'hosts' is missing");
+            throw new IllegalArgumentException("'hosts' is missing or not a list");
         }
         List<ResolvedEndpoint> endpoints = new ArrayList<>();
         for (Object row : rows) {
@@ -31,13 +31,14 @@
 
     private static ResolvedEndpoint endpoint(Object row) {
         if (!(row instanceof Map<?, ?> map)) {
-            throw new IllegalArgumentException("a host is not an object");
+            throw new IllegalArgumentException("an element of 'hosts' is not an object");
         }
         EndpointState state = switch (text(map, "health")) {
             case "ready" -> EndpointState.HEALTHY;
             case "draining" -> EndpointState.DRAINING;
             case "gone" -> EndpointState.REMOVED;
-            default -> throw new IllegalArgumentException("'health' is '" + map.get("health") + "'");
+            default -> throw new IllegalArgumentException("'health' is '" + map.get("health")
+                + "', expected ready, draining or gone");
         };
         double startedAt = map.get("born_ms") == null ? 0 : number(map, "born_ms");
         String zone = map.get("site") instanceof String site ? site : null;
@@ -46,10 +47,10 @@
     }
 
     /**
-     * Reads an IP address and port. Names are not looked up: there is no DNS.
+     * Parses an IP address and port. Host names are rejected, because there is no DNS.
      *
-     * @param key names the place of the text in the message
-     * @throws IllegalArgumentException if it is none
+     * @param key names the parsed key in the exception message
+     * @throws IllegalArgumentException if the text is not an IP address and port
      */
     public static InetSocketAddress parseAddress(String text, String key) {
         int colon = text.lastIndexOf(':');
--- a/src/main/java/kelphollow/protocol/discovery/DiscoveryWatch.java
+++ b/src/main/java/kelphollow/protocol/discovery/DiscoveryWatch.java
@@ -19,42 +19,42 @@
 import kelphollow.transport.HttpCall;
 
 /**
- * Watches the platform's discovery by long polls, or the agent on this machine to which it pushes. The next poll
- * follows the last response at once, since the rule on drains counts a pause as a new watch; after a failure the
- * router says when to poll again. A response older than the list that is held is dropped, and the complete list is
- * asked for; only if that is older too, twice in a row, does the service count anew, and its list is taken. Timeouts:
- * {@link EndpointUpdateBudget}. Confined to the event loop.
+ * Watches the platform's discovery service, or the agent on this machine to which it pushes, by long polls. Each poll
+ * follows the previous response immediately, because discovery's contract on drains counts a pause as a new watch; after a
+ * failure the router decides when to poll again. A response older than the current list is dropped and the complete list
+ * is requested. If complete lists are older twice in a row, the service has restarted its version count, and the list is
+ * accepted. Timeouts are those of {@link EndpointUpdateBudget}. Confined to the event loop.
  */
 public final class DiscoveryWatch implements EndpointSource, HttpCall.ResponseHandler {
     private enum State {
-        /** No poll is under way. */
+        /** No poll is in progress. */
         IDLE,
-        /** A poll is under way, or its response is being handled. */
+        /** A poll is in progress, or its response is being handled. */
         WATCHING,
-        /** Ended for good. */
+        /** Stopped permanently. */
         STOPPED
     }
 
     /**
-     * The poll under way.
+     * The latest poll.
      *
-     * @param number counted from 1 since the start
-     * @param sentAt clock time
-     * @param waitTime milliseconds for which the service may hold it back while nothing changes
-     * @param beginsWatch whether no watch was established before
+     * @param number sequence number since the start, from 1
+     * @param sentAt clock time at which it was sent
+     * @param waitTime milliseconds for which the service may delay its response while nothing changes
+     * @param beginsWatch whether it starts a watch rather than continues one
      */
     private record Poll(long number, double sentAt, int waitTime, boolean beginsWatch) {}
 
     private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
     private static final int OK = 200;
-    /** Status codes of a service that is there and has no capacity for the poll. */
+    /** Status codes of a service that is reachable but has no capacity for the poll. */
     private static final Set<Integer> REJECTED = Set.of(429, 503);
-    /** The wait of a poll that is to be answered at once, in milliseconds. */
-    private static final int NO_WAIT = 1;
-    /** Share of the longest wait by which a poll's own may be shorter, at random. */
+    /** Wait of a poll to which the service is to respond at once. */
+    private static final int NO_WAIT_MS = 1;
+    /** Largest random reduction of a poll's wait, as a fraction of the longest wait. */
     private static final double WAIT_JITTER = 0.25;
-    /** Complete lists of an older version in a row after which the service counts anew. */
-    private static final int OLDER_LISTS = 2;
+    /** Consecutive complete lists of an older version that show that the service has restarted its version count. */
+    private static final int OLDER_LISTS_FOR_RESET = 2;
 
     private final HttpCall calls;
     private final Ticker ticker;
@@ -65,16 +65,16 @@
     private Poll poll = new Poll(0, 0, 0, false);
     private long version;
     private boolean nextBeginsWatch = true;
-    private boolean completeListWanted;
+    private boolean completeListNeeded;
     private int olderLists;
 
     /**
-     * Watches one service.
+     * Creates a watch of one service; it polls after {@link #watch}.
      *
-     * @param host value of the header {@code Host}
-     * @param version of the list the scheduler was started with, of which only later changes are asked for; below 0: the
-     *     complete list is asked for
-     * @param random draws the waits, which spreads the polls of many schedulers
+     * @param host value of the {@code Host} header
+     * @param version version of the list that the scheduler was started with, so that only later changes are requested; if
+     *     negative, the complete list is requested
+     * @param random source of the random waits, which spread the polls of many schedulers
      */
     public DiscoveryWatch(HttpCall calls, Ticker ticker, String host, RequestRouter router, long version, Random random) {
         this.calls = calls;
@@ -98,7 +98,7 @@
     }
 
     private void sendPoll() {
-        boolean complete = version < 0 || completeListWanted;
+        boolean complete = version < 0 || completeListNeeded;
         poll = new Poll(poll.number() + 1, ticker.now(), drawWait(complete), nextBeginsWatch);
         nextBeginsWatch = false;
         String path = complete ? "/catalog/members" : "/catalog/members?index=" + version + "&wait=" + poll.waitTime();
@@ -112,7 +112,7 @@
         if (complete) {
             return 0;
         }
-        return nextBeginsWatch ? NO_WAIT
+        return nextBeginsWatch ? NO_WAIT_MS
             : (int) (EndpointUpdateBudget.LONG_POLL_WAIT_MS * (1 - WAIT_JITTER * random.nextDouble()));
     }
 
@@ -120,13 +120,13 @@
         if (version < 0) {
             return EndpointUpdateBudget.NEW_SOURCE_TIMEOUT_MS;
         }
-        return poll.waitTime() <= NO_WAIT ? EndpointUpdateBudget.FIRST_POLL_TIMEOUT_MS
+        return poll.waitTime() <= NO_WAIT_MS ? EndpointUpdateBudget.FIRST_POLL_TIMEOUT_MS
             : poll.waitTime() + EndpointUpdateBudget.POLL_MARGIN_MS;
     }
 
     @Override public void responseReceived(int status, String body) {
         if (status != OK) {
-            fail("status " + status, REJECTED.contains(status) ? EndpointPollFailure.REJECTED
+            fail("HTTP status " + status, REJECTED.contains(status) ? EndpointPollFailure.REJECTED
                 : EndpointPollFailure.INVALID_RESPONSE);
             return;
         }
@@ -138,40 +138,41 @@
             return;
         }
         if (isOutdated(list)) {
-            completeListWanted = true;
-            fail("version " + list.version() + " after " + version, EndpointPollFailure.INVALID_RESPONSE);
+            completeListNeeded = true;
+            fail("received version " + list.version() + ", older than the current version " + version,
+                EndpointPollFailure.INVALID_RESPONSE);
             return;
         }
-        take(list);
+        accept(list);
     }
 
-    /** Whether the list is older than the one held, and it is not yet certain that the service counts anew. */
+    /** Whether the list is older than the current one and the service has not yet proved to have restarted its count. */
     private boolean isOutdated(DiscoveryList list) {
         if (list.version() >= version) {
             return false;
         }
-        if (!completeListWanted || !list.complete()) {
+        if (!completeListNeeded || !list.complete()) {
             return true;
         }
         olderLists++;
-        return olderLists < OLDER_LISTS;
+        return olderLists < OLDER_LISTS_FOR_RESET;
     }
 
-    private void take(DiscoveryList list) {
+    private void accept(DiscoveryList list) {
         if (list.version() != version) {
             logChange(list);
         }
         double asOf = completeUpTo(list);
         version = list.version();
-        completeListWanted = false;
+        completeListNeeded = false;
         olderLists = 0;
         sendPoll();
         router.updateEndpoints(list.endpoints(), list.complete(), asOf);
     }
 
     /**
-     * The clock time up to which a response surely holds all that the service had: when it was polled, or, where it says
-     * that nothing has changed, when its wait was over.
+     * Returns the clock time up to which the response is certain to include all changes at the service: the time of the
+     * poll, or, if nothing changed during the whole wait, the end of the wait.
      */
     private double completeUpTo(DiscoveryList list) {
         boolean unchanged = list.version() == version && !list.complete();
@@ -180,8 +181,8 @@
     }
 
     private void logChange(DiscoveryList list) {
-        LOG.info(() -> "discovery: poll " + poll.number() + ": version " + list.version()
-            + (list.complete() ? ", complete" : "") + ", " + list.endpoints().size() + " entries, after "
+        LOG.info(() -> "discovery: poll " + poll.number() + ": version " + version + " -> " + list.version()
+            + (list.complete() ? ", complete list, " : ", changes, ") + list.endpoints().size() + " entries, after "
             + (long) (ticker.now() - poll.sentAt()) + " ms");
     }
 
@@ -195,8 +196,9 @@
 
     private void fail(String reason, EndpointPollFailure failure) {
         boolean watchBroken = !poll.beginsWatch() && failure != EndpointPollFailure.INVALID_RESPONSE;
-        LOG.info(() -> "discovery: poll " + poll.number() + (poll.beginsWatch() ? ", to begin a watch," : " of a watch")
-            + " of version " + version + " failed after " + (long) (ticker.now() - poll.sentAt()) + " ms: " + reason);
+        LOG.info(() -> "discovery: poll " + poll.number() + (poll.beginsWatch() ? " (starts a watch)"
+            : " (continues a watch)")
+            + " at version " + version + " failed after " + (long) (ticker.now() - poll.sentAt()) + " ms: " + reason);
         if (state != State.STOPPED) {
             state = State.IDLE;
         }
--- a/src/main/java/kelphollow/protocol/discovery/package-info.java
+++ b/src/main/java/kelphollow/protocol/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The platform's discovery: the form of its endpoint list, and the long polls that watch it or the agent on this
- * machine to which it is pushed.
+ * The protocol of the platform's discovery service: the format of its endpoint list, and the long polls that watch the
+ * service, or the agent on this machine to which it pushes the list.
  */
 package kelphollow.protocol.discovery;
--- a/src/main/java/kelphollow/protocol/mgmt/MgmtServer.java
+++ b/src/main/java/kelphollow/protocol/mgmt/MgmtServer.java
@@ -24,18 +24,18 @@
 import kelphollow.transport.LingeringClose;
 
 /**
- * The management address: each connection carries one line and gets one line back, {@code ACK ...} or
- * {@code NAK reason}, then is closed. Runs on an event loop of its own, never on the scheduler's.
+ * Server of the management protocol: each connection sends one line, gets one line back, {@code ACK ...} or
+ * {@code NAK reason}, and is closed. Runs on a separate event loop, never on the scheduler's.
  */
 public final class MgmtServer {
-    /** How long a connection may take to bring a complete line, in seconds. */
+    /** How long a connection may take to send a complete line. */
     public static final int READ_TIMEOUT_SECONDS = 5;
-    /** Connections open at once; one more closes the oldest. */
+    /** Maximum number of open connections; a further one closes the oldest. */
     public static final int MAX_CONNECTIONS = 64;
 
-    /** What carries out the calls; the answer is the whole line without its end. */
+    /** Executes commands; the result is the whole answer line without its terminator. */
     public interface CommandHandler {
-        /** Carries out a call, on the loop of the server; a failure's message goes behind {@code NAK}. */
+        /** Executes a command, lineReceived on the server's event loop; the message of a failure follows {@code NAK}. */
         CompletionStage<String> handle(MgmtLine.Command command);
     }
 
@@ -44,13 +44,13 @@
     private final ArrayDeque<Channel> open = new ArrayDeque<>();
     private Channel listener;
 
-    /** A server whose connections live on this loop. */
+    /** Creates a server whose connections run on this event loop. */
     public MgmtServer(EventLoop loop, CommandHandler handler) {
         this.loop = loop;
         this.handler = handler;
     }
 
-    /** Opens the socket; blocks until it listens; returns the address with its port. */
+    /** Binds the address and blocks until it listens; returns the bound address. */
     public InetSocketAddress listen(InetSocketAddress address) {
         listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
@@ -71,25 +71,25 @@
         open.add(channel);
         channel.closeFuture().addListener(closed -> open.remove(channel));
         channel.pipeline().addLast(new ReadTimeoutHandler(READ_TIMEOUT_SECONDS, TimeUnit.SECONDS),
-            new LineBasedFrameDecoder(MgmtLine.MAX_LENGTH, true, true), new OneLine());
+            new LineBasedFrameDecoder(MgmtLine.MAX_LENGTH, true, true), new LineHandler());
     }
 
-    /** Closes the socket; blocks until it is closed. */
+    /** Closes the listening socket; blocks until it is closed. */
     public void stop() {
         if (listener != null) {
             listener.close().syncUninterruptibly();
         }
     }
 
-    /** Reads the one line of a connection, answers and closes. */
-    private final class OneLine extends SimpleChannelInboundHandler<ByteBuf> {
-        private boolean called;
+    /** Reads one line from a connection, answers it and closes the connection. */
+    private final class LineHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private boolean lineReceived;
 
         @Override protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
-            if (called) {
-                return;   // one line a connection; what follows is not read
+            if (lineReceived) {
+                return;   // one line per connection; further input is ignored
             }
-            called = true;
+            lineReceived = true;
             MgmtLine line = MgmtLine.parse(ByteBufUtil.getBytes(frame));
             if (line instanceof MgmtLine.Invalid invalid) {
                 answer(context, "NAK " + invalid.reason());
@@ -100,16 +100,16 @@
         }
 
         @Override public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            if (called && cause instanceof TooLongFrameException) {
-                return;   // behind the line that is answered
+            if (lineReceived && cause instanceof TooLongFrameException) {
+                return;   // follows the line that is being answered
             }
-            if (called) {
+            if (lineReceived) {
                 context.close();
             } else if (cause instanceof TooLongFrameException) {
-                called = true;
+                lineReceived = true;
                 answer(context, "NAK the line is longer than " + MgmtLine.MAX_LENGTH + " bytes");
             } else if (cause instanceof ReadTimeoutException) {
-                called = true;
+                lineReceived = true;
                 answer(context, "NAK no whole line in " + READ_TIMEOUT_SECONDS + " s");
             } else {
                 context.close();
@@ -118,8 +118,8 @@
 
         private void answer(ChannelHandlerContext context, String text) {
             if (context.channel().isActive()) {
-                // What comes behind the line is read away: a close over it would reset the connection, and the answer with
-                // it. The caller closes, or the read times out.
+                // Input after the line is read and discarded: a close with unread input would reset the connection and lose
+                // the answer. The connection closes when the client closes it or the read times out.
                 context.pipeline().addFirst(new LingeringClose.Discard());
                 context.writeAndFlush(Unpooled.copiedBuffer(text + "\n", StandardCharsets.US_ASCII))
                     .addListener(sent -> ((SocketChannel) context.channel()).shutdownOutput());
--- a/src/main/java/kelphollow/protocol/mgmt/package-info.java
+++ b/src/main/java/kelphollow/protocol/mgmt/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The management line: operators' calls over TCP, one line of printable ASCII a connection, one line back. Reads and answers
- * only; what a call does is passed in as {@link kelphollow.protocol.mgmt.MgmtServer.CommandHandler}.
+ * The management protocol: operators' commands over TCP, one line of printable ASCII per connection, answered by one line.
+ * The package only parses and answers; commands are executed by a
+ * {@link kelphollow.protocol.mgmt.MgmtServer.CommandHandler}.
  */
 package kelphollow.protocol.mgmt;
--- a/src/main/java/kelphollow/protocol/peer/Cbor.java
+++ b/src/main/java/kelphollow/protocol/peer/Cbor.java
@@ -9,14 +9,14 @@
 import kelphollow.protocol.json.Json;
 
 /**
- * Writes and reads single CBOR values. The accessors throw {@link IllegalArgumentException} for what is missing or of
- * another type. Safe for any thread.
+ * Writes and reads single CBOR values. The accessors throw {@link IllegalArgumentException} if a field is missing or of
+ * another type. Thread-safe.
  */
 final class Cbor {
     private static final CBORFactory FACTORY = new CBORFactory();
     private static final int INITIAL_BYTES = 256;
-    /** Numbers are read as doubles, exact below this: epochs and counters do not reach it. */
-    private static final double EXACT_INTEGERS_BELOW = 0x1p53;
+    /** Numbers are read as doubles, which represent all integers below this exactly; epochs and counters stay below it. */
+    private static final double EXACT_INTEGER_LIMIT = 0x1p53;
 
     private Cbor() {}
 
@@ -30,18 +30,18 @@
         try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
             writer.write(out);
         } catch (IOException e) {
-            throw new IllegalStateException("memory does not fail", e);
+            throw new IllegalStateException("writing CBOR to memory failed", e);
         }
         return bytes.toByteArray();
     }
 
-    /** Exactly one value; arrays as lists, maps as maps, numbers as doubles. */
+    /** Reads exactly one value: arrays as lists, maps as maps, numbers as doubles. */
     static Object read(byte[] bytes, int length) throws IOException {
         try (JsonParser parser = FACTORY.createParser(bytes, 0, length)) {
             parser.nextToken();
             Object value = Json.read(parser);
             if (parser.nextToken() != null) {
-                throw new IOException("more than one value");
+                throw new IOException("data after the first CBOR value");
             }
             return value;
         }
@@ -49,7 +49,7 @@
 
     static Object at(List<?> fields, int index) {
         if (index < 0 || index >= fields.size()) {
-            throw new IllegalArgumentException("too short");
+            throw new IllegalArgumentException("array has " + fields.size() + " fields, field " + index + " is missing");
         }
         return fields.get(index);
     }
@@ -58,22 +58,22 @@
         if (value instanceof List<?> list) {
             return list;
         }
-        throw new IllegalArgumentException("not a list");
+        throw new IllegalArgumentException("value is not a list");
     }
 
     static String text(List<?> fields, int index) {
         if (at(fields, index) instanceof String text) {
             return text;
         }
-        throw new IllegalArgumentException("not a text");
+        throw new IllegalArgumentException("field " + index + " is not a text");
     }
 
-    /** A whole number from 0. */
+    /** Returns a field that is a non-negative integer. */
     static long integer(List<?> fields, int index) {
         if (at(fields, index) instanceof Double number && number >= 0 && number == Math.rint(number)
-            && number < EXACT_INTEGERS_BELOW) {
+            && number < EXACT_INTEGER_LIMIT) {
             return number.longValue();
         }
-        throw new IllegalArgumentException("not a whole number");
+        throw new IllegalArgumentException("field " + index + " is not a non-negative integer");
     }
 }
--- a/src/main/java/kelphollow/protocol/peer/ChannelCustomizer.java
+++ b/src/main/java/kelphollow/protocol/peer/ChannelCustomizer.java
@@ -3,15 +3,16 @@
 import io.netty.channel.ChannelPipeline;
 
 /**
- * Handlers between a {@link SocketPeerTransport} and its sockets, as a simulated network needs them; there are none in production.
+ * Adds handlers between a {@link SocketPeerTransport} and its sockets, for a simulated network; production uses {@link
+ * #NONE}.
  */
 public interface ChannelCustomizer {
-    /** No handler at all. */
+    /** Adds no handlers. */
     ChannelCustomizer NONE = new ChannelCustomizer() {};
 
-    /** Called once with the pipeline of the datagram channel while it is empty. */
+    /** Adds handlers to the still empty pipeline of the datagram channel; called once. */
     default void customizeDatagrams(ChannelPipeline pipeline) {}
 
-    /** Called with the pipeline of each full exchange that is started here while it is empty. */
+    /** Adds handlers to the still empty pipeline of a full exchange that this instance starts. */
     default void customizeExchange(ChannelPipeline pipeline) {}
 }
--- a/src/main/java/kelphollow/protocol/peer/CompareCodec.java
+++ b/src/main/java/kelphollow/protocol/peer/CompareCodec.java
@@ -11,15 +11,15 @@
 import kelphollow.membership.MemberUpdate;
 
 /**
- * The steps of a comparison of views as CBOR arrays, by position; the hashes of a summary are one byte string. Safe for any
- * thread.
+ * Encodes the messages of a view comparison as CBOR arrays with positional fields; the hashes of a summary are one byte
+ * string. Thread-safe.
  */
 final class CompareCodec {
     private static final String SUMMARY = "sum";
     private static final String VERSIONS = "versions";
     private static final String DELTA = "delta";
     static final Set<String> KINDS = Set.of(SUMMARY, VERSIONS, DELTA);
-    // Fields of an entry that has no instance state.
+    // Number of fields of an entry without an instance state.
     private static final int MEMBER_FIELDS = 4;
 
     private CompareCodec() {}
@@ -84,7 +84,7 @@
         out.writeEndArray();
     }
 
-    /** Throws {@link IllegalArgumentException} for what is no such message. */
+    /** Reads a message of one of {@link #KINDS}; throws {@link IllegalArgumentException} if its fields are malformed. */
     static AntiEntropy read(String kind, List<?> fields) {
         return switch (kind) {
             case SUMMARY -> readSummary(fields);
@@ -95,7 +95,7 @@
 
     private static AntiEntropy readSummary(List<?> fields) {
         if (!(Cbor.at(fields, 1) instanceof byte[] bytes) || bytes.length % Integer.BYTES != 0) {
-            throw new IllegalArgumentException("no hashes");
+            throw new IllegalArgumentException("hashes are not a byte string of 4-byte integers");
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
         List<Integer> hashes = new ArrayList<>();
--- a/src/main/java/kelphollow/protocol/peer/DropCounter.java
+++ b/src/main/java/kelphollow/protocol/peer/DropCounter.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Logger;
 
-/** Counts dropped packets by reason, and logs each reason at a bounded rate. For one thread. */
+/** Counts dropped packets and connections by reason, and logs each reason at most once in ten seconds. Not thread-safe. */
 final class DropCounter {
     private static final Logger LOG = Logger.getLogger(SocketPeerTransport.class.getName());
     private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
@@ -19,7 +19,7 @@
         Long lastLogged = loggedAt.get(reason);
         if (lastLogged == null || now - lastLogged > LOG_INTERVAL_NANOS) {
             loggedAt.put(reason, now);
-            LOG.warning(() -> "fleet: dropped what came from a peer: " + reason.label() + " (" + count + " so far)");
+            LOG.warning(() -> "fleet: dropped a packet or connection: " + reason.label() + " (" + count + " so far)");
         }
     }
 
--- a/src/main/java/kelphollow/protocol/peer/DropReason.java
+++ b/src/main/java/kelphollow/protocol/peer/DropReason.java
@@ -2,20 +2,20 @@
 
 import java.util.Locale;
 
-/** Why a received packet was dropped. */
+/** Why a packet or an inbound connection was dropped. */
 public enum DropReason {
-    /** Not sealed with the fleet's key, or sent by this process itself. */
+    /** The authentication code does not match the fleet's key, or this process itself sent the packet. */
     FORGED,
-    /** Its counter was used before, or its process was replaced by a later one. */
+    /** The counter was used before or is too old, or the sending process has been replaced by a later one. */
     REPLAYED,
-    /** Authentic, but no packet. */
+    /** Malformed, or of a kind that is not expected on this channel. */
     UNREADABLE,
-    /** Larger than the bound; also a packet of this instance that is too large to be sent. */
+    /** Larger than the limit; also counts outgoing datagrams that are too large to send. */
     OVERSIZED,
-    /** A connection beyond those that are served at a time. */
+    /** A connection above the limit on concurrent inbound exchanges. */
     CROWDED;
 
-    /** The word for it in the log and in {@code fleet status}. */
+    /** Returns the name of the reason in the log and in {@code fleet status}. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/kelphollow/protocol/peer/ExchangeHandler.java
+++ b/src/main/java/kelphollow/protocol/peer/ExchangeHandler.java
@@ -11,8 +11,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One side of a full exchange. The called side sends a challenge; the caller's packet is sealed over it, and the answer
- * over the code of that packet. So no recorded exchange is accepted. Frames have a length of four bytes.
+ * One side of a full exchange. The responder sends a challenge; the caller's packet is authenticated together with it, and
+ * the response together with the authentication code of that packet, so a recorded exchange cannot be replayed. Frames
+ * have a four-byte length prefix.
  */
 abstract class ExchangeHandler extends SimpleChannelInboundHandler<ByteBuf> {
     static final int CHALLENGE_BYTES = 16;
@@ -25,7 +26,7 @@
         this.drops = drops;
     }
 
-    /** Adds the time-out and the framing. */
+    /** Adds the read timeout and the framing. */
     static void addFraming(Channel channel) {
         channel.pipeline().addLast(new ReadTimeoutHandler(TIMEOUT_SECONDS, TimeUnit.SECONDS),
             new LengthFieldBasedFrameDecoder(SocketPeerTransport.MAX_EXCHANGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
--- a/src/main/java/kelphollow/protocol/peer/Packet.java
+++ b/src/main/java/kelphollow/protocol/peer/Packet.java
@@ -6,14 +6,14 @@
 import kelphollow.membership.MemberUpdate;
 import kelphollow.membership.Message;
 
-/** What instances send each other. */
+/** A packet that instances send to each other. */
 public sealed interface Packet {
-    /** One datagram: a membership message with piggybacked states of the digest. */
+    /** A datagram with a membership message and piggybacked instance states. */
     record Membership(Message message, List<InstanceState> states) implements Packet {}
 
-    /** One side of a full exchange. */
+    /** One side of a full exchange: all member updates and instance states that it sends. */
     record FullExchange(List<MemberUpdate> updates, List<InstanceState> states) implements Packet {}
 
-    /** One datagram: a step of a comparison of views. */
+    /** A datagram with one message of a view comparison. */
     record Comparison(AntiEntropy message) implements Packet {}
 }
--- a/src/main/java/kelphollow/protocol/peer/PacketOpener.java
+++ b/src/main/java/kelphollow/protocol/peer/PacketOpener.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 
-/** Authenticates and decodes what was received, or drops it and counts why. For one thread. */
+/** Authenticates and decodes received packets; drops and counts those that it rejects. Not thread-safe. */
 final class PacketOpener {
-    /** A packet and the name of its authenticated sender. */
+    /** A packet and its authenticated sender's name. */
     record Opened(String from, Packet packet) {}
 
     private final String self;
@@ -21,7 +21,11 @@
         this.traffic = traffic;
     }
 
-    /** Null for what was dropped. {@code challenge}: what the sender had to cover; empty for a datagram. */
+    /**
+     * Opens a received packet; returns null if it was dropped.
+     *
+     * @param challenge what the sender had to include in the authentication; empty for a datagram
+     */
     Opened open(byte[] bytes, byte[] challenge) {
         Seal.Envelope envelope = sealer.seal().open(bytes, challenge);
         if (envelope == null || isOwn(envelope)) {
--- a/src/main/java/kelphollow/protocol/peer/PacketSealer.java
+++ b/src/main/java/kelphollow/protocol/peer/PacketSealer.java
@@ -7,8 +7,8 @@
 import kelphollow.digest.InstanceState;
 
 /**
- * Encodes the packets of one process and seals them: name, epoch, incarnation id and a counter that never repeats, by
- * which a replay is detected. For one thread.
+ * Encodes and seals the packets of one process. Each is sent with the process's name, epoch and incarnation id, and a
+ * counter that never repeats, by which receivers detect replays. Not thread-safe.
  */
 public final class PacketSealer {
     private static final int INCARNATION_ID_BYTES = 8;
@@ -20,8 +20,10 @@
     private long counter;
 
     /**
-     * @param epoch number of this process, read for each packet
-     * @param key the fleet's, at least 16 bytes; an {@link IllegalArgumentException} is thrown if it is shorter
+     * Creates a sealer with a random incarnation id.
+     *
+     * @param epoch supplies the epoch of this process, read for each packet
+     * @param key the fleet's key, at least 16 bytes; an {@link IllegalArgumentException} is thrown if it is shorter
      */
     public PacketSealer(String name, LongSupplier epoch, byte[] key) {
         this.name = name;
@@ -32,7 +34,7 @@
         this.incarnationId = HexFormat.of().formatHex(id);
     }
 
-    /** Tells this process from others of the same name and epoch. */
+    /** Returns the id that distinguishes this process from others of the same name and epoch. */
     String incarnationId() {
         return incarnationId;
     }
@@ -42,12 +44,12 @@
     }
 
     /**
-     * A datagram, of at most {@link SocketPeerTransport#MAX_DATAGRAM_BYTES} unless it is no {@link Packet.Membership}, and how
-     * many states fit into it.
+     * A sealed datagram and the number of states in it. A {@link Packet.Membership} without any states, and other packets,
+     * may exceed {@link SocketPeerTransport#MAX_DATAGRAM_BYTES}.
      */
     public record Datagram(byte[] bytes, int states) {}
 
-    /** The datagram, less the states that do not fit. */
+    /** Seals a packet as a datagram; omits states from the end of the list until a {@link Packet.Membership} fits. */
     public Datagram datagram(Packet packet) {
         if (!(packet instanceof Packet.Membership membership)) {
             return new Datagram(sealed(packet, Seal.NO_CHALLENGE), 0);
@@ -65,7 +67,7 @@
         return sealed(new Packet.Membership(packet.message(), states), Seal.NO_CHALLENGE);
     }
 
-    /** One side of a full exchange, sealed over the challenge of the other. */
+    /** Encodes a packet and authenticates it together with the challenge of the other side. */
     public byte[] sealed(Packet packet, byte[] challenge) {
         Seal.Envelope envelope = new Seal.Envelope(name, epoch.getAsLong(), incarnationId, ++counter, PeerCodec.write(
             packet));
--- a/src/main/java/kelphollow/protocol/peer/PeerCodec.java
+++ b/src/main/java/kelphollow/protocol/peer/PeerCodec.java
@@ -8,8 +8,8 @@
 import kelphollow.membership.Message;
 
 /**
- * Packets as CBOR arrays, by position: a word for the kind, the fields of the kind, updates, states. Faulty ones are
- * rejected as a whole. Safe for any thread.
+ * Encodes packets as CBOR arrays with positional fields: the kind, the fields of the kind, updates, states. A malformed
+ * packet is rejected as a whole. Thread-safe.
  */
 final class PeerCodec {
     private static final String FULL_EXCHANGE = "full";
@@ -40,7 +40,7 @@
         });
     }
 
-    /** Writes what comes before a message's updates. */
+    /** Writes the fields that precede a message's updates. */
     private static final Message.Visitor<Cbor.Writer> HEAD = new Message.Visitor<>() {
         @Override public Cbor.Writer ping(Message.Ping ping) {
             return out -> {
@@ -74,7 +74,7 @@
         out.writeNumber(sequence);
     }
 
-    /** Throws {@link IllegalArgumentException} or {@link IOException} for what is no packet. */
+    /** Reads a packet; throws {@link IllegalArgumentException} or {@link IOException} if it is malformed. */
     static Packet read(byte[] bytes) throws IOException {
         List<?> fields = Cbor.list(Cbor.read(bytes, bytes.length));
         String kind = Cbor.text(fields, 0);
@@ -93,7 +93,7 @@
             case ACK -> new Packet.Membership(new Message.Ack(Cbor.integer(fields, 1), updates), states);
             case NACK -> new Packet.Membership(new Message.Nack(Cbor.integer(fields, 1), updates), states);
             case GOSSIP -> new Packet.Membership(new Message.Gossip(updates), states);
-            default -> throw new IllegalArgumentException("no such packet");
+            default -> throw new IllegalArgumentException("unknown packet kind");
         };
     }
 }
--- a/src/main/java/kelphollow/protocol/peer/PeerListener.java
+++ b/src/main/java/kelphollow/protocol/peer/PeerListener.java
@@ -1,16 +1,16 @@
 package kelphollow.protocol.peer;
 
-/** Takes authenticated packets. Calls come on the transport's loop. */
+/** Receives authenticated packets. Called on the transport's event loop. */
 public interface PeerListener {
-    /** A membership message with piggybacked states. */
+    /** A membership message with piggybacked states was received. */
     void membershipReceived(String from, Packet.Membership packet);
 
-    /** A step of a comparison of views. */
+    /** A message of a view comparison was received. */
     void comparisonReceived(String from, Packet.Comparison packet);
 
-    /** The other side of an exchange that {@code from} started; returns this side's. */
+    /** An exchange that {@code from} started: receives its packet and returns this instance's. */
     Packet.FullExchange exchangeRequested(String from, Packet.FullExchange theirs);
 
-    /** The other side of an exchange that was started here. */
+    /** An exchange that this instance started has succeeded: receives the response of {@code from}. */
     void exchangeAnswered(String from, Packet.FullExchange theirs);
 }
--- a/src/main/java/kelphollow/protocol/peer/RecordCodec.java
+++ b/src/main/java/kelphollow/protocol/peer/RecordCodec.java
@@ -10,13 +10,13 @@
 import kelphollow.membership.MemberUpdate;
 
 /**
- * Member updates and instance states as CBOR arrays, by position. Reading throws {@link IllegalArgumentException} for
- * what is no such record. Safe for any thread.
+ * Encodes member updates and instance states as CBOR arrays with positional fields. Reading throws
+ * {@link IllegalArgumentException} if a record is malformed. Thread-safe.
  */
 final class RecordCodec {
     private RecordCodec() {}
 
-    /** The letter for a member's state. */
+    /** Returns the letter that stands for a member's state in a packet. */
     static String letterOf(MemberUpdate.State state) {
         return switch (state) {
             case ALIVE -> "a";
@@ -32,7 +32,7 @@
             case "s" -> MemberUpdate.State.SUSPECT;
             case "d" -> MemberUpdate.State.DEAD;
             case "l" -> MemberUpdate.State.LEFT;
-            default -> throw new IllegalArgumentException("no such state");
+            default -> throw new IllegalArgumentException("unknown member state");
         };
     }
 
@@ -97,7 +97,7 @@
 
     private static InstanceState readState(List<?> fields) {
         if (!(Cbor.at(fields, 4) instanceof Map<?, ?> subjects) || !(Cbor.at(fields, 3) instanceof Double age)) {
-            throw new IllegalArgumentException("not an instance state");
+            throw new IllegalArgumentException("instance state: age is not a number or subjects are not a map");
         }
         Map<String, Map<String, Double>> read = new TreeMap<>();
         subjects.forEach((subject, values) -> read.put((String) subject, readValues(values)));
@@ -106,12 +106,12 @@
 
     private static Map<String, Double> readValues(Object values) {
         if (!(values instanceof Map<?, ?> byKey)) {
-            throw new IllegalArgumentException("not a map of values");
+            throw new IllegalArgumentException("instance state: the values of a subject are not a map");
         }
         Map<String, Double> read = new TreeMap<>();
         byKey.forEach((key, value) -> {
             if (!(value instanceof Double number)) {
-                throw new IllegalArgumentException("not a number");
+                throw new IllegalArgumentException("instance state: a value is not a number");
             }
             read.put((String) key, number);
         });
--- a/src/main/java/kelphollow/protocol/peer/ReplayGuard.java
+++ b/src/main/java/kelphollow/protocol/peer/ReplayGuard.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 
 /**
- * Accepts each counter of a process once: a sliding window as in IPsec (RFC 4303, section 3.4.3). A process is replaced
- * by one of a higher epoch, or of the same epoch if it answered a challenge; replaced ones are not accepted again.
- * Bounded in names; for one thread.
+ * Accepts each packet counter of a process once, by a sliding window as in IPsec (RFC 4303, section 3.4.3). A process is
+ * replaced by one with a higher epoch, or with the same epoch if it answered a challenge; a replaced process is not
+ * accepted again. Keeps a bounded number of names. Not thread-safe.
  */
 final class ReplayGuard {
-    /** Counters that may arrive late, behind the highest seen. */
+    /** Size of the window: a counter is rejected as too old if it is this far or further below the highest seen. */
     static final int WINDOW = 1_024;
-    private static final int MAX_REPLACED = 16;
+    private static final int MAX_REPLACED_IDS = 16;
 
-    /** The current process of one name. */
+    /** The state kept for one name: its current process and the ids of those that it replaced. */
     private static final class Sender {
         private final BitSet seen = new BitSet(WINDOW);
         private final ArrayDeque<String> replacedIds = new ArrayDeque<>();
@@ -28,7 +28,7 @@
             adopt(first);
         }
 
-        /** The process of this packet becomes the current one. */
+        /** Makes the sender of this packet the current process. */
         void adopt(Seal.Envelope envelope) {
             incarnationId = envelope.incarnationId();
             epoch = envelope.epoch();
@@ -38,7 +38,7 @@
         }
 
         void replaceBy(Seal.Envelope envelope) {
-            if (replacedIds.size() >= MAX_REPLACED) {
+            if (replacedIds.size() >= MAX_REPLACED_IDS) {
                 replacedIds.poll();
             }
             replacedIds.add(incarnationId);
@@ -59,7 +59,7 @@
             return true;
         }
 
-        /** Moves the window on, and clears what it leaves behind for the counters to come. */
+        /** Advances the window and clears the bits of the counters that enter it, which are reused. */
         private void advanceTo(long counter) {
             if (counter - highest > WINDOW) {
                 seen.clear();
@@ -77,18 +77,22 @@
     }
 
     private final int maxNames;
-    /** By name, the one accessed longest ago first. */
+    /** By name, in access order, least recently used first. */
     private final Map<String, Sender> senders = new LinkedHashMap<>(16, 0.75f, true);
 
     ReplayGuard(int maxNames) {
         this.maxNames = maxNames;
     }
 
-    /** Whether the packet is new. {@code challenged}: it answers a challenge made just now, so it is no replay. */
+    /**
+     * Whether the packet is accepted as new; records it if so.
+     *
+     * @param challenged whether the packet answers a challenge of this exchange and thus cannot be a replay
+     */
     boolean accept(Seal.Envelope envelope, boolean challenged) {
         Sender sender = senders.get(envelope.name());
         if (sender == null) {
-            ensureCapacity();
+            evictIfFull();
             senders.put(envelope.name(), new Sender(envelope));
             return true;
         }
@@ -99,7 +103,7 @@
         return sender.acceptCounter(envelope.counter());
     }
 
-    private void ensureCapacity() {
+    private void evictIfFull() {
         if (senders.size() >= maxNames) {
             Iterator<String> names = senders.keySet().iterator();
             names.next();
@@ -109,7 +113,7 @@
 
     private static boolean acceptOtherProcess(Sender sender, Seal.Envelope envelope, boolean challenged) {
         if (challenged && envelope.epoch() < sender.epoch) {
-            return true;               // it runs, and must learn of the later process, which it does not replace
+            return true;               // accepted, so that it learns of the later process, but does not replace it
         }
         boolean outdated = !challenged && envelope.epoch() <= sender.epoch;
         if (outdated || sender.replacedIds.contains(envelope.incarnationId())) {
--- a/src/main/java/kelphollow/protocol/peer/Seal.java
+++ b/src/main/java/kelphollow/protocol/peer/Seal.java
@@ -10,37 +10,38 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Authenticates packets: HMAC-SHA256 (RFC 2104) under the fleet's key over name, epoch, incarnation id, counter and
- * payload, and over the challenge of the other side where there is one. For one thread. The key is shared, so any
- * member could speak for any other: it keeps strangers out, not a malicious member.
+ * Authenticates packets by HMAC-SHA256 (RFC 2104) with the fleet's key over name, epoch, incarnation id, counter and
+ * payload, and over the other side's challenge in an exchange. The key is shared, so any member can impersonate any other:
+ * it keeps out non-members, not a malicious member. Not thread-safe.
  */
 final class Seal {
-    /** Shortest key, in bytes. */
+    /** Minimum length of the key. */
     static final int MIN_KEY_BYTES = 16;
     static final byte[] NO_CHALLENGE = new byte[0];
     static final int MAC_BYTES = 32;
     private static final String ALGORITHM = "HmacSHA256";
 
     /**
-     * What is sealed.
+     * The authenticated content of a packet.
      *
-     * @param incarnationId tells two processes of one name and epoch apart
-     * @param counter higher with each packet of a process
+     * @param incarnationId distinguishes processes of the same name and epoch
+     * @param counter increases with each packet of a process
      */
     record Envelope(String name, long epoch, String incarnationId, long counter, byte[] payload) {}
 
     private final Mac mac;
 
-    /** Throws {@link IllegalArgumentException} for a key that is too short. */
+    /** Creates a seal; throws {@link IllegalArgumentException} if the key is shorter than {@link #MIN_KEY_BYTES}. */
     Seal(byte[] key) {
         if (key.length < MIN_KEY_BYTES) {
-            throw new IllegalArgumentException("a key has at least " + MIN_KEY_BYTES + " bytes");
+            throw new IllegalArgumentException("fleet key has " + key.length + " bytes, at least " + MIN_KEY_BYTES
+                + " are required");
         }
         try {
             mac = Mac.getInstance(ALGORITHM);
             mac.init(new SecretKeySpec(key, ALGORITHM));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("every JDK has " + ALGORITHM, e);
+            throw new IllegalStateException(ALGORITHM + " is not available", e);
         }
     }
 
@@ -55,21 +56,21 @@
             out.writeEndArray();
         });
         byte[] sealed = Arrays.copyOf(body, body.length + MAC_BYTES);
-        System.arraycopy(authenticationCode(challenge, body, body.length), 0, sealed, body.length, MAC_BYTES);
+        System.arraycopy(computeMac(challenge, body, body.length), 0, sealed, body.length, MAC_BYTES);
         return sealed;
     }
 
-    private byte[] authenticationCode(byte[] challenge, byte[] bytes, int length) {
+    private byte[] computeMac(byte[] challenge, byte[] bytes, int length) {
         mac.update((byte) challenge.length);
         mac.update(challenge);
         mac.update(bytes, 0, length);
         return mac.doFinal();
     }
 
-    /** Returns null for what is not authentic; nothing of it is parsed before that. */
+    /** Verifies and parses a packet; returns null if it is not authentic or malformed. Verifies before it parses. */
     Envelope open(byte[] sealed, byte[] challenge) {
         int length = sealed.length - MAC_BYTES;
-        if (length <= 0 || !MessageDigest.isEqual(authenticationCode(challenge, sealed, length),
+        if (length <= 0 || !MessageDigest.isEqual(computeMac(challenge, sealed, length),
             Arrays.copyOfRange(sealed, length, sealed.length))) {
             return null;
         }
@@ -86,13 +87,13 @@
         }
     }
 
-    /** The last bytes of a sealed packet, which an answer must cover so that it answers this very packet. */
-    static byte[] codeOf(byte[] sealed) {
+    /** Returns the authentication code of a sealed packet; it is the challenge of the response to that packet. */
+    static byte[] macOf(byte[] sealed) {
         return Arrays.copyOfRange(sealed, Math.max(0, sealed.length - MAC_BYTES), sealed.length);
     }
 
-    /** The key in a file: all its bytes but surrounding white space. */
-    static byte[] key(byte[] file) {
-        return new String(file, StandardCharsets.ISO_8859_1).strip().getBytes(StandardCharsets.ISO_8859_1);
+    /** Returns the key in a key file: its content without surrounding white space. */
+    static byte[] key(byte[] fileContent) {
+        return new String(fileContent, StandardCharsets.ISO_8859_1).strip().getBytes(StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/main/java/kelphollow/protocol/peer/SocketPeerTransport.java
+++ b/src/main/java/kelphollow/protocol/peer/SocketPeerTransport.java
@@ -26,19 +26,19 @@
 import java.util.logging.Logger;
 
 /**
- * The sockets between instances: one port, UDP for {@link Packet.Membership} and {@link Packet.Comparison}, TCP for
- * {@link Packet.FullExchange}. Confined to the event loop that it is given. Datagrams are guarded against replay by
- * counters, exchanges by challenges, see {@link ExchangeHandler}.
+ * Transport over sockets on one port: UDP for {@link Packet.Membership} and {@link Packet.Comparison}, TCP for
+ * {@link Packet.FullExchange}. Datagrams are protected against replay by counters, exchanges by challenges, see
+ * {@link ExchangeHandler}. Confined to the event loop that it is given, except {@link #listen}.
  */
 public final class SocketPeerTransport implements PeerTransport {
     private static final Logger LOG = Logger.getLogger(SocketPeerTransport.class.getName());
-    /** Largest datagram, in bytes; states that do not fit wait for a full exchange. */
+    /** Largest datagram, in bytes; states that do not fit are sent in a full exchange. */
     public static final int MAX_DATAGRAM_BYTES = 8_192;
-    /** Largest side of a full exchange, in bytes. */
+    /** Largest frame of a full exchange, in bytes. */
     public static final int MAX_EXCHANGE_BYTES = 1 << 20;
-    /** What IP and UDP add to a datagram, in bytes. */
+    /** Headers of IP and UDP on a datagram, in bytes. */
     public static final int HEADER_BYTES = 28;
-    private static final int MAX_CALLERS = 32;
+    private static final int MAX_INBOUND_EXCHANGES = 32;
     private static final int CONNECT_TIMEOUT_MILLIS = ExchangeHandler.TIMEOUT_SECONDS * 1_000;
 
     private final EventLoop loop;
@@ -51,19 +51,21 @@
     private final SecureRandom random = new SecureRandom();
     private Channel datagramChannel;
     private Channel serverChannel;
-    private int callers;
+    private int inboundExchanges;
 
     /**
-     * @param epoch number of this process, read for each packet
-     * @param key the fleet's, at least 16 bytes; an {@link IllegalArgumentException} is thrown if it is shorter
-     * @param maxMembers instances whose counters are remembered
+     * Creates a transport; it sends and receives after {@link #listen}.
+     *
+     * @param epoch supplies the epoch of this process, read for each packet
+     * @param key the fleet's key, at least 16 bytes; an {@link IllegalArgumentException} is thrown if it is shorter
+     * @param maxMembers number of instances whose packet counters are kept against replay
      */
     public SocketPeerTransport(EventLoop loop, String name, LongSupplier epoch, byte[] key, int maxMembers,
         PeerListener listener) {
         this(loop, name, epoch, key, maxMembers, listener, ChannelCustomizer.NONE);
     }
 
-    /** The same with further handlers on its channels. */
+    /** Creates a transport with further handlers on its channels. */
     public SocketPeerTransport(EventLoop loop, String name, LongSupplier epoch, byte[] key, int maxMembers,
         PeerListener listener,
         ChannelCustomizer customizer) {
@@ -74,18 +76,18 @@
         this.customizer = customizer;
     }
 
-    // ---------------------------------------------------------------- opening
+    // ---------------------------------------------------------------- open and close
 
-    /** Opens both sockets on one port. */
+    /** Opens the TCP and the UDP socket on one port. */
     @Override public InetSocketAddress listen(InetSocketAddress at) throws IOException {
-        serverChannel = opened(new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        serverChannel = awaitBound(new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true).childHandler(new ChannelInitializer<Channel>() {
                 @Override protected void initChannel(Channel channel) {
                     accept(channel);
                 }
             }).bind(at));
         InetSocketAddress bound = (InetSocketAddress) serverChannel.localAddress();
-        datagramChannel = opened(new Bootstrap().group(loop).channel(NioDatagramChannel.class)
+        datagramChannel = awaitBound(new Bootstrap().group(loop).channel(NioDatagramChannel.class)
             .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES + 1))
             .handler(new ChannelInitializer<Channel>() {
                 @Override protected void initChannel(Channel channel) {
@@ -96,7 +98,7 @@
         return bound;
     }
 
-    private Channel opened(ChannelFuture binding) throws IOException {
+    private Channel awaitBound(ChannelFuture binding) throws IOException {
         try {
             binding.await();
         } catch (InterruptedException e) {
@@ -156,7 +158,7 @@
         }
 
         @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            LOG.fine(() -> "fleet: " + cause);      // a closed port answers a datagram by ICMP: the peer is away
+            LOG.fine(() -> "fleet: datagram channel: " + cause);      // e.g. ICMP port unreachable: the peer is down
         }
     }
 
@@ -181,20 +183,20 @@
     }
 
     private void accept(Channel channel) {
-        if (callers >= MAX_CALLERS) {
+        if (inboundExchanges >= MAX_INBOUND_EXCHANGES) {
             drops.count(DropReason.CROWDED);
             channel.close();
             return;
         }
-        callers++;
-        channel.closeFuture().addListener(closed -> callers--);
+        inboundExchanges++;
+        channel.closeFuture().addListener(closed -> inboundExchanges--);
         ExchangeHandler.addFraming(channel);
         byte[] challenge = new byte[ExchangeHandler.CHALLENGE_BYTES];
         random.nextBytes(challenge);
         channel.pipeline().addLast(new ExchangeResponder(challenge));
     }
 
-    /** The called side: challenge out, theirs in, ours out, close. */
+    /** The responding side: sends a challenge, receives the caller's packet, sends its own and closes. */
     private final class ExchangeResponder extends ExchangeHandler {
         private final byte[] challenge;
 
@@ -212,7 +214,7 @@
             PacketOpener.Opened opened = opener.open(bytes, challenge);
             if (opened != null && opened.packet() instanceof Packet.FullExchange theirs) {
                 Packet.FullExchange ours = listener.exchangeRequested(opened.from(), theirs);
-                ctx.writeAndFlush(Unpooled.wrappedBuffer(sealed(ours, Seal.codeOf(bytes))))
+                ctx.writeAndFlush(Unpooled.wrappedBuffer(sealed(ours, Seal.macOf(bytes))))
                     .addListener(ChannelFutureListener.CLOSE);
             } else {
                 ctx.close();
@@ -220,12 +222,12 @@
         }
     }
 
-    /** The calling side: challenge in, ours out, theirs in, close. */
+    /** The calling side: receives the challenge, sends its packet, receives the responder's and closes. */
     private final class ExchangeCaller extends ExchangeHandler {
         private final String with;
         private final Packet.FullExchange ours;
-        /** Of the packet that was sent; null until then. */
-        private byte[] sentCode;
+        /** Authentication code of the packet that was sent; null before that. */
+        private byte[] sentMac;
 
         ExchangeCaller(String with, Packet.FullExchange ours) {
             super(drops);
@@ -234,11 +236,11 @@
         }
 
         @Override protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            if (sentCode == null) {
+            if (sentMac == null) {
                 answerChallenge(ctx, ByteBufUtil.getBytes(frame));
                 return;
             }
-            PacketOpener.Opened opened = opener.open(ByteBufUtil.getBytes(frame), sentCode);
+            PacketOpener.Opened opened = opener.open(ByteBufUtil.getBytes(frame), sentMac);
             if (opened != null && opened.from().equals(with) && opened.packet() instanceof Packet.FullExchange theirs) {
                 listener.exchangeAnswered(with, theirs);
             }
@@ -252,7 +254,7 @@
                 return;
             }
             byte[] bytes = sealed(ours, challenge);
-            sentCode = Seal.codeOf(bytes);
+            sentMac = Seal.macOf(bytes);
             ctx.writeAndFlush(Unpooled.wrappedBuffer(bytes));
         }
     }
--- a/src/main/java/kelphollow/protocol/peer/Traffic.java
+++ b/src/main/java/kelphollow/protocol/peer/Traffic.java
@@ -4,11 +4,11 @@
 import kelphollow.membership.Message;
 
 /**
- * Counts packets and their bytes by kind and direction, so that the cost of one part of the protocol can be told from
- * the rest. Bytes are those of the payload with its seal, without the headers of IP, UDP and TCP. For one thread.
+ * Counts packets and their bytes by kind and direction, which shows the cost of each part of the protocol. Bytes include
+ * the seal but not the headers of IP, UDP and TCP. Not thread-safe.
  */
 public final class Traffic {
-    /** What a packet is for; an exchange counts once for each side of it. */
+    /** Kinds of packets; each side of a full exchange counts as one packet. */
     public enum Kind {
         /** See {@link Message.Ping}. */
         PING,
@@ -25,13 +25,13 @@
         /** See {@link Packet.FullExchange}. */
         EXCHANGE;
 
-        /** The word for it in reports. */
+        /** Returns the name of the kind in reports. */
         public String label() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** Packets and bytes of one direction by kind. */
+    /** Packets and bytes of one direction, by kind. */
     private static final class Counters {
         private final long[] packets = new long[Kind.values().length];
         private final long[] bytes = new long[Kind.values().length];
@@ -42,7 +42,7 @@
         }
     }
 
-    private static final class KindOfMessage implements Message.Visitor<Kind> {
+    private static final class KindVisitor implements Message.Visitor<Kind> {
         @Override public Kind ping(Message.Ping ping) {
             return Kind.PING;
         }
@@ -64,45 +64,45 @@
         }
     }
 
-    private static final KindOfMessage KIND_OF_MESSAGE = new KindOfMessage();
+    private static final KindVisitor KIND_VISITOR = new KindVisitor();
 
     private final Counters sent = new Counters();
     private final Counters received = new Counters();
 
-    /** The kind of a packet. */
+    /** Returns the kind of a packet. */
     public static Kind kind(Packet packet) {
         if (packet instanceof Packet.Membership membership) {
-            return membership.message().accept(KIND_OF_MESSAGE);
+            return membership.message().accept(KIND_VISITOR);
         }
         return packet instanceof Packet.Comparison ? Kind.COMPARE : Kind.EXCHANGE;
     }
 
-    /** Counts a packet that is sent. */
+    /** Counts a sent packet. */
     public void sent(Kind kind, long bytes) {
         sent.count(kind, bytes);
     }
 
-    /** Counts a packet that was received and authenticated. */
+    /** Counts a received, authenticated and decoded packet. */
     public void received(Kind kind, long bytes) {
         received.count(kind, bytes);
     }
 
-    /** Packets sent so far. */
+    /** Returns the number of packets sent. */
     public long packetsOut(Kind kind) {
         return sent.packets[kind.ordinal()];
     }
 
-    /** Bytes sent so far. */
+    /** Returns the number of bytes sent. */
     public long bytesOut(Kind kind) {
         return sent.bytes[kind.ordinal()];
     }
 
-    /** Packets received so far. */
+    /** Returns the number of packets received. */
     public long packetsIn(Kind kind) {
         return received.packets[kind.ordinal()];
     }
 
-    /** Bytes received so far. */
+    /** Returns the number of bytes received. */
     public long bytesIn(Kind kind) {
         return received.bytes[kind.ordinal()];
     }
--- a/src/test/java/kelphollow/protocol/discovery/DiscoveryListParserTest.java
+++ b/src/test/java/kelphollow/protocol/discovery/DiscoveryListParserTest.java
@@ -13,7 +13,7 @@
 import kelphollow.protocol.json.Json;
 import org.junit.jupiter.api.Test;
 
-/** How discovery's JSON form of an endpoint list is read, and which faults are named. */
+/** Checks how discovery's JSON form of an endpoint list is parsed and how malformed lists are reported. */
 class DiscoveryListParserTest {
     private static final String ROW =
         "{\"host\":\"a\",\"dial\":\"10.1.2.3:7000\",\"site\":\"z\",\"block\":4,\"health\":\"ready\",\"born_ms\":5}";
@@ -27,7 +27,7 @@
         return parse(text).endpoints().get(0).endpoint();
     }
 
-    @Test void aListIsRead() throws IOException {
+    @Test void completeListIsParsed() throws IOException {
         DiscoveryList list = parse(LIST);
 
         assertEquals(7, list.version());
@@ -37,27 +37,27 @@
         assertEquals(new InetSocketAddress("10.1.2.3", 7000), list.endpoints().get(0).address());
     }
 
-    @Test void aListThatDoesNotSaySoIsAChange() throws IOException {
+    @Test void listWithoutTheCompleteFlagIsAChange() throws IOException {
         assertFalse(parse(LIST.replace("\"whole\":true,", "")).complete());
     }
 
-    @Test void eachWordForAStateIsMapped() throws IOException {
+    @Test void eachHealthValueIsMapped() throws IOException {
         assertEquals(EndpointState.DRAINING, endpoint(LIST.replace("ready", "draining")).state());
         assertEquals(EndpointState.REMOVED, endpoint(LIST.replace("ready", "gone")).state());
     }
 
-    @Test void zoneAndStartMayBeMissing() throws IOException {
+    @Test void zoneAndStartTimeAreOptional() throws IOException {
         Endpoint endpoint = endpoint(LIST.replace("\"site\":\"z\",", "").replace(",\"born_ms\":5", ""));
 
         assertNull(endpoint.zone());
         assertEquals(0, endpoint.startedAt());
     }
 
-    @Test void aFaultIsNamed() {
+    @Test void malformedListIsReportedByKey() {
         String[][] faults = {
-            {"\"hosts\":", "\"nodes\":", "'hosts' is missing"},
-            {ROW, "7", "a host is not an object"},
-            {"ready", "fine", "'health' is 'fine'"},
+            {"\"hosts\":", "\"nodes\":", "'hosts' is missing or not a list"},
+            {ROW, "7", "an element of 'hosts' is not an object"},
+            {"ready", "fine", "'health' is 'fine', expected ready, draining or gone"},
             {"\"host\":\"a\"", "\"host\":\"\"", "'host' is missing or not a text"},
             {"\"block\":4", "\"block\":\"x\"", "'block' is missing or not a number"},
             {"10.1.2.3:7000", "10.1.2.3", "'dial' is '10.1.2.3', not ADDRESS:PORT"},
--- a/src/test/java/kelphollow/protocol/mgmt/MgmtServerTest.java
+++ b/src/test/java/kelphollow/protocol/mgmt/MgmtServerTest.java
@@ -19,16 +19,16 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The management line on the loopback: one line in, one line back, whatever else holds a connection. */
+/** Checks over loopback that each management connection is answered by one line, whatever other connections do. */
 class MgmtServerTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final List<MgmtLine.Command> calls = new ArrayList<>();
-    private final MgmtServer server = new MgmtServer(group.next(), call -> {
-        synchronized (calls) {
-            calls.add(call);
+    private final List<MgmtLine.Command> commands = new ArrayList<>();
+    private final MgmtServer server = new MgmtServer(group.next(), command -> {
+        synchronized (commands) {
+            commands.add(command);
         }
-        return CompletableFuture.completedFuture(call.verb() == MgmtLine.Verb.STATUS ? "ACK ready"
-            : "ACK " + call.node());
+        return CompletableFuture.completedFuture(command.verb() == MgmtLine.Verb.STATUS ? "ACK ready"
+            : "ACK " + command.node());
     });
     private final InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0));
 
@@ -54,17 +54,17 @@
         return call(line.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    @Test void eachCallIsAnsweredAndInvalidLinesAreRejected() throws Exception {
+    @Test void commandsAreAnsweredAndInvalidLinesRejected() throws Exception {
         assertEquals("ACK ready", call("status\n"));
         assertEquals("ACK s-1", call("maint-on s-1\r\n"));
         assertTrue(call("reboot\n").startsWith("NAK unknown call"));
         assertTrue(call("maint-off\n").startsWith("NAK maint-off takes one"));
         assertTrue(call("status \u0001\n").startsWith("NAK the line holds bytes"));
         assertTrue(call("x".repeat(10_000)).startsWith("NAK the line is longer"));
-        assertEquals(2, calls.size(), "invalid lines carry nothing out");
+        assertEquals(2, commands.size(), "invalid lines execute nothing");
     }
 
-    @Test void whatComesBehindTheLineDoesNotResetItsAnswer() throws Exception {
+    @Test void inputAfterTheLineDoesNotResetTheAnswer() throws Exception {
         try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write(("status\n" + "x".repeat(100_000)).getBytes(StandardCharsets.US_ASCII));
@@ -72,7 +72,7 @@
         }
     }
 
-    @Test void silentCallersDoNotHoldUpTheOthers() throws Exception {
+    @Test void silentConnectionsDoNotDelayOthers() throws Exception {
         List<Socket> silent = new ArrayList<>();
         try {
             for (int i = 0; i < 20; i++) {
@@ -90,7 +90,7 @@
         }
     }
 
-    @Test void oneConnectionTooManyClosesTheOldest() throws Exception {
+    @Test void connectionAboveTheLimitClosesTheOldest() throws Exception {
         List<Socket> silent = new ArrayList<>();
         try {
             for (int i = 0; i < MgmtServer.MAX_CONNECTIONS + 5; i++) {
@@ -98,7 +98,7 @@
             }
             assertEquals("ACK ready", call("status\n"));
             silent.get(0).setSoTimeout(3_000);
-            assertEquals(-1, silent.get(0).getInputStream().read(), "the oldest silent caller was closed");
+            assertEquals(-1, silent.get(0).getInputStream().read(), "the oldest silent connection is closed");
         } finally {
             for (Socket socket : silent) {
                 socket.close();
--- a/src/test/java/kelphollow/protocol/peer/PacketSizes.java
+++ b/src/test/java/kelphollow/protocol/peer/PacketSizes.java
@@ -5,17 +5,17 @@
 
 /** Sizes of encoded packets, for simulations without sockets. */
 public final class PacketSizes {
-    /** What {@link Seal} adds with a name of thirteen characters, in bytes. */
+    /** Bytes that {@link Seal} adds to a packet whose sender has a name of 13 characters. */
     public static final int SEAL_BYTES = 80;
 
     private PacketSizes() {}
 
-    /** Bytes of a packet as the codec writes it, less header and seal. */
+    /** Returns the size of an encoded packet in bytes, without headers and seal. */
     public static int of(Packet packet) {
         return PeerCodec.write(packet).length;
     }
 
-    /** The packet as the other end reads it. */
+    /** Encodes and decodes a packet: returns it as the receiver reads it. */
     public static Packet roundTrip(Packet packet) {
         try {
             return PeerCodec.read(PeerCodec.write(packet));
@@ -24,7 +24,7 @@
         }
     }
 
-    /** The same message without states. */
+    /** Returns the packet without its piggybacked states. */
     public static Packet withoutStates(Packet packet) {
         return packet instanceof Packet.Membership membership ? new Packet.Membership(membership.message(), List.of())
             : packet;
--- a/src/test/java/kelphollow/protocol/peer/PeerPacketBytesTest.java
+++ b/src/test/java/kelphollow/protocol/peer/PeerPacketBytesTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The bytes of the line between instances are those that an earlier program wrote. Guards a fleet in which two releases
- * run side by side against changes that the writer and the reader of one program share.
+ * Checks that packets between instances are encoded to the bytes recorded from an earlier release. Two releases run side by
+ * side in a fleet, and a test against the current reader alone would miss a change that writer and reader share.
  */
 class PeerPacketBytesTest {
-    /** A packet a line: its name and its bytes in hexadecimal digits. */
+    /** One packet per line: its name and its bytes in hexadecimal. */
     private static final Path RECORDED = Path.of("src/test/resources/peer/packets.txt");
     private static final HexFormat HEX = HexFormat.of();
 
@@ -35,7 +35,7 @@
     private static final long EPOCH = 70_000;
     private static final long COUNTER = 300;
     private static final int HASHES = 64;
-    /** Values at which the encoding of a whole number grows by bytes. */
+    /** Integers on both sides of the boundaries at which the CBOR encoding grows, and the largest integer supported. */
     private static final long[] WIDTHS = {0, 23, 24, 255, 256, 65_535, 65_536, 4_294_967_295L, 4_294_967_296L,
         9_007_199_254_740_991L};
 
@@ -56,13 +56,13 @@
     private static final InstanceState EMPTY = new InstanceState("gateway-9", 0, 0, 3_600_000, Map.of());
     private static final List<InstanceState> STATES = List.of(UNRESPONSIVE_ONLY, EVERY_SUBJECT, EMPTY);
 
-    @Test void eachPacketIsWrittenAsRecorded() throws Exception {
+    @Test void packetsAreEncodedAsRecorded() throws Exception {
         Map<String, String> recorded = recorded();
 
         assertEquals(recorded, packetsInHex());
     }
 
-    @Test void eachRecordedPacketIsReadAsItWasMeant() throws Exception {
+    @Test void recordedPacketsAreDecoded() throws Exception {
         Map<String, String> recorded = recorded();
 
         for (Map.Entry<String, Packet> packet : packets().entrySet()) {
@@ -72,7 +72,7 @@
         }
     }
 
-    @Test void eachRecordedPacketIsWrittenAgainByteForByte() throws Exception {
+    @Test void recordedPacketsAreReencodedToTheSameBytes() throws Exception {
         Map<String, String> recorded = recorded();
 
         for (String name : packets().keySet()) {
@@ -82,7 +82,7 @@
         }
     }
 
-    @Test void eachRecordedSealOpensToWhatWasSealed() throws Exception {
+    @Test void recordedSealedPacketsAreOpened() throws Exception {
         Map<String, String> recorded = recorded();
         Seal seal = new Seal(KEY);
 
@@ -99,14 +99,14 @@
         }
     }
 
-    @Test void aRecordedSealDoesNotOpenOverAnotherChallenge() throws Exception {
+    @Test void sealedPacketIsRejectedWithAnotherChallenge() throws Exception {
         byte[] overChallenge = HEX.parseHex(recorded().get("sealed-over-challenge"));
 
         assertNull(new Seal(KEY).open(overChallenge, Seal.NO_CHALLENGE));
     }
 
-    /** The incarnation id is drawn at random: it is replaced by the recorded one before the bytes are compared. */
-    @Test void aDatagramIsSealedAsRecordedButForTheIncarnationId() throws Exception {
+    /** The incarnation id is random, so it is replaced by the recorded one before the bytes are compared. */
+    @Test void datagramIsSealedAsRecordedExceptForTheIncarnationId() throws Exception {
         PacketSealer sealer = new PacketSealer(SENDER, () -> EPOCH, KEY);
         for (long i = 1; i < COUNTER; i++) {
             sealer.datagram(sealedPacket());
@@ -121,7 +121,7 @@
         assertEquals(recorded().get("sealed"), HEX.formatHex(seal.seal(withRecordedId, Seal.NO_CHALLENGE)));
     }
 
-    /** The recording: what this program writes, in the order of {@link #packets}. */
+    /** Returns the lines of a new recording, in the order of {@link #packets}. */
     static List<String> lines() {
         List<String> lines = new ArrayList<>();
         packetsInHex().forEach((name, hex) -> lines.add(name + " " + hex));
@@ -204,10 +204,7 @@
         return new InstanceState("gateway-10", 24, 9_007_199_254_740_991L, 0.125, Map.of("drain", nodes));
     }
 
-    /**
-     * The states of members as a comparison carries them, without address and accuser; with an instance state and
-     * without.
-     */
+    /** Returns entries as in a view comparison: without address and accuser, with and without an instance state. */
     private static List<AntiEntropy.Entry> entries() {
         List<AntiEntropy.Entry> entries = new ArrayList<>();
         for (MemberUpdate update : EVERY_STATE) {
--- a/src/test/java/kelphollow/protocol/peer/SocketPeerTransportTest.java
+++ b/src/test/java/kelphollow/protocol/peer/SocketPeerTransportTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The transport on real sockets: what is authentic is received once, and nothing else. */
+/** Checks over real sockets that authentic packets are received once and all others are dropped. */
 @Timeout(30)
 class SocketPeerTransportTest {
     private static final byte[] KEY = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
@@ -42,23 +42,23 @@
         Map.of("n2", 1.0)));
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final List<SocketPeerTransport> lines = new ArrayList<>();
+    private final List<SocketPeerTransport> transports = new ArrayList<>();
 
     @AfterEach void end() {
-        lines.forEach(SocketPeerTransport::close);
+        transports.forEach(SocketPeerTransport::close);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** One instance, which keeps what it receives as text. */
+    /** An instance that records the packets it receives as text. */
     private final class Instance implements PeerListener {
         final BlockingQueue<String> received = new LinkedBlockingQueue<>();
-        final SocketPeerTransport line;
+        final SocketPeerTransport transport;
         final InetSocketAddress at;
 
         Instance(String name, long epoch, byte[] key) throws Exception {
-            line = new SocketPeerTransport(group.next(), name, () -> epoch, key, 8, this);
-            lines.add(line);
-            at = line.listen(new InetSocketAddress("127.0.0.1", 0));
+            transport = new SocketPeerTransport(group.next(), name, () -> epoch, key, 8, this);
+            transports.add(transport);
+            at = transport.listen(new InetSocketAddress("127.0.0.1", 0));
         }
 
         @Override public void membershipReceived(String from, Packet.Membership packet) {
@@ -79,26 +79,27 @@
         }
 
         void send(InetSocketAddress to, Message message) {
-            group.next().submit(() -> line.send(to, new Packet.Membership(message, List.of(STATE)))).syncUninterruptibly();
+            group.next().submit(() -> transport.send(to, new Packet.Membership(message, List.of(STATE))))
+                .syncUninterruptibly();
         }
 
         String next() throws InterruptedException {
             return received.poll(10, TimeUnit.SECONDS);
         }
 
-        /** Waits until so much was dropped for this reason; the loop counts before it reads on. */
+        /** Waits until this many packets were dropped for the reason; counts are updated before the next packet is read. */
         void awaitDrops(DropReason reason, long count) throws Exception {
             for (int i = 0; i < 1_000; i++) {
-                if (group.next().submit(() -> line.drops().getOrDefault(reason, 0L)).get() >= count) {
+                if (group.next().submit(() -> transport.drops().getOrDefault(reason, 0L)).get() >= count) {
                     return;
                 }
                 TimeUnit.MILLISECONDS.sleep(10);
             }
-            fail("not dropped: " + reason);
+            fail("fewer than " + count + " packets dropped as " + reason);
         }
     }
 
-    @Test void everyKindOfMessageIsReceivedAsSent() throws Exception {
+    @Test void everyPacketKindIsReceivedAsSent() throws Exception {
         Instance a = new Instance("a", 3, KEY);
         Instance b = new Instance("b", 1, KEY);
         for (Message m : List.of(new Message.Ping(5, "b", List.of(UPDATE)), new Message.PingRequest(6, "c", List.of()),
@@ -114,90 +115,94 @@
         for (AntiEntropy m : List.of(new AntiEntropy.Summary(hashes),
             new AntiEntropy.Versions(List.of(0, 63), List.of(withState, withoutState)),
             new AntiEntropy.Delta(List.of(UPDATE), List.of(STATE), List.of("x", "y")))) {
-            group.next().submit(() -> a.line.send(b.at, new Packet.Comparison(m))).syncUninterruptibly();
+            group.next().submit(() -> a.transport.send(b.at, new Packet.Comparison(m))).syncUninterruptibly();
             assertEquals("a compares " + m, b.next());
         }
-        group.next().submit(() -> a.line.exchange("b", b.at, new Packet.FullExchange(List.of(UPDATE), List.of())))
+        group.next().submit(() -> a.transport.exchange("b", b.at, new Packet.FullExchange(List.of(UPDATE), List.of())))
             .syncUninterruptibly();
         assertEquals("a asks " + new Packet.FullExchange(List.of(UPDATE), List.of()), b.next());
         assertEquals("b answers " + new Packet.FullExchange(List.of(), List.of(STATE)), a.next());
     }
 
-    @Test void aReplayedDatagramIsDroppedAndSoIsAnOlderProcess() throws Exception {
+    @Test void replayedDatagramAndReplacedProcessAreDropped() throws Exception {
         Instance b = new Instance("b", 1, KEY);
-        try (DatagramSocket tap = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-            InetSocketAddress at = new InetSocketAddress("127.0.0.1", tap.getLocalPort());
+        try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
+            InetSocketAddress at = new InetSocketAddress("127.0.0.1", socket.getLocalPort());
             Instance a = new Instance("a", 3, KEY);
             Instance later = new Instance("a", 4, KEY);
-            byte[] first = tapped(a, at, tap, 1);
-            byte[] newer = tapped(later, at, tap, 2);
-            raw(tap, b.at, first);
+            byte[] first = capture(a, at, socket, 1);
+            byte[] newer = capture(later, at, socket, 2);
+            sendRaw(socket, b.at, first);
             assertTrue(b.next().contains("sequence=1"));
-            raw(tap, b.at, first);
+            sendRaw(socket, b.at, first);
             b.awaitDrops(DropReason.REPLAYED, 1);
-            raw(tap, b.at, newer);
+            sendRaw(socket, b.at, newer);
             assertTrue(b.next().contains("sequence=2"));
-            raw(tap, b.at, tapped(a, at, tap, 3));
+            sendRaw(socket, b.at, capture(a, at, socket, 3));
             b.awaitDrops(DropReason.REPLAYED, 2);
             assertTrue(b.received.isEmpty());
         }
     }
 
-    private static byte[] tapped(Instance from, InetSocketAddress at, DatagramSocket tap, long sequence) throws Exception {
+    private static byte[] capture(Instance from, InetSocketAddress at, DatagramSocket socket, long sequence)
+        throws Exception {
         from.send(at, new Message.Ack(sequence, List.of()));
         DatagramPacket packet = new DatagramPacket(new byte[SocketPeerTransport.MAX_DATAGRAM_BYTES],
             SocketPeerTransport.MAX_DATAGRAM_BYTES);
-        tap.receive(packet);
+        socket.receive(packet);
         return Arrays.copyOf(packet.getData(), packet.getLength());
     }
 
-    private static void raw(DatagramSocket from, InetSocketAddress to, byte[] bytes) throws Exception {
+    private static void sendRaw(DatagramSocket from, InetSocketAddress to, byte[] bytes) throws Exception {
         from.send(new DatagramPacket(bytes, bytes.length, to));
     }
 
-    @Test void strangersNoiseFlippedBitsAndOversizedPacketsAreDroppedAndTheTransportGoesOn() throws Exception {
+    @Test void unauthenticCorruptedAndOversizedPacketsAreDroppedWhileOthersPass() throws Exception {
         Instance a = new Instance("a", 3, KEY);
         Instance b = new Instance("b", 1, KEY);
-        Instance stranger = new Instance("a", 9, "another key of 16 bytes".getBytes(StandardCharsets.US_ASCII));
-        stranger.send(b.at, new Message.Ack(1, List.of()));
+        Instance otherKey = new Instance("a", 9, "another key of 16 bytes".getBytes(StandardCharsets.US_ASCII));
+        otherKey.send(b.at, new Message.Ack(1, List.of()));
         b.awaitDrops(DropReason.FORGED, 1);
         Random random = new Random(5);
-        try (DatagramSocket tap = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-            byte[] good = tapped(a, new InetSocketAddress("127.0.0.1", tap.getLocalPort()), tap, 1);
+        try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
+            byte[] good = capture(a, new InetSocketAddress("127.0.0.1", socket.getLocalPort()), socket, 1);
             for (int i = 0; i < 200; i++) {
                 byte[] bad = good.clone();
                 bad[random.nextInt(bad.length)] ^= (byte) (1 << random.nextInt(8));
-                raw(tap, b.at, bad);
+                sendRaw(socket, b.at, bad);
                 byte[] noise = new byte[1 + random.nextInt(500)];
                 random.nextBytes(noise);
-                raw(tap, b.at, noise);
+                sendRaw(socket, b.at, noise);
                 b.awaitDrops(DropReason.FORGED, 2 * i + 3);
             }
-            raw(tap, b.at, new byte[SocketPeerTransport.MAX_DATAGRAM_BYTES + 1]);
+            sendRaw(socket, b.at, new byte[SocketPeerTransport.MAX_DATAGRAM_BYTES + 1]);
             b.awaitDrops(DropReason.OVERSIZED, 1);
             assertTrue(b.received.isEmpty());
-            raw(tap, b.at, good);
+            sendRaw(socket, b.at, good);
             assertTrue(b.next().contains("sequence=1"));
         }
         try (Socket caller = new Socket(b.at.getAddress(), b.at.getPort())) {
             caller.setSoTimeout(10_000);
             caller.getOutputStream().write(new byte[] {0x7f, 0, 0, 0});   // a frame of 2 GB
-            assertTrue(caller.getInputStream().readAllBytes().length <= 20, "its challenge and no more");
+            assertTrue(caller.getInputStream().readAllBytes().length <= 20, "only the challenge was sent");
         }
         b.awaitDrops(DropReason.OVERSIZED, 2);
     }
 
-    @Test void anInstanceThatLostItsStoreIsAcceptedAndDoesNotReplaceALaterProcess() {
+    /** An instance that lost its store restarts with a lower epoch: it is accepted once it answers a challenge. */
+    @Test void challengedProcessOfLowerEpochIsAcceptedWithoutReplacingTheLater() {
         ReplayGuard guard = new ReplayGuard(4);
         assertTrue(guard.accept(new Seal.Envelope("a", 5, "old", 1, new byte[0]), false));
-        assertFalse(guard.accept(new Seal.Envelope("a", 1, "lost", 1, new byte[0]), false), "a datagram proves nothing");
-        assertTrue(guard.accept(new Seal.Envelope("a", 1, "lost", 2, new byte[0]), true), "it answered a challenge");
-        assertTrue(guard.accept(new Seal.Envelope("a", 5, "old", 2, new byte[0]), false), "the later process goes on");
-        assertTrue(guard.accept(new Seal.Envelope("a", 6, "lost", 3, new byte[0]), false), "it has raised its epoch");
+        assertFalse(guard.accept(new Seal.Envelope("a", 1, "lost", 1, new byte[0]), false),
+            "a datagram of a lower epoch may be a replay");
+        assertTrue(guard.accept(new Seal.Envelope("a", 1, "lost", 2, new byte[0]), true), "answered a challenge");
+        assertTrue(guard.accept(new Seal.Envelope("a", 5, "old", 2, new byte[0]), false),
+            "the later process is still accepted");
+        assertTrue(guard.accept(new Seal.Envelope("a", 6, "lost", 3, new byte[0]), false), "raised its epoch");
         assertFalse(guard.accept(new Seal.Envelope("a", 5, "old", 3, new byte[0]), false));
     }
 
-    @Test void countersMayArriveLateWithinTheWindowAndEachOnce() {
+    @Test void countersAreAcceptedOnceInAnyOrderWithinTheWindow() {
         ReplayGuard guard = new ReplayGuard(4);
         List<Long> order = new ArrayList<>();
         for (long c = 1; c <= 3_000; c++) {
@@ -216,7 +221,7 @@
         assertTrue(guard.accept(new Seal.Envelope("a", 1, "l", 8_999, new byte[0]), false), "the window was cleared");
     }
 
-    @Test void aComparisonOfInvalidSizeIsRejected() {
+    @Test void comparisonOfInvalidSizeIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> new AntiEntropy.Summary(List.of(1, 2, 3)));
         assertThrows(IllegalArgumentException.class, () -> new AntiEntropy.Versions(List.of(64), List.of()));
         assertThrows(IllegalArgumentException.class, () -> new AntiEntropy.Versions(List.of(-1), List.of()));
@@ -226,7 +231,7 @@
         assertThrows(IllegalArgumentException.class, () -> CompareCodec.read("delta", List.of("delta", List.of())));
     }
 
-    @Test void aKeyThatIsTooShortIsRejected() {
+    @Test void tooShortKeyIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> new Seal(Seal.key(" short \n".getBytes(
             StandardCharsets.US_ASCII))));
     }
