--- a/src/test/java/kelphollow/program/ClientCrossingTest.java
+++ b/src/test/java/kelphollow/program/ClientRaceTest.java
@@ -10,8 +10,8 @@
 
 /** What a client sends, and its end, at the instants in which they cross what the program does. */
 @Timeout(20)
-class ClientCrossingTest {
-    static final InetSocketAddress NOBODY = new InetSocketAddress("127.0.0.1", 1);
+class ClientRaceTest {
+    static final InetSocketAddress UNREACHABLE = new InetSocketAddress("127.0.0.1", 1);
     private static final String PING = "*1\r\n$4\r\nPING\r\n";
 
     static String get(String id) {
@@ -21,7 +21,7 @@
     }
 
     /** While the loop waits, nothing is read; what was done meanwhile then comes in one turn. */
-    static CountDownLatch hold(ServerHarness harness) throws InterruptedException {
+    static CountDownLatch blockLoop(ServerHarness harness) throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         harness.loop.execute(() -> {
@@ -36,8 +36,8 @@
         return go;
     }
 
-    private static ScriptedPeer.Line greeted(ScriptedPeer clients, ServerHarness harness) throws Exception {
-        ScriptedPeer.Line client = clients.connect(harness.address);
+    private static ScriptedPeer.Connection connectAndPing(ScriptedPeer clients, ServerHarness harness) throws Exception {
+        ScriptedPeer.Connection client = clients.connect(harness.address);
         assertEquals("+PONG\r\n", client.send(PING).receive(7));
         return client;
     }
@@ -45,13 +45,13 @@
     @Test void aClientThatSendsMoreThanMayBeOpenAndDisconnectsIsSeenToGo() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
-            ScriptedPeer.Line client = greeted(clients, harness);
+            ScriptedPeer.Connection client = connectAndPing(clients, harness);
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 400; i++) {
                 all.append(get("q" + i));
             }
             client.send(all.toString());
-            ScriptedPeer.Line attempt = node.accept();
+            ScriptedPeer.Connection attempt = node.accept();
             attempt.until("hosts=1\r\n");
             client.socket.close();
             assertTrue(attempt.hasEnded(), "the clock stands: only the client's end can have ended it");
@@ -59,9 +59,9 @@
     }
 
     @Test void requestsBeyondTheOpenOnesAreRejectedInTheirTurn() throws Exception {
-        try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness harness = ServerHarness.resp(null, NOBODY)) {
-            ScriptedPeer.Line client = greeted(clients, harness);
-            CountDownLatch go = hold(harness);
+        try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness harness = ServerHarness.resp(null, UNREACHABLE)) {
+            ScriptedPeer.Connection client = connectAndPing(clients, harness);
+            CountDownLatch go = blockLoop(harness);
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 300; i++) {
                 all.append(get("q" + i));
@@ -71,7 +71,7 @@
             for (int i = 0; i < 300; i++) {
                 for (int passed = 0; client.socket.getInputStream().available() == 0; passed += 100) {
                     assertTrue(passed < 20_000, "answer " + i);
-                    harness.pass(100);
+                    harness.runFor(100);
                 }
                 String answer = client.until("\r\n");
                 assertTrue(answer.startsWith("-BUSY"), "answer " + i + ": " + answer);
@@ -83,12 +83,12 @@
     @Test void aCommandWithItsClientsEndRightBehindIsNotForwarded() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
-            ScriptedPeer.Line client = greeted(clients, harness);
-            ScriptedPeer.Line other = greeted(clients, harness);
-            CountDownLatch go = hold(harness);
+            ScriptedPeer.Connection client = connectAndPing(clients, harness);
+            ScriptedPeer.Connection other = connectAndPing(clients, harness);
+            CountDownLatch go = blockLoop(harness);
             client.send(get("left")).socket.close();
             go.countDown();
-            ServerHarness.turn(harness.loop);
+            ServerHarness.runLoopOnce(harness.loop);
             other.send(get("stays"));
             assertEquals(get("stays").substring(0, 48), node.accept().until("hosts=1\r\n").substring(0, 48));
         }
@@ -97,22 +97,22 @@
     @Test void aRequestThatCrossesTheCloseOfItsIdleConnectionIsNeitherForwardedNorReset() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
-            ScriptedPeer.Line client = greeted(clients, harness);
-            CountDownLatch go = hold(harness);
+            ScriptedPeer.Connection client = connectAndPing(clients, harness);
+            CountDownLatch go = blockLoop(harness);
             // Comes before the reading: the connection has been idle.
             harness.loop.execute(() -> harness.ticker.advance(10_200));
             client.send(get("late"));
             go.countDown();
             assertEquals("", client.until("\n"), "a clean end, by which its client knows that it was not taken");
-            ScriptedPeer.Line next = clients.connect(harness.address);
+            ScriptedPeer.Connection next = clients.connect(harness.address);
             next.send(get("again"));
             assertTrue(node.accept().until("hosts=1\r\n").contains("\r\nagain\r\n"));
         }
     }
 
     @Test void whatComesBehindAnUnreadableCommandNeitherResetsNorDelaysItsError() throws Exception {
-        try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness harness = ServerHarness.resp(null, NOBODY)) {
-            ScriptedPeer.Line client = greeted(clients, harness);
+        try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness harness = ServerHarness.resp(null, UNREACHABLE)) {
+            ScriptedPeer.Connection client = connectAndPing(clients, harness);
             client.send(PING + "*1\r\n$99999999\r\n" + "x".repeat(300_000));
             assertEquals("+PONG\r\n-ERR Protocol error\r\n", client.until("error\r\n"));
             client.send("y".repeat(100_000));
@@ -125,12 +125,12 @@
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ScriptedPeer discovery = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(discovery.address(), node.address())) {
-            ScriptedPeer.Line silent = discovery.accept();
+            ScriptedPeer.Connection silent = discovery.accept();
             for (int i = 0; i < ServerHarness.SOCKETS; i++) {
-                greeted(clients, harness);                      // evicts the one that has been idle longest
+                connectAndPing(clients, harness);                      // evicts the one that has been idle longest
                 harness.ticker.advance(60);
             }
-            ScriptedPeer.Line watch = null;
+            ScriptedPeer.Connection watch = null;
             for (int i = 0; watch == null; i++) {
                 assertTrue(i < 60, "discovery is asked again though the house is full");
                 harness.ticker.advance(100);
@@ -141,7 +141,7 @@
             watch.until("\r\n\r\n");
             watch.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
             assertTrue(discovery.accept().until("\r\n\r\n").contains("index=9"));
-            ScriptedPeer.Line client = greeted(clients, harness);
+            ScriptedPeer.Connection client = connectAndPing(clients, harness);
             client.send(get("q"));
             node.accept().until("hosts=1\r\n");
             silent.until("\r\n\r\n");
--- a/src/test/java/kelphollow/program/CommandNamesTest.java
+++ b/src/test/java/kelphollow/program/CommandNamesTest.java
@@ -35,7 +35,7 @@
     private static final int UNREACHED = 3;
     private static final int ANSWERED = 0;
     /** How long the stand-in of an instance waits for a caller, in milliseconds. */
-    private static final int PATIENCE = 2_000;
+    private static final int ACCEPT_TIMEOUT_MS = 2_000;
     private static final Pattern FIELD = Pattern.compile("([a-z_]+)=");
 
     @TempDir
@@ -138,7 +138,7 @@
 
     private String fleetStatus(String status, String... more) throws Exception {
         try (ServerSocket instance = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            instance.setSoTimeout(PATIENCE);   // a command that does not ask must fail the test and not hold it
+            instance.setSoTimeout(ACCEPT_TIMEOUT_MS);   // a command that does not ask must fail the test and not hold it
             List<String> asked = new ArrayList<>();
             Thread answering = new Thread(() -> answer(instance, status, asked), "instance");
             answering.start();
@@ -154,7 +154,7 @@
 
     private static void answer(ServerSocket instance, String status, List<String> asked) {
         try (Socket caller = instance.accept()) {
-            caller.setSoTimeout(PATIENCE);
+            caller.setSoTimeout(ACCEPT_TIMEOUT_MS);
             byte[] question = new byte["fleet status\n".length()];
             int length = caller.getInputStream().readNBytes(question, 0, question.length);
             asked.add(new String(question, 0, length, StandardCharsets.US_ASCII).strip());
--- a/src/test/java/kelphollow/program/OutsideNamesTest.java
+++ b/src/test/java/kelphollow/program/ConfigurationNamesTest.java
@@ -25,7 +25,7 @@
  * Keys and words of the files that the program is configured by, and its environment variables. Operators and the platform
  * write them, so a change inside the program must not change one.
  */
-class OutsideNamesTest {
+class ConfigurationNamesTest {
     private static final String UNKNOWN_WORD = "no-such-word";
     private static final String CONFIG_VARIABLE = "GW_CONFIG";
     private static final List<String> SHIPPED = List.of("objects.json", "objects-store.json", "fleet-a.json", "fleet-b.json",
@@ -44,9 +44,9 @@
 
     @BeforeEach void readExamples() throws Exception {
         platform = new KeyProbe(RecordedNames.example("example-platform.json"), this::readPlatform);
-        object = new KeyProbe(RecordedNames.example("example-object.json"), OutsideNamesTest::readObject);
-        inlineEndpoints = new KeyProbe(withXds("example-xds-inline.json"), OutsideNamesTest::readObject);
-        endpointServer = new KeyProbe(withXds("example-xds-server.json"), OutsideNamesTest::readObject);
+        object = new KeyProbe(RecordedNames.example("example-object.json"), ConfigurationNamesTest::readObject);
+        inlineEndpoints = new KeyProbe(withXds("example-xds-inline.json"), ConfigurationNamesTest::readObject);
+        endpointServer = new KeyProbe(withXds("example-xds-server.json"), ConfigurationNamesTest::readObject);
     }
 
     private Object readPlatform(Map<?, ?> json) throws KeyProbe.Refused {
@@ -124,15 +124,15 @@
     // ---------------------------------------------------------------- words
 
     @Test void eachWordOfThePlatformsFileIsUnderstood() throws Exception {
-        assertWords("platform-words.txt", platform);
+        assertValuesAccepted("platform-words.txt", platform);
     }
 
     @Test void eachWordOfAnObjectFileIsUnderstood() throws Exception {
-        assertWords("object-words.txt", object);
+        assertValuesAccepted("object-words.txt", object);
     }
 
     /** Lines hold a path, the word, and a letter that is the same for words with the same meaning. */
-    private static void assertWords(String file, KeyProbe probe) throws Exception {
+    private static void assertValuesAccepted(String file, KeyProbe probe) throws Exception {
         Map<String, Set<String>> meanings = new LinkedHashMap<>();
         Map<String, Set<String>> outcomes = new LinkedHashMap<>();
         for (String line : RecordedNames.read(file)) {
--- a/src/test/java/kelphollow/program/ConnectionPoolsTest.java
+++ b/src/test/java/kelphollow/program/ConnectionPoolsTest.java
@@ -57,7 +57,7 @@
 
             for (int i = 0; i < 5; i++) {
                 ticker.advance(10);
-                ServerHarness.turn(loop);
+                ServerHarness.runLoopOnce(loop);
             }
 
             assertSame(first, acquire(node));
@@ -68,7 +68,7 @@
     @Test void whatCameWhileTheLoopWasStalledIsReadBeforeItsConnectionIsUsedAgain() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer()) {
             PooledConnection first = acquire(node);
-            ScriptedPeer.Line line = node.accept();
+            ScriptedPeer.Connection line = node.accept();
             loop.submit(first::release).sync();
 
             loop.submit(() -> {
--- a/src/test/java/kelphollow/program/EndOfTimeTest.java
+++ b/src/test/java/kelphollow/program/DeadlineAnswerTest.java
@@ -18,7 +18,7 @@
  * a request that is forgotten: it counts as lost half a second after its time.
  */
 @Timeout(30)
-class EndOfTimeTest {
+class DeadlineAnswerTest {
     private static final String ANSWER = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n";
 
     /** {@code wait}: for how long the client waits, in milliseconds. */
@@ -30,7 +30,7 @@
     }
 
     /** No further second passes: what has not come by then does not come in time. */
-    private static void assertAnswered(ScriptedPeer.Line client, String state) throws Exception {
+    private static void assertAnswered(ScriptedPeer.Connection client, String state) throws Exception {
         assertTrue(client.until("\r\n").startsWith("-"), state);
     }
 
@@ -42,18 +42,18 @@
                 try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
                      ServerHarness harness = ServerHarness.resp(null, node.address())) {
                     String state = kind.getKey() + ", " + answered + " bytes of the answer";
-                    ScriptedPeer.Line sent = clients.connect(harness.address);
-                    ScriptedPeer.Line held = clients.connect(harness.address);
+                    ScriptedPeer.Connection sent = clients.connect(harness.address);
+                    ScriptedPeer.Connection held = clients.connect(harness.address);
                     sent.send(get("sent", kind.getKey(), kind.getValue(), 0));
-                    ScriptedPeer.Line attempt = node.accept();
+                    ScriptedPeer.Connection attempt = node.accept();
                     attempt.until("hosts=1");
                     attempt.send(ANSWER.substring(0, answered));
                     for (int i = 0; i < 6; i++) {      // behind it, or for a shard that nobody holds
                         held.send(get("h" + i, kind.getKey(), kind.getValue(), i % 2 * 7));
                     }
-                    ServerHarness.turn(harness.loop);
-                    ServerHarness.turn(harness.loop);
-                    harness.pass(kind.getValue());
+                    ServerHarness.runLoopOnce(harness.loop);
+                    ServerHarness.runLoopOnce(harness.loop);
+                    harness.runFor(kind.getValue());
                     assertAnswered(sent, "sent, " + state);
                     for (int i = 0; i < 6; i++) {
                         assertAnswered(held, "held, " + state);
@@ -69,11 +69,11 @@
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             for (String kind : List.of("dump-read", "dump-write", "dump-export", "keyed")) {
                 for (int wait : new int[] {0, 1, 2, 10, 40}) {
-                    ScriptedPeer.Line client = clients.connect(harness.address);
+                    ScriptedPeer.Connection client = clients.connect(harness.address);
                     client.send(get("q", kind, wait, 0));
-                    ServerHarness.turn(harness.loop);
-                    ServerHarness.turn(harness.loop);
-                    harness.pass(wait);
+                    ServerHarness.runLoopOnce(harness.loop);
+                    ServerHarness.runLoopOnce(harness.loop);
+                    harness.runFor(wait);
                     assertAnswered(client, kind + ", " + wait + " ms");
                     assertEquals(0, harness.openRequests());
                     client.socket.close();
@@ -96,13 +96,13 @@
             }
             for (int wait : new int[] {900, 1_200}) {
                 try (ServerHarness harness = ServerHarness.resp(null, at)) {
-                    ScriptedPeer.Line client = clients.connect(harness.address);
+                    ScriptedPeer.Connection client = clients.connect(harness.address);
                     for (int i = 0; i < 4; i++) {
                         client.send(get("q" + i, "dump-read", wait, 0));
                     }
-                    ServerHarness.turn(harness.loop);
-                    ServerHarness.turn(harness.loop);
-                    harness.pass(wait);
+                    ServerHarness.runLoopOnce(harness.loop);
+                    ServerHarness.runLoopOnce(harness.loop);
+                    harness.runFor(wait);
                     for (int i = 0; i < 4; i++) {
                         assertAnswered(client, "dialling, " + wait + " ms");
                     }
@@ -121,16 +121,16 @@
         try (ScriptedPeer silent = new ScriptedPeer(); ScriptedPeer node = new ScriptedPeer();
              ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, silent.address(), node.address())) {
-            ScriptedPeer.Line client = clients.connect(harness.address);
+            ScriptedPeer.Connection client = clients.connect(harness.address);
             client.send(get("first", "dump-write", 3_000, 0) + get("second", "dump-read", 1_200, 1));
             silent.accept().until("hosts=1\r\n");
-            ScriptedPeer.Line attempt = node.accept();
+            ScriptedPeer.Connection attempt = node.accept();
             attempt.until("hosts=1\r\n");
             attempt.send(ANSWER);
-            ServerHarness.turn(harness.loop);
-            harness.pass(2_900);
+            ServerHarness.runLoopOnce(harness.loop);
+            harness.runFor(2_900);
             assertEquals(0, client.socket.getInputStream().available(), "in their order");
-            harness.pass(100);
+            harness.runFor(100);
             assertAnswered(client, "first");
             assertEquals("$2\r\nok\r\n", client.receive(8));
         }
@@ -139,15 +139,15 @@
     @Test void anObjectRequestHasItsAnswerInItsTimeHoweverMuchOfAHeadHasCome() throws Exception {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r";
         for (int answered = 0; answered <= head.length(); answered += 4) {
-            try (ScriptedPeer node = new ScriptedPeer(); ServerHarness harness = EndBehindTest.objects(node);
+            try (ScriptedPeer node = new ScriptedPeer(); ServerHarness harness = DisconnectAfterRequestTest.objects(node);
                  HttpTestClient client = new HttpTestClient(harness.address)) {
                 client.send("GET /symbols/a", "", null);
-                ScriptedPeer.Line attempt = node.accept();
+                ScriptedPeer.Connection attempt = node.accept();
                 attempt.until("\r\n\r\n");
                 attempt.send(head.substring(0, answered));
-                ServerHarness.turn(harness.loop);
-                harness.pass(1_200);
-                assertEquals(504, client.answer().status(), answered + " bytes of the head");
+                ServerHarness.runLoopOnce(harness.loop);
+                harness.runFor(1_200);
+                assertEquals(504, client.readResponse().status(), answered + " bytes of the head");
                 assertEquals(0, harness.openRequests());
             }
         }
--- a/src/test/java/kelphollow/program/EndBehindTest.java
+++ b/src/test/java/kelphollow/program/DisconnectAfterRequestTest.java
@@ -13,21 +13,21 @@
 
 /**
  * A client that connects, asks and is gone before the program has read a byte, on both fronts: closed, reset or with only
- * its sending ended. Guards against sending on what a client asked that has gone. While the loop is held nothing is read;
+ * its sending ended. Guards against sending on what a client request that has gone. While the loop is held nothing is read;
  * then all that was done comes in one turn, the new connection first.
  */
 @Timeout(20)
-class EndBehindTest {
-    private interface End {
-        void of(ScriptedPeer.Line line) throws IOException;
+class DisconnectAfterRequestTest {
+    private interface Disconnect {
+        void apply(ScriptedPeer.Connection line) throws IOException;
     }
 
-    private static final Map<String, End> ENDS = Map.of("closed", line -> line.socket.close(),
-        "reset", ScriptedPeer.Line::reset, "half-closed", ScriptedPeer.Line::shutdown);
+    private static final Map<String, Disconnect> DISCONNECTS = Map.of("closed", line -> line.socket.close(),
+        "reset", ScriptedPeer.Connection::reset, "half-closed", ScriptedPeer.Connection::shutdown);
     private static final String HEAD_END = "\r\n\r\n";
 
     static ServerHarness objects(ScriptedPeer server) throws Exception {
-        Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
+        Map<String, Object> objects = new HashMap<>(ServerHarness.section(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
         return ServerHarness.objects(Map.of("objects", objects), server.address());
     }
@@ -37,28 +37,29 @@
             + (body.isEmpty() ? "" : "Content-Length: " + body.length() + "\r\n") + "\r\n" + body;
     }
 
-    /** {@code known}: the connection was accepted before the loop was held. */
-    private static void leave(ServerHarness harness, ScriptedPeer clients, String asked, End end, boolean known)
+    /** {@code accepted}: the connection was accepted before the loop was held. */
+    private static void sendAndDisconnect(ServerHarness harness, ScriptedPeer clients, String request, Disconnect disconnect,
+        boolean accepted)
         throws Exception {
-        ScriptedPeer.Line client = known ? clients.connect(harness.address) : null;
-        ServerHarness.turn(harness.loop);
-        CountDownLatch go = ClientCrossingTest.hold(harness);
-        client = known ? client : clients.connect(harness.address);
-        end.of(client.send(asked));
+        ScriptedPeer.Connection client = accepted ? clients.connect(harness.address) : null;
+        ServerHarness.runLoopOnce(harness.loop);
+        CountDownLatch go = ClientRaceTest.blockLoop(harness);
+        client = accepted ? client : clients.connect(harness.address);
+        disconnect.apply(client.send(request));
         go.countDown();
         for (int turns = 0; turns < 3; turns++) {      // accepts, reads, begins
-            ServerHarness.turn(harness.loop);
+            ServerHarness.runLoopOnce(harness.loop);
         }
     }
 
     @Test void aCommandOfAClientThatHasGoneIsNotForwarded() throws Exception {
-        for (boolean known : List.of(true, false)) {
-            for (Map.Entry<String, End> end : ENDS.entrySet()) {
+        for (boolean accepted : List.of(true, false)) {
+            for (Map.Entry<String, Disconnect> end : DISCONNECTS.entrySet()) {
                 try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
                      ServerHarness harness = ServerHarness.resp(null, node.address())) {
-                    leave(harness, clients, ClientCrossingTest.get("left"), end.getValue(), known);
-                    clients.connect(harness.address).send(ClientCrossingTest.get("stays"));
-                    assertTrue(node.accept().until("hosts=1\r\n").contains("\r\nstays\r\n"), end.getKey() + ", " + known);
+                    sendAndDisconnect(harness, clients, ClientRaceTest.get("left"), end.getValue(), accepted);
+                    clients.connect(harness.address).send(ClientRaceTest.get("stays"));
+                    assertTrue(node.accept().until("hosts=1\r\n").contains("\r\nstays\r\n"), end.getKey() + ", " + accepted);
                     assertEquals(1, harness.openRequests());
                 }
             }
@@ -68,15 +69,15 @@
     @Test void anObjectRequestOfAClientThatHasGoneIsNotForwarded() throws Exception {
         List<String> requests = List.of(request("GET", "left", ""), request("PUT", "left", "body"),
             request("DELETE", "left", ""));
-        for (String asked : requests) {
-            for (boolean known : List.of(true, false)) {
-                for (Map.Entry<String, End> end : ENDS.entrySet()) {
+        for (String request : requests) {
+            for (boolean accepted : List.of(true, false)) {
+                for (Map.Entry<String, Disconnect> end : DISCONNECTS.entrySet()) {
                     try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
                          ServerHarness harness = objects(node)) {
-                        leave(harness, clients, asked, end.getValue(), known);
+                        sendAndDisconnect(harness, clients, request, end.getValue(), accepted);
                         clients.connect(harness.address).send(request("GET", "stays", ""));
                         assertTrue(node.accept().until(HEAD_END).startsWith("GET /symbols/stays "),
-                            end.getKey() + ", " + known + ": " + asked);
+                            end.getKey() + ", " + accepted + ": " + request);
                         assertEquals(1, harness.openRequests());
                     }
                 }
@@ -88,13 +89,13 @@
     @Test void aClientThatSentItsNextObjectRequestAheadIsSeenToGo() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = objects(node)) {
-            ScriptedPeer.Line client = clients.connect(harness.address);
+            ScriptedPeer.Connection client = clients.connect(harness.address);
             client.send(request("GET", "first", ""));
-            ScriptedPeer.Line attempt = node.accept();
+            ScriptedPeer.Connection attempt = node.accept();
             attempt.until(HEAD_END);
             client.send(request("GET", "ahead", ""));
-            ServerHarness.turn(harness.loop);
-            ServerHarness.turn(harness.loop);
+            ServerHarness.runLoopOnce(harness.loop);
+            ServerHarness.runLoopOnce(harness.loop);
             client.socket.close();
             assertTrue(attempt.hasEnded(), "the clock stands: only the client's end can have ended it");
             assertEquals(0, harness.openRequests());
@@ -104,10 +105,10 @@
     @Test void objectRequestsSentAheadAreServedInTheirOrder() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = objects(node)) {
-            ScriptedPeer.Line client = clients.connect(harness.address);
+            ScriptedPeer.Connection client = clients.connect(harness.address);
             client.send(request("GET", "a", "") + request("PUT", "b", "body") + request("GET", "c", ""));
             for (String expected : List.of("GET /symbols/a ", "PUT /symbols/b ", "GET /symbols/c ")) {
-                ScriptedPeer.Line attempt = node.accept();   // the clock stands: the one before still rests
+                ScriptedPeer.Connection attempt = node.accept();   // the clock stands: the one before still rests
                 assertTrue(attempt.until(HEAD_END).startsWith(expected), expected);
                 if (expected.startsWith("PUT")) {
                     attempt.send("HTTP/1.1 100 Continue\r\n\r\n");
@@ -123,9 +124,9 @@
     @Test void anObjectRequestThatCrossesTheCloseOfItsIdleConnectionIsNotForwarded() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = objects(node)) {
-            ScriptedPeer.Line client = clients.connect(harness.address);
-            ServerHarness.turn(harness.loop);
-            CountDownLatch go = ClientCrossingTest.hold(harness);
+            ScriptedPeer.Connection client = clients.connect(harness.address);
+            ServerHarness.runLoopOnce(harness.loop);
+            CountDownLatch go = ClientRaceTest.blockLoop(harness);
             // Comes before the reading: the connection has been idle.
             harness.loop.execute(() -> harness.ticker.advance(10_200));
             client.send(request("GET", "late", ""));
--- a/src/test/java/kelphollow/program/BetweenAttemptsTest.java
+++ b/src/test/java/kelphollow/program/DisconnectBetweenAttemptsTest.java
@@ -14,22 +14,22 @@
  * against work for a client that has gone, and against a write that nobody waits for.
  */
 @Timeout(20)
-class BetweenAttemptsTest {
+class DisconnectBetweenAttemptsTest {
     private static final String HEAD_END = "\r\n\r\n";
     private static final String REJECTED = "HTTP/1.1 503 Slow Down\r\nContent-Length: 0\r\n\r\n";
     private static final List<String> REQUESTS = List.of("GET /symbols/a HTTP/1.1\r\nHost: h\r\n\r\n",
         "PUT /symbols/a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody");
 
     /** The node has turned the request away, and the program has read that. */
-    private static ScriptedPeer.Line turnedAway(ServerHarness harness, ScriptedPeer node, ScriptedPeer clients,
+    private static ScriptedPeer.Connection rejectFirstAttempt(ServerHarness harness, ScriptedPeer node, ScriptedPeer clients,
         String request)
         throws Exception {
-        ScriptedPeer.Line client = clients.connect(harness.address);
+        ScriptedPeer.Connection client = clients.connect(harness.address);
         client.send(request);
-        ScriptedPeer.Line attempt = node.accept();
+        ScriptedPeer.Connection attempt = node.accept();
         attempt.until(HEAD_END);
         attempt.send(REJECTED);
-        ServerHarness.turn(harness.loop);
+        ServerHarness.runLoopOnce(harness.loop);
         assertEquals(1, harness.openRequests(), "it is tried again after a pause");
         return client;
     }
@@ -38,8 +38,8 @@
     @Test void aClientThatStaysSeesASecondAttempt() throws Exception {
         for (String request : REQUESTS) {
             try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-                 ServerHarness harness = EndBehindTest.objects(node)) {
-                turnedAway(harness, node, clients, request);
+                 ServerHarness harness = DisconnectAfterRequestTest.objects(node)) {
+                rejectFirstAttempt(harness, node, clients, request);
                 harness.ticker.advance(500);
                 assertTrue(node.accept().until(HEAD_END).startsWith(request.substring(0, 20)));
             }
@@ -49,11 +49,11 @@
     @Test void aClientThatGoesDuringThePauseEndsTheRequest() throws Exception {
         for (String request : REQUESTS) {
             try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-                 ServerHarness harness = EndBehindTest.objects(node)) {
-                turnedAway(harness, node, clients, request).socket.close();
-                ServerHarness.turn(harness.loop);
+                 ServerHarness harness = DisconnectAfterRequestTest.objects(node)) {
+                rejectFirstAttempt(harness, node, clients, request).socket.close();
+                ServerHarness.runLoopOnce(harness.loop);
                 assertEquals(0, harness.openRequests(), request);
-                harness.pass(3_000);
+                harness.runFor(3_000);
                 assertNull(node.acceptIfAny(), request);
             }
         }
@@ -63,16 +63,16 @@
     @Test void aClientThatGoesAsThePauseEndsIsSentNothingFor() throws Exception {
         for (String request : REQUESTS) {
             try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
-                 ServerHarness harness = EndBehindTest.objects(node)) {
-                ScriptedPeer.Line client = turnedAway(harness, node, clients, request);
-                CountDownLatch go = ClientCrossingTest.hold(harness);
+                 ServerHarness harness = DisconnectAfterRequestTest.objects(node)) {
+                ScriptedPeer.Connection client = rejectFirstAttempt(harness, node, clients, request);
+                CountDownLatch go = ClientRaceTest.blockLoop(harness);
                 harness.loop.execute(() -> harness.ticker.advance(500));     // comes before the reading
                 client.socket.close();
                 go.countDown();
-                ServerHarness.turn(harness.loop);
+                ServerHarness.runLoopOnce(harness.loop);
                 assertEquals(0, harness.openRequests(), request);
                 assertEquals("", node.accept().until(HEAD_END), request);
-                harness.pass(3_000);
+                harness.runFor(3_000);
                 assertNull(node.acceptIfAny(), request);
             }
         }
--- a/src/test/java/kelphollow/program/ExchangeTest.java
+++ b/src/test/java/kelphollow/program/ExchangeTest.java
@@ -33,7 +33,7 @@
  * begins with blanks goes on with the one before. C2 is a second client's connection, N2 a node's second one.
  */
 class ExchangeTest {
-    private static final int GUARD_MILLIS = 10_000;   // only so that a failure ends; nothing is proved by waiting
+    private static final int GUARD_TIMEOUT_MS = 10_000;   // only so that a failure ends; nothing is proved by waiting
 
     @TestFactory Stream<DynamicTest> platform() throws IOException {
         return files("resp").map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> play(f, true)));
@@ -53,7 +53,7 @@
 
     private static void play(Path file, boolean platform) throws Exception {
         try (ServerSocket node = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))) {
-            node.setSoTimeout(GUARD_MILLIS);
+            node.setSoTimeout(GUARD_TIMEOUT_MS);
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", node.getLocalPort());
             Map<String, Peer> sockets = new HashMap<>();
             try (ServerHarness harness = platform ? ServerHarness.resp(null, at) : ServerHarness.objects(oneShard(), at)) {
@@ -64,22 +64,23 @@
                     String where = file.getFileName() + " step " + number + ": " + step;
                     String[] words = step.split(" ", 2);
                     if (words[0].equals("T")) {
-                        harness.pass(Integer.parseInt(words[1].strip()));
+                        harness.runFor(Integer.parseInt(words[1].strip()));
                         continue;
                     }
                     if (words[0].equals("W")) {
-                        wait(harness, sockets.get(who(steps.get(number))), Integer.parseInt(words[1].strip()));
+                        advanceUntilReadable(harness, sockets.get(peerOf(steps.get(number))), Integer.parseInt(words[1]
+                            .strip()));
                         continue;
                     }
-                    String who = who(step);
-                    if (!sockets.containsKey(who)) {
-                        Socket socket = who.startsWith("N") ? node.accept()
+                    String peerName = peerOf(step);
+                    if (!sockets.containsKey(peerName)) {
+                        Socket socket = peerName.startsWith("N") ? node.accept()
                             : new Socket(harness.address.getAddress(), harness.address.getPort());
-                        socket.setSoTimeout(GUARD_MILLIS);
+                        socket.setSoTimeout(GUARD_TIMEOUT_MS);
                         socket.setTcpNoDelay(true);
-                        sockets.put(who, new Peer(socket, new PushbackInputStream(socket.getInputStream())));
+                        sockets.put(peerName, new Peer(socket, new PushbackInputStream(socket.getInputStream())));
                     }
-                    step(sockets.get(who), words[0], words[1], where);
+                    runStep(sockets.get(peerName), words[0], words[1], where);
                 }
             } finally {
                 for (Peer peer : sockets.values()) {
@@ -91,14 +92,14 @@
 
     private record Peer(Socket socket, PushbackInputStream in) {}
 
-    private static String who(String step) {
+    private static String peerOf(String step) {
         return step.split(" ", 2)[0].replaceAll("[<>]", "");
     }
 
     /** The clock must not outrun the sockets: it moves a little at a time, and stops when there is something to read. */
-    private static void wait(ServerHarness harness, Peer peer, int most) throws IOException {
+    private static void advanceUntilReadable(ServerHarness harness, Peer peer, int maxMillis) throws IOException {
         peer.socket.setSoTimeout(1);
-        for (int i = 0; i <= most; i++) {
+        for (int i = 0; i <= maxMillis; i++) {
             try {
                 int next = peer.in.read();
                 if (next >= 0) {
@@ -111,10 +112,10 @@
                 break;
             }
         }
-        peer.socket.setSoTimeout(GUARD_MILLIS);
+        peer.socket.setSoTimeout(GUARD_TIMEOUT_MS);
     }
 
-    private static void step(Peer peer, String what, String rest, String where) throws IOException {
+    private static void runStep(Peer peer, String what, String rest, String where) throws IOException {
         if (rest.equals("close")) {
             peer.socket.close();
         } else if (rest.equals("end")) {
@@ -145,7 +146,7 @@
     }
 
     private static Map<String, Object> oneShard() throws IOException {
-        Map<String, Object> objects = ServerHarness.part(ServerHarness.example(), "objects");
+        Map<String, Object> objects = ServerHarness.section(ServerHarness.example(), "objects");
         objects.put("shards", 1.0);
         return Map.of("objects", objects);
     }
--- a/src/test/java/kelphollow/program/FleetNamesTest.java
+++ b/src/test/java/kelphollow/program/FleetNamesTest.java
@@ -47,8 +47,8 @@
     private static final String REFUSED = "refused";
     private static final List<String> SILENT_NODES = List.of("n1", "n2", "n3", "n4", "n5", "n6");
     private static final long EPOCH = 1;
-    private static final int LOOKS = 10;
-    private static final double LOOK_MS = 50;
+    private static final int ADVANCES = 10;
+    private static final double ADVANCE_MS = 50;
 
     private final Clock clock = new Clock();
     private final Nodes nodes = new Nodes();
@@ -57,13 +57,14 @@
 
     @BeforeEach void join() throws Exception {
         ObjectConfig config = ObjectConfig.read(FILE);
-        fleet = new Fleet(config.fleet().options(), config.settings(), EPOCH, (name, epoch, peers) -> new Line(), clock,
+        fleet = new Fleet(config.fleet().options(), config.settings(), EPOCH, (name, epoch, peers) -> new LossyTransport(),
+            clock,
             nodes, new Random(1), new EventLog(new Listener()), raised -> {});
         fleet.start();
     }
 
     /** A peer says all that it can say, of nodes and of instances. */
-    private void hearPeer() {
+    private void receivePeerState() {
         Map<String, Double> silent = new TreeMap<>();
         SILENT_NODES.forEach(node -> silent.put(node, 3.0));
         InstanceState part = new InstanceState(PEER, EPOCH, 1, 0, Map.of(DRAIN, Map.of("n9", 0.0), SILENT, silent, REFUSED,
@@ -77,13 +78,13 @@
         }
         fleet.membershipReceived(PEER, new Packet.Membership(new Message.Gossip(news), List.of(part)));
         nodes.list.accept(List.of(new Endpoint("n8", "", 0, EndpointState.DRAINING, 0)));
-        for (int i = 0; i < LOOKS; i++) {
-            clock.advance(LOOK_MS);
+        for (int i = 0; i < ADVANCES; i++) {
+            clock.advance(ADVANCE_MS);
         }
     }
 
     @Test void keysAndWordsOfTheStatusAreThoseRecorded() throws Exception {
-        hearPeer();
+        receivePeerState();
 
         Map<?, ?> status = (Map<?, ?>) Json.parse(fleet.status());
 
@@ -97,7 +98,7 @@
     }
 
     @Test void eventsAndTheirKeysAreThoseRecorded() throws Exception {
-        hearPeer();
+        receivePeerState();
         fleet.membershipChanged(new MembershipOutput.EpochRaised(EPOCH + 1));
         for (MembershipOutput.Kind kind : MembershipOutput.Kind.values()) {
             fleet.membershipChanged(new MembershipOutput.Event(kind, PEER, EPOCH, "why"));
@@ -164,7 +165,7 @@
     }
 
     /** A line that loses all and has dropped something for each reason. */
-    private static final class Line implements PeerTransport {
+    private static final class LossyTransport implements PeerTransport {
         private final Traffic traffic = new Traffic();
 
         @Override public InetSocketAddress listen(InetSocketAddress at) {
@@ -194,9 +195,9 @@
 
     /** A clock that only the test moves. */
     private static final class Clock implements Ticker {
-        private record Due(double at, Runnable task) {}
+        private record ScheduledTask(double at, Runnable task) {}
 
-        private final List<Due> dues = new ArrayList<>();
+        private final List<ScheduledTask> scheduled = new ArrayList<>();
         private double now = 1_700_000_000_000.0;
 
         @Override public double now() {
@@ -204,15 +205,15 @@
         }
 
         @Override public Timeout after(double millis, Runnable task) {
-            Due due = new Due(now + millis, task);
-            dues.add(due);
-            return () -> dues.remove(due);
+            ScheduledTask due = new ScheduledTask(now + millis, task);
+            scheduled.add(due);
+            return () -> scheduled.remove(due);
         }
 
         void advance(double millis) {
             now += millis;
-            List<Due> ready = dues.stream().filter(due -> due.at <= now).toList();
-            dues.removeAll(ready);
+            List<ScheduledTask> ready = scheduled.stream().filter(due -> due.at <= now).toList();
+            scheduled.removeAll(ready);
             ready.forEach(due -> due.task.run());
         }
     }
--- a/src/test/java/kelphollow/program/GracefulShutdownTest.java
+++ b/src/test/java/kelphollow/program/GracefulShutdownTest.java
@@ -23,7 +23,7 @@
              Socket client = new Socket(harness.address.getAddress(), harness.address.getPort())) {
             client.setSoTimeout(10_000);
             CountDownLatch left = new CountDownLatch(1);
-            harness.term(left::countDown);
+            harness.sigterm(left::countDown);
             // The longest deadline counts as 3 s, so SIGKILL comes 3.7 s after SIGTERM at the soonest.
             for (int i = 0; i < 31; i++) {
                 harness.ticker.advance(100);
@@ -41,23 +41,23 @@
     @Test void whatWaitsWhenNodesHangIsAnsweredInTime() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
-            ScriptedPeer.Line client = clients.connect(harness.address);
-            ScriptedPeer.Line late = clients.connect(harness.address);
+            ScriptedPeer.Connection client = clients.connect(harness.address);
+            ScriptedPeer.Connection late = clients.connect(harness.address);
             for (int i = 0; i < 12; i++) {
-                client.send(ClientCrossingTest.get("q" + i));
+                client.send(ClientRaceTest.get("q" + i));
             }
             node.accept().until("hosts=1\r\n");              // it never answers; the others wait behind it
             CountDownLatch left = new CountDownLatch(1);
-            harness.term(left::countDown);
-            harness.pass(1_000);
-            late.send(ClientCrossingTest.get("late"));
-            harness.pass(2_360);
+            harness.sigterm(left::countDown);
+            harness.runFor(1_000);
+            late.send(ClientRaceTest.get("late"));
+            harness.runFor(2_360);
             for (int i = 0; i < 12; i++) {
                 assertTrue(client.until("\r\n").startsWith("-"), "answer " + i);
             }
             assertTrue(late.until("\r\n").startsWith("-"));
             assertTrue(client.hasEnded() && late.hasEnded());
-            harness.pass(250);
+            harness.runFor(250);
             assertTrue(left.await(10, TimeUnit.SECONDS));
             assertEquals(0, harness.openRequests());
         }
--- a/src/test/java/kelphollow/program/HttpCallTest.java
+++ b/src/test/java/kelphollow/program/HttpCallTest.java
@@ -51,7 +51,7 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static String requestedPath(ScriptedPeer.Line line) throws Exception {
+    private static String requestedPath(ScriptedPeer.Connection line) throws Exception {
         return line.until("\r\n\r\n").split(" ")[1];
     }
 
@@ -73,7 +73,7 @@
 
             assertEquals("failed: no answer in time", outcome());
             assertTrue(peer.accept().hasEnded());
-            ScriptedPeer.Line second = peer.accept();
+            ScriptedPeer.Connection second = peer.accept();
             assertEquals("/second", requestedPath(second));
             second.send(response("b"));
             assertEquals("b", outcome());
@@ -84,13 +84,13 @@
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
             loop.execute(() -> send(calls, "/first"));
-            ScriptedPeer.Line first = peer.accept();
+            ScriptedPeer.Connection first = peer.accept();
             assertEquals("/first", requestedPath(first));
             first.send(response("a"));
             assertEquals("a", outcome());
 
             loop.submit(() -> send(calls, "/second")).sync();
-            ScriptedPeer.Line second = peer.accept();
+            ScriptedPeer.Connection second = peer.accept();
             assertEquals("/second", requestedPath(second));
             first.send(response("late"));
 
@@ -105,7 +105,7 @@
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
             loop.execute(() -> send(calls, "/first"));
-            ScriptedPeer.Line only = peer.accept();
+            ScriptedPeer.Connection only = peer.accept();
             requestedPath(only);
             only.send(response("a"));
             assertEquals("a", outcome());
@@ -124,7 +124,7 @@
             try (ScriptedPeer peer = new ScriptedPeer()) {
                 HttpCall calls = new HttpCall(loop, ticker, peer.address());
                 loop.execute(() -> send(calls, "/list"));
-                ScriptedPeer.Line line = peer.accept();
+                ScriptedPeer.Connection line = peer.accept();
                 requestedPath(line);
                 line.send("HTTP/1.1 200 OK\r\n\r\nhalf");
 
@@ -158,7 +158,7 @@
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
             loop.execute(() -> send(calls, "/list"));
-            ScriptedPeer.Line line = peer.accept();
+            ScriptedPeer.Connection line = peer.accept();
             requestedPath(line);
 
             line.send("HTTP/1.1 200 OK\r\n\r\nand so on");
--- a/src/test/java/kelphollow/program/HttpTestClient.java
+++ b/src/test/java/kelphollow/program/HttpTestClient.java
@@ -11,7 +11,7 @@
 
 /** A client of the object API on one connection, plain enough to see an answer that is cut short. */
 final class HttpTestClient implements AutoCloseable {
-    record Answer(int status, Map<String, String> headers, byte[] body, boolean whole) {
+    record Response(int status, Map<String, String> headers, byte[] body, boolean complete) {
         String text() {
             return new String(body, StandardCharsets.ISO_8859_1);
         }
@@ -42,27 +42,27 @@
     }
 
     /** Head and body in one segment, as on a busy machine. */
-    Answer callAtOnce(String line, byte[] body) throws IOException {
+    Response callInOneWrite(String line, byte[] body) throws IOException {
         ByteArrayOutputStream both = new ByteArrayOutputStream();
         both.writeBytes(bytes(line, "", body.length));
         both.writeBytes(body);
         socket.getOutputStream().write(both.toByteArray());
-        return answer();
+        return readResponse();
     }
 
-    Answer call(String line, String headers, byte[] body) throws IOException {
-        return send(line, headers, body).answer(line.startsWith("HEAD"));
+    Response call(String line, String headers, byte[] body) throws IOException {
+        return send(line, headers, body).readResponse(line.startsWith("HEAD"));
     }
 
-    Answer answer() throws IOException {
-        return answer(false);
+    Response readResponse() throws IOException {
+        return readResponse(false);
     }
 
-    private Answer answer(boolean bare) throws IOException {
+    private Response readResponse(boolean bare) throws IOException {
         InputStream in = socket.getInputStream();
         String status = line(in);
         if (status == null) {
-            return new Answer(0, Map.of(), new byte[0], false);
+            return new Response(0, Map.of(), new byte[0], false);
         }
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
         for (String header; (header = line(in)) != null && !header.isEmpty();) {
@@ -70,7 +70,7 @@
         }
         int code = Integer.parseInt(status.split(" ")[1]);
         if (code == 100) {
-            return answer(bare);
+            return readResponse(bare);
         }
         int length = bare || code == 204 ? 0 : Integer.parseInt(headers.get("Content-Length"));
         ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -85,7 +85,7 @@
         } catch (java.net.SocketException reset) {
             // shows as an answer that is not whole
         }
-        return new Answer(code, headers, body.toByteArray(), body.size() == length);
+        return new Response(code, headers, body.toByteArray(), body.size() == length);
     }
 
     private static String line(InputStream in) throws IOException {
--- a/src/test/java/kelphollow/program/HangUpTest.java
+++ b/src/test/java/kelphollow/program/IgnoredSighupTest.java
@@ -14,7 +14,7 @@
 
 /** A program started by something that ignores SIGHUP inherits that, and never sees the signal. */
 @Timeout(60)
-class HangUpTest {
+class IgnoredSighupTest {
     @TempDir
     Path folder;
 
--- a/src/test/java/kelphollow/program/LingeringCloseTest.java
+++ b/src/test/java/kelphollow/program/LingeringCloseTest.java
@@ -65,7 +65,7 @@
 
     @Test void itClosesWithItsClient() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer()) {
-            ScriptedPeer.Line client = clients.connect(address);
+            ScriptedPeer.Connection client = clients.connect(address);
             Channel channel = accepted();
 
             begin(channel, FEW_BYTES);
@@ -74,7 +74,7 @@
             client.socket.close();
 
             channel.closeFuture().sync();
-            ServerHarness.turn(loop);
+            ServerHarness.runLoopOnce(loop);
             assertEquals(0, lingering.connections());
         }
     }
@@ -93,7 +93,7 @@
                 ticker.advance(1);
 
                 assertFalse(channel.isOpen(), owed + " bytes owed");
-                ServerHarness.turn(loop);
+                ServerHarness.runLoopOnce(loop);
                 assertEquals(0, lingering.connections());
             }
         }
--- a/src/test/java/kelphollow/program/ManualTicker.java
+++ b/src/test/java/kelphollow/program/ManualTicker.java
@@ -8,10 +8,10 @@
 
 /** A clock that only the test moves; its tasks run on the event loop, as the wheel's do. */
 final class ManualTicker implements Ticker {
-    private record Due(double at, Runnable task) {}
+    private record ScheduledTask(double at, Runnable task) {}
 
     private final EventLoop loop;
-    private final List<Due> dues = new ArrayList<>();
+    private final List<ScheduledTask> scheduled = new ArrayList<>();
     private double now = 1_700_000_000_000.0;
 
     ManualTicker(EventLoop loop) {
@@ -23,11 +23,11 @@
     }
 
     @Override public synchronized Timeout after(double millis, Runnable task) {
-        Due due = new Due(now + Math.max(0, millis), task);
-        dues.add(due);
+        ScheduledTask due = new ScheduledTask(now + Math.max(0, millis), task);
+        scheduled.add(due);
         return () -> {
             synchronized (this) {
-                dues.remove(due);
+                scheduled.remove(due);
             }
         };
     }
@@ -35,26 +35,27 @@
     /** Moves the clock on, a millisecond at a time, and returns when all that fell due has run. */
     void advance(int millis) {
         if (loop.inEventLoop()) {
-            pass(millis);
+            advanceOnLoop(millis);
         } else {
-            loop.submit(() -> pass(millis)).syncUninterruptibly();
+            loop.submit(() -> advanceOnLoop(millis)).syncUninterruptibly();
         }
     }
 
-    private void pass(int millis) {
+    private void advanceOnLoop(int millis) {
         for (int i = 0; i < millis; i++) {
             synchronized (this) {
                 now++;
             }
-            for (Due due; (due = next()) != null;) {
+            for (ScheduledTask due; (due = nextDueTask()) != null;) {
                 due.task.run();
             }
         }
     }
 
-    private synchronized Due next() {
-        Due first = dues.stream().filter(d -> d.at <= now).min(Comparator.comparingDouble(Due::at)).orElse(null);
-        dues.remove(first);
+    private synchronized ScheduledTask nextDueTask() {
+        ScheduledTask first = scheduled.stream().filter(d -> d.at <= now).min(Comparator.comparingDouble(ScheduledTask::at))
+            .orElse(null);
+        scheduled.remove(first);
         return first;
     }
 }
--- a/src/test/java/kelphollow/program/NodeResetTest.java
+++ b/src/test/java/kelphollow/program/NodeResetTest.java
@@ -25,17 +25,17 @@
             + values + "\r\n$1\r\nb\r\n";
     }
 
-    private interface Plays {
-        void play(ScriptedPeer node, ScriptedPeer.Line client, ServerHarness harness) throws Exception;
+    private interface Exchange {
+        void run(ScriptedPeer node, ScriptedPeer.Connection client, ServerHarness harness) throws Exception;
     }
 
     /** Each shard has a node of its own, all of them the one peer: what one did says nothing of the next. */
-    private static void with(int shards, Plays plays) throws Exception {
+    private static void withShards(int shards, Exchange exchange) throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer()) {
             InetSocketAddress[] nodes = new InetSocketAddress[shards];
             Arrays.fill(nodes, node.address());
             try (ServerHarness harness = ServerHarness.resp(null, nodes)) {
-                plays.play(node, clients.connect(harness.address), harness);
+                exchange.run(node, clients.connect(harness.address), harness);
                 assertEquals(0, harness.openRequests());
                 assertNull(node.acceptIfAny(), "nothing was sent again");
             }
@@ -43,10 +43,10 @@
     }
 
     @Test void aWriteIsAnsweredOnceAndNeverSentAgainWhereverItsAnswerIsTruncated() throws Exception {
-        with(ANSWER.length(), (node, client, harness) -> {
+        withShards(ANSWER.length(), (node, client, harness) -> {
             for (int bytes = 0; bytes < ANSWER.length(); bytes++) {
                 client.send(put(bytes));
-                ScriptedPeer.Line attempt = node.accept();
+                ScriptedPeer.Connection attempt = node.accept();
                 attempt.until("\r\nb\r\n");
                 attempt.send(ANSWER.substring(0, bytes)).reset();
                 assertEquals("-ERR failed\r\n", client.until("\r\n"), bytes + " bytes of the answer");
@@ -56,9 +56,9 @@
     }
 
     @Test void anAnswerCompleteInTheReadThatBringsItsResetIsServed() throws Exception {
-        with(1, (node, client, harness) -> {
+        withShards(1, (node, client, harness) -> {
             client.send(put(0));
-            ScriptedPeer.Line attempt = node.accept();
+            ScriptedPeer.Connection attempt = node.accept();
             attempt.until("\r\nb\r\n");
             harness.loop.submit(() -> {
                 attempt.send(ANSWER).reset();      // both are there before the loop reads
@@ -71,9 +71,9 @@
 
     /** The deadline's timer runs in the turn that would read the answer; whichever is first, the other changes nothing. */
     @Test void anAnswerInTheTurnInWhichItsTimeEndsIsTheSecondWord() throws Exception {
-        with(1, (node, client, harness) -> {
+        withShards(1, (node, client, harness) -> {
             client.send(put(0));
-            ScriptedPeer.Line attempt = node.accept();
+            ScriptedPeer.Connection attempt = node.accept();
             attempt.until("\r\nb\r\n");
             harness.loop.submit(() -> {
                 attempt.send(ANSWER);
@@ -87,15 +87,15 @@
     }
 
     @Test void aSecondAnswerBehindTheFirstIsNobodys() throws Exception {
-        with(2, (node, client, harness) -> {
+        withShards(2, (node, client, harness) -> {
             client.send(put(0));
-            ScriptedPeer.Line attempt = node.accept();
+            ScriptedPeer.Connection attempt = node.accept();
             attempt.until("\r\nb\r\n");
             attempt.send(ANSWER + ANSWER);
             assertEquals("$2\r\nok\r\n", client.receive(8));
             assertTrue(attempt.hasEnded());
             client.send(put(1));
-            ScriptedPeer.Line next = node.accept();
+            ScriptedPeer.Connection next = node.accept();
             next.until("\r\nb\r\n");
             next.send("*3\r\n$2\r\nno\r\n$-1\r\n$-1\r\n");
             assertEquals("$2\r\nno\r\n", client.receive(8));
--- a/src/test/java/kelphollow/program/ObjectFrontTest.java
+++ b/src/test/java/kelphollow/program/ObjectFrontTest.java
@@ -24,7 +24,7 @@
 @org.junit.jupiter.api.Timeout(15)
 class ObjectFrontTest {
     private static final byte[] CONTENT = "0123456789abcdefghijklmnopqrstuvwxyz".getBytes();
-    private static final int SETTLED = 3_100;   // the write class's deadline, after which no attempt is out
+    private static final int SETTLED_MS = 3_100;   // the write class's deadline, after which no attempt is out
     private FakeObjectServer server;
     private ServerHarness harness;
     private HttpTestClient client;
@@ -37,7 +37,7 @@
     }
 
     private ServerHarness gateway(InetSocketAddress... others) throws Exception {
-        Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
+        Map<String, Object> objects = new HashMap<>(ServerHarness.section(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
         return ServerHarness.objects(Map.of("objects", objects), server.address());
     }
@@ -50,7 +50,7 @@
     }
 
     /** Moves the clock until the server gets the next request: a pause ends only after its cause was seen. */
-    private String nextSeen() throws Exception {
+    private String awaitNextRequest() throws Exception {
         for (int i = 0; i < 2_000; i++) {
             String line = server.seen.poll(5, TimeUnit.MILLISECONDS);
             if (line != null) {
@@ -62,7 +62,7 @@
     }
 
     /** Makes a call that needs pauses to pass: moves the clock until it is answered. */
-    private HttpTestClient.Answer callInTime(String line, byte[] body) throws Exception {
+    private HttpTestClient.Response callAdvancingClock(String line, byte[] body) throws Exception {
         try (HttpTestClient other = new HttpTestClient(harness.address)) {
             var answer = java.util.concurrent.CompletableFuture.supplyAsync(() -> {
                 try {
@@ -105,8 +105,8 @@
         new java.util.Random(1).nextBytes(large);
         assertEquals(200, client.call("PUT /symbols/large", "Expect: 100-continue\r\n", large).status());
         client.send("GET /symbols/large", "", null);
-        ServerHarness.turn(harness.loop);
-        assertArrayEquals(large, client.answer().body());
+        ServerHarness.runLoopOnce(harness.loop);
+        assertArrayEquals(large, client.readResponse().body());
         long held = io.netty.buffer.PooledByteBufAllocator.class.cast(allocator()).metric().usedDirectMemory();
         assertTrue(held < 4 << 20, held + " bytes of buffers for a body of " + large.length);
     }
@@ -121,12 +121,12 @@
     @Test void aHeadInSegmentsIsPutTogetherAndOneWithoutEndIsRejected() throws Exception {
         for (String piece : new String[] {"GET /symb", "ols/a HTTP/1.1\r\nHo", "st: h\r\n\r\n"}) {
             client.socket.getOutputStream().write(piece.getBytes());
-            ServerHarness.turn(harness.loop);
+            ServerHarness.runLoopOnce(harness.loop);
         }
-        assertArrayEquals(CONTENT, client.answer().body());
+        assertArrayEquals(CONTENT, client.readResponse().body());
         try (HttpTestClient other = new HttpTestClient(harness.address)) {
             other.socket.getOutputStream().write(("GET /symbols/a HTTP/1.1\r\nX: " + "x".repeat(16 * 1024 + 1)).getBytes());
-            assertEquals(400, other.answer().status());
+            assertEquals(400, other.readResponse().status());
         }
     }
 
@@ -136,7 +136,7 @@
             assertEquals(200, other.call("GET /symbols/a", "", null).status());   // by now both are accepted
         }
         harness.ticker.advance(10_001);
-        assertEquals(0, client.answer().status(), "closed without an answer");
+        assertEquals(0, client.readResponse().status(), "closed without an answer");
     }
 
     @Test void invalidInputGetsAnErrorOnItsConnectionOnly() throws Exception {
@@ -146,7 +146,7 @@
             {"PUT /symbols/a?uploadId=u&partNumber=0", "Content-Length: 1\r\n", "400"},
             {"PUT /symbols/a", "Content-Length: 9000000000\r\n", "400"}}) {
             try (HttpTestClient other = new HttpTestClient(harness.address)) {
-                HttpTestClient.Answer answer = assertDoesNotThrow(() -> other.call(bad[0], bad[1], null), bad[0] + bad[1]);
+                HttpTestClient.Response answer = assertDoesNotThrow(() -> other.call(bad[0], bad[1], null), bad[0] + bad[1]);
                 assertEquals(Integer.parseInt(bad[2]), answer.status(), bad[0]);
                 assertTrue(answer.text().startsWith("<?xml") && answer.text().contains("<Code>"), answer.text());
             }
@@ -161,8 +161,8 @@
         server.faults.add(new Fault("GET", Kind.CUT, 4, null));
         client.send("GET /symbols/a", "Range: bytes=10-19\r\n", null);
         assertEquals("GET /symbols/a HTTP/1.1 bytes=10-19", server.seen.take());
-        assertEquals("GET /symbols/a HTTP/1.1 bytes=14-19 \"e1\"", nextSeen());
-        HttpTestClient.Answer answer = client.answer();
+        assertEquals("GET /symbols/a HTTP/1.1 bytes=14-19 \"e1\"", awaitNextRequest());
+        HttpTestClient.Response answer = client.readResponse();
         assertEquals(206, answer.status());
         assertEquals("abcdefghij", answer.text());
     }
@@ -172,9 +172,9 @@
         server.faults.add(new Fault("GET", Kind.CUT, 6, null));
         client.send("GET /symbols/a", "", null);
         assertEquals("GET /symbols/a HTTP/1.1", server.seen.take());
-        assertEquals("GET /symbols/a HTTP/1.1 bytes=5-35 \"e1\"", nextSeen());
-        assertEquals("GET /symbols/a HTTP/1.1 bytes=11-35 \"e1\"", nextSeen());
-        assertArrayEquals(CONTENT, client.answer().body());
+        assertEquals("GET /symbols/a HTTP/1.1 bytes=5-35 \"e1\"", awaitNextRequest());
+        assertEquals("GET /symbols/a HTTP/1.1 bytes=11-35 \"e1\"", awaitNextRequest());
+        assertArrayEquals(CONTENT, client.readResponse().body());
     }
 
     /** Guards against gluing two versions of an object together. */
@@ -183,10 +183,10 @@
         server.faults.add(new Fault("GET", Kind.CUT, 4, null));
         client.send("GET /symbols/a", "Range: bytes=10-19\r\n", null);
         server.seen.take();
-        assertEquals("GET /symbols/a HTTP/1.1 bytes=14-19 \"e1\"", nextSeen());
-        HttpTestClient.Answer answer = client.answer();
+        assertEquals("GET /symbols/a HTTP/1.1 bytes=14-19 \"e1\"", awaitNextRequest());
+        HttpTestClient.Response answer = client.readResponse();
         assertEquals(206, answer.status());
-        assertFalse(answer.whole());
+        assertFalse(answer.complete());
         assertEquals("abcd", answer.text());
     }
 
@@ -196,10 +196,10 @@
         }
         client.send("GET /symbols/a", "", null);
         for (int i = 0; i < 3; i++) {
-            nextSeen();
+            awaitNextRequest();
         }
-        HttpTestClient.Answer answer = client.answer();
-        assertFalse(answer.whole());
+        HttpTestClient.Response answer = client.readResponse();
+        assertFalse(answer.complete());
         assertEquals("012", answer.text());
         assertTrue(server.seen.isEmpty());
     }
@@ -221,9 +221,9 @@
     /** Guards against a body that was taken, and lost, before the node said that it may come. */
     @Test void aBodyThatComesWithItsHeadWaitsUntilTheNodeTakesIt() throws Exception {
         String id = begin("/symbols/m");
-        assertEquals(200, client.callAtOnce("PUT /symbols/m?partNumber=1&uploadId=" + id, CONTENT).status());
-        assertEquals(200, client.callAtOnce("PUT /symbols/m?partNumber=2&uploadId=" + id, CONTENT).status());
-        assertEquals(200, client.callAtOnce("PUT /symbols/n", CONTENT).status());
+        assertEquals(200, client.callInOneWrite("PUT /symbols/m?partNumber=1&uploadId=" + id, CONTENT).status());
+        assertEquals(200, client.callInOneWrite("PUT /symbols/m?partNumber=2&uploadId=" + id, CONTENT).status());
+        assertEquals(200, client.callInOneWrite("PUT /symbols/n", CONTENT).status());
     }
 
     @Test void thePartSentTwiceAtOnceIsStoredOnceAndBothGetTheAnswer() throws Exception {
@@ -235,8 +235,8 @@
         try (HttpTestClient second = new HttpTestClient(harness.address)) {
             second.send("PUT /symbols/m?partNumber=1&uploadId=" + id, "", CONTENT);
             hold.gate().countDown();
-            HttpTestClient.Answer first = client.answer();
-            HttpTestClient.Answer again = second.answer();
+            HttpTestClient.Response first = client.readResponse();
+            HttpTestClient.Response again = second.readResponse();
             assertEquals(200, first.status());
             assertEquals(200, again.status());
             assertEquals(first.headers().get("ETag"), again.headers().get("ETag"));
@@ -248,7 +248,7 @@
         String id = begin("/symbols/m");
         String line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
         String etag = client.call(line, "", CONTENT).headers().get("ETag");
-        HttpTestClient.Answer again = client.call(line, "", CONTENT);
+        HttpTestClient.Response again = client.call(line, "", CONTENT);
         assertEquals(200, again.status());
         assertEquals(etag, again.headers().get("ETag"));
         assertEquals(409, client.call(line, "", "other".getBytes()).status());
@@ -261,8 +261,8 @@
         String line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
         server.faults.add(Fault.of("PUT", Kind.CRASH_AFTER));
         assertEquals(502, client.call(line, "", CONTENT).status());
-        assertEquals(409, callInTime(line, "other".getBytes()).status());
-        HttpTestClient.Answer again = client.call(line, "", CONTENT);
+        assertEquals(409, callAdvancingClock(line, "other".getBytes()).status());
+        HttpTestClient.Response again = client.call(line, "", CONTENT);
         assertEquals(200, again.status());
         assertEquals(server.uploads.get(id).get(1).etag(), again.headers().get("ETag"));
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
@@ -273,13 +273,13 @@
         String id = begin("/symbols/m");
         String line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
         server.faults.add(Fault.of("PUT", Kind.CRASH_BEFORE));
-        assertEquals(502, callInTime(line, CONTENT).status());
-        HttpTestClient.Answer early = callInTime(line, CONTENT);
+        assertEquals(502, callAdvancingClock(line, CONTENT).status());
+        HttpTestClient.Response early = callAdvancingClock(line, CONTENT);
         assertEquals(503, early.status());
         assertTrue(Integer.parseInt(early.headers().get("Retry-After")) >= 1);
         assertEquals(Map.of(), server.partWrites);
-        harness.ticker.advance(SETTLED);
-        assertEquals(200, callInTime(line, CONTENT).status());
+        harness.ticker.advance(SETTLED_MS);
+        assertEquals(200, callAdvancingClock(line, CONTENT).status());
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
 
@@ -291,7 +291,7 @@
         harness.close();
         harness = gateway();
         client = new HttpTestClient(harness.address);
-        harness.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED_MS);
         assertEquals(200, client.call(line + "1&uploadId=" + id, "", CONTENT).status());
         assertEquals(200, client.call(line + "2&uploadId=" + id, "", CONTENT).status());
         assertEquals(404, client.call(line + "1&uploadId=none", "", CONTENT).status());
@@ -306,7 +306,7 @@
         client.send("GET /symbols/a", "", null);
         server.seen.take();
         harness.ticker.advance(1_200);
-        assertEquals(504, client.answer().status());
+        assertEquals(504, client.readResponse().status());
         hold.gate().countDown();
     }
 
@@ -315,7 +315,7 @@
         assertEquals(502, client.call("PUT /symbols/b", "", CONTENT).status());
         assertEquals(1, server.seen.size(), "a write that may have run is not sent again");
         server.close();
-        HttpTestClient.Answer answer = callInTime("GET /symbols/a", null);
+        HttpTestClient.Response answer = callAdvancingClock("GET /symbols/a", null);
         assertEquals(503, answer.status());
         assertTrue(Integer.parseInt(answer.headers().get("Retry-After")) >= 1);
     }
@@ -324,9 +324,9 @@
     @Test void aWriteThatIsRejectedBeforeItsBodyIsRetried() throws Exception {
         server.faults.add(Fault.of("PUT", Kind.REFUSE));
         client.send("PUT /symbols/b", "", CONTENT);
-        nextSeen();
-        nextSeen();
-        assertEquals(200, client.answer().status());
+        awaitNextRequest();
+        awaitNextRequest();
+        assertEquals(200, client.readResponse().status());
         assertEquals(1, server.objectWrites.get("/symbols/b"));
     }
 
@@ -336,10 +336,10 @@
         client.send("GET /symbols/a", "", null);
         server.seen.take();
         CountDownLatch left = new CountDownLatch(1);
-        harness.leave(left::countDown);
+        harness.sigtermAndStopAccepting(left::countDown);
         assertEquals(1, left.getCount(), "it waits for what it has taken");
         hold.gate().countDown();
-        assertArrayEquals(CONTENT, client.answer().body());
+        assertArrayEquals(CONTENT, client.readResponse().body());
         client.close();
         assertTrue(left.await(20, TimeUnit.SECONDS));
     }
--- a/src/test/java/kelphollow/program/RequestBreakTest.java
+++ b/src/test/java/kelphollow/program/PartialWriteTest.java
@@ -46,19 +46,19 @@
  * connection. What was not written whole never ran and is sent again; what was may have run and never is.
  */
 @Timeout(60)
-class RequestBreakTest {
+class PartialWriteTest {
     private static final String ANSWER = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n";
     private static final String OBJECT_ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    private static final int ALL = Integer.MAX_VALUE;
+    private static final int UNLIMITED = Integer.MAX_VALUE;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ManualTicker ticker = new ManualTicker(loop);
     private final ScriptedPeer node = new ScriptedPeer();
     private final ScriptedPeer clients = new ScriptedPeer();
     /** How many bytes the sockets of the next exchanges take; beyond these they take all. */
-    private final Queue<Integer> rooms = new ConcurrentLinkedQueue<>();
+    private final Queue<Integer> writeLimits = new ConcurrentLinkedQueue<>();
 
-    RequestBreakTest() throws IOException {}
+    PartialWriteTest() throws IOException {}
 
     @AfterEach void end() throws IOException {
         node.close();
@@ -67,24 +67,24 @@
     }
 
     /** Stands for the socket: passes on what there is room for; the rest is written never, and known so at the close. */
-    private static final class NarrowSocket extends ChannelDuplexHandler {
+    private static final class LimitedSocket extends ChannelDuplexHandler {
         private final List<ChannelPromise> unwritten = new ArrayList<>();
-        private int room;
+        private int writeLimit;
 
-        NarrowSocket(int room) {
-            this.room = room;
+        LimitedSocket(int writeLimit) {
+            this.writeLimit = writeLimit;
         }
 
         @Override public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
             ByteBuf bytes = (ByteBuf) message;
-            if (bytes.readableBytes() <= room) {
-                room -= bytes.readableBytes();
+            if (bytes.readableBytes() <= writeLimit) {
+                writeLimit -= bytes.readableBytes();
                 ctx.write(message, promise);
                 return;
             }
             unwritten.add(promise);
-            ctx.write(bytes.readRetainedSlice(room));
-            room = 0;
+            ctx.write(bytes.readRetainedSlice(writeLimit));
+            writeLimit = 0;
             bytes.release();
         }
 
@@ -95,8 +95,8 @@
     }
 
     private ChannelHandler[] codec(ChannelHandler[] usual) {
-        Integer room = rooms.poll();
-        List<ChannelHandler> all = new ArrayList<>(List.of(new NarrowSocket(room == null ? ALL : room)));
+        Integer writeLimit = writeLimits.poll();
+        List<ChannelHandler> all = new ArrayList<>(List.of(new LimitedSocket(writeLimit == null ? UNLIMITED : writeLimit)));
         all.addAll(List.of(usual));
         return all.toArray(ChannelHandler[]::new);
     }
@@ -121,66 +121,67 @@
     }
 
     private InetSocketAddress platform(int shards) throws Exception {
-        ControlSettings settings = SettingsConfig.read(ServerHarness.part(ServerHarness.example(), "settings"));
+        ControlSettings settings = SettingsConfig.read(ServerHarness.section(ServerHarness.example(), "settings"));
         return listen(() -> new RespFront(router(settings, shards, new RespBackend(pools(RespBackend::codec), ticker)),
             ticker, settings, 100));
     }
 
     private InetSocketAddress objects(int shards) throws Exception {
         Map<String, Object> config = ServerHarness.example();
-        ServerHarness.part(config, "objects").put("shards", (double) shards);
+        ServerHarness.section(config, "objects").put("shards", (double) shards);
         Object assignment = Json.parse(ServerHarness.assignment("HEALTHY", node.address()));
-        ServerHarness.part(config, "xds").put("endpoints", List.of(assignment));
+        ServerHarness.section(config, "xds").put("endpoints", List.of(assignment));
         ObjectConfig read = ObjectConfig.read(new ConfigSection(config, ""));
         return listen(() -> new ObjectFront(router(read.settings(), shards,
             new ObjectBackend(pools(ObjectBackend::codec), ticker, read.stallTimeout())), ticker, read.options(), null));
     }
 
-    private ScriptedPeer.Line nextAttempt(ScriptedPeer.Line client, String where) throws Exception {
+    private ScriptedPeer.Connection nextAttempt(ScriptedPeer.Connection client, String where) throws Exception {
         for (int passed = 0; passed < 2_500; passed += 10) {
-            ScriptedPeer.Line attempt = node.acceptIfAny();
+            ScriptedPeer.Connection attempt = node.acceptIfAny();
             if (attempt != null) {
                 return attempt;
             }
             ticker.advance(10);
-            ServerHarness.turn(loop);
+            ServerHarness.runLoopOnce(loop);
         }
         return fail(where + ": what never ran is sent again, not answered by " + client.until("\r\n"));
     }
 
-    private interface End {
-        void of(ScriptedPeer.Line line) throws IOException;
+    private interface Disconnect {
+        void apply(ScriptedPeer.Connection line) throws IOException;
     }
 
     /** Plays one request whose first attempt breaks off; what the client gets in the end begins so. */
-    private void play(ScriptedPeer.Line client, String whole, int bytes, End end, String answer, String served)
+    private void play(ScriptedPeer.Connection client, String whole, int bytes, Disconnect disconnect, String answer,
+        String served)
         throws Exception {
         String where = bytes + " of " + whole.length() + " bytes";
-        rooms.add(bytes);
+        writeLimits.add(bytes);
         client.send(whole);
-        ScriptedPeer.Line attempt = node.accept();
+        ScriptedPeer.Connection attempt = node.accept();
         assertEquals(whole.substring(0, bytes), attempt.receive(bytes), where);
-        while (!rooms.isEmpty()) {
-            ServerHarness.turn(loop);              // the connection has come up
+        while (!writeLimits.isEmpty()) {
+            ServerHarness.runLoopOnce(loop);              // the connection has come up
         }
-        ServerHarness.turn(loop);                  // and what there is room for has been written
-        end.of(attempt);
+        ServerHarness.runLoopOnce(loop);                  // and what there is room for has been written
+        disconnect.apply(attempt);
         if (bytes < whole.length()) {
-            ScriptedPeer.Line again = nextAttempt(client, where);
+            ScriptedPeer.Connection again = nextAttempt(client, where);
             assertEquals(whole.length(), again.receive(whole.length()).length(), where);
             again.send(answer);
             assertTrue(client.until(served).endsWith(served), where);
             again.socket.close();              // so that each attempt has a connection of its own
-            ServerHarness.turn(loop);
+            ServerHarness.runLoopOnce(loop);
         } else {
             for (int passed = 0; client.socket.getInputStream().available() == 0; passed += 10) {
                 assertTrue(passed < 100, "answered at once");
-                ServerHarness.turn(loop);
+                ServerHarness.runLoopOnce(loop);
             }
             String failed = client.until("\r\n");
             assertTrue(failed.startsWith("-ERR") || failed.startsWith("HTTP/1.1 502"), where + ": " + failed);
             ticker.advance(3_000);
-            ServerHarness.turn(loop);
+            ServerHarness.runLoopOnce(loop);
             assertNull(node.acceptIfAny(), "what may have run is never sent again");
         }
     }
@@ -189,8 +190,8 @@
         int length = put(100).length();
         InetSocketAddress at = platform(100 + length + 2);
         for (int bytes = 0; bytes <= length; bytes++) {
-            ScriptedPeer.Line client = clients.connect(at);
-            play(client, put(100 + bytes), bytes, ScriptedPeer.Line::reset, ANSWER, "$2\r\nok\r\n");
+            ScriptedPeer.Connection client = clients.connect(at);
+            play(client, put(100 + bytes), bytes, ScriptedPeer.Connection::reset, ANSWER, "$2\r\nok\r\n");
             client.socket.close();
         }
         play(clients.connect(at), put(101 + length), length - 1, line -> line.socket.close(), ANSWER, "$2\r\nok\r\n");
@@ -201,8 +202,8 @@
         int length = head.formatted(0).length();
         InetSocketAddress at = objects(1);
         for (int bytes = 0; bytes <= length; bytes++) {
-            ScriptedPeer.Line client = clients.connect(at);
-            play(client, head.formatted(bytes), bytes, ScriptedPeer.Line::reset, OBJECT_ANSWER, "\r\n\r\n");
+            ScriptedPeer.Connection client = clients.connect(at);
+            play(client, head.formatted(bytes), bytes, ScriptedPeer.Connection::reset, OBJECT_ANSWER, "\r\n\r\n");
             client.socket.close();
             ticker.advance(5_000);
         }
@@ -214,21 +215,21 @@
         String own = head + "content-length: 4\r\nexpect: 100-continue\r\n\r\n";
         InetSocketAddress at = objects(1);
         for (int bytes = 0; bytes <= 4; bytes++) {
-            ScriptedPeer.Line client = clients.connect(at);
-            rooms.add(own.length() + bytes);
+            ScriptedPeer.Connection client = clients.connect(at);
+            writeLimits.add(own.length() + bytes);
             client.send(head + "Content-Length: 4\r\n\r\nbody");
-            ScriptedPeer.Line attempt = node.accept();
+            ScriptedPeer.Connection attempt = node.accept();
             assertEquals(own, attempt.until("\r\n\r\n"));
             attempt.send("HTTP/1.1 100 Continue\r\n\r\n");
             for (int turns = 0; turns < 3; turns++) {
-                ServerHarness.turn(loop);              // reads that, then writes what there is room for
+                ServerHarness.runLoopOnce(loop);              // reads that, then writes what there is room for
             }
             assertEquals("body".substring(0, bytes), attempt.receive(bytes));
             attempt.reset();
-            ServerHarness.turn(loop);
+            ServerHarness.runLoopOnce(loop);
             assertTrue(client.until("\r\n").startsWith("HTTP/1.1 50"), bytes + " bytes of the body");
             ticker.advance(5_000);
-            ServerHarness.turn(loop);
+            ServerHarness.runLoopOnce(loop);
             assertNull(node.acceptIfAny(), bytes + " bytes of the body");
             client.socket.close();
         }
--- a/src/test/java/kelphollow/program/ReloadCrossingTest.java
+++ b/src/test/java/kelphollow/program/ReloadRaceTest.java
@@ -19,7 +19,7 @@
  * list.
  */
 @Timeout(20)
-class ReloadCrossingTest {
+class ReloadRaceTest {
     private static final String HEAD_END = "\r\n\r\n";
     private static final String COMMAND_END = "hosts=1\r\n";
     private static final List<String> MODES = List.of("subscribe", "automatic");
@@ -29,25 +29,25 @@
             + "\",\"site\":\"a\",\"block\":0,\"health\":\"" + health + "\",\"born_ms\":0}";
     }
 
-    private static void tell(ScriptedPeer.Line call, int version, boolean whole, String... hosts) throws Exception {
+    private static void respond(ScriptedPeer.Connection call, int version, boolean whole, String... hosts) throws Exception {
         String list = "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", hosts) + "]}";
         call.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + HEAD_END + list);
     }
 
     /** The next call to this service, and where it goes. */
-    private static ScriptedPeer.Line call(ScriptedPeer service, String expected) throws Exception {
-        ScriptedPeer.Line call = service.accept();
+    private static ScriptedPeer.Connection call(ScriptedPeer service, String expected) throws Exception {
+        ScriptedPeer.Connection call = service.accept();
         assertTrue(call.until(HEAD_END).startsWith("GET /catalog/members" + expected));
         return call;
     }
 
     /** The service says that the list of the start still holds, or nothing is sent by it; the watch that follows. */
-    private static ScriptedPeer.Line confirm(ScriptedPeer service) throws Exception {
-        tell(call(service, "?index=1&wait="), 1, false);
+    private static ScriptedPeer.Connection confirmInitialList(ScriptedPeer service) throws Exception {
+        respond(call(service, "?index=1&wait="), 1, false);
         return call(service, "?index=1&wait=");
     }
 
-    private static void assertAsked(ScriptedPeer node, String id) throws Exception {
+    private static void assertReceives(ScriptedPeer node, String id) throws Exception {
         assertTrue(node.accept().until(COMMAND_END).contains("\r\n" + id + "\r\n"));
     }
 
@@ -58,14 +58,14 @@
                  ScriptedPeer clients = new ScriptedPeer();
                  ServerHarness harness = ServerHarness.respWith(mode, old.address(), first.address())) {
                 call(old, "?index=1&wait=");
-                ScriptedPeer.Line client = clients.connect(harness.address);
+                ScriptedPeer.Connection client = clients.connect(harness.address);
                 harness.reload(next.address());
-                ScriptedPeer.Line whole = call(next, " HTTP");
-                CountDownLatch go = ClientCrossingTest.hold(harness);
-                client.send(ClientCrossingTest.get("q"));
-                tell(whole, 7, true, host("n0", first, "draining"), host("n9", second, "ready"));
+                ScriptedPeer.Connection whole = call(next, " HTTP");
+                CountDownLatch go = ClientRaceTest.blockLoop(harness);
+                client.send(ClientRaceTest.get("q"));
+                respond(whole, 7, true, host("n0", first, "draining"), host("n9", second, "ready"));
                 go.countDown();
-                assertAsked(second, "q");
+                assertReceives(second, "q");
                 assertNull(first.acceptIfAny(), mode);
             }
         }
@@ -76,21 +76,21 @@
         try (ScriptedPeer old = new ScriptedPeer(); ScriptedPeer first = new ScriptedPeer();
              ScriptedPeer second = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(old.address(), first.address())) {
-            confirm(old);
-            ScriptedPeer.Line client = clients.connect(harness.address);
-            ServerHarness.turn(harness.loop);
-            CountDownLatch go = ClientCrossingTest.hold(harness);
-            client.send(ClientCrossingTest.get("q"));
+            confirmInitialList(old);
+            ScriptedPeer.Connection client = clients.connect(harness.address);
+            ServerHarness.runLoopOnce(harness.loop);
+            CountDownLatch go = ClientRaceTest.blockLoop(harness);
+            client.send(ClientRaceTest.get("q"));
             // The turn after this one reads the command and dials; its end comes before the connection can be seen to be up.
             List<ResolvedEndpoint> list = List.of(member("n0", first.address(), EndpointState.DRAINING),
                 member("n9", second.address(), EndpointState.HEALTHY));
-            harness.loop.execute(() -> harness.atNextTurnsEnd(() -> harness.learn(list)));
+            harness.loop.execute(() -> harness.afterNextLoopIteration(() -> harness.updateEndpoints(list)));
             go.countDown();
-            ScriptedPeer.Line dialled = first.accept();
-            ScriptedPeer.Line elsewhere = null;
+            ScriptedPeer.Connection dialled = first.accept();
+            ScriptedPeer.Connection elsewhere = null;
             for (int passed = 0; elsewhere == null; passed += 10) {
                 assertTrue(passed < 500, "an attempt that was not written is made again soon");
-                harness.pass(10);
+                harness.runFor(10);
                 elsewhere = second.acceptIfAny();
             }
             assertTrue(elsewhere.until(COMMAND_END).contains("\r\nq\r\n"));
@@ -108,18 +108,18 @@
                  ScriptedPeer first = new ScriptedPeer(); ScriptedPeer second = new ScriptedPeer();
                  ScriptedPeer clients = new ScriptedPeer();
                  ServerHarness harness = ServerHarness.respWith(mode, old.address(), first.address())) {
-                ScriptedPeer.Line watch = confirm(old);
-                CountDownLatch go = ClientCrossingTest.hold(harness);
-                tell(watch, 90, true, host("n0", second, "ready"));       // there before the reload, read after it
-                harness.hangUp(next.address());                              // runs before the loop reads again
+                ScriptedPeer.Connection watch = confirmInitialList(old);
+                CountDownLatch go = ClientRaceTest.blockLoop(harness);
+                respond(watch, 90, true, host("n0", second, "ready"));       // there before the reload, read after it
+                harness.signalReload(next.address());                              // runs before the loop reads again
                 go.countDown();
-                ScriptedPeer.Line whole = call(next, " HTTP");
-                clients.connect(harness.address).send(ClientCrossingTest.get("before"));
-                assertAsked(first, "before");
-                tell(whole, 7, true, host("n0", first, "draining"), host("n9", second, "ready"));
+                ScriptedPeer.Connection whole = call(next, " HTTP");
+                clients.connect(harness.address).send(ClientRaceTest.get("before"));
+                assertReceives(first, "before");
+                respond(whole, 7, true, host("n0", first, "draining"), host("n9", second, "ready"));
                 call(next, "?index=7&wait=");
-                clients.connect(harness.address).send(ClientCrossingTest.get("after"));
-                assertAsked(second, "after");
+                clients.connect(harness.address).send(ClientRaceTest.get("after"));
+                assertReceives(second, "after");
                 assertNull(first.acceptIfAny(), mode);
             }
         }
@@ -132,19 +132,19 @@
                  ScriptedPeer first = new ScriptedPeer(); ScriptedPeer second = new ScriptedPeer();
                  ScriptedPeer clients = new ScriptedPeer();
                  ServerHarness harness = ServerHarness.respWith(mode, old.address(), first.address())) {
-                ScriptedPeer.Line watch = call(old, "?index=1&wait=");
-                CountDownLatch go = ClientCrossingTest.hold(harness);
-                tell(watch, 2, false, host("n0", first, "draining"), host("n9", second, "ready"));
-                harness.loop.execute(() -> harness.atNextTurnsEnd(() -> harness.hangUp(next.address())));
+                ScriptedPeer.Connection watch = call(old, "?index=1&wait=");
+                CountDownLatch go = ClientRaceTest.blockLoop(harness);
+                respond(watch, 2, false, host("n0", first, "draining"), host("n9", second, "ready"));
+                harness.loop.execute(() -> harness.afterNextLoopIteration(() -> harness.signalReload(next.address())));
                 go.countDown();
-                ScriptedPeer.Line whole = call(next, " HTTP");
-                clients.connect(harness.address).send(ClientCrossingTest.get("between"));
-                assertAsked(second, "between");
+                ScriptedPeer.Connection whole = call(next, " HTTP");
+                clients.connect(harness.address).send(ClientRaceTest.get("between"));
+                assertReceives(second, "between");
                 assertNull(first.acceptIfAny(), mode);
-                tell(whole, 1, true, host("n0", first, "ready"));
+                respond(whole, 1, true, host("n0", first, "ready"));
                 call(next, "?index=1&wait=");
-                clients.connect(harness.address).send(ClientCrossingTest.get("after"));
-                assertAsked(first, "after");
+                clients.connect(harness.address).send(ClientRaceTest.get("after"));
+                assertReceives(first, "after");
             }
         }
     }
--- a/src/test/java/kelphollow/program/ReloadTest.java
+++ b/src/test/java/kelphollow/program/ReloadTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test void theObjectApiFollowsANewFile() throws Exception {
-        Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
+        Map<String, Object> objects = new HashMap<>(ServerHarness.section(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
         try (FakeObjectServer old = new FakeObjectServer(); FakeObjectServer next = new FakeObjectServer();
              ServerHarness server = ServerHarness.objects(Map.of("objects", objects), old.address());
--- a/src/test/java/kelphollow/program/SecondTermTest.java
+++ b/src/test/java/kelphollow/program/RepeatedSigtermTest.java
@@ -19,7 +19,7 @@
 
 /** SIGTERM while the program leaves already, and a hand-over that its writer does not live to finish. */
 @Timeout(60)
-class SecondTermTest {
+class RepeatedSigtermTest {
     private static final Pattern AT = Pattern.compile("(management|serves) at 127\\.0\\.0\\.1:(\\d+)");
     @TempDir
     Path folder;
@@ -29,7 +29,7 @@
             + "\"mgmt\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.getPort() + "\","
             + "\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"n0\",\"dial\":\"127.0.0.1:" + node.getPort()
             + "\",\"site\":\"a\",\"block\":0,\"health\":\"ready\",\"born_ms\":0}]},"
-            + "\"settings\":" + StartTest.settings() + "}");
+            + "\"settings\":" + StartupTest.settings() + "}");
         ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-cp",
             System.getProperty("java.class.path"), Main.class.getName(), "serve").redirectErrorStream(true);
         builder.environment().put("GW_CONFIG", file.toString());
@@ -53,16 +53,16 @@
              ScriptedPeer clients = new ScriptedPeer()) {
             Process program = start(discovery.address(), node.address());
             try (BufferedReader log = program.inputReader()) {
-                ScriptedPeer.Line call = discovery.accept();
+                ScriptedPeer.Connection call = discovery.accept();
                 call.until("\r\n\r\n");
                 String list = FakeDiscovery.list(1, false);
                 call.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
                 InetSocketAddress management = address(log, "management");
-                ScriptedPeer.Line client = clients.connect(address(log, "serves"));
-                client.send(ClientCrossingTest.get("q"));
+                ScriptedPeer.Connection client = clients.connect(address(log, "serves"));
+                client.send(ClientRaceTest.get("q"));
                 node.accept().until("hosts=1\r\n");          // it never answers
                 program.toHandle().destroy();   // SIGTERM; Process.destroy would close the log as well
-                ScriptedPeer.Line status;
+                ScriptedPeer.Connection status;
                 do {                                         // one call a connection
                     status = clients.connect(management).send("status\n");
                 } while (!status.until("\n").startsWith("NAK leaving"));
--- a/src/test/java/kelphollow/program/RestartOnStaleListTest.java
+++ b/src/test/java/kelphollow/program/RestartOnStaleListTest.java
@@ -60,12 +60,12 @@
                 assertTrue(client.line().startsWith("-"), "nobody serves it");
                 assertNull(node.acceptIfAny(), "a connection to a node of unknown state");
 
-                ScriptedPeer.Line poll = discovery.accept();
+                ScriptedPeer.Connection poll = discovery.accept();
                 poll.until("\r\n\r\n");
                 poll.send(response(list(2, false, List.of(row("a", node, 0, "gone")))));
 
                 client.send(RespClient.get("q2", "dump-read", 1_200, 1));
-                ScriptedPeer.Line attempt = other.accept();
+                ScriptedPeer.Connection attempt = other.accept();
                 attempt.until("hosts=1\r\n");
                 attempt.send("*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
                 assertEquals("ok", client.answer());
--- a/src/test/java/kelphollow/program/ScriptedPeer.java
+++ b/src/test/java/kelphollow/program/ScriptedPeer.java
@@ -12,12 +12,12 @@
 
 /** A peer whose every byte, close and reset the test says; it does nothing by itself. */
 final class ScriptedPeer implements AutoCloseable {
-    private static final int GUARD_MILLIS = 10_000;   // only so that a failure ends; nothing is proved by waiting
+    private static final int GUARD_TIMEOUT_MS = 10_000;   // only so that a failure ends; nothing is proved by waiting
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-    private final List<Line> lines = new ArrayList<>();
+    private final List<Connection> lines = new ArrayList<>();
 
     ScriptedPeer() throws IOException {
-        listener.setSoTimeout(GUARD_MILLIS);
+        listener.setSoTimeout(GUARD_TIMEOUT_MS);
     }
 
     InetSocketAddress address() {
@@ -25,43 +25,43 @@
     }
 
     /** The next connection that the program makes to this peer. */
-    Line accept() throws IOException {
-        return keep(new Line(listener.accept()));
+    Connection accept() throws IOException {
+        return keep(new Connection(listener.accept()));
     }
 
     /** The same if there is one already, else null. On the loopback a dial that was begun is there at once. */
-    Line acceptIfAny() throws IOException {
+    Connection acceptIfAny() throws IOException {
         listener.setSoTimeout(1);
         try {
             return accept();
         } catch (java.net.SocketTimeoutException none) {
             return null;
         } finally {
-            listener.setSoTimeout(GUARD_MILLIS);
+            listener.setSoTimeout(GUARD_TIMEOUT_MS);
         }
     }
 
     /** A connection that this peer makes to the program. */
-    Line connect(InetSocketAddress to) throws IOException {
-        return keep(new Line(new Socket(to.getAddress(), to.getPort())));
+    Connection connect(InetSocketAddress to) throws IOException {
+        return keep(new Connection(new Socket(to.getAddress(), to.getPort())));
     }
 
-    private Line keep(Line line) {
+    private Connection keep(Connection line) {
         lines.add(line);
         return line;
     }
 
     /** One connection. */
-    static final class Line {
+    static final class Connection {
         final Socket socket;
 
-        private Line(Socket socket) throws IOException {
+        private Connection(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(GUARD_MILLIS);
+            socket.setSoTimeout(GUARD_TIMEOUT_MS);
             socket.setTcpNoDelay(true);
         }
 
-        Line send(String text) throws IOException {
+        Connection send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             return this;
         }
@@ -103,7 +103,7 @@
 
     @Override public void close() throws IOException {
         listener.close();
-        for (Line line : lines) {
+        for (Connection line : lines) {
             line.socket.close();
         }
     }
--- a/src/test/java/kelphollow/program/ServerHarness.java
+++ b/src/test/java/kelphollow/program/ServerHarness.java
@@ -45,7 +45,7 @@
         return copy((Map<?, ?>) Json.parse(Files.readString(Path.of("deploy/objects.json"))));
     }
 
-    @SuppressWarnings("unchecked") static Map<String, Object> part(Map<String, Object> map, String key) {
+    @SuppressWarnings("unchecked") static Map<String, Object> section(Map<String, Object> map, String key) {
         return (Map<String, Object>) map.get(key);
     }
 
@@ -63,7 +63,7 @@
     /** The same; {@code lists} is the mode in which the node list comes. */
     static ServerHarness respWith(String lists, InetSocketAddress discovery, InetSocketAddress... nodes) throws Exception {
         ServerHarness harness = new ServerHarness();
-        Map<String, Object> settings = part(example(), "settings");
+        Map<String, Object> settings = section(example(), "settings");
         List<ResolvedEndpoint> members = new ArrayList<>();
         for (InetSocketAddress node : nodes) {
             int cell = members.size();
@@ -87,22 +87,22 @@
     }
 
     void reload(InetSocketAddress discovery) throws InterruptedException {
-        hangUp(discovery);
+        signalReload(discovery);
         loop.submit(() -> {}).sync();
     }
 
     /** As at SIGHUP with discovery moved there; the loop follows when it comes to it. */
-    void hangUp(InetSocketAddress discovery) {
+    void signalReload(InetSocketAddress discovery) {
         ((PlatformScheduler) scheduler).reload(platformConfig(discovery, config.known(), config.settings()));
     }
 
     /** A whole list, as if discovery told it; on the loop. */
-    void learn(List<ResolvedEndpoint> complete) {
+    void updateEndpoints(List<ResolvedEndpoint> complete) {
         router.updateEndpoints(complete, true);
     }
 
     /** The task runs when all that the loop's next turn reads has been dealt with, before it reads again; on the loop. */
-    void atNextTurnsEnd(Runnable task) {
+    void afterNextLoopIteration(Runnable task) {
         SingleThreadEventLoop turns = (SingleThreadEventLoop) loop;
         turns.executeAfterEventLoopIteration(() -> loop.execute(() -> turns.executeAfterEventLoopIteration(task)));
     }
@@ -116,7 +116,7 @@
 
     private static ObjectConfig objectConfig(Map<String, Object> changes, InetSocketAddress... servers) throws Exception {
         Map<String, Object> config = example();
-        Map<String, Object> xds = new HashMap<>(part(config, "xds"));
+        Map<String, Object> xds = new HashMap<>(section(config, "xds"));
         xds.put("endpoints", List.of(Json.parse(assignment("HEALTHY", servers))));
         config.put("xds", xds);
         config.putAll(changes);
@@ -146,8 +146,8 @@
         address = of.listen(new InetSocketAddress("127.0.0.1", 0));
     }
 
-    void leave(Runnable whenLeft) throws InterruptedException {
-        term(whenLeft);
+    void sigtermAndStopAccepting(Runnable whenLeft) throws InterruptedException {
+        sigterm(whenLeft);
         ticker.advance((int) scheduler.acceptsFor() + 1);
     }
 
@@ -155,20 +155,20 @@
         return scheduler.onLoop(router -> router.openRequests()).get();
     }
 
-    boolean awaitList(long most) throws InterruptedException {
+    boolean awaitFirstResponse(long most) throws InterruptedException {
         return ((PlatformScheduler) scheduler).awaitFirstResponse(most);
     }
 
     /** The clock moves on while the loop goes round, reading what comes, as it does when nothing holds it up. */
-    void pass(int millis) throws InterruptedException {
+    void runFor(int millis) throws InterruptedException {
         for (int passed = 0; passed < millis; passed += 10) {
             ticker.advance(Math.min(10, millis - passed));
-            turn(loop);
+            runLoopOnce(loop);
         }
     }
 
     /** The loop goes round once: it reads what has come, then runs what waits. */
-    static void turn(EventLoop loop) throws InterruptedException {
+    static void runLoopOnce(EventLoop loop) throws InterruptedException {
         CountDownLatch round = new CountDownLatch(1);
         ((SingleThreadEventLoop) loop).executeAfterEventLoopIteration(() -> loop.execute(round::countDown));
         loop.submit(() -> {}).sync();     // wakes it if it rests
@@ -176,13 +176,13 @@
     }
 
     /** As at SIGTERM; the clock stands. */
-    void term(Runnable whenLeft) throws InterruptedException {
+    void sigterm(Runnable whenLeft) throws InterruptedException {
         scheduler.leave(whenLeft);
         loop.submit(() -> {}).sync();
     }
 
     /** Returns when the store's writer has written all that it was given so far. */
-    void written() throws Exception {
+    void awaitStoreWrites() throws Exception {
         CompletableFuture<StoreFault> done = new CompletableFuture<>();
         ((ObjectScheduler) scheduler).ledger().store().write(new Batch(), Durability.BUFFERED, Runnable::run,
             done::complete);
--- a/src/test/java/kelphollow/program/ShutdownScheduleTest.java
+++ b/src/test/java/kelphollow/program/ShutdownScheduleTest.java
@@ -10,7 +10,7 @@
 /** What happens when after SIGTERM, against the platform's kill: the longest deadline, 3 s at most, and 0.7 s after it. */
 class ShutdownScheduleTest {
     private static ControlSettings settings(double deadline) throws Exception {
-        Map<String, Object> settings = ServerHarness.part(ServerHarness.example(), "settings");
+        Map<String, Object> settings = ServerHarness.section(ServerHarness.example(), "settings");
         settings.put("request_classes", List.of(Map.of("name", "c", "aim", 50.0, "deadline", deadline)));
         return SettingsConfig.read(settings);
     }
--- a/src/test/java/kelphollow/program/SlowWriterTest.java
+++ b/src/test/java/kelphollow/program/SlowWriterTest.java
@@ -15,34 +15,34 @@
 @Timeout(60)
 class SlowWriterTest {
     /** A client may spend so long on a head, in milliseconds. */
-    private static final int SLOWEST = 2_000;
+    private static final int LONGEST_PAUSE_MS = 2_000;
     private static final String PING = "*1\r\n$4\r\nPING\r\n";
     private static final String PONG = "+PONG\r\n";
     private static final String ANSWER = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n";
 
     /** Sends a piece and sees to it that it has been read. */
-    private static void send(ServerHarness harness, ScriptedPeer.Line client, String piece) throws Exception {
+    private static void send(ServerHarness harness, ScriptedPeer.Connection client, String piece) throws Exception {
         client.send(piece);
-        ServerHarness.turn(harness.loop);
+        ServerHarness.runLoopOnce(harness.loop);
     }
 
     @Test void aCommandCutAtAnyByteIsServedThoughItsWriterPausesBetween() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
-            ScriptedPeer.Line client = clients.connect(harness.address);
-            int length = ClientCrossingTest.get("q100").length();
-            ScriptedPeer.Line attempt = null;
+            ScriptedPeer.Connection client = clients.connect(harness.address);
+            int length = ClientRaceTest.get("q100").length();
+            ScriptedPeer.Connection attempt = null;
             for (int cut = 1; cut < length; cut++) {
                 String id = "q" + (100 + cut);
-                String command = ClientCrossingTest.get(id);
+                String command = ClientRaceTest.get(id);
                 send(harness, client, command.substring(0, cut));
-                harness.ticker.advance(SLOWEST);
+                harness.ticker.advance(LONGEST_PAUSE_MS);
                 send(harness, client, command.substring(cut));
                 attempt = attempt == null ? node.accept() : attempt;
                 assertTrue(attempt.until("hosts=1\r\n").contains("\r\n" + id + "\r\n"), "cut at " + cut);
                 attempt.send(ANSWER);
                 assertEquals("$2\r\nok\r\n", client.receive(8), "cut at " + cut);
-                harness.pass(30);            // after these an answered connection to a node is used again
+                harness.runFor(30);            // after these an answered connection to a node is used again
             }
             assertEquals(PONG, client.send(PING).receive(7));
         }
@@ -51,13 +51,13 @@
     /** A rest is none of the command's time, wherever the first piece ends. */
     @Test void aClientThatHasBeenIdleIsGivenAsLongForItsNextCommand() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness harness = ServerHarness.resp(null, ClientCrossingTest.NOBODY)) {
+             ServerHarness harness = ServerHarness.resp(null, ClientRaceTest.UNREACHABLE)) {
             for (int cut = 1; cut < PING.length(); cut++) {
-                ScriptedPeer.Line client = clients.connect(harness.address);
+                ScriptedPeer.Connection client = clients.connect(harness.address);
                 assertEquals(PONG, client.send(PING).receive(7));
                 harness.ticker.advance(9_500);
                 send(harness, client, PING.substring(0, cut));
-                harness.ticker.advance(SLOWEST);
+                harness.ticker.advance(LONGEST_PAUSE_MS);
                 send(harness, client, PING.substring(cut));
                 assertEquals(PONG, client.receive(7), "cut at " + cut);
                 client.socket.close();
@@ -69,17 +69,17 @@
     @Test void halfACommandThatStandsStillForLongerEndsCleanlyAndIsNotForwarded() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
-            String command = ClientCrossingTest.get("half");
+            String command = ClientRaceTest.get("half");
             for (int cut = 1; cut < command.length(); cut += 12) {
-                ScriptedPeer.Line client = clients.connect(harness.address);
+                ScriptedPeer.Connection client = clients.connect(harness.address);
                 send(harness, client, command.substring(0, cut));
-                harness.pass(2_400);
+                harness.runFor(2_400);
                 client.send(command.substring(cut));
                 assertEquals("", client.until("\n"), "cut at " + cut);
                 client.socket.close();
             }
-            ScriptedPeer.Line client = clients.connect(harness.address);
-            client.send(ClientCrossingTest.get("whole"));
+            ScriptedPeer.Connection client = clients.connect(harness.address);
+            client.send(ClientRaceTest.get("whole"));
             assertTrue(node.accept().until("hosts=1\r\n").contains("\r\nwhole\r\n"), "the first that came to the node");
         }
     }
@@ -87,11 +87,11 @@
     /** Bytes one by one show life, but no command may take for good. */
     @Test void aCommandThatDripsEndsAfterTenSeconds() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer();
-             ServerHarness harness = ServerHarness.resp(null, ClientCrossingTest.NOBODY)) {
-            ScriptedPeer.Line client = clients.connect(harness.address);
+             ServerHarness harness = ServerHarness.resp(null, ClientRaceTest.UNREACHABLE)) {
+            ScriptedPeer.Connection client = clients.connect(harness.address);
             for (int i = 0; i < 6; i++) {
-                send(harness, client, ClientCrossingTest.get("drip").substring(i, i + 1));
-                harness.ticker.advance(SLOWEST);
+                send(harness, client, ClientRaceTest.get("drip").substring(i, i + 1));
+                harness.ticker.advance(LONGEST_PAUSE_MS);
             }
             assertEquals("", client.until("\n"));
         }
@@ -100,7 +100,7 @@
     // ---------------------------------------------------------------- the object API
 
     private static ServerHarness objects(FakeObjectServer server, double stall) throws Exception {
-        Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
+        Map<String, Object> objects = new HashMap<>(ServerHarness.section(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
         return ServerHarness.objects(Map.of("objects", objects, "stall_ms", stall), server.address());
     }
@@ -114,10 +114,10 @@
             for (String request : new String[] {put, get}) {
                 for (int cut = 1; cut < request.length(); cut++) {
                     client.socket.getOutputStream().write(request.substring(0, cut).getBytes());
-                    ServerHarness.turn(harness.loop);
-                    harness.ticker.advance(SLOWEST);
+                    ServerHarness.runLoopOnce(harness.loop);
+                    harness.ticker.advance(LONGEST_PAUSE_MS);
                     client.socket.getOutputStream().write(request.substring(cut).getBytes());
-                    HttpTestClient.Answer answer = client.answer();
+                    HttpTestClient.Response answer = client.readResponse();
                     assertEquals(200, answer.status(), "cut at " + cut + " of " + request);
                     assertEquals(request == get ? "body" : "", answer.text(), "cut at " + cut + " of " + request);
                 }
@@ -136,10 +136,10 @@
                     assertEquals(404, client.call("GET /symbols/none", "", null).status());
                     harness.ticker.advance(rested);
                     client.socket.getOutputStream().write(get.substring(0, 9).getBytes());
-                    ServerHarness.turn(harness.loop);
-                    harness.ticker.advance(SLOWEST);
+                    ServerHarness.runLoopOnce(harness.loop);
+                    harness.ticker.advance(LONGEST_PAUSE_MS);
                     client.socket.getOutputStream().write(get.substring(9).getBytes());
-                    assertEquals(404, client.answer().status(), "rested for " + rested);
+                    assertEquals(404, client.readResponse().status(), "rested for " + rested);
                 }
             }
         }
@@ -152,10 +152,10 @@
                 try (HttpTestClient client = new HttpTestClient(harness.address)) {
                     client.socket.setTcpNoDelay(true);
                     client.socket.getOutputStream().write(get.substring(0, cut).getBytes());
-                    ServerHarness.turn(harness.loop);
-                    harness.pass(2_600);
+                    ServerHarness.runLoopOnce(harness.loop);
+                    harness.runFor(2_600);
                     client.socket.getOutputStream().write(get.substring(cut).getBytes());
-                    assertEquals(0, client.answer().status(), "cut at " + cut);
+                    assertEquals(0, client.readResponse().status(), "cut at " + cut);
                 }
             }
             assertTrue(server.seen.isEmpty());
--- a/src/test/java/kelphollow/program/StalledWatchTest.java
+++ b/src/test/java/kelphollow/program/StalledWatchTest.java
@@ -14,7 +14,7 @@
     private static final int STEP = 20;
     private static final List<String> MODES = List.of("automatic", "subscribe");
 
-    private static void respond(ScriptedPeer.Line poll, int version) throws Exception {
+    private static void respond(ScriptedPeer.Connection poll, int version) throws Exception {
         String list = FakeDiscovery.list(version, false);
         poll.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
     }
@@ -25,16 +25,16 @@
                  ServerHarness server = ServerHarness.respWith(mode, discovery.address())) {
                 int version = 1;
                 for (int passed = 0; passed < ANSWERED_FOR; passed += 500) {
-                    ScriptedPeer.Line poll = discovery.accept();
+                    ScriptedPeer.Connection poll = discovery.accept();
                     assertTrue(poll.until("\r\n\r\n").contains("?index=" + version + "&wait="), mode);
                     server.ticker.advance(500);
                     version++;
                     respond(poll, version);
                 }
-                ScriptedPeer.Line stalled = discovery.accept();
+                ScriptedPeer.Connection stalled = discovery.accept();
                 stalled.until("\r\n\r\n");
 
-                ScriptedPeer.Line again = nextConnection(discovery, server, mode);
+                ScriptedPeer.Connection again = nextConnection(discovery, server, mode);
 
                 assertTrue(again.until("\r\n\r\n").contains("?index=" + version + "&wait="), mode);
                 assertTrue(stalled.hasEnded(), mode);
@@ -43,10 +43,10 @@
     }
 
     /** Moves the clock on until the program connects again, which it must within the budget. */
-    private static ScriptedPeer.Line nextConnection(ScriptedPeer discovery, ServerHarness server, String mode)
+    private static ScriptedPeer.Connection nextConnection(ScriptedPeer discovery, ServerHarness server, String mode)
         throws Exception {
         double longest = EndpointUpdateBudget.longestDelay(mode.equals("automatic")) - EndpointUpdateBudget.QUEUE_WAIT_MS;
-        ScriptedPeer.Line next = null;
+        ScriptedPeer.Connection next = null;
         for (int passed = 0; next == null; passed += STEP) {
             assertTrue(passed < longest, mode + ": " + passed + " ms of silence");
             server.ticker.advance(STEP);
--- a/src/test/java/kelphollow/program/StartTest.java
+++ b/src/test/java/kelphollow/program/StartupTest.java
@@ -19,22 +19,22 @@
 
 /** What a start waits for, and what crosses it. */
 @Timeout(60)
-class StartTest {
+class StartupTest {
     @TempDir
     Path folder;
 
     @Test void aStartWaitsForTheFirstResponseOfDiscoveryBeItAListOrARejection() throws Exception {
         try (ScriptedPeer discovery = new ScriptedPeer();
              ServerHarness harness = ServerHarness.respWith("automatic", discovery.address())) {
-            ScriptedPeer.Line call = discovery.accept();
+            ScriptedPeer.Connection call = discovery.accept();
             call.until("\r\n\r\n");
-            assertFalse(harness.awaitList(0));
+            assertFalse(harness.awaitFirstResponse(0));
             String list = FakeDiscovery.list(4, false);
             call.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
-            assertTrue(harness.awaitList(10_000));
+            assertTrue(harness.awaitFirstResponse(10_000));
         }
         try (ServerHarness harness = ServerHarness.respWith("subscribe", new InetSocketAddress("127.0.0.1", 1))) {
-            assertTrue(harness.awaitList(10_000));
+            assertTrue(harness.awaitFirstResponse(10_000));
         }
     }
 
@@ -86,13 +86,13 @@
         for (List<String> fault : List.of(List.of("request_classes", "window"), List.of("request_classes", "worth"),
             List.of("grades", "ceiling_rate"), List.of("contract", "fall"), List.of("extra", "young_limit"),
             List.of("ceilings", "open_cap"))) {
-            Map<String, Object> settings = ServerHarness.part(ServerHarness.example(), "settings");
+            Map<String, Object> settings = ServerHarness.section(ServerHarness.example(), "settings");
             if (settings.get(fault.get(0)) instanceof List<?> rows) {
                 Map<Object, Object> row = new HashMap<>((Map<?, ?>) rows.get(0));
                 row.put(fault.get(1), "soon");
                 settings.put(fault.get(0), List.of(row));
             } else {
-                ServerHarness.part(settings, fault.get(0)).put(fault.get(1), -1.0);
+                ServerHarness.section(settings, fault.get(0)).put(fault.get(1), -1.0);
             }
             ConfigurationException thrown = assertThrows(ConfigurationException.class, () -> SettingsConfig.read(settings),
                 fault.toString());
@@ -101,7 +101,7 @@
     }
 
     @Test void aTokenClassNeedsItsWindow() throws Exception {
-        Map<String, Object> settings = ServerHarness.part(ServerHarness.example(), "settings");
+        Map<String, Object> settings = ServerHarness.section(ServerHarness.example(), "settings");
         settings.put("request_classes", List.of(Map.of("name", "k", "aim", 100.0, "deadline", 100.0, "effect", "token",
             "dedup_scope", "all")));
         ConfigurationException thrown = assertThrows(ConfigurationException.class, () -> SettingsConfig.read(settings));
--- a/src/test/java/kelphollow/program/StoreRestartTest.java
+++ b/src/test/java/kelphollow/program/StoreRestartTest.java
@@ -27,10 +27,10 @@
 class StoreRestartTest {
     private static final byte[] CONTENT = "0123456789".getBytes();
     private static final byte[] LIST = "<CompleteMultipartUpload/>".getBytes();
-    private static final int SETTLED = 3_100;
+    private static final int SETTLED_MS = 3_100;
     @TempDir
     Path folder;
-    private int lives;
+    private int restarts;
     private FakeObjectServer server;
     private ServerHarness harness;
     private HttpTestClient client;
@@ -41,11 +41,12 @@
     }
 
     private Map<String, Object> store() {
-        return Map.of("folders", List.of(folder.resolve(lives + "a").toString(), folder.resolve(lives + "b").toString()));
+        return Map.of("folders", List.of(folder.resolve(restarts + "a").toString(), folder.resolve(restarts + "b")
+            .toString()));
     }
 
     private void begin() throws Exception {
-        Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
+        Map<String, Object> objects = new HashMap<>(ServerHarness.section(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
         harness = ServerHarness.objects(Map.of("objects", objects, "store", store()), server.address());
         client = new HttpTestClient(harness.address);
@@ -53,16 +54,16 @@
 
     /** A kill once the writer has written what it was given: outcomes are not waited for before an answer. */
     private void kill() throws Exception {
-        harness.written();
-        killNow();
+        harness.awaitStoreWrites();
+        killWithoutAwaitingWrites();
     }
 
     /** What the system had been given stays, the process goes: the next life works on copies of the folders. */
-    private void killNow() throws Exception {
+    private void killWithoutAwaitingWrites() throws Exception {
         client.close();
         for (String side : new String[] {"a", "b"}) {
-            Path from = folder.resolve(lives + side);
-            Path to = folder.resolve(lives + 1 + side);
+            Path from = folder.resolve(restarts + side);
+            Path to = folder.resolve(restarts + 1 + side);
             Files.createDirectories(to);
             try (var files = Files.list(from)) {
                 for (Path file : files.toList()) {
@@ -70,7 +71,7 @@
                 }
             }
         }
-        lives++;
+        restarts++;
         harness.close();
         begin();
     }
@@ -102,7 +103,7 @@
     }
 
     /** A connection of its own: one whose body was not read is closed behind its answer. */
-    private HttpTestClient.Answer callAnew(String line, byte[] body) throws IOException {
+    private HttpTestClient.Response callOnNewConnection(String line, byte[] body) throws IOException {
         try (HttpTestClient other = new HttpTestClient(harness.address)) {
             return other.call(line, "", body);
         }
@@ -110,10 +111,10 @@
 
     @Test void aPartSentTwiceOverAKillIsAnsweredFromTheStore() throws Exception {
         String id = upload();
-        HttpTestClient.Answer first = client.call(part(id, 1), "", CONTENT);
+        HttpTestClient.Response first = client.call(part(id, 1), "", CONTENT);
         kill();
         server.seen.clear();
-        HttpTestClient.Answer again = client.call(part(id, 1), "", CONTENT);
+        HttpTestClient.Response again = client.call(part(id, 1), "", CONTENT);
         assertEquals(200, again.status());
         assertEquals(first.headers().get("ETag"), again.headers().get("ETag"));
         assertEquals(409, client.call(part(id, 1), "", "other".getBytes()).status());
@@ -124,8 +125,8 @@
     /** Guards against a body that was handed over before the intent was safe, when head and body came in one read. */
     @Test void aBodyThatComesWithItsHeadWaitsForTheRecord() throws Exception {
         String id = upload();
-        assertEquals(200, client.callAtOnce(part(id, 1), CONTENT).status());
-        assertEquals(200, client.callAtOnce("POST /symbols/m?uploadId=" + id, LIST).status());
+        assertEquals(200, client.callInOneWrite(part(id, 1), CONTENT).status());
+        assertEquals(200, client.callInOneWrite("POST /symbols/m?uploadId=" + id, LIST).status());
         assertArrayEquals(CONTENT, server.objects.get("/symbols/m").bytes());
     }
 
@@ -150,9 +151,9 @@
         assertEquals(503, client.call(part(id, 1), "", CONTENT).status(), "it may still be at work");
         assertEquals("GET", server.seen.take().substring(0, 3));
         hold.gate().countDown();
-        harness.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED_MS);
         await(() -> server.partWrites.containsKey(id + "#1"));
-        HttpTestClient.Answer again = callAnew(part(id, 1), CONTENT);
+        HttpTestClient.Response again = callOnNewConnection(part(id, 1), CONTENT);
         assertEquals(200, again.status());
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
@@ -165,7 +166,7 @@
         server.held.take();
         server.seen.clear();
         kill();
-        harness.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED_MS);
         assertEquals(200, client.call(part(id, 1), "", CONTENT).status());
         assertEquals("GET", server.seen.take().substring(0, 3));
         assertEquals("PUT", server.seen.take().substring(0, 3));
@@ -176,11 +177,11 @@
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         String line = "POST /symbols/m?uploadId=" + id;
-        HttpTestClient.Answer first = client.call(line, "", LIST);
+        HttpTestClient.Response first = client.call(line, "", LIST);
         assertEquals(200, first.status());
         kill();
         server.seen.clear();
-        HttpTestClient.Answer again = client.call(line, "", LIST);
+        HttpTestClient.Response again = client.call(line, "", LIST);
         assertEquals(200, again.status());
         assertEquals(first.text(), again.text());
         assertEquals(404, client.call(line, "", "<other/>".getBytes()).status());
@@ -201,7 +202,7 @@
         assertEquals(503, client.call(line, "", LIST).status(), "it may still be at work");
         hold.gate().countDown();
         server.seen.clear();
-        harness.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED_MS);
         await(() -> server.objects.containsKey("/symbols/m"));
         assertEquals(404, client.call(line, "", LIST).status(), "the upload is gone: it was completed");
         assertTrue(server.seen.stream().noneMatch(l -> l.startsWith("POST")), server.seen.toString());
@@ -214,7 +215,7 @@
         String line = "POST /symbols/m?uploadId=" + id;
         server.faults.add(Fault.of("POST", Kind.CRASH_BEFORE));
         assertEquals(502, client.call(line, "", LIST).status());
-        harness.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED_MS);
         server.seen.clear();
         assertEquals(200, client.call(line, "", LIST).status());
         assertEquals("GET", server.seen.take().substring(0, 3));
@@ -224,9 +225,9 @@
     @Test void anAbortedUploadLeavesNothingBehind() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
-        harness.written();
+        harness.awaitStoreWrites();
         assertEquals(204, client.call("DELETE /symbols/m?uploadId=" + id, "", null).status());
-        killNow();
+        killWithoutAwaitingWrites();
         assertEquals(404, client.call(part(id, 1), "", CONTENT).status());
     }
 
@@ -265,7 +266,7 @@
     // ---------------------------------------------------------------- the node list
 
     private ServerHarness followingXds(InetSocketAddress xds) throws Exception {
-        Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
+        Map<String, Object> objects = new HashMap<>(ServerHarness.section(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
         return ServerHarness.objects(Map.of("objects", objects, "store", store(), "xds",
             Map.of("cluster", "dump-store", "server", "127.0.0.1:" + xds.getPort())), server.address());
@@ -274,7 +275,7 @@
     @Test void aStartWithoutItsListServesFromTheLastOne() throws Exception {
         client.close();
         harness.close();
-        lives++;
+        restarts++;
         server.objects.put("/symbols/a", new Stored(CONTENT, "\"e\""));
         com.sun.net.httpserver.HttpServer xds = com.sun.net.httpserver.HttpServer.create(
             new InetSocketAddress("127.0.0.1", 0), 0);
--- a/src/test/java/kelphollow/program/StreamedValueTest.java
+++ b/src/test/java/kelphollow/program/StreamedValueTest.java
@@ -111,7 +111,7 @@
         long last = -1;
         for (int same = 0; same < 100;) {
             long now = written.stream().mapToLong(AtomicLong::get).sum();
-            ServerHarness.turn(harness.loop);
+            ServerHarness.runLoopOnce(harness.loop);
             boolean streams = written.stream().allMatch(bytes -> bytes.get() > LENGTH / 16);
             same = streams && now == last ? same + 1 : 0;
             last = now;
--- a/src/test/java/kelphollow/program/XdsTest.java
+++ b/src/test/java/kelphollow/program/XdsTest.java
@@ -88,10 +88,10 @@
             plane.awaitRounds(gateway, 2);
             int before = server.seen.size();
             client.send("GET /symbols/a", "", null);
-            ServerHarness.turn(gateway.loop);        // the request has been read
-            ServerHarness.turn(gateway.loop);        // and submitted, since its client's end did not come right behind
+            ServerHarness.runLoopOnce(gateway.loop);        // reads the request
+            ServerHarness.runLoopOnce(gateway.loop);        // submitted, since no disconnect followed it
             gateway.ticker.advance(300);
-            assertEquals(503, client.answer().status());
+            assertEquals(503, client.readResponse().status());
             assertEquals(before, server.seen.size(), "nothing new went to the draining server");
         }
     }
@@ -111,7 +111,7 @@
         }
 
         Map<String, Object> config() throws Exception {
-            Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
+            Map<String, Object> objects = new HashMap<>(ServerHarness.section(ServerHarness.example(), "objects"));
             objects.put("shards", 1.0);
             Map<String, Object> xds = Map.of("cluster", "dump-store", "server", "127.0.0.1:" + server.getAddress()
                 .getPort());
