--- a/src/test/java/kelphollow/program/ClientRaceTest.java
+++ b/src/test/java/kelphollow/program/ClientRaceTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a client sends, and its end, at the instants in which they cross what the program does. */
+/** Client requests and disconnects that race with what the program does in the same event loop iteration. */
 @Timeout(20)
 class ClientRaceTest {
     static final InetSocketAddress UNREACHABLE = new InetSocketAddress("127.0.0.1", 1);
@@ -20,7 +20,10 @@
             + values + "\r\n";
     }
 
-    /** While the loop waits, nothing is read; what was done meanwhile then comes in one turn. */
+    /**
+     * Blocks the event loop until the returned latch is released. Nothing is read meanwhile, so all that happened in
+     * between arrives in one loop iteration.
+     */
     static CountDownLatch blockLoop(ServerHarness harness) throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
@@ -42,7 +45,7 @@
         return client;
     }
 
-    @Test void aClientThatSendsMoreThanMayBeOpenAndDisconnectsIsSeenToGo() throws Exception {
+    @Test void aDisconnectBehindMoreRequestsThanMayBeOpenIsDetected() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             ScriptedPeer.Connection client = connectAndPing(clients, harness);
@@ -54,11 +57,12 @@
             ScriptedPeer.Connection attempt = node.accept();
             attempt.until("hosts=1\r\n");
             client.socket.close();
-            assertTrue(attempt.hasEnded(), "the clock stands: only the client's end can have ended it");
+            assertTrue(attempt.hasEnded(),
+                "the clock is stopped, so only the client's disconnect can have closed the attempt");
         }
     }
 
-    @Test void requestsBeyondTheOpenOnesAreRejectedInTheirTurn() throws Exception {
+    @Test void requestsBeyondTheOpenLimitAreRejectedInOrder() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness harness = ServerHarness.resp(null, UNREACHABLE)) {
             ScriptedPeer.Connection client = connectAndPing(clients, harness);
             CountDownLatch go = blockLoop(harness);
@@ -80,7 +84,7 @@
         }
     }
 
-    @Test void aCommandWithItsClientsEndRightBehindIsNotForwarded() throws Exception {
+    @Test void aCommandFollowedByADisconnectIsNotForwarded() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             ScriptedPeer.Connection client = connectAndPing(clients, harness);
@@ -94,23 +98,24 @@
         }
     }
 
-    @Test void aRequestThatCrossesTheCloseOfItsIdleConnectionIsNeitherForwardedNorReset() throws Exception {
+    @Test void aRequestThatRacesWithTheIdleCloseIsNeitherForwardedNorReset() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             ScriptedPeer.Connection client = connectAndPing(clients, harness);
             CountDownLatch go = blockLoop(harness);
-            // Comes before the reading: the connection has been idle.
+            // Runs before the loop reads, so the connection's idle timeout has expired by then.
             harness.loop.execute(() -> harness.ticker.advance(10_200));
             client.send(get("late"));
             go.countDown();
-            assertEquals("", client.until("\n"), "a clean end, by which its client knows that it was not taken");
+            assertEquals("", client.until("\n"),
+                "closed without a reset, so the client knows that the request was not accepted");
             ScriptedPeer.Connection next = clients.connect(harness.address);
             next.send(get("again"));
             assertTrue(node.accept().until("hosts=1\r\n").contains("\r\nagain\r\n"));
         }
     }
 
-    @Test void whatComesBehindAnUnreadableCommandNeitherResetsNorDelaysItsError() throws Exception {
+    @Test void bytesAfterAMalformedCommandNeitherResetNorDelayItsError() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness harness = ServerHarness.resp(null, UNREACHABLE)) {
             ScriptedPeer.Connection client = connectAndPing(clients, harness);
             client.send(PING + "*1\r\n$99999999\r\n" + "x".repeat(300_000));
@@ -120,19 +125,19 @@
         }
     }
 
-    /** Half of the descriptors are for clients; the rest is never theirs, whatever they hold. */
-    @Test void idleClientsKeepNeitherDiscoveryNorNodesNorTheNextClientOut() throws Exception {
+    /** Clients may use half of the descriptors; the other half stays reserved, however many connections clients open. */
+    @Test void idleClientsBlockNeitherDiscoveryNorNodesNorNewClients() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ScriptedPeer discovery = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(discovery.address(), node.address())) {
             ScriptedPeer.Connection silent = discovery.accept();
             for (int i = 0; i < ServerHarness.SOCKETS; i++) {
-                connectAndPing(clients, harness);                      // evicts the one that has been idle longest
+                connectAndPing(clients, harness);                      // evicts the connection that has been idle longest
                 harness.ticker.advance(60);
             }
             ScriptedPeer.Connection watch = null;
             for (int i = 0; watch == null; i++) {
-                assertTrue(i < 60, "discovery is asked again though the house is full");
+                assertTrue(i < 60, "discovery is polled again although all client descriptors are in use");
                 harness.ticker.advance(100);
                 watch = discovery.acceptIfAny();
             }
@@ -145,7 +150,7 @@
             client.send(get("q"));
             node.accept().until("hosts=1\r\n");
             silent.until("\r\n\r\n");
-            assertTrue(silent.hasEnded(), "the call that was given up holds no descriptor");
+            assertTrue(silent.hasEnded(), "the call that timed out holds no descriptor");
         }
     }
 }
--- a/src/test/java/kelphollow/program/CommandNamesTest.java
+++ b/src/test/java/kelphollow/program/CommandNamesTest.java
@@ -30,18 +30,18 @@
 import org.kohsuke.args4j.spi.SubCommand;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** Sub-commands, options and exit codes of the command line, and the names in what it prints for scripts. */
+/** Sub-commands, options and exit codes of the command line, and the field names of its output that scripts parse. */
 class CommandNamesTest {
-    private static final int UNREACHED = 3;
-    private static final int ANSWERED = 0;
-    /** How long the stand-in of an instance waits for a caller, in milliseconds. */
+    private static final int UNREACHABLE_EXIT_CODE = 3;
+    private static final int SUCCESS_EXIT_CODE = 0;
+    /** How long the fake instance waits for a connection and for its request line, in milliseconds. */
     private static final int ACCEPT_TIMEOUT_MS = 2_000;
     private static final Pattern FIELD = Pattern.compile("([a-z_]+)=");
 
     @TempDir
     Path folder;
 
-    /** Exit code, standard output and standard error of one command line. */
+    /** Runs one command line; returns its exit code, standard output and standard error. */
     static String[] run(String... words) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -49,7 +49,7 @@
         return new String[] {String.valueOf(code), out.toString(), err.toString()};
     }
 
-    // ---------------------------------------------------------------- words
+    // ---------------------------------------------------------------- commands and options
 
     @Test void commandsAndOptionsAreThoseRecorded() throws Exception {
         SortedSet<String> words = new TreeSet<>();
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Lines hold the code and the words of the command line. */
+    /** Each line of exit-codes.txt holds the exit code and the arguments of a command line. */
     @Test void exitCodesAreThoseRecorded() throws Exception {
         for (String line : RecordedNames.read("exit-codes.txt")) {
             String[] words = line.split(" ");
@@ -96,7 +96,7 @@
         assertEquals(RecordedNames.lines("usage.txt"), lines.subList(lines.size() - 1, lines.size()));
     }
 
-    // ---------------------------------------------------------------- what scripts read
+    // ---------------------------------------------------------------- output for scripts
 
     @Test void fieldsOfTheStoresToolsAreThoseRecorded() throws Exception {
         String first = Files.createDirectory(folder.resolve("first")).toString();
@@ -115,19 +115,19 @@
         RecordedNames.assertRecorded("store-output.txt", fields);
     }
 
-    /** The line that the running instance is asked, and the page that is made of its answer. */
-    @Test void theFleetIsAskedAndShownAsRecorded() throws Exception {
+    /** The request line sent to the running instance, and the page rendered from its response. */
+    @Test void fleetStatusIsRequestedAndRenderedAsRecorded() throws Exception {
         String status = Json.text(RecordedNames.example("example-status.json"));
         assertEquals(RecordedNames.lines("fleet-page.txt"), fleetStatus(status).lines().toList());
         assertEquals(status + "\n", fleetStatus(status, "--json"));
     }
 
-    @Test void anInstanceThatCannotBeReachedHasAnExitCodeOfItsOwn() throws Exception {
+    @Test void anUnreachableInstanceHasItsOwnExitCode() throws Exception {
         int port;
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = closed.getLocalPort();
         }
-        assertEquals(String.valueOf(UNREACHED), run("fleet", "status", "--config", fileAt(port))[0]);
+        assertEquals(String.valueOf(UNREACHABLE_EXIT_CODE), run("fleet", "status", "--config", fileAt(port))[0]);
     }
 
     private String fileAt(int port) throws Exception {
@@ -138,29 +138,29 @@
 
     private String fleetStatus(String status, String... more) throws Exception {
         try (ServerSocket instance = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            instance.setSoTimeout(ACCEPT_TIMEOUT_MS);   // a command that does not ask must fail the test and not hold it
-            List<String> asked = new ArrayList<>();
-            Thread answering = new Thread(() -> answer(instance, status, asked), "instance");
+            instance.setSoTimeout(ACCEPT_TIMEOUT_MS);   // a command that sends no request must fail the test, not block it
+            List<String> requestLines = new ArrayList<>();
+            Thread answering = new Thread(() -> answer(instance, status, requestLines), "instance");
             answering.start();
             List<String> words = new ArrayList<>(List.of("fleet", "status", "--config", fileAt(instance.getLocalPort())));
             words.addAll(List.of(more));
             String[] result = run(words.toArray(String[]::new));
             answering.join();
-            assertEquals(String.valueOf(ANSWERED), result[0], result[2]);
-            assertEquals(List.of("fleet status"), asked);
+            assertEquals(String.valueOf(SUCCESS_EXIT_CODE), result[0], result[2]);
+            assertEquals(List.of("fleet status"), requestLines);
             return result[1];
         }
     }
 
-    private static void answer(ServerSocket instance, String status, List<String> asked) {
+    private static void answer(ServerSocket instance, String status, List<String> requestLines) {
         try (Socket caller = instance.accept()) {
             caller.setSoTimeout(ACCEPT_TIMEOUT_MS);
             byte[] question = new byte["fleet status\n".length()];
             int length = caller.getInputStream().readNBytes(question, 0, question.length);
-            asked.add(new String(question, 0, length, StandardCharsets.US_ASCII).strip());
+            requestLines.add(new String(question, 0, length, StandardCharsets.US_ASCII).strip());
             caller.getOutputStream().write(("ACK " + status + "\n").getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            asked.add(e.toString());
+            requestLines.add(e.toString());
         }
     }
 }
--- a/src/test/java/kelphollow/program/ConfigTest.java
+++ b/src/test/java/kelphollow/program/ConfigTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The configuration readers: what they read, and which key of a faulty file they name. */
+/** The configuration readers: the values that they read, and the key that an error about an invalid file names. */
 class ConfigTest {
     @TempDir
     Path folder;
-    /** A sound file of the platform. */
+    /** Text of a valid platform file. */
     private String platformFile;
 
-    /** A fault to be put into a file, and what must be named then. */
+    /** An invalid replacement for part of a file, and the text that the error must contain. */
     private record Fault(String original, String faulty, String named) {}
 
     @BeforeEach void makePlatformFile() throws Exception {
--- a/src/test/java/kelphollow/program/ConfigurationNamesTest.java
+++ b/src/test/java/kelphollow/program/ConfigurationNamesTest.java
@@ -22,17 +22,17 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Keys and words of the files that the program is configured by, and its environment variables. Operators and the platform
- * write them, so a change inside the program must not change one.
+ * Keys and enumerated values of the configuration files, and the environment variables. Operators and the platform write
+ * them, so a change inside the program must not change one.
  */
 class ConfigurationNamesTest {
-    private static final String UNKNOWN_WORD = "no-such-word";
+    private static final String UNKNOWN_VALUE = "no-such-word";
     private static final String CONFIG_VARIABLE = "GW_CONFIG";
     private static final List<String> SHIPPED = List.of("objects.json", "objects-store.json", "fleet-a.json", "fleet-b.json",
         "fleet-c.json");
-    /** What may be missing, but must not tell of another type of resource. */
+    /** Keys that may be missing, but must name the expected resource type if present. */
     private static final Set<String> CHECKED_ONLY = Set.of("xds.clusters[].@type", "xds.endpoints[].@type");
-    /** Fields of xDS resources whose two spellings in JSON must both be read. */
+    /** File with the fields of xDS resources of which both JSON spellings must be accepted. */
     private static final String SPELLINGS = "xds-spellings.txt";
 
     @TempDir
@@ -102,7 +102,7 @@
         assertEquals(Set.of(), object.keysNotChecked());
     }
 
-    @Test void unknownKeysAreRefusedWhereTheyWere() throws Exception {
+    @Test void unknownKeysAreRejectedInTheRecordedObjects() throws Exception {
         assertEquals(Set.of(), platform.objectsThatRefuseUnknownKeys(), "the platform may add keys");
         RecordedNames.assertRecorded("object-refuses-unknown.txt", object.objectsThatRefuseUnknownKeys());
     }
@@ -121,17 +121,17 @@
         }
     }
 
-    // ---------------------------------------------------------------- words
+    // ---------------------------------------------------------------- enumerated values
 
-    @Test void eachWordOfThePlatformsFileIsUnderstood() throws Exception {
+    @Test void eachValueOfThePlatformsFileIsAccepted() throws Exception {
         assertValuesAccepted("platform-words.txt", platform);
     }
 
-    @Test void eachWordOfAnObjectFileIsUnderstood() throws Exception {
+    @Test void eachValueOfAnObjectFileIsAccepted() throws Exception {
         assertValuesAccepted("object-words.txt", object);
     }
 
-    /** Lines hold a path, the word, and a letter that is the same for words with the same meaning. */
+    /** Each line holds a path, a value, and a letter that is the same for values with the same meaning. */
     private static void assertValuesAccepted(String file, KeyProbe probe) throws Exception {
         Map<String, Set<String>> meanings = new LinkedHashMap<>();
         Map<String, Set<String>> outcomes = new LinkedHashMap<>();
@@ -143,14 +143,14 @@
             outcomes.computeIfAbsent(words[0], p -> new HashSet<>()).add(outcome);
         }
         for (String path : meanings.keySet()) {
-            assertEquals(meanings.get(path).size(), outcomes.get(path).size(), path + ": words keep their meanings");
-            assertTrue(KeyProbe.isRefused(probe.outcomeWith(path, UNKNOWN_WORD)), path);
+            assertEquals(meanings.get(path).size(), outcomes.get(path).size(), path + ": values keep their meanings");
+            assertTrue(KeyProbe.isRefused(probe.outcomeWith(path, UNKNOWN_VALUE)), path);
         }
     }
 
     // ---------------------------------------------------------------- environment
 
-    @Test void eachVariableStandsInForItsKey() throws Exception {
+    @Test void eachVariableReplacesItsKey() throws Exception {
         Map<Object, Object> bare = new LinkedHashMap<>(RecordedNames.example("example-platform.json"));
         Map<String, String> variables = new LinkedHashMap<>();
         for (String line : RecordedNames.read("environment.txt")) {
@@ -181,7 +181,7 @@
 
     // ---------------------------------------------------------------- shipped files
 
-    @Test void eachShippedFileIsSound() {
+    @Test void eachShippedFileIsValid() {
         for (String file : SHIPPED) {
             String[] result = CommandNamesTest.run("check-config", "--config", "deploy/" + file);
             assertEquals("0", result[0], file + ": " + result[2]);
--- a/src/test/java/kelphollow/program/ConnectionPoolsTest.java
+++ b/src/test/java/kelphollow/program/ConnectionPoolsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** When an idle connection may carry the next exchange. */
+/** The conditions under which an idle connection is reused for the next exchange. */
 @Timeout(20)
 class ConnectionPoolsTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -35,7 +35,7 @@
         }
 
         @Override public void received(PooledConnection connection, Object message) {
-            fail("nothing is to be taken for a response");
+            fail("no unsolicited bytes may be treated as a response");
         }
 
         @Override public void connectionFailed(PooledConnection connection, Throwable cause) {}
@@ -50,7 +50,7 @@
         return connected.poll(10, TimeUnit.SECONDS);
     }
 
-    @Test void aConnectionThatStayedQuietCarriesTheNextExchange() throws Exception {
+    @Test void anIdleConnectionWithoutUnsolicitedBytesIsReused() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer()) {
             PooledConnection first = acquire(node);
             loop.submit(first::release).sync();
@@ -65,21 +65,21 @@
         }
     }
 
-    @Test void whatCameWhileTheLoopWasStalledIsReadBeforeItsConnectionIsUsedAgain() throws Exception {
+    @Test void bytesThatArriveWhileTheLoopIsBlockedAreReadBeforeReuse() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer()) {
             PooledConnection first = acquire(node);
             ScriptedPeer.Connection line = node.accept();
             loop.submit(first::release).sync();
 
             loop.submit(() -> {
-                line.send("noise");            // is there, and is not read while this task runs
+                line.send("noise");            // arrives, and is not read while this task runs
                 ticker.advance(100);
                 return pools.acquire("n", node.address(), user);
             }).sync();
 
             assertNotSame(first, connected.poll(10, TimeUnit.SECONDS));
             assertEquals(2, pools.connectAttempts());
-            assertTrue(line.hasEnded(), "a node responds to requests only");
+            assertTrue(line.hasEnded(), "a connection with unsolicited bytes is closed");
         }
     }
 }
--- a/src/test/java/kelphollow/program/DeadlineAnswerTest.java
+++ b/src/test/java/kelphollow/program/DeadlineAnswerTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Each request that was taken has its final answer within its time, whatever state it is in when that ends. Guards against
- * a request that is forgotten: it counts as lost half a second after its time.
+ * Every accepted request gets its final answer by its deadline, whatever state it is in when the deadline expires. Guards
+ * against a request that is never answered: it counts as lost half a second after its deadline.
  */
 @Timeout(30)
 class DeadlineAnswerTest {
     private static final String ANSWER = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n";
 
-    /** {@code wait}: for how long the client waits, in milliseconds. */
+    /** An OBJ.GET command of class {@code kind} with a deadline of {@code wait} milliseconds. */
     private static String get(String id, String kind, int wait, int shard) {
         String values = "c=" + kind + ",t=padrao,d=" + wait + ",volume=v" + id + ",units=1,shard=" + shard + ",hosts=1";
         values += kind.equals("keyed") ? ",k=1" : "";
@@ -29,12 +29,12 @@
             + "\r\n" + values + "\r\n";
     }
 
-    /** No further second passes: what has not come by then does not come in time. */
+    /** The clock does not advance any more, so an answer that is not on its way by now would miss the deadline. */
     private static void assertAnswered(ScriptedPeer.Connection client, String state) throws Exception {
         assertTrue(client.until("\r\n").startsWith("-"), state);
     }
 
-    @Test void whatIsQueuedSentOrAnsweredInPartHasItsAnswerInItsTime() throws Exception {
+    @Test void queuedSentAndPartlyAnsweredRequestsAreAnsweredByTheirDeadline() throws Exception {
         Map<String, Integer> deadlines = Map.of("dump-read", 1_200, "dump-write", 3_000, "dump-export", 5_000,
             "keyed", 3_000);
         for (Map.Entry<String, Integer> kind : deadlines.entrySet()) {
@@ -48,7 +48,7 @@
                     ScriptedPeer.Connection attempt = node.accept();
                     attempt.until("hosts=1");
                     attempt.send(ANSWER.substring(0, answered));
-                    for (int i = 0; i < 6; i++) {      // behind it, or for a shard that nobody holds
+                    for (int i = 0; i < 6; i++) {      // queued behind it, or for a shard without a node
                         held.send(get("h" + i, kind.getKey(), kind.getValue(), i % 2 * 7));
                     }
                     ServerHarness.runLoopOnce(harness.loop);
@@ -64,7 +64,7 @@
         }
     }
 
-    @Test void whatComesWithNextToNoTimeHasItsAnswerInIt() throws Exception {
+    @Test void requestsWithVeryShortDeadlinesAreAnsweredInTime() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             for (String kind : List.of("dump-read", "dump-write", "dump-export", "keyed")) {
@@ -82,8 +82,8 @@
         }
     }
 
-    /** A listener whose queue is full: what is dialled there neither comes up nor is refused. */
-    @Test void whatIsBeingDialledHasItsAnswerInItsTime() throws Exception {
+    /** The node's accept queue is full: connection attempts neither succeed nor are refused. */
+    @Test void requestsWhoseNodeIsBeingConnectedToAreAnsweredByTheirDeadline() throws Exception {
         List<SocketChannel> queue = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
              ScriptedPeer clients = new ScriptedPeer()) {
@@ -104,7 +104,7 @@
                     ServerHarness.runLoopOnce(harness.loop);
                     harness.runFor(wait);
                     for (int i = 0; i < 4; i++) {
-                        assertAnswered(client, "dialling, " + wait + " ms");
+                        assertAnswered(client, "connecting, " + wait + " ms");
                     }
                     assertEquals(0, harness.openRequests());
                 }
@@ -116,8 +116,8 @@
         }
     }
 
-    /** An answer that is there waits for the one before it, no longer than that one's time. */
-    @Test void whatWaitsForItsTurnBehindAnotherLeavesWithIt() throws Exception {
+    /** An answer waits for the one of the preceding request, at most until that request's deadline. */
+    @Test void anAnswerBehindAnUnansweredRequestIsSentWithThatRequestsAnswer() throws Exception {
         try (ScriptedPeer silent = new ScriptedPeer(); ScriptedPeer node = new ScriptedPeer();
              ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, silent.address(), node.address())) {
@@ -129,14 +129,14 @@
             attempt.send(ANSWER);
             ServerHarness.runLoopOnce(harness.loop);
             harness.runFor(2_900);
-            assertEquals(0, client.socket.getInputStream().available(), "in their order");
+            assertEquals(0, client.socket.getInputStream().available(), "answers are sent in request order");
             harness.runFor(100);
             assertAnswered(client, "first");
             assertEquals("$2\r\nok\r\n", client.receive(8));
         }
     }
 
-    @Test void anObjectRequestHasItsAnswerInItsTimeHoweverMuchOfAHeadHasCome() throws Exception {
+    @Test void anObjectRequestIsAnsweredByItsDeadlineHoweverMuchOfTheResponseHeadHasArrived() throws Exception {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r";
         for (int answered = 0; answered <= head.length(); answered += 4) {
             try (ScriptedPeer node = new ScriptedPeer(); ServerHarness harness = DisconnectAfterRequestTest.objects(node);
--- a/src/test/java/kelphollow/program/DeployFileTest.java
+++ b/src/test/java/kelphollow/program/DeployFileTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file that the platform reads: its keys, and that all it names is there. */
+/** The deploy file that the platform reads: its keys, and that every file, folder and command it names exists. */
 class DeployFileTest {
     private static final Path DEPLOY_FILE = Path.of("deploy/balancer.toml");
     private static final Path DECISIONS = Path.of("src/main/java/kelphollow/decision");
-    /** What the decision module is told and answers with; files of the folder that decide nothing. */
+    /** Files of the decision package that hold its interface types and contain no policy. */
     private static final Set<String> INTERFACE = Set.of("package-info.java", "ControlApi.java", "ControlSettings.java",
         "ControlEvent.java", "ControlAction.java");
     private static final Pattern ENTRY = Pattern.compile("([a-z]+) = (\"(?:[^\"\\\\]|\\\\.)*\"|\\[.*])");
@@ -38,7 +38,7 @@
         for (String line : Files.readAllLines(DEPLOY_FILE)) {
             if (!line.isBlank() && !line.startsWith("#")) {
                 Matcher entry = ENTRY.matcher(line);
-                assertTrue(entry.matches(), "a key and its text or list: " + line);
+                assertTrue(entry.matches(), "expected a key with a string or a list: " + line);
                 assertEquals(null, entries.put(entry.group(1), entry.group(2)), line);
             }
         }
@@ -57,19 +57,19 @@
         RecordedNames.assertRecorded("deploy-keys.txt", entries.keySet());
     }
 
-    /** A file that is added to the folder must be named, or be one of the interface. */
-    @Test void thePolicyIsJustTheFilesThatDecide() throws IOException {
-        Set<String> decide = new TreeSet<>();
+    /** Every file of the decision package is either listed as policy or one of the interface files. */
+    @Test void thePolicyListsExactlyTheFilesOutsideTheInterface() throws IOException {
+        Set<String> policyFiles = new TreeSet<>();
         try (Stream<Path> files = Files.list(DECISIONS)) {
             files.filter(file -> !INTERFACE.contains(file.getFileName().toString()))
-                .forEach(file -> decide.add(file.toString()));
+                .forEach(file -> policyFiles.add(file.toString()));
         }
         List<String> policy = texts("policy");
-        assertEquals(decide, new TreeSet<>(policy));
-        assertEquals(decide.size(), policy.size(), "each is named once");
+        assertEquals(policyFiles, new TreeSet<>(policy));
+        assertEquals(policyFiles.size(), policy.size(), "each file is listed once");
     }
 
-    @Test void theNodeIsFoldersThatAreThere() {
+    @Test void theNodeEntriesAreExistingFolders() {
         List<String> node = texts("node");
         assertFalse(node.isEmpty());
         for (String path : node) {
@@ -77,7 +77,7 @@
         }
     }
 
-    @Test void commandsNameFilesAndSubCommandsThatAreThere() throws IOException {
+    @Test void commandsNameExistingFilesAndSubCommands() throws IOException {
         for (Matcher file = SHIPPED_FILE.matcher(String.join(" ", entries.values())); file.find();) {
             assertTrue(Files.exists(Path.of(file.group())), file.group());
         }
@@ -85,6 +85,6 @@
         assertTrue(entries.get("build").contains("-jar target/kelphollow.jar train --config deploy/"), entries.get("build"));
         assertTrue(entries.get("run").endsWith("-jar target/kelphollow.jar serve\""), entries.get("run"));
         assertTrue(entries.get("sim").endsWith("-jar target/kelphollow.jar adapter\""), entries.get("sim"));
-        assertTrue(commands.containsAll(Set.of("train", "serve", "adapter")), "as the deploy file calls them");
+        assertTrue(commands.containsAll(Set.of("train", "serve", "adapter")), "sub-commands used in the deploy file");
     }
 }
--- a/src/test/java/kelphollow/program/DisconnectAfterRequestTest.java
+++ b/src/test/java/kelphollow/program/DisconnectAfterRequestTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A client that connects, asks and is gone before the program has read a byte, on both fronts: closed, reset or with only
- * its sending ended. Guards against sending on what a client request that has gone. While the loop is held nothing is read;
- * then all that was done comes in one turn, the new connection first.
+ * A client of either front sends a request and disconnects (close, reset or half-close) before the program has read a byte.
+ * Guards against forwarding a request whose client has already disconnected. The event loop is blocked meanwhile, so that
+ * request and disconnect arrive in one loop iteration, after a new connection has been accepted.
  */
 @Timeout(20)
 class DisconnectAfterRequestTest {
@@ -37,7 +37,11 @@
             + (body.isEmpty() ? "" : "Content-Length: " + body.length() + "\r\n") + "\r\n" + body;
     }
 
-    /** {@code accepted}: the connection was accepted before the loop was held. */
+    /**
+     * Sends a request and disconnects while the loop is blocked.
+     *
+     * @param accepted whether the connection is accepted before the loop is blocked
+     */
     private static void sendAndDisconnect(ServerHarness harness, ScriptedPeer clients, String request, Disconnect disconnect,
         boolean accepted)
         throws Exception {
@@ -47,12 +51,12 @@
         client = accepted ? client : clients.connect(harness.address);
         disconnect.apply(client.send(request));
         go.countDown();
-        for (int turns = 0; turns < 3; turns++) {      // accepts, reads, begins
+        for (int turns = 0; turns < 3; turns++) {      // accepts, reads, starts the request
             ServerHarness.runLoopOnce(harness.loop);
         }
     }
 
-    @Test void aCommandOfAClientThatHasGoneIsNotForwarded() throws Exception {
+    @Test void aCommandOfADisconnectedClientIsNotForwarded() throws Exception {
         for (boolean accepted : List.of(true, false)) {
             for (Map.Entry<String, Disconnect> end : DISCONNECTS.entrySet()) {
                 try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
@@ -66,7 +70,7 @@
         }
     }
 
-    @Test void anObjectRequestOfAClientThatHasGoneIsNotForwarded() throws Exception {
+    @Test void anObjectRequestOfADisconnectedClientIsNotForwarded() throws Exception {
         List<String> requests = List.of(request("GET", "left", ""), request("PUT", "left", "body"),
             request("DELETE", "left", ""));
         for (String request : requests) {
@@ -85,8 +89,8 @@
         }
     }
 
-    /** A request that was sent ahead must not hide that its client has gone. */
-    @Test void aClientThatSentItsNextObjectRequestAheadIsSeenToGo() throws Exception {
+    /** A pipelined request must not hide the disconnect of its client. */
+    @Test void aDisconnectBehindAPipelinedObjectRequestIsDetected() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = objects(node)) {
             ScriptedPeer.Connection client = clients.connect(harness.address);
@@ -97,18 +101,19 @@
             ServerHarness.runLoopOnce(harness.loop);
             ServerHarness.runLoopOnce(harness.loop);
             client.socket.close();
-            assertTrue(attempt.hasEnded(), "the clock stands: only the client's end can have ended it");
+            assertTrue(attempt.hasEnded(),
+                "the clock is stopped, so only the client's disconnect can have closed the attempt");
             assertEquals(0, harness.openRequests());
         }
     }
 
-    @Test void objectRequestsSentAheadAreServedInTheirOrder() throws Exception {
+    @Test void pipelinedObjectRequestsAreServedInOrder() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = objects(node)) {
             ScriptedPeer.Connection client = clients.connect(harness.address);
             client.send(request("GET", "a", "") + request("PUT", "b", "body") + request("GET", "c", ""));
             for (String expected : List.of("GET /symbols/a ", "PUT /symbols/b ", "GET /symbols/c ")) {
-                ScriptedPeer.Connection attempt = node.accept();   // the clock stands: the one before still rests
+                ScriptedPeer.Connection attempt = node.accept();   // the clock is stopped: no reuse
                 assertTrue(attempt.until(HEAD_END).startsWith(expected), expected);
                 if (expected.startsWith("PUT")) {
                     attempt.send("HTTP/1.1 100 Continue\r\n\r\n");
@@ -120,18 +125,19 @@
         }
     }
 
-    /** A request that crosses the close of its resting connection: a clean end, and the node hears nothing of it. */
-    @Test void anObjectRequestThatCrossesTheCloseOfItsIdleConnectionIsNotForwarded() throws Exception {
+    /** A request races with the idle close of its connection: closed without a reset, and no node gets the request. */
+    @Test void anObjectRequestThatRacesWithTheIdleCloseIsNotForwarded() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = objects(node)) {
             ScriptedPeer.Connection client = clients.connect(harness.address);
             ServerHarness.runLoopOnce(harness.loop);
             CountDownLatch go = ClientRaceTest.blockLoop(harness);
-            // Comes before the reading: the connection has been idle.
+            // Runs before the loop reads, so the connection's idle timeout has expired by then.
             harness.loop.execute(() -> harness.ticker.advance(10_200));
             client.send(request("GET", "late", ""));
             go.countDown();
-            assertEquals("", client.until("\n"), "a clean end, by which its client knows that it was not taken");
+            assertEquals("", client.until("\n"),
+                "closed without a reset, so the client knows that the request was not accepted");
             clients.connect(harness.address).send(request("GET", "again", ""));
             assertTrue(node.accept().until(HEAD_END).startsWith("GET /symbols/again "));
         }
--- a/src/test/java/kelphollow/program/DisconnectBetweenAttemptsTest.java
+++ b/src/test/java/kelphollow/program/DisconnectBetweenAttemptsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A client of the object API that goes between an attempt that was turned away and the next one's first byte. Guards
- * against work for a client that has gone, and against a write that nobody waits for.
+ * A client of the object API disconnects after a node rejected its first attempt and before the first byte of the next
+ * attempt is sent. Guards against sending requests, writes above all, on behalf of a client that has disconnected.
  */
 @Timeout(20)
 class DisconnectBetweenAttemptsTest {
@@ -20,7 +20,7 @@
     private static final List<String> REQUESTS = List.of("GET /symbols/a HTTP/1.1\r\nHost: h\r\n\r\n",
         "PUT /symbols/a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody");
 
-    /** The node has turned the request away, and the program has read that. */
+    /** Sends a request whose first attempt the node rejects with 503; returns once the program has read the rejection. */
     private static ScriptedPeer.Connection rejectFirstAttempt(ServerHarness harness, ScriptedPeer node, ScriptedPeer clients,
         String request)
         throws Exception {
@@ -30,12 +30,12 @@
         attempt.until(HEAD_END);
         attempt.send(REJECTED);
         ServerHarness.runLoopOnce(harness.loop);
-        assertEquals(1, harness.openRequests(), "it is tried again after a pause");
+        assertEquals(1, harness.openRequests(), "the request stays open during the backoff");
         return client;
     }
 
-    /** What the others show is worth something only if a client that stays sees a second attempt. */
-    @Test void aClientThatStaysSeesASecondAttempt() throws Exception {
+    /** Control for the other tests: as long as the client stays connected, a second attempt is made. */
+    @Test void aConnectedClientsRequestIsRetried() throws Exception {
         for (String request : REQUESTS) {
             try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
                  ServerHarness harness = DisconnectAfterRequestTest.objects(node)) {
@@ -46,7 +46,7 @@
         }
     }
 
-    @Test void aClientThatGoesDuringThePauseEndsTheRequest() throws Exception {
+    @Test void aDisconnectDuringTheBackoffEndsTheRequest() throws Exception {
         for (String request : REQUESTS) {
             try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
                  ServerHarness harness = DisconnectAfterRequestTest.objects(node)) {
@@ -59,14 +59,14 @@
         }
     }
 
-    /** The pause ends in the turn that would read the client's end: the next attempt is dialled and given up. */
-    @Test void aClientThatGoesAsThePauseEndsIsSentNothingFor() throws Exception {
+    /** The backoff ends in the loop iteration that would read the disconnect: the next attempt connects and is abandoned. */
+    @Test void aDisconnectAsTheBackoffEndsLeavesTheNextAttemptUnsent() throws Exception {
         for (String request : REQUESTS) {
             try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
                  ServerHarness harness = DisconnectAfterRequestTest.objects(node)) {
                 ScriptedPeer.Connection client = rejectFirstAttempt(harness, node, clients, request);
                 CountDownLatch go = ClientRaceTest.blockLoop(harness);
-                harness.loop.execute(() -> harness.ticker.advance(500));     // comes before the reading
+                harness.loop.execute(() -> harness.ticker.advance(500));     // runs before the loop reads
                 client.socket.close();
                 go.countDown();
                 ServerHarness.runLoopOnce(harness.loop);
--- a/src/test/java/kelphollow/program/DiscoveryWatchTest.java
+++ b/src/test/java/kelphollow/program/DiscoveryWatchTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How the endpoint list is watched in its two modes, and what follows when an agent or a service fails. */
+/** The watch of the endpoint list in both discovery modes, and its behaviour when an agent or the service fails. */
 @Timeout(20)
 class DiscoveryWatchTest {
     private static final List<String> MODES = List.of("automatic", "subscribe");
-    private static final int STEP = 20;
+    private static final int STEP_MS = 20;
 
-    /** The next poll; a wait, which is drawn, is checked against its bounds and left out. */
+    /** Returns the next poll without its wait value, which is random and is only checked against its bounds. */
     private static String nextPoll(FakeDiscovery discovery) throws InterruptedException {
         return withoutWait(discovery.requests.poll(10, TimeUnit.SECONDS));
     }
@@ -34,7 +34,7 @@
         return poll.replaceAll("&wait=.*", wait == 1 ? "&now" : "&wait");
     }
 
-    /** The next poll, for which the clock moves in steps of so many milliseconds; null if there is none in 100 steps. */
+    /** Advances the clock in steps of {@code step} ms until the next poll arrives; null if none does within 100 steps. */
     private static String nextPollInSteps(FakeDiscovery discovery, ServerHarness server, int step, int guardMillis)
         throws InterruptedException {
         String poll = null;
@@ -63,36 +63,36 @@
         try (FakeDiscovery agent = new FakeDiscovery();
              ServerHarness server = ServerHarness.respWith("automatic", agent.address())) {
             nextPoll(agent);
-            server.ticker.advance(2_600);                     // its wait, the margin and the first delay
+            server.ticker.advance(2_600);                     // the poll's wait, the margin and the first retry delay
             assertEquals("/catalog/members?index=1&now", nextPoll(agent),
-                "silent from the start: the next one begins a watch");
+                "a watch that never got a response begins again");
 
-            agent.responses.add(CLOSE);                         // to the poll that timed out
+            agent.responses.add(CLOSE);                         // for the poll that timed out
             agent.responses.add(CLOSE);
-            server.ticker.advance(5_000);                     // whenever the close is noticed, the delay is over by then
+            server.ticker.advance(5_000);                     // longer than the retry delay, whenever the close is detected
 
             assertEquals("/catalog/members?index=1&now", nextPollInSteps(agent, server, 100, 50),
                 "after its connection ended");
         }
     }
 
-    @Test void aNewAgentIsAskedForTheCompleteListAtOnceAndAgainWhileItIsSilent() throws Exception {
+    @Test void aNewAgentIsPolledForTheCompleteListAtOnceAndAgainWhileItIsSilent() throws Exception {
         try (FakeDiscovery old = new FakeDiscovery();
              FakeDiscovery agent = new FakeDiscovery();
              ServerHarness server = ServerHarness.respWith("automatic", old.address())) {
             nextPoll(old);
 
             server.reload(agent.address());
-            assertEquals("/catalog/members", nextPoll(agent), "versions of the old one mean nothing");
+            assertEquals("/catalog/members", nextPoll(agent), "versions of the old agent do not apply to the new one");
             server.ticker.advance(2_200);
-            assertEquals("/catalog/members", nextPoll(agent), "its changes count as notified after 4 s");
+            assertEquals("/catalog/members", nextPoll(agent), "changes reported by a new agent count as notified after 4 s");
             server.ticker.advance(5_000);
 
             assertTrue(old.requests.isEmpty());
         }
     }
 
-    @Test void anOlderVersionIsDroppedUnlessTheCompleteListHasItTwice() throws Exception {
+    @Test void anOlderVersionIsIgnoredUnlessTwoCompleteListsConfirmIt() throws Exception {
         try (FakeDiscovery agent = new FakeDiscovery();
              ServerHarness server = ServerHarness.respWith("automatic", agent.address())) {
             nextPoll(agent);
@@ -101,25 +101,25 @@
 
             for (String older : List.of(list(40, false), list(7, true))) {
                 agent.responses.add(older);
-                assertEquals("/catalog/members", nextPollInSteps(agent, server, STEP, 20), older);
+                assertEquals("/catalog/members", nextPollInSteps(agent, server, STEP_MS, 20), older);
             }
             agent.responses.add(list(41, true));
-            assertEquals("/catalog/members?index=41&wait", nextPoll(agent), "the list that was held stands");
+            assertEquals("/catalog/members?index=41&wait", nextPoll(agent), "the current list is kept");
 
             for (int i = 0; i < 2; i++) {
                 agent.responses.add(list(7, true));
-                assertEquals("/catalog/members", nextPollInSteps(agent, server, STEP, 20));
+                assertEquals("/catalog/members", nextPollInSteps(agent, server, STEP_MS, 20));
             }
             agent.responses.add(list(8, true));
-            assertEquals("/catalog/members?index=8&wait", nextPoll(agent), "the service counts anew");
+            assertEquals("/catalog/members?index=8&wait", nextPoll(agent), "the service has restarted its version numbers");
         }
     }
 
     /**
-     * The platform's terms go before all else: a change counts as notified 6 s after the service had it and could be
-     * reached.
+     * The platform counts a change as notified 6 s after the service had it and could be reached. The worst-case time to
+     * detect a silent poll and poll again must stay below that.
      */
-    @Test void theTimesOfAllPollsTogetherStayUnderWhatCountsAsNotified() throws Exception {
+    @Test void theWorstCasePollDelayStaysBelowTheNotificationDeadline() throws Exception {
         for (String mode : MODES) {
             double longest = EndpointUpdateBudget.longestDelay(mode.equals("automatic"));
             assertTrue(longest < EndpointUpdateBudget.NOTIFIED_AFTER_MS, mode + ": " + longest);
@@ -127,13 +127,13 @@
             try (ScriptedPeer discovery = new ScriptedPeer();
                  ServerHarness server = ServerHarness.respWith(mode, discovery.address())) {
                 discovery.accept();
-                for (int fault = 0; fault < 5; fault++) {     // each poll meets with silence
+                for (int fault = 0; fault < 5; fault++) {     // no poll gets a response
                     int passed = 0;
                     while (discovery.acceptIfAny() == null) {
                         assertTrue(passed < longest - EndpointUpdateBudget.QUEUE_WAIT_MS,
-                            mode + ", silence " + fault + ": " + passed + " ms");
-                        server.ticker.advance(STEP);
-                        passed += STEP;
+                            mode + ", unanswered poll " + fault + ": " + passed + " ms");
+                        server.ticker.advance(STEP_MS);
+                        passed += STEP_MS;
                     }
                 }
             }
--- a/src/test/java/kelphollow/program/ExchangeTest.java
+++ b/src/test/java/kelphollow/program/ExchangeTest.java
@@ -21,19 +21,19 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Plays recorded exchanges against the program and compares byte for byte. A line is a step:
+ * Replays recorded exchanges against the program and compares byte for byte. Each line is a step:
  * <pre>
- * C&gt; bytes   the client sends           C&lt; bytes   the client gets just these
- * N&gt; bytes   the node sends             N&lt; bytes   the node gets just these
- * C close    the client closes          C end      the client's connection has been closed; so for N
- * T 250      the clock moves on by so many milliseconds
- * W 250      the clock moves on until the next step's peer has got something, by so many milliseconds at most
+ * C&gt; bytes   the client sends           C&lt; bytes   the client receives exactly these
+ * N&gt; bytes   the node sends             N&lt; bytes   the node receives exactly these
+ * C close    the client closes          C end      the client's connection has been closed; likewise for N
+ * T 250      advances the clock by this many milliseconds
+ * W 250      advances the clock until the next step's peer has something to read, by at most this many ms
  * </pre>
- * {@code \r}, {@code \n} and {@code \\} are escapes, {@code \*N} repeats the byte before it N times in all. A line that
- * begins with blanks goes on with the one before. C2 is a second client's connection, N2 a node's second one.
+ * {@code \r}, {@code \n} and {@code \\} are escapes; {@code \*N} repeats the preceding byte to a total of N. A line that
+ * begins with blanks continues the previous one. C2 is a second client connection, N2 a second node connection.
  */
 class ExchangeTest {
-    private static final int GUARD_TIMEOUT_MS = 10_000;   // only so that a failure ends; nothing is proved by waiting
+    private static final int GUARD_TIMEOUT_MS = 10_000;   // bounds a failing test; no check depends on waiting this long
 
     @TestFactory Stream<DynamicTest> platform() throws IOException {
         return files("resp").map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> play(f, true)));
@@ -96,7 +96,7 @@
         return step.split(" ", 2)[0].replaceAll("[<>]", "");
     }
 
-    /** The clock must not outrun the sockets: it moves a little at a time, and stops when there is something to read. */
+    /** Advances the clock 1 ms at a time until the peer can read, so that the clock does not outrun the sockets. */
     private static void advanceUntilReadable(ServerHarness harness, Peer peer, int maxMillis) throws IOException {
         peer.socket.setSoTimeout(1);
         for (int i = 0; i <= maxMillis; i++) {
@@ -137,7 +137,7 @@
                     length += more;
                 }
             } catch (SocketTimeoutException e) {
-                // what did come is compared
+                // the bytes received so far are compared
             }
             got = java.util.Arrays.copyOf(got, length);
             assertEquals(new String(expected, StandardCharsets.ISO_8859_1), new String(got, StandardCharsets.ISO_8859_1),
--- a/src/test/java/kelphollow/program/FakeDiscovery.java
+++ b/src/test/java/kelphollow/program/FakeDiscovery.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** A discovery, or an agent of it, that notes each poll and responds to it when the test says so. */
+/** A discovery service or agent that records each poll and responds when the test provides a response. */
 final class FakeDiscovery implements AutoCloseable {
-    /** A response that is none: the connection ends. */
+    /** Placeholder for a response: closes the connection without one. */
     static final String CLOSE = "";
 
-    /** Path and query of the polls, in order. */
+    /** Path and query of the received polls, in order. */
     final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-    /** Bodies of the responses to come; a poll waits for the next one. */
+    /** Bodies of the next responses; a poll blocks until one is available. */
     final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
@@ -42,7 +42,7 @@
         exchange.close();
     }
 
-    /** The body of a list without nodes. */
+    /** The body of an endpoint list without entries. */
     static String list(long version, boolean complete) {
         return "{\"seq\":" + version + ",\"whole\":" + complete + ",\"hosts\":[]}";
     }
--- a/src/test/java/kelphollow/program/FakeObjectServer.java
+++ b/src/test/java/kelphollow/program/FakeObjectServer.java
@@ -21,9 +21,9 @@
 import kelphollow.program.FakeObjectStore.Response;
 import kelphollow.program.FakeObjectStore.Stored;
 
-/** An object server on the loopback, from S3's public description, that can be made to fail at each point of a request. */
+/** An object server on the loopback, by S3's public description, that can be made to fail at any point of a request. */
 final class FakeObjectServer implements AutoCloseable {
-    /** What the next request whose line begins so meets with. */
+    /** The fault injected into the next request whose request line starts with {@code line}. */
     record Fault(String line, Kind kind, int after, CountDownLatch gate) {
         enum Kind { CUT, CRASH_BEFORE, CRASH_AFTER, HOLD, REFUSE }
 
@@ -35,15 +35,15 @@
     private final FakeObjectStore store = new FakeObjectStore();
     final Map<String, Stored> objects = store.objects;
     final Map<String, TreeMap<Integer, Stored>> uploads = store.uploads;
-    /** How often each part was stored, by upload and number. */
+    /** How often each part was stored, by upload id and part number. */
     final Map<String, Integer> partWrites = store.partWrites;
     final Map<String, Integer> objectWrites = store.objectWrites;
     final ConcurrentLinkedDeque<Fault> faults = new ConcurrentLinkedDeque<>();
-    /** Request lines with their Range and If-Match, as they come. */
+    /** Request lines with their Range and If-Match headers, in order of arrival. */
     final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
-    /** Lines of complete requests that are held. */
+    /** Request lines of completely received requests whose processing is held. */
     final BlockingQueue<String> held = new LinkedBlockingQueue<>();
-    /** Runs before the connection of a truncated response ends. */
+    /** Runs before the connection of a truncated response is closed. */
     volatile Runnable afterCut = () -> {};
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final ServerSocket listener;
@@ -56,7 +56,7 @@
                 Socket socket = listener.accept();
                 sockets.add(socket);
                 if (closed) {
-                    socket.close();        // the kernel may take one more while the listener is being closed
+                    socket.close();        // the kernel may accept one more while the listener is being closed
                 } else {
                     thread(() -> serve(socket));
                 }
@@ -79,7 +79,7 @@
             } catch (IOException e) {
                 // the connection or the server is closed
             } catch (Exception e) {
-                throw new IllegalStateException(e);   // the server itself is at fault: let it be seen
+                throw new IllegalStateException(e);   // a bug of this fake: make it visible
             }
         }, "object-server");
         thread.setDaemon(true);
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Serves one request; false if its connection ends. */
+    /** Serves one request; returns false if its connection must be closed. */
     private boolean serve(String line, InputStream in, OutputStream out) throws IOException, InterruptedException {
         Map<String, String> headers = headers(in);
         seen.add(line + (headers.containsKey("Range") ? " " + headers.get("Range") : "")
@@ -144,7 +144,7 @@
         return headers;
     }
 
-    /** Writes a response, only part of it if there is a cut; false if its connection ends. */
+    /** Writes a response, truncated if {@code cut} is given; returns false if its connection must be closed. */
     private boolean answer(String method, Response response, Fault cut, OutputStream out) throws IOException {
         if (method.equals("HEAD")) {
             write(out, response, 0);
@@ -175,7 +175,7 @@
         out.write(response.body(), 0, bodyBytes);
     }
 
-    /** The process dies: its connections break and new ones are refused. */
+    /** Simulates the death of the process: closes all connections and refuses new ones. */
     @Override public void close() throws IOException {
         closed = true;
         listener.close();
--- a/src/test/java/kelphollow/program/FakeObjectStore.java
+++ b/src/test/java/kelphollow/program/FakeObjectStore.java
@@ -11,7 +11,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Objects and uploads in memory, by S3's public description; counts every write of a part and of an object. */
+/** Keeps objects and uploads in memory, by S3's public description, and counts every write of a part or an object. */
 final class FakeObjectStore {
     private static final Pattern UPLOAD_ID = Pattern.compile("uploadId=([^&]+)");
     private static final Pattern PART_NUMBER = Pattern.compile("partNumber=(\\d+)");
@@ -19,14 +19,14 @@
     private static final Pattern RANGE = Pattern.compile("bytes=(\\d+)-(\\d+)");
     private static final byte[] NO_BODY = {};
 
-    /** The bytes of an object or part, and their entity tag with its quotes. */
+    /** The bytes of an object or part, and its entity tag including the quotes. */
     record Stored(byte[] bytes, String etag) {
         static Stored of(byte[] bytes) {
             return new Stored(bytes, '"' + md5(bytes) + '"');
         }
     }
 
-    /** A request, its line parted into what the store reads of it; {@code uploadId} is null without an upload. */
+    /** A parsed request; {@code uploadId()} is null if the request does not belong to an upload. */
     record Request(String method, String uri, Map<String, String> headers, byte[] body) {
         String path() {
             return uri.replaceAll("\\?.*", "");
@@ -42,7 +42,7 @@
         }
     }
 
-    /** A response; {@code headers} are lines with their ends. */
+    /** A response; {@code headers} holds header lines including their line ends. */
     record Response(String status, String headers, byte[] body) {
         static Response of(String status, String body) {
             return new Response(status, "", body.getBytes());
@@ -51,7 +51,7 @@
 
     final Map<String, Stored> objects = new ConcurrentHashMap<>();
     final Map<String, TreeMap<Integer, Stored>> uploads = new ConcurrentHashMap<>();
-    /** How often each part was stored, by upload and number. */
+    /** How often each part was stored, by upload id and part number. */
     final Map<String, Integer> partWrites = new ConcurrentHashMap<>();
     final Map<String, Integer> objectWrites = new ConcurrentHashMap<>();
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Carries out a request. */
+    /** Executes a request. */
     synchronized Response answer(Request request) {
         String upload = request.uploadId();
         if (request.method.equals("POST") && upload == null) {
--- a/src/test/java/kelphollow/program/FleetNamesTest.java
+++ b/src/test/java/kelphollow/program/FleetNamesTest.java
@@ -37,11 +37,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Keys and words of {@code fleet status} and of the fleet's events, from the production fleet without sockets. */
+/** Keys and values of {@code fleet status} and of the fleet's events, taken from the production fleet without sockets. */
 class FleetNamesTest {
     private static final String FILE = "deploy/fleet-a.json";
     private static final String PEER = "gateway-b";
-    /** Subjects of what instances say, as they are on the line between instances. */
+    /** Subjects of an instance's state, as sent between instances. */
     private static final String DRAIN = "drain";
     private static final String SILENT = "silent";
     private static final String REFUSED = "refused";
@@ -63,27 +63,27 @@
         fleet.start();
     }
 
-    /** A peer says all that it can say, of nodes and of instances. */
+    /** Receives every kind of state that a peer can send about nodes and instances. */
     private void receivePeerState() {
         Map<String, Double> silent = new TreeMap<>();
         SILENT_NODES.forEach(node -> silent.put(node, 3.0));
         InstanceState part = new InstanceState(PEER, EPOCH, 1, 0, Map.of(DRAIN, Map.of("n9", 0.0), SILENT, silent, REFUSED,
             Map.of("7", 6.0)));
-        List<MemberUpdate> news = new ArrayList<>();
-        news.add(new MemberUpdate(PEER, "127.0.0.1:9022", EPOCH, 0, MemberUpdate.State.ALIVE, ""));
+        List<MemberUpdate> updates = new ArrayList<>();
+        updates.add(new MemberUpdate(PEER, "127.0.0.1:9022", EPOCH, 0, MemberUpdate.State.ALIVE, ""));
         for (MemberUpdate.State state : MemberUpdate.State.values()) {
             String name = "gateway-" + state.ordinal();
-            news.add(new MemberUpdate(name, "127.0.0.1:9030", EPOCH, 0, MemberUpdate.State.ALIVE, ""));
-            news.add(new MemberUpdate(name, "127.0.0.1:9030", EPOCH, 0, state, PEER));
+            updates.add(new MemberUpdate(name, "127.0.0.1:9030", EPOCH, 0, MemberUpdate.State.ALIVE, ""));
+            updates.add(new MemberUpdate(name, "127.0.0.1:9030", EPOCH, 0, state, PEER));
         }
-        fleet.membershipReceived(PEER, new Packet.Membership(new Message.Gossip(news), List.of(part)));
+        fleet.membershipReceived(PEER, new Packet.Membership(new Message.Gossip(updates), List.of(part)));
         nodes.list.accept(List.of(new Endpoint("n8", "", 0, EndpointState.DRAINING, 0)));
         for (int i = 0; i < ADVANCES; i++) {
             clock.advance(ADVANCE_MS);
         }
     }
 
-    @Test void keysAndWordsOfTheStatusAreThoseRecorded() throws Exception {
+    @Test void keysAndValuesOfTheStatusAreThoseRecorded() throws Exception {
         receivePeerState();
 
         Map<?, ?> status = (Map<?, ?>) Json.parse(fleet.status());
@@ -113,14 +113,14 @@
         RecordedNames.assertRecorded("events.txt", found);
     }
 
-    /** The reasons that the fleet gives in its events; operators search for them. */
-    @Test void aRefutedSuspicionIsToldInTheRecordedWords() throws Exception {
+    /** The reasons given in the fleet's events, which operators search for. */
+    @Test void aRefutedSuspicionIsReportedInTheRecordedWords() throws Exception {
         String self = ObjectConfig.read(FILE).name();
-        List<MemberUpdate> news = new ArrayList<>();
-        news.add(new MemberUpdate(self, "127.0.0.1:9021", EPOCH, 0, MemberUpdate.State.SUSPECT, PEER));
-        news.add(new MemberUpdate(self, "127.0.0.1:9021", EPOCH, 1, MemberUpdate.State.DEAD, PEER));
+        List<MemberUpdate> updates = new ArrayList<>();
+        updates.add(new MemberUpdate(self, "127.0.0.1:9021", EPOCH, 0, MemberUpdate.State.SUSPECT, PEER));
+        updates.add(new MemberUpdate(self, "127.0.0.1:9021", EPOCH, 1, MemberUpdate.State.DEAD, PEER));
 
-        fleet.membershipReceived(PEER, new Packet.Membership(new Message.Gossip(news), List.of()));
+        fleet.membershipReceived(PEER, new Packet.Membership(new Message.Gossip(updates), List.of()));
 
         SortedSet<String> reasons = new TreeSet<>();
         for (String line : events) {
@@ -130,7 +130,7 @@
         assertTrue(reasons.containsAll(Set.of("refuted SUSPECT by " + PEER, "refuted DEAD by " + PEER)), reasons.toString());
     }
 
-    /** Takes the events as they are written. */
+    /** Collects the events as they are logged. */
     private final class Listener extends Handler {
         @Override public void publish(LogRecord record) {
             events.add(record.getMessage());
@@ -141,7 +141,7 @@
         @Override public void close() {}
     }
 
-    /** Storage nodes, some of which do not answer. */
+    /** Routing stub in which some storage nodes do not respond. */
     private static final class Nodes implements FleetRouting {
         Consumer<List<Endpoint>> list;
 
@@ -164,7 +164,7 @@
         }
     }
 
-    /** A line that loses all and has dropped something for each reason. */
+    /** A transport that loses every packet and reports one drop for each reason. */
     private static final class LossyTransport implements PeerTransport {
         private final Traffic traffic = new Traffic();
 
@@ -193,7 +193,7 @@
         @Override public void close() {}
     }
 
-    /** A clock that only the test moves. */
+    /** A clock that only the test advances. */
     private static final class Clock implements Ticker {
         private record ScheduledTask(double at, Runnable task) {}
 
--- a/src/test/java/kelphollow/program/GracefulShutdownTest.java
+++ b/src/test/java/kelphollow/program/GracefulShutdownTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** After SIGTERM the platform's clients, who have no other scheduler, are served for nearly as long as there is time. */
+/** After SIGTERM the platform's clients, which have no other scheduler, are served until shortly before SIGKILL. */
 @Timeout(20)
 class GracefulShutdownTest {
     private static String ping(Socket socket) throws Exception {
@@ -32,13 +32,13 @@
             assertEquals(1, left.getCount());
             harness.ticker.advance(150);
             assertEquals(-1, client.getInputStream().read());
-            harness.ticker.advance(250);                        // the client does not close; it is not waited for longer
+            harness.ticker.advance(250);                        // the client stays open; no longer wait
             assertTrue(left.await(10, TimeUnit.SECONDS));
         }
     }
 
-    /** Held for its turn, out at a node that hangs, or come after SIGTERM: each has its answer 350 ms before the kill. */
-    @Test void whatWaitsWhenNodesHangIsAnsweredInTime() throws Exception {
+    /** Requests queued, sent to a hanging node or received after SIGTERM are answered 350 ms before SIGKILL. */
+    @Test void requestsThatWaitForHangingNodesAreAnsweredBeforeTheKill() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             ScriptedPeer.Connection client = clients.connect(harness.address);
@@ -46,7 +46,7 @@
             for (int i = 0; i < 12; i++) {
                 client.send(ClientRaceTest.get("q" + i));
             }
-            node.accept().until("hosts=1\r\n");              // it never answers; the others wait behind it
+            node.accept().until("hosts=1\r\n");              // never answered; the other requests queue behind it
             CountDownLatch left = new CountDownLatch(1);
             harness.sigterm(left::countDown);
             harness.runFor(1_000);
--- a/src/test/java/kelphollow/program/HttpCallTest.java
+++ b/src/test/java/kelphollow/program/HttpCallTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Each response belongs to the call whose connection brings it, however calls, timeouts and responses cross. */
+/** A response is assigned to the call on whose connection it arrives, however calls, timeouts and responses race. */
 @Timeout(20)
 class HttpCallTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ManualTicker ticker = new ManualTicker(loop);
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
-    /** One for all calls, as a watch of discovery is. */
+    /** Shared by all calls, as the discovery watch does. */
     private final HttpCall.ResponseHandler handler = new HttpCall.ResponseHandler() {
         @Override public void responseReceived(int status, String body) {
             outcomes.add(body);
@@ -62,7 +62,7 @@
     @Test void aConnectionEstablishedAfterItsCallHasFailedSendsNothing() throws Exception {
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
-            // The loop begins to connect, and sees the connection established only when the second call is under way.
+            // The loop starts to connect and sees the established connection only after the second call has started.
             loop.execute(() -> {
                 send(calls, "/first");
                 loop.execute(() -> {
@@ -80,7 +80,7 @@
         }
     }
 
-    @Test void aSecondResponseThatComesLateIsNotTheNextCallsResponse() throws Exception {
+    @Test void anUnsolicitedSecondResponseIsNotAssignedToTheNextCall() throws Exception {
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
             loop.execute(() -> send(calls, "/first"));
@@ -94,14 +94,14 @@
             assertEquals("/second", requestedPath(second));
             first.send(response("late"));
 
-            assertTrue(first.hasEnded(), "nothing is taken from it any more");
+            assertTrue(first.hasEnded(), "the connection with the unsolicited response is closed");
             second.send(response("b"));
             assertEquals("b", outcome());
             assertNull(outcomes.poll());
         }
     }
 
-    @Test void aConnectionThatStayedQuietCarriesTheNextCall() throws Exception {
+    @Test void anIdleConnectionWithoutUnsolicitedBytesIsReused() throws Exception {
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
             loop.execute(() -> send(calls, "/first"));
--- a/src/test/java/kelphollow/program/HttpTestClient.java
+++ b/src/test/java/kelphollow/program/HttpTestClient.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A client of the object API on one connection, plain enough to see an answer that is cut short. */
+/** A client of the object API on one connection that also reports truncated responses. */
 final class HttpTestClient implements AutoCloseable {
     record Response(int status, Map<String, String> headers, byte[] body, boolean complete) {
         String text() {
@@ -21,7 +21,7 @@
 
     HttpTestClient(InetSocketAddress gateway) throws IOException {
         socket = new Socket(gateway.getAddress(), gateway.getPort());
-        socket.setSoTimeout(3_000);   // only so that a failure ends
+        socket.setSoTimeout(3_000);   // bounds a failing test
     }
 
     HttpTestClient send(String line, String headers, byte[] body) throws IOException {
@@ -41,7 +41,7 @@
             + (length < 0 ? "" : "Content-Length: " + length + "\r\n") + "\r\n").getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Head and body in one segment, as on a busy machine. */
+    /** Sends head and body in one write, so that they arrive in one read, as happens on a busy machine. */
     Response callInOneWrite(String line, byte[] body) throws IOException {
         ByteArrayOutputStream both = new ByteArrayOutputStream();
         both.writeBytes(bytes(line, "", body.length));
@@ -58,7 +58,7 @@
         return readResponse(false);
     }
 
-    private Response readResponse(boolean bare) throws IOException {
+    private Response readResponse(boolean withoutBody) throws IOException {
         InputStream in = socket.getInputStream();
         String status = line(in);
         if (status == null) {
@@ -70,9 +70,9 @@
         }
         int code = Integer.parseInt(status.split(" ")[1]);
         if (code == 100) {
-            return readResponse(bare);
+            return readResponse(withoutBody);
         }
-        int length = bare || code == 204 ? 0 : Integer.parseInt(headers.get("Content-Length"));
+        int length = withoutBody || code == 204 ? 0 : Integer.parseInt(headers.get("Content-Length"));
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         try {
             while (body.size() < length) {
@@ -83,7 +83,7 @@
                 }
             }
         } catch (java.net.SocketException reset) {
-            // shows as an answer that is not whole
+            // reported as an incomplete response
         }
         return new Response(code, headers, body.toByteArray(), body.size() == length);
     }
--- a/src/test/java/kelphollow/program/IdleEvictionTest.java
+++ b/src/test/java/kelphollow/program/IdleEvictionTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients that hold connections and send nothing must not keep others out: an idle connection is evicted. */
+/** Clients with idle connections must not block new clients: at the connection limit an idle connection is evicted. */
 @Timeout(20)
 class IdleEvictionTest {
     private static final int MAX_CONNECTIONS = ServerHarness.SOCKETS / 2;
 
-    /** Opens all connections there may be and one more, of which the last two are answered. */
+    /** Opens one connection more than the limit and checks that the last two are answered. */
     private static void overfill(ServerHarness server, String request, String response) throws Exception {
         List<Socket> sockets = new ArrayList<>();
         try {
@@ -24,8 +24,9 @@
                 sockets.add(new Socket(server.address.getAddress(), server.address.getPort()));
             }
             Socket last = sockets.get(sockets.size() - 1);
-            assertEquals(response, call(last, request, response.length()), "all have been accepted");
-            server.ticker.advance(300);   // a connection that has just come is spared
+            assertEquals(response, call(last, request, response.length()),
+                "the last connection within the limit is accepted");
+            server.ticker.advance(300);   // a connection that was just accepted is not evicted
 
             Socket next = new Socket(server.address.getAddress(), server.address.getPort());
             sockets.add(next);
@@ -44,13 +45,13 @@
         return new String(socket.getInputStream().readNBytes(length));
     }
 
-    @Test void aNewClientOfThePlatformGetsThePlaceOfASilentOne() throws Exception {
+    @Test void aNewPlatformClientReplacesAnIdleOne() throws Exception {
         try (ServerHarness server = ServerHarness.resp(null, new InetSocketAddress("127.0.0.1", 1))) {
             overfill(server, "*1\r\n$4\r\nPING\r\n", "+PONG\r\n");
         }
     }
 
-    @Test void aNewClientOfTheObjectApiGetsThePlaceOfASilentOne() throws Exception {
+    @Test void aNewObjectApiClientReplacesAnIdleOne() throws Exception {
         try (ServerHarness server = ServerHarness.objects(Map.of("sockets", (double) ServerHarness.SOCKETS),
             new InetSocketAddress("127.0.0.1", 1), new InetSocketAddress("127.0.0.1", 2))) {
             overfill(server, "GET /nobody/a HTTP/1.1\r\nHost: h\r\n\r\n", "HTTP/1.1 404 Not Found\r\n");
--- a/src/test/java/kelphollow/program/IgnoredSighupTest.java
+++ b/src/test/java/kelphollow/program/IgnoredSighupTest.java
@@ -12,13 +12,16 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A program started by something that ignores SIGHUP inherits that, and never sees the signal. */
+/**
+ * A process inherits an ignored SIGHUP from its parent and then never receives the signal. Guards against a reload that
+ * silently does not happen: the program warns at its start.
+ */
 @Timeout(60)
 class IgnoredSighupTest {
     @TempDir
     Path folder;
 
-    /** What is logged until the program serves, when the shell that starts it has said {@code before}. */
+    /** Returns the log of a program started by a shell that runs {@code before} first, up to its line about SIGHUP. */
     private String log(String before) throws IOException, InterruptedException {
         Path file = Files.writeString(folder.resolve("c.json"),
             Files.readString(Path.of("deploy/objects.json")).replaceFirst("\"listen\": \"[^\"]*\"",
@@ -26,11 +29,11 @@
         Process program = new ProcessBuilder("sh", "-c", before + "exec \"$0\" \"$@\"",
             System.getProperty("java.home") + "/bin/java", "-cp", System.getProperty("java.class.path"),
             Main.class.getName(), "serve", "--config", file.toString()).redirectErrorStream(true).start();
-        // Without the line that is looked for the program would serve on and the reading never end.
+        // Without the expected line the program would keep serving and the read loop would never end.
         CompletableFuture.delayedExecutor(20, TimeUnit.SECONDS).execute(program::destroyForcibly);
         StringBuilder log = new StringBuilder();
-        try (BufferedReader said = program.inputReader()) {
-            for (String line; (line = said.readLine()) != null;) {
+        try (BufferedReader output = program.inputReader()) {
+            for (String line; (line = output.readLine()) != null;) {
                 log.append(line).append('\n');
                 if (line.contains("SIGHUP")) {
                     break;
@@ -42,7 +45,7 @@
         return log.toString();
     }
 
-    @Test void theLogSaysAtTheStartThatSighupIsIgnored() throws Exception {
+    @Test void theStartLogWarnsThatSighupIsIgnored() throws Exception {
         assertTrue(log("trap '' HUP; ").contains("WARNING SIGHUP is ignored"));
     }
 }
--- a/src/test/java/kelphollow/program/LayersTest.java
+++ b/src/test/java/kelphollow/program/LayersTest.java
@@ -8,9 +8,9 @@
 import com.tngtech.archunit.library.Architectures.LayeredArchitecture;
 import org.junit.jupiter.api.Test;
 
-/** Imports go downward only. */
+/** Checks that each package depends only on the layers below it. */
 class LayersTest {
-    @Test void eachLayerKnowsOnlyThoseBelow() {
+    @Test void eachLayerDependsOnlyOnThoseBelow() {
         JavaClasses classes = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("kelphollow");
         rules(layers()).check(classes);
--- a/src/test/java/kelphollow/program/LimitHandoverFileTest.java
+++ b/src/test/java/kelphollow/program/LimitHandoverFileTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The text by which limits' tokens are handed over. */
+/** The file format by which the tokens of limits are handed over to the next process. */
 class LimitHandoverFileTest {
     private static final Map<String, Double> TOKENS = Map.of("00000003b4d60021", 12.5, "00000003b4d60022", -3.0);
 
--- a/src/test/java/kelphollow/program/LingeringCloseTest.java
+++ b/src/test/java/kelphollow/program/LingeringCloseTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How a connection closes whose client closes it, does not close it, or does not read. */
+/** Closing of a connection whose client closes it as well, keeps it open, or does not read. */
 @Timeout(20)
 class LingeringCloseTest {
     private static final int FEW_BYTES = 5;
@@ -63,7 +63,7 @@
         }).sync();
     }
 
-    @Test void itClosesWithItsClient() throws Exception {
+    @Test void theConnectionClosesWhenItsClientCloses() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer()) {
             ScriptedPeer.Connection client = clients.connect(address);
             Channel channel = accepted();
@@ -79,7 +79,7 @@
         }
     }
 
-    @Test void aClientThatStaysIsClosedAfterItsTimeoutAndOneThatDoesNotReadAfterTheOverallOne() throws Exception {
+    @Test void aConnectedClientIsClosedAfterTheIdleTimeoutAndANonReadingOneAfterTheOverallTimeout() throws Exception {
         for (int owed : new int[] {FEW_BYTES, MANY_BYTES}) {
             try (ScriptedPeer clients = new ScriptedPeer()) {
                 clients.connect(address);
@@ -99,7 +99,7 @@
         }
     }
 
-    @Test void beyondItsDescriptorsAConnectionClosesAtOnce() throws Exception {
+    @Test void beyondTheDescriptorLimitAConnectionClosesAtOnce() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer()) {
             clients.connect(address);
             begin(accepted(), FEW_BYTES);
--- a/src/test/java/kelphollow/program/ManualTicker.java
+++ b/src/test/java/kelphollow/program/ManualTicker.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import kelphollow.routing.Ticker;
 
-/** A clock that only the test moves; its tasks run on the event loop, as the wheel's do. */
+/** A clock that only the test advances; its tasks run on the event loop, as those of the timer wheel do. */
 final class ManualTicker implements Ticker {
     private record ScheduledTask(double at, Runnable task) {}
 
@@ -32,7 +32,7 @@
         };
     }
 
-    /** Moves the clock on, a millisecond at a time, and returns when all that fell due has run. */
+    /** Advances the clock in steps of 1 ms and returns when all tasks that became due have run. */
     void advance(int millis) {
         if (loop.inEventLoop()) {
             advanceOnLoop(millis);
--- a/src/test/java/kelphollow/program/NodeResetTest.java
+++ b/src/test/java/kelphollow/program/NodeResetTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A node's connection that is reset at any byte of its answer: one final answer each, and nothing sent again that may have
- * run.
+ * A node resets its connection at any byte of its answer. Guards against a second answer to the client and against
+ * resending a write that the node may have executed.
  */
 @Timeout(60)
 class NodeResetTest {
@@ -29,7 +29,7 @@
         void run(ScriptedPeer node, ScriptedPeer.Connection client, ServerHarness harness) throws Exception;
     }
 
-    /** Each shard has a node of its own, all of them the one peer: what one did says nothing of the next. */
+    /** Runs an exchange with one node per shard, all at the same peer, so that no node's history affects the next write. */
     private static void withShards(int shards, Exchange exchange) throws Exception {
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer()) {
             InetSocketAddress[] nodes = new InetSocketAddress[shards];
@@ -37,12 +37,12 @@
             try (ServerHarness harness = ServerHarness.resp(null, nodes)) {
                 exchange.run(node, clients.connect(harness.address), harness);
                 assertEquals(0, harness.openRequests());
-                assertNull(node.acceptIfAny(), "nothing was sent again");
+                assertNull(node.acceptIfAny(), "no attempt is resent");
             }
         }
     }
 
-    @Test void aWriteIsAnsweredOnceAndNeverSentAgainWhereverItsAnswerIsTruncated() throws Exception {
+    @Test void aWriteIsAnsweredOnceAndNeverResentWhereverItsAnswerIsTruncated() throws Exception {
         withShards(ANSWER.length(), (node, client, harness) -> {
             for (int bytes = 0; bytes < ANSWER.length(); bytes++) {
                 client.send(put(bytes));
@@ -55,13 +55,13 @@
         });
     }
 
-    @Test void anAnswerCompleteInTheReadThatBringsItsResetIsServed() throws Exception {
+    @Test void anAnswerReadTogetherWithTheResetIsServed() throws Exception {
         withShards(1, (node, client, harness) -> {
             client.send(put(0));
             ScriptedPeer.Connection attempt = node.accept();
             attempt.until("\r\nb\r\n");
             harness.loop.submit(() -> {
-                attempt.send(ANSWER).reset();      // both are there before the loop reads
+                attempt.send(ANSWER).reset();      // both arrive before the loop reads
                 return null;
             }).sync();
             assertEquals("$2\r\nok\r\n", client.receive(8));
@@ -69,8 +69,8 @@
         });
     }
 
-    /** The deadline's timer runs in the turn that would read the answer; whichever is first, the other changes nothing. */
-    @Test void anAnswerInTheTurnInWhichItsTimeEndsIsTheSecondWord() throws Exception {
+    /** The deadline expires in the loop iteration that would read the answer; the event handled second has no effect. */
+    @Test void anAnswerInTheIterationInWhichTheDeadlineExpiresIsIgnored() throws Exception {
         withShards(1, (node, client, harness) -> {
             client.send(put(0));
             ScriptedPeer.Connection attempt = node.accept();
@@ -86,7 +86,7 @@
         });
     }
 
-    @Test void aSecondAnswerBehindTheFirstIsNobodys() throws Exception {
+    @Test void anUnsolicitedSecondAnswerIsDiscarded() throws Exception {
         withShards(2, (node, client, harness) -> {
             client.send(put(0));
             ScriptedPeer.Connection attempt = node.accept();
--- a/src/test/java/kelphollow/program/ObjectFrontTest.java
+++ b/src/test/java/kelphollow/program/ObjectFrontTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The object API from request to answer, between a stand-in client and a stand-in object server. */
+/** The object API from request to response, between a test client and a fake object server. */
 @org.junit.jupiter.api.Timeout(15)
 class ObjectFrontTest {
     private static final byte[] CONTENT = "0123456789abcdefghijklmnopqrstuvwxyz".getBytes();
-    private static final int SETTLED_MS = 3_100;   // the write class's deadline, after which no attempt is out
+    private static final int SETTLED_MS = 3_100;   // after the write class's deadline, no attempt is in flight
     private FakeObjectServer server;
     private ServerHarness harness;
     private HttpTestClient client;
@@ -49,7 +49,7 @@
         assertEquals(0, Invariant.broken());
     }
 
-    /** Moves the clock until the server gets the next request: a pause ends only after its cause was seen. */
+    /** Advances the clock until the server receives the next request, such as a retry after its backoff. */
     private String awaitNextRequest() throws Exception {
         for (int i = 0; i < 2_000; i++) {
             String line = server.seen.poll(5, TimeUnit.MILLISECONDS);
@@ -61,7 +61,7 @@
         return fail("no request came");
     }
 
-    /** Makes a call that needs pauses to pass: moves the clock until it is answered. */
+    /** Makes a call whose response needs backoffs to elapse: advances the clock until it is answered. */
     private HttpTestClient.Response callAdvancingClock(String line, byte[] body) throws Exception {
         try (HttpTestClient other = new HttpTestClient(harness.address)) {
             var answer = java.util.concurrent.CompletableFuture.supplyAsync(() -> {
@@ -76,7 +76,7 @@
                 try {
                     answer.get(2, TimeUnit.MILLISECONDS);   // the clock must not outrun the sockets
                 } catch (java.util.concurrent.TimeoutException e) {
-                    // on with the clock
+                    // not answered yet: advance the clock further
                 }
             }
             return answer.get(10, TimeUnit.SECONDS);
@@ -117,8 +117,8 @@
         return (io.netty.buffer.ByteBufAllocator) field.get(null);
     }
 
-    /** Guards against a head of which only a part has come: the connection stood still for good. */
-    @Test void aHeadInSegmentsIsPutTogetherAndOneWithoutEndIsRejected() throws Exception {
+    /** Guards against a connection that hangs forever once only part of a request head has arrived. */
+    @Test void aHeadInSegmentsIsReassembledAndAnEndlessOneIsRejected() throws Exception {
         for (String piece : new String[] {"GET /symb", "ols/a HTTP/1.1\r\nHo", "st: h\r\n\r\n"}) {
             client.socket.getOutputStream().write(piece.getBytes());
             ServerHarness.runLoopOnce(harness.loop);
@@ -130,13 +130,13 @@
         }
     }
 
-    @Test void aClientThatSendsHalfAHeadIsClosedInTime() throws Exception {
+    @Test void aClientThatSendsHalfAHeadIsDisconnectedAfterATimeout() throws Exception {
         client.socket.getOutputStream().write("GET /symb".getBytes());
         try (HttpTestClient other = new HttpTestClient(harness.address)) {
-            assertEquals(200, other.call("GET /symbols/a", "", null).status());   // by now both are accepted
+            assertEquals(200, other.call("GET /symbols/a", "", null).status());   // both connections are accepted by now
         }
         harness.ticker.advance(10_001);
-        assertEquals(0, client.readResponse().status(), "closed without an answer");
+        assertEquals(0, client.readResponse().status(), "closed without a response");
     }
 
     @Test void invalidInputGetsAnErrorOnItsConnectionOnly() throws Exception {
@@ -155,9 +155,9 @@
         assertEquals(1, server.seen.size(), "none of them reached a server");
     }
 
-    // ---------------------------------------------------------------- a range that is cut mid-body
+    // ---------------------------------------------------------------- responses truncated mid-body
 
-    @Test void aTruncatedRangeGoesOnAtItsOffsetAndTheClientSeesNothing() throws Exception {
+    @Test void aTruncatedRangeIsResumedAtItsOffsetUnnoticedByTheClient() throws Exception {
         server.faults.add(new Fault("GET", Kind.CUT, 4, null));
         client.send("GET /symbols/a", "Range: bytes=10-19\r\n", null);
         assertEquals("GET /symbols/a HTTP/1.1 bytes=10-19", server.seen.take());
@@ -167,7 +167,7 @@
         assertEquals("abcdefghij", answer.text());
     }
 
-    @Test void aCompleteObjectThatIsTruncatedTwiceGoesOnBothTimes() throws Exception {
+    @Test void aFullObjectThatIsTruncatedTwiceIsResumedBothTimes() throws Exception {
         server.faults.add(new Fault("GET", Kind.CUT, 5, null));
         server.faults.add(new Fault("GET", Kind.CUT, 6, null));
         client.send("GET /symbols/a", "", null);
@@ -177,7 +177,7 @@
         assertArrayEquals(CONTENT, client.readResponse().body());
     }
 
-    /** Guards against gluing two versions of an object together. */
+    /** Guards against a response body assembled from two versions of an object. */
     @Test void aTruncatedRangeOfAnObjectThatHasChangedEndsShort() throws Exception {
         server.afterCut = () -> server.objects.put("/symbols/a", new Stored("other".repeat(10).getBytes(), "\"e2\""));
         server.faults.add(new Fault("GET", Kind.CUT, 4, null));
@@ -190,7 +190,7 @@
         assertEquals("abcd", answer.text());
     }
 
-    @Test void aTruncatedRangeEndsShortOnceTheModuleGrantsNoMore() throws Exception {
+    @Test void aTruncatedRangeEndsShortOnceItsAttemptsAreUsedUp() throws Exception {
         for (int i = 0; i < 3; i++) {
             server.faults.add(new Fault("GET", Kind.CUT, 1, null));
         }
@@ -204,9 +204,9 @@
         assertTrue(server.seen.isEmpty());
     }
 
-    // ---------------------------------------------------------------- a part that is sent twice
+    // ---------------------------------------------------------------- parts that are sent twice
 
-    @Test void anUploadIsPutTogetherAndEachPartStoredOnce() throws Exception {
+    @Test void anUploadIsCompletedAndEachPartStoredOnce() throws Exception {
         String id = begin("/symbols/m");
         for (int n = 1; n <= 3; n++) {
             assertEquals(200, client.call("PUT /symbols/m?partNumber=" + n + "&uploadId=" + id, "", CONTENT).status());
@@ -218,15 +218,15 @@
         assertEquals(Map.of(id + "#1", 1, id + "#2", 1, id + "#3", 1), server.partWrites);
     }
 
-    /** Guards against a body that was taken, and lost, before the node said that it may come. */
-    @Test void aBodyThatComesWithItsHeadWaitsUntilTheNodeTakesIt() throws Exception {
+    /** Guards against a body that is consumed, and lost, before the node has sent 100 Continue. */
+    @Test void aBodyThatArrivesWithItsHeadWaitsForTheNodesContinue() throws Exception {
         String id = begin("/symbols/m");
         assertEquals(200, client.callInOneWrite("PUT /symbols/m?partNumber=1&uploadId=" + id, CONTENT).status());
         assertEquals(200, client.callInOneWrite("PUT /symbols/m?partNumber=2&uploadId=" + id, CONTENT).status());
         assertEquals(200, client.callInOneWrite("PUT /symbols/n", CONTENT).status());
     }
 
-    @Test void thePartSentTwiceAtOnceIsStoredOnceAndBothGetTheAnswer() throws Exception {
+    @Test void aPartSentTwiceConcurrentlyIsStoredOnceAndBothGetTheResponse() throws Exception {
         String id = begin("/symbols/m");
         Fault hold = Fault.of("PUT", Kind.HOLD);
         server.faults.add(hold);
@@ -244,7 +244,7 @@
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
 
-    @Test void thePartSentAgainLaterGetsTheRecordedAnswerOrAConflict() throws Exception {
+    @Test void aPartSentAgainLaterGetsTheRecordedResponseOrAConflict() throws Exception {
         String id = begin("/symbols/m");
         String line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
         String etag = client.call(line, "", CONTENT).headers().get("ETag");
@@ -253,7 +253,7 @@
         assertEquals(etag, again.headers().get("ETag"));
         assertEquals(409, client.call(line, "", "other".getBytes()).status());
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
-        assertEquals(1, server.seen.size(), "the server was asked once");
+        assertEquals(1, server.seen.size(), "the server received one request");
     }
 
     @Test void aPartOfUnknownOutcomeIsQueriedBeforeItIsSentAgain() throws Exception {
@@ -268,8 +268,8 @@
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
 
-    /** Guards against an attempt that is still at work when its absence is seen. */
-    @Test void aPartThatMayStillBeAtWorkIsRejectedUntilItCannotBe() throws Exception {
+    /** Guards against resending a part that is not listed yet while an earlier attempt may still be storing it. */
+    @Test void aPartIsRejectedWhileAnEarlierAttemptMayStillBeRunning() throws Exception {
         String id = begin("/symbols/m");
         String line = "PUT /symbols/m?partNumber=1&uploadId=" + id;
         server.faults.add(Fault.of("PUT", Kind.CRASH_BEFORE));
@@ -310,7 +310,7 @@
         hold.gate().countDown();
     }
 
-    @Test void aServerThatCrashesFailsAWriteAndAReadIsRejectedWithAdvice() throws Exception {
+    @Test void aServerCrashFailsAWriteAndAReadIsRejectedWithRetryAfter() throws Exception {
         server.faults.add(Fault.of("PUT", Kind.CRASH_BEFORE));
         assertEquals(502, client.call("PUT /symbols/b", "", CONTENT).status());
         assertEquals(1, server.seen.size(), "a write that may have run is not sent again");
@@ -320,7 +320,7 @@
         assertTrue(Integer.parseInt(answer.headers().get("Retry-After")) >= 1);
     }
 
-    /** Guards against sending a body again of which a part is gone. */
+    /** Guards against resending a body of which a part has already been consumed. */
     @Test void aWriteThatIsRejectedBeforeItsBodyIsRetried() throws Exception {
         server.faults.add(Fault.of("PUT", Kind.REFUSE));
         client.send("PUT /symbols/b", "", CONTENT);
@@ -330,14 +330,14 @@
         assertEquals(1, server.objectWrites.get("/symbols/b"));
     }
 
-    @Test void whatWasTakenIsAnsweredBeforeTheGatewayLeaves() throws Exception {
+    @Test void acceptedRequestsAreAnsweredBeforeTheGatewayExits() throws Exception {
         Fault hold = Fault.of("GET", Kind.HOLD);
         server.faults.add(hold);
         client.send("GET /symbols/a", "", null);
         server.seen.take();
         CountDownLatch left = new CountDownLatch(1);
         harness.sigtermAndStopAccepting(left::countDown);
-        assertEquals(1, left.getCount(), "it waits for what it has taken");
+        assertEquals(1, left.getCount(), "the gateway waits for accepted requests");
         hold.gate().countDown();
         assertArrayEquals(CONTENT, client.readResponse().body());
         client.close();
--- a/src/test/java/kelphollow/program/PartialWriteTest.java
+++ b/src/test/java/kelphollow/program/PartialWriteTest.java
@@ -42,8 +42,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A request that may not run twice, on a socket that takes only so many of its bytes before its node resets or ends the
- * connection. What was not written whole never ran and is sent again; what was may have run and never is.
+ * A request that must not run twice is written only in part before its node resets or closes the connection. A request that
+ * was not written completely cannot have run and is resent; one that was may have run and must never be resent.
  */
 @Timeout(60)
 class PartialWriteTest {
@@ -55,7 +55,7 @@
     private final ManualTicker ticker = new ManualTicker(loop);
     private final ScriptedPeer node = new ScriptedPeer();
     private final ScriptedPeer clients = new ScriptedPeer();
-    /** How many bytes the sockets of the next exchanges take; beyond these they take all. */
+    /** How many bytes the sockets of the next exchanges accept; later ones are unlimited. */
     private final Queue<Integer> writeLimits = new ConcurrentLinkedQueue<>();
 
     PartialWriteTest() throws IOException {}
@@ -66,7 +66,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Stands for the socket: passes on what there is room for; the rest is written never, and known so at the close. */
+    /** Simulates a full socket buffer: forwards bytes up to a limit; the other writes fail when the connection closes. */
     private static final class LimitedSocket extends ChannelDuplexHandler {
         private final List<ChannelPromise> unwritten = new ArrayList<>();
         private int writeLimit;
@@ -108,7 +108,7 @@
     private RequestRouter router(ControlSettings settings, int shards, kelphollow.routing.Backend backend) {
         RequestRouter router = new RequestRouter(new Control(settings, 1, ticker.now()), ticker, backend);
         List<ResolvedEndpoint> members = new ArrayList<>();
-        for (int i = 0; i < shards; i++) {             // each shard has a node of its own, all of them the one peer
+        for (int i = 0; i < shards; i++) {             // one node per shard, all at the same peer
             members.add(new ResolvedEndpoint(new Endpoint("n" + i, "", i, EndpointState.HEALTHY, 0), node.address()));
         }
         router.updateEndpoints(members, true);
@@ -145,14 +145,14 @@
             ticker.advance(10);
             ServerHarness.runLoopOnce(loop);
         }
-        return fail(where + ": what never ran is sent again, not answered by " + client.until("\r\n"));
+        return fail(where + ": an incomplete request must be resent, but was answered by " + client.until("\r\n"));
     }
 
     private interface Disconnect {
         void apply(ScriptedPeer.Connection line) throws IOException;
     }
 
-    /** Plays one request whose first attempt breaks off; what the client gets in the end begins so. */
+    /** Runs one request whose first attempt is interrupted after {@code bytes} bytes, and checks whether it is resent. */
     private void play(ScriptedPeer.Connection client, String whole, int bytes, Disconnect disconnect, String answer,
         String served)
         throws Exception {
@@ -162,16 +162,16 @@
         ScriptedPeer.Connection attempt = node.accept();
         assertEquals(whole.substring(0, bytes), attempt.receive(bytes), where);
         while (!writeLimits.isEmpty()) {
-            ServerHarness.runLoopOnce(loop);              // the connection has come up
+            ServerHarness.runLoopOnce(loop);              // until the connection is established
         }
-        ServerHarness.runLoopOnce(loop);                  // and what there is room for has been written
+        ServerHarness.runLoopOnce(loop);                  // writes up to the limit
         disconnect.apply(attempt);
         if (bytes < whole.length()) {
             ScriptedPeer.Connection again = nextAttempt(client, where);
             assertEquals(whole.length(), again.receive(whole.length()).length(), where);
             again.send(answer);
             assertTrue(client.until(served).endsWith(served), where);
-            again.socket.close();              // so that each attempt has a connection of its own
+            again.socket.close();              // so that each attempt opens a new connection
             ServerHarness.runLoopOnce(loop);
         } else {
             for (int passed = 0; client.socket.getInputStream().available() == 0; passed += 10) {
@@ -182,11 +182,11 @@
             assertTrue(failed.startsWith("-ERR") || failed.startsWith("HTTP/1.1 502"), where + ": " + failed);
             ticker.advance(3_000);
             ServerHarness.runLoopOnce(loop);
-            assertNull(node.acceptIfAny(), "what may have run is never sent again");
+            assertNull(node.acceptIfAny(), "a request that may have run is never resent");
         }
     }
 
-    @Test void aWriteIsSentAgainJustWhenItsLastByteWasNotWritten() throws Exception {
+    @Test void aWriteIsResentOnlyIfItsLastByteWasNotWritten() throws Exception {
         int length = put(100).length();
         InetSocketAddress at = platform(100 + length + 2);
         for (int bytes = 0; bytes <= length; bytes++) {
@@ -197,7 +197,7 @@
         play(clients.connect(at), put(101 + length), length - 1, line -> line.socket.close(), ANSWER, "$2\r\nok\r\n");
     }
 
-    @Test void anObjectRequestIsSentAgainJustWhenItsLastByteWasNotWritten() throws Exception {
+    @Test void anObjectRequestIsResentOnlyIfItsLastByteWasNotWritten() throws Exception {
         String head = "DELETE /symbols/a%03d HTTP/1.1\r\nHost: h\r\n\r\n";
         int length = head.formatted(0).length();
         InetSocketAddress at = objects(1);
@@ -209,8 +209,8 @@
         }
     }
 
-    /** A body that has begun to flow cannot be had again, whether its last byte was written or not. */
-    @Test void anObjectOfWhichAnyBodyHasFlowedIsNeverSentAgain() throws Exception {
+    /** A body that is being streamed is not buffered, so it cannot be resent whether its last byte was written or not. */
+    @Test void anObjectWriteWhoseBodyIsBeingStreamedIsNeverResent() throws Exception {
         String head = "PUT /symbols/a HTTP/1.1\r\nHost: h\r\n";
         String own = head + "content-length: 4\r\nexpect: 100-continue\r\n\r\n";
         InetSocketAddress at = objects(1);
@@ -222,7 +222,7 @@
             assertEquals(own, attempt.until("\r\n\r\n"));
             attempt.send("HTTP/1.1 100 Continue\r\n\r\n");
             for (int turns = 0; turns < 3; turns++) {
-                ServerHarness.runLoopOnce(loop);              // reads that, then writes what there is room for
+                ServerHarness.runLoopOnce(loop);              // reads the 100 Continue, then writes up to the limit
             }
             assertEquals("body".substring(0, bytes), attempt.receive(bytes));
             attempt.reset();
--- a/src/test/java/kelphollow/program/ProcessHandoverTest.java
+++ b/src/test/java/kelphollow/program/ProcessHandoverTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of an upgrade, as two sides in one test, sharing one folder. */
+/** The old and the new process of an upgrade, simulated in one test with a shared folder. */
 @Timeout(20)
 class ProcessHandoverTest {
     private static final long OLD_PID = 100;
@@ -22,33 +22,33 @@
         return new ProcessHandover(folder, pid);
     }
 
-    @Test void theNextProcessFindsTheOldOneAndTakesItsTokens() throws Exception {
+    @Test void theNextProcessFindsTheOldOneAndTakesOverItsTokens() throws Exception {
         ProcessHandover old = process(OLD_PID);
         ProcessHandover next = process(NEXT_PID);
 
         old.showAlive();
-        assertEquals(OLD_PID, next.otherProcess(), "the old one shows that it lives");
-        assertEquals(-1, old.otherProcess(), "and sees none but itself");
+        assertEquals(OLD_PID, next.otherProcess(), "the old process has a fresh alive file");
+        assertEquals(-1, old.otherProcess(), "the old process sees no other");
 
         old.handOver(Map.of("v1", 3.5, "v2", 0.0));
         assertEquals(Map.of("v1", 3.5, "v2", 0.0), next.await(OLD_PID, 5_000));
     }
 
-    @Test void aProcessThatShowsNoLifeIsNotWaitedFor() throws Exception {
+    @Test void aProcessWithAStaleAliveFileIsNotWaitedFor() throws Exception {
         ProcessHandover next = process(NEXT_PID);
         process(OLD_PID).showAlive();
         Files.setLastModifiedTime(folder.resolve("kelphollow-alive-" + OLD_PID),
             FileTime.fromMillis(System.currentTimeMillis() - 5_000));
 
-        assertEquals(-1, next.otherProcess(), "killed long ago");
-        assertEquals(Map.of(), next.await(OLD_PID, 5_000), "it hands nothing over, and nothing is waited for");
+        assertEquals(-1, next.otherProcess(), "the alive file is stale");
+        assertEquals(Map.of(), next.await(OLD_PID, 5_000), "no handover, and no wait for one");
     }
 
-    @Test void aTruncatedHandoverIsNotTaken() throws Exception {
+    @Test void aTruncatedHandoverIsNotUsed() throws Exception {
         ProcessHandover next = process(NEXT_PID);
         process(OLD_PID).showAlive();
         Files.writeString(folder.resolve("kelphollow-handover-" + OLD_PID), "v1 3.5\n");
 
-        assertEquals(Map.of(), next.await(OLD_PID, 100), "truncated: waited for until the time is up");
+        assertEquals(Map.of(), next.await(OLD_PID, 100), "truncated: waits until the timeout");
     }
 }
--- a/src/test/java/kelphollow/program/ProgramTest.java
+++ b/src/test/java/kelphollow/program/ProgramTest.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line, as an operator meets it. */
+/** Exit codes and messages of the command line. */
 class ProgramTest {
     private static final String EXAMPLE = "deploy/objects.json";
     @TempDir
     Path folder;
 
-    /** How a command ended. */
+    /** Exit code and output of a command. */
     private record Result(int code, String out, String err) {}
 
-    /** A fault to be put into a file, and what must be named then. */
+    /** An invalid replacement for part of a file, and the text that the error must contain. */
     private record Fault(String original, String faulty, String named) {}
 
     private static Result run(String... args) {
@@ -31,7 +31,7 @@
         return new Result(code, out.toString(), err.toString());
     }
 
-    @Test void theExampleIsSound() {
+    @Test void theExampleIsValid() {
         Result result = run("check-config", "--config", EXAMPLE);
 
         assertEquals(0, result.code, result.err);
@@ -42,7 +42,7 @@
         assertTrue(run("version").out.startsWith("kelphollow "));
     }
 
-    @Test void aFaultyFileIsNamedByItsKey() throws Exception {
+    @Test void errorsOfAnInvalidFileNameTheKey() throws Exception {
         String good = Files.readString(Path.of(EXAMPLE));
         for (Fault fault : List.of(
             new Fault("\"plan\": \"padrao\"", "\"plan\": \"x\"", "buckets.symbols.plan"),
@@ -67,7 +67,7 @@
         }
     }
 
-    @Test void wrongCommandLinesEndWithTheCodeOfUsage() {
+    @Test void invalidCommandLinesExitWithTheUsageCode() {
         assertEquals(2, run("serve", "--config", "no/such/file").code);
         assertEquals(2, run("bogus").code);
         assertEquals(2, run().code);
--- a/src/test/java/kelphollow/program/ReloadRaceTest.java
+++ b/src/test/java/kelphollow/program/ReloadRaceTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A SIGHUP that moves discovery while nodes drain: in the new service's list, in the old one's last words, and while a
- * request is being dialled. Guards against a request to a node that drains, and against the old service undoing the new
- * list.
+ * A SIGHUP changes the discovery address while a node starts draining: in the new service's list, in the old service's last
+ * response, or while an attempt is connecting. Guards against requests to a draining node and against an old response that
+ * overwrites the new list.
  */
 @Timeout(20)
 class ReloadRaceTest {
@@ -34,14 +34,14 @@
         call.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + HEAD_END + list);
     }
 
-    /** The next call to this service, and where it goes. */
+    /** Accepts the next poll of this service and checks its query. */
     private static ScriptedPeer.Connection call(ScriptedPeer service, String expected) throws Exception {
         ScriptedPeer.Connection call = service.accept();
         assertTrue(call.until(HEAD_END).startsWith("GET /catalog/members" + expected));
         return call;
     }
 
-    /** The service says that the list of the start still holds, or nothing is sent by it; the watch that follows. */
+    /** Confirms the initial list, without which no request is sent to its nodes; returns the poll that follows. */
     private static ScriptedPeer.Connection confirmInitialList(ScriptedPeer service) throws Exception {
         respond(call(service, "?index=1&wait="), 1, false);
         return call(service, "?index=1&wait=");
@@ -51,7 +51,7 @@
         assertTrue(node.accept().until(COMMAND_END).contains("\r\n" + id + "\r\n"));
     }
 
-    @Test void aDrainInTheNewListBindsARequestThatComesWithIt() throws Exception {
+    @Test void aDrainInTheNewListAppliesToARequestReadInTheSameIteration() throws Exception {
         for (String mode : MODES) {
             try (ScriptedPeer old = new ScriptedPeer(); ScriptedPeer next = new ScriptedPeer();
                  ScriptedPeer first = new ScriptedPeer(); ScriptedPeer second = new ScriptedPeer();
@@ -71,8 +71,8 @@
         }
     }
 
-    /** The drain comes between the dial and the connection's coming up; the first byte is looked at again. */
-    @Test void aRequestThatIsBeingDialledWhenItsDrainIsReportedGoesElsewhere() throws Exception {
+    /** The drain is reported while the attempt is connecting; eligibility is checked again before the first byte. */
+    @Test void anAttemptWhoseNodeDrainsWhileItConnectsGoesToAnotherNode() throws Exception {
         try (ScriptedPeer old = new ScriptedPeer(); ScriptedPeer first = new ScriptedPeer();
              ScriptedPeer second = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(old.address(), first.address())) {
@@ -81,20 +81,20 @@
             ServerHarness.runLoopOnce(harness.loop);
             CountDownLatch go = ClientRaceTest.blockLoop(harness);
             client.send(ClientRaceTest.get("q"));
-            // The turn after this one reads the command and dials; its end comes before the connection can be seen to be up.
+            // The next loop iteration reads the command and connects; it ends before the connection is seen as established.
             List<ResolvedEndpoint> list = List.of(member("n0", first.address(), EndpointState.DRAINING),
                 member("n9", second.address(), EndpointState.HEALTHY));
             harness.loop.execute(() -> harness.afterNextLoopIteration(() -> harness.updateEndpoints(list)));
             go.countDown();
-            ScriptedPeer.Connection dialled = first.accept();
-            ScriptedPeer.Connection elsewhere = null;
-            for (int passed = 0; elsewhere == null; passed += 10) {
-                assertTrue(passed < 500, "an attempt that was not written is made again soon");
+            ScriptedPeer.Connection abandoned = first.accept();
+            ScriptedPeer.Connection retry = null;
+            for (int passed = 0; retry == null; passed += 10) {
+                assertTrue(passed < 500, "an attempt that was not written is retried soon");
                 harness.runFor(10);
-                elsewhere = second.acceptIfAny();
+                retry = second.acceptIfAny();
             }
-            assertTrue(elsewhere.until(COMMAND_END).contains("\r\nq\r\n"));
-            assertEquals(0, dialled.socket.getInputStream().available(), "it came up and was told nothing");
+            assertTrue(retry.until(COMMAND_END).contains("\r\nq\r\n"));
+            assertEquals(0, abandoned.socket.getInputStream().available(), "nothing is written to the abandoned connection");
         }
     }
 
@@ -102,7 +102,7 @@
         return new ResolvedEndpoint(new Endpoint(name, "a", 0, phase, 0), at);
     }
 
-    @Test void anAnswerOfTheOldServiceThatCrossesTheReloadIsNotRead() throws Exception {
+    @Test void aResponseOfTheOldServiceThatRacesWithTheReloadIsIgnored() throws Exception {
         for (String mode : MODES) {
             try (ScriptedPeer old = new ScriptedPeer(); ScriptedPeer next = new ScriptedPeer();
                  ScriptedPeer first = new ScriptedPeer(); ScriptedPeer second = new ScriptedPeer();
@@ -110,7 +110,7 @@
                  ServerHarness harness = ServerHarness.respWith(mode, old.address(), first.address())) {
                 ScriptedPeer.Connection watch = confirmInitialList(old);
                 CountDownLatch go = ClientRaceTest.blockLoop(harness);
-                respond(watch, 90, true, host("n0", second, "ready"));       // there before the reload, read after it
+                respond(watch, 90, true, host("n0", second, "ready"));       // arrives before the reload, read after it
                 harness.signalReload(next.address());                              // runs before the loop reads again
                 go.countDown();
                 ScriptedPeer.Connection whole = call(next, " HTTP");
@@ -125,8 +125,8 @@
         }
     }
 
-    /** What was read before the reload binds until the new list says otherwise; that one is whole and stands alone. */
-    @Test void aDrainInTheOldServicesLastResponseBindsUntilTheNewListComes() throws Exception {
+    /** A response read before the reload applies until the new list arrives, which is complete and replaces it. */
+    @Test void aDrainInTheOldServicesLastResponseAppliesUntilTheNewListArrives() throws Exception {
         for (String mode : MODES) {
             try (ScriptedPeer old = new ScriptedPeer(); ScriptedPeer next = new ScriptedPeer();
                  ScriptedPeer first = new ScriptedPeer(); ScriptedPeer second = new ScriptedPeer();
--- a/src/test/java/kelphollow/program/ReloadTest.java
+++ b/src/test/java/kelphollow/program/ReloadTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A new configuration under load, and how the program follows the service that it names. */
+/** Reload of the configuration: the program switches to the service or servers that the new one names. */
 @Timeout(20)
 class ReloadTest {
     @Test void aNewDiscoveryThatIsSilentIsPolledAgainSoon() throws Exception {
@@ -26,7 +26,7 @@
             server.reload(next.address());
             assertEquals("/catalog/members", next.requests.poll(10, TimeUnit.SECONDS));
 
-            server.ticker.advance(3_200);   // its changes count as notified after 4 s
+            server.ticker.advance(3_200);   // changes reported by a new service count as notified after 4 s
 
             assertEquals("/catalog/members", next.requests.poll(10, TimeUnit.SECONDS));
         }
@@ -42,7 +42,7 @@
             String list = "{\"seq\":7,\"whole\":true,\"hosts\":[]}";
             watch.getOutputStream().write(("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: "
                 + list.length() + "\r\n\r\n" + list).getBytes(StandardCharsets.US_ASCII));
-            try (Socket next = discovery.accept()) {   // a connection carries no call right behind a response
+            try (Socket next = discovery.accept()) {   // a connection is not reused right after a response
                 in = new BufferedReader(new InputStreamReader(next.getInputStream(), StandardCharsets.US_ASCII));
                 assertTrue(in.readLine().startsWith("GET /catalog/members?index=7&wait="));
             }
@@ -65,14 +65,14 @@
         }
     }
 
-    @Test void theNewDiscoveryIsAskedForTheCompleteListAndTheOldOneNoMore() throws Exception {
+    @Test void theNewDiscoveryIsPolledForTheCompleteListAndTheOldOneNoMore() throws Exception {
         try (FakeDiscovery old = new FakeDiscovery(); FakeDiscovery next = new FakeDiscovery()) {
             try (ServerHarness server = ServerHarness.resp(old.address())) {
                 assertTrue(old.requests.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=1&wait="));
 
                 server.reload(next.address());
                 assertEquals("/catalog/members", next.requests.poll(10, TimeUnit.SECONDS),
-                    "versions of the old one mean nothing");
+                    "versions of the old service do not apply to the new one");
                 next.responses.add(FakeDiscovery.list(7, true));
                 assertTrue(next.requests.poll(10, TimeUnit.SECONDS).startsWith("/catalog/members?index=7&wait="));
 
@@ -83,7 +83,7 @@
 
                 server.reload(next.address());
                 server.ticker.advance((int) (EndpointUpdateBudget.LONG_POLL_WAIT_MS / 2));
-                assertTrue(next.requests.isEmpty(), "the watch goes on if its address is the same");
+                assertTrue(next.requests.isEmpty(), "the watch continues if the address is unchanged");
             }
         }
     }
--- a/src/test/java/kelphollow/program/RepeatedSigtermTest.java
+++ b/src/test/java/kelphollow/program/RepeatedSigtermTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** SIGTERM while the program leaves already, and a hand-over that its writer does not live to finish. */
+/** A second SIGTERM during shutdown, and a handover whose writer is killed before it is complete. */
 @Timeout(60)
 class RepeatedSigtermTest {
     private static final Pattern AT = Pattern.compile("(management|serves) at 127\\.0\\.0\\.1:(\\d+)");
@@ -37,7 +37,7 @@
         return builder.start();
     }
 
-    /** Reads the log up to the line that tells this address. */
+    /** Reads the log up to the line that names this address. */
     private static InetSocketAddress address(BufferedReader log, String of) throws Exception {
         for (String line; (line = log.readLine()) != null;) {
             Matcher at = AT.matcher(line);
@@ -45,10 +45,10 @@
                 return new InetSocketAddress("127.0.0.1", Integer.parseInt(at.group(2)));
             }
         }
-        return fail("the program ended before it told where it " + of);
+        return fail("the program ended before it logged the address of: " + of);
     }
 
-    @Test void aSecondSigtermChangesNothingAndWhatWasTakenIsAnswered() throws Exception {
+    @Test void aSecondSigtermChangesNothingAndAcceptedRequestsAreAnswered() throws Exception {
         try (ScriptedPeer discovery = new ScriptedPeer(); ScriptedPeer node = new ScriptedPeer();
              ScriptedPeer clients = new ScriptedPeer()) {
             Process program = start(discovery.address(), node.address());
@@ -60,17 +60,17 @@
                 InetSocketAddress management = address(log, "management");
                 ScriptedPeer.Connection client = clients.connect(address(log, "serves"));
                 client.send(ClientRaceTest.get("q"));
-                node.accept().until("hosts=1\r\n");          // it never answers
+                node.accept().until("hosts=1\r\n");          // never answered
                 program.toHandle().destroy();   // SIGTERM; Process.destroy would close the log as well
                 ScriptedPeer.Connection status;
-                do {                                         // one call a connection
+                do {                                         // the management port serves one call per connection
                     status = clients.connect(management).send("status\n");
                 } while (!status.until("\n").startsWith("NAK leaving"));
                 program.toHandle().destroy();
                 program.toHandle().destroy();
                 String answer = client.until("\r\n");
-                assertTrue(answer.startsWith("-"), "taken before, answered after: " + answer);
-                assertEquals("", client.until("\n"), "a clean end");
+                assertTrue(answer.startsWith("-"), "accepted before SIGTERM, answered after it: " + answer);
+                assertEquals("", client.until("\n"), "closed without a reset");
                 assertTrue(program.waitFor(20, TimeUnit.SECONDS));
                 assertEquals(0, program.exitValue());
                 assertTrue(log.lines().anyMatch(l -> l.equals("kelphollow: left; 0 invariants broken")));
@@ -80,8 +80,8 @@
         }
     }
 
-    /** Killed between writing its levels and giving them their name: what it left is no hand-over, whole or not. */
-    @Test void aHandOverWhoseWriterIsKilledBeforeItsEndIsNotTakenAndNotWaitedFor() throws Exception {
+    /** Killed between writing the temporary file and renaming it: the leftover is no handover, complete or not. */
+    @Test void aHandoverWhoseWriterIsKilledBeforeTheRenameIsNeitherUsedNorWaitedFor() throws Exception {
         ProcessHandover old = new ProcessHandover(folder, 100);
         ProcessHandover next = new ProcessHandover(folder, 200);
         old.showAlive();
@@ -92,7 +92,7 @@
             Files.writeString(folder.resolve("kelphollow-handover.part"), complete.substring(0, bytes));
             assertEquals(Map.of(), next.await(100, 60_000), bytes + " bytes");
         }
-        old.handOver(Map.of("v1", 3.5));                      // over what another left there
+        old.handOver(Map.of("v1", 3.5));                      // overwrites the leftover
         assertEquals(Map.of("v1", 3.5), next.await(100, 60_000));
     }
 }
--- a/src/test/java/kelphollow/program/RestartOnStaleListTest.java
+++ b/src/test/java/kelphollow/program/RestartOnStaleListTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A process that is killed and restarted has only the list of its file, which may be of any age: what changed meanwhile may
- * count as notified before its first request. Guards against a restarted process that sends to nodes which are removed,
- * because it accepts clients before discovery has responded.
+ * A killed and restarted process has only the list of its file, which may be arbitrarily old, while changes since then may
+ * already count as notified. Guards against requests to removed nodes because a restarted process accepts clients before
+ * discovery has responded.
  */
 @Timeout(120)
 class RestartOnStaleListTest {
-    /** So many that the first poll of discovery is spread widely. */
+    /** Enough instances to spread the first discovery poll over a long time. */
     private static final int INSTANCES = 100;
-    /** A seed whose first poll comes late in that time. */
+    /** A seed with which the first poll comes late in that time. */
     private static final long LATE_SEED = 7;
     @TempDir
     Path folder;
@@ -52,13 +52,13 @@
             program.configure(before.address(), list(1, true, rows), LATE_SEED);
             start(program);
 
-            program.kill();                // and while it is down, node a is removed from the list
+            program.kill();                // node a is removed from the list while the process is down
             program.configure(discovery.address(), list(1, true, rows), LATE_SEED);
             start(program);
             try (RespClient client = new RespClient(program.address())) {
                 client.send(RespClient.get("q1", "dump-read", 1_200, 0));
-                assertTrue(client.line().startsWith("-"), "nobody serves it");
-                assertNull(node.acceptIfAny(), "a connection to a node of unknown state");
+                assertTrue(client.line().startsWith("-"), "no node may be used yet");
+                assertNull(node.acceptIfAny(), "no connection to a node of unknown state");
 
                 ScriptedPeer.Connection poll = discovery.accept();
                 poll.until("\r\n\r\n");
@@ -71,19 +71,19 @@
                 assertEquals("ok", client.answer());
 
                 client.send(RespClient.get("q3", "dump-read", 1_200, 0));
-                assertTrue(client.line().startsWith("-"), "its node is removed");
+                assertTrue(client.line().startsWith("-"), "the node has been removed");
                 assertNull(node.acceptIfAny());
             }
         }
     }
 
-    /** Guards against a process that a new configuration ends because it comes before the clients' socket is open. */
-    @Test void aNewConfigurationThatComesDuringTheStartIsFollowed() throws Exception {
+    /** Guards against a SIGHUP that kills the process because it arrives before the client socket is open. */
+    @Test void aReloadDuringStartupIsApplied() throws Exception {
         try (ScriptedPeer before = new ScriptedPeer(); ScriptedPeer after = new ScriptedPeer();
              ServeProcess program = new ServeProcess(folder, 0, ServeProcess.settings(1, true))) {
             program.configure(before.address(), list(1, true, List.of()), 1);
             program.start();
-            before.accept();               // polled before the warm-up, long before the clients' socket is open
+            before.accept();               // polled before the warm-up, long before the client socket is open
 
             program.configure(after.address(), list(1, true, List.of()), 1);
             program.signal("HUP");
--- a/src/test/java/kelphollow/program/ScriptedPeer.java
+++ b/src/test/java/kelphollow/program/ScriptedPeer.java
@@ -10,11 +10,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A peer whose every byte, close and reset the test says; it does nothing by itself. */
+/** A peer that sends, closes and resets only when the test calls for it. */
 final class ScriptedPeer implements AutoCloseable {
-    private static final int GUARD_TIMEOUT_MS = 10_000;   // only so that a failure ends; nothing is proved by waiting
+    private static final int GUARD_TIMEOUT_MS = 10_000;   // bounds a failing test; no check depends on waiting this long
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-    private final List<Connection> lines = new ArrayList<>();
+    private final List<Connection> connections = new ArrayList<>();
 
     ScriptedPeer() throws IOException {
         listener.setSoTimeout(GUARD_TIMEOUT_MS);
@@ -24,12 +24,12 @@
         return new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort());
     }
 
-    /** The next connection that the program makes to this peer. */
+    /** Accepts the next connection that the program opens to this peer. */
     Connection accept() throws IOException {
-        return keep(new Connection(listener.accept()));
+        return track(new Connection(listener.accept()));
     }
 
-    /** The same if there is one already, else null. On the loopback a dial that was begun is there at once. */
+    /** Accepts a pending connection, or returns null. On the loopback a started connect is pending at once. */
     Connection acceptIfAny() throws IOException {
         listener.setSoTimeout(1);
         try {
@@ -41,17 +41,17 @@
         }
     }
 
-    /** A connection that this peer makes to the program. */
+    /** Opens a connection from this peer to the program. */
     Connection connect(InetSocketAddress to) throws IOException {
-        return keep(new Connection(new Socket(to.getAddress(), to.getPort())));
+        return track(new Connection(new Socket(to.getAddress(), to.getPort())));
     }
 
-    private Connection keep(Connection line) {
-        lines.add(line);
-        return line;
+    private Connection track(Connection connection) {
+        connections.add(connection);
+        return connection;
     }
 
-    /** One connection. */
+    /** A blocking connection whose bytes are exchanged as ISO 8859-1 text. */
     static final class Connection {
         final Socket socket;
 
@@ -66,12 +66,12 @@
             return this;
         }
 
-        /** Just so many bytes, fewer if the connection ends. */
+        /** Reads exactly this many bytes, or fewer if the connection ends. */
         String receive(int bytes) throws IOException {
             return new String(socket.getInputStream().readNBytes(bytes), StandardCharsets.ISO_8859_1);
         }
 
-        /** All up to and with this text; what came until then if the connection ends. */
+        /** Reads up to and including this text, or up to the end of the connection. */
         String until(String end) throws IOException {
             ByteArrayOutputStream got = new ByteArrayOutputStream();
             for (int next; !got.toString(StandardCharsets.ISO_8859_1).endsWith(end)
@@ -81,7 +81,7 @@
             return got.toString(StandardCharsets.ISO_8859_1);
         }
 
-        /** Whether the program has closed or reset it, with nothing more sent. */
+        /** Returns whether the program closed or reset the connection without sending more; blocks until either. */
         boolean hasEnded() throws IOException {
             try {
                 return socket.getInputStream().read() < 0;
@@ -90,7 +90,7 @@
             }
         }
 
-        /** Ends the sending only. */
+        /** Half-closes: ends the sending direction only. */
         void shutdown() throws IOException {
             socket.shutdownOutput();
         }
@@ -103,8 +103,8 @@
 
     @Override public void close() throws IOException {
         listener.close();
-        for (Connection line : lines) {
-            line.socket.close();
+        for (Connection connection : connections) {
+            connection.socket.close();
         }
     }
 }
--- a/src/test/java/kelphollow/program/ServerHarness.java
+++ b/src/test/java/kelphollow/program/ServerHarness.java
@@ -28,7 +28,7 @@
 import kelphollow.store.Durability;
 import kelphollow.store.StoreFault;
 
-/** A scheduler under test on the loopback, with the example's settings and a clock that the test moves. */
+/** A scheduler under test on the loopback, with the example's settings and a clock that the test advances. */
 final class ServerHarness implements AutoCloseable {
     final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = group.next();
@@ -55,13 +55,13 @@
         return copy;
     }
 
-    /** The platform's scheduler, which knows these nodes: shard i is held by the i-th. */
+    /** Starts the platform's scheduler with these nodes, the i-th of which holds shard i. */
     static ServerHarness resp(InetSocketAddress discovery, InetSocketAddress... nodes) throws Exception {
         return respWith(discovery == null ? "automatic" : "subscribe", discovery, nodes);
     }
 
-    /** The same; {@code lists} is the mode in which the node list comes. */
-    static ServerHarness respWith(String lists, InetSocketAddress discovery, InetSocketAddress... nodes) throws Exception {
+    /** Like {@link #resp}, with the discovery mode of the endpoint list given. */
+    static ServerHarness respWith(String mode, InetSocketAddress discovery, InetSocketAddress... nodes) throws Exception {
         ServerHarness harness = new ServerHarness();
         Map<String, Object> settings = section(example(), "settings");
         List<ResolvedEndpoint> members = new ArrayList<>();
@@ -69,7 +69,7 @@
             int cell = members.size();
             members.add(new ResolvedEndpoint(new Endpoint("n" + cell, "a", cell, EndpointState.HEALTHY, 0), node));
         }
-        settings.put("discovery", lists);
+        settings.put("discovery", mode);
         List<Object> classes = new ArrayList<>((List<?>) settings.get("request_classes"));
         classes.add(Map.of("name", "keyed", "aim", 500.0, "deadline", 3000.0, "effect", "token", "dedup_scope", "cell",
             "window", 4000.0, "worth", 2.0, "late_share", 0.1));
@@ -91,23 +91,23 @@
         loop.submit(() -> {}).sync();
     }
 
-    /** As at SIGHUP with discovery moved there; the loop follows when it comes to it. */
+    /** Reloads as at SIGHUP with a new discovery address; the loop applies it in a later task. */
     void signalReload(InetSocketAddress discovery) {
         ((PlatformScheduler) scheduler).reload(platformConfig(discovery, config.known(), config.settings()));
     }
 
-    /** A whole list, as if discovery told it; on the loop. */
+    /** Applies a complete list as if discovery had sent it; call on the loop. */
     void updateEndpoints(List<ResolvedEndpoint> complete) {
         router.updateEndpoints(complete, true);
     }
 
-    /** The task runs when all that the loop's next turn reads has been dealt with, before it reads again; on the loop. */
+    /** Runs the task after the next loop iteration has handled what it read, before the following read; call on the loop. */
     void afterNextLoopIteration(Runnable task) {
-        SingleThreadEventLoop turns = (SingleThreadEventLoop) loop;
-        turns.executeAfterEventLoopIteration(() -> loop.execute(() -> turns.executeAfterEventLoopIteration(task)));
+        SingleThreadEventLoop eventLoop = (SingleThreadEventLoop) loop;
+        eventLoop.executeAfterEventLoopIteration(() -> loop.execute(() -> eventLoop.executeAfterEventLoopIteration(task)));
     }
 
-    /** The gateway of the object API over these object servers. */
+    /** Starts the gateway of the object API with these object servers. */
     static ServerHarness objects(Map<String, Object> changes, InetSocketAddress... servers) throws Exception {
         ServerHarness harness = new ServerHarness();
         harness.start(ObjectScheduler.start(objectConfig(changes, servers), harness.loop, harness.ticker));
@@ -128,7 +128,7 @@
         loop.submit(() -> {}).sync();
     }
 
-    /** A ClusterLoadAssignment in which each server holds the shard of its place. */
+    /** A ClusterLoadAssignment in which the i-th server holds shard i. */
     static String assignment(String health, InetSocketAddress... servers) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < servers.length; i++) {
@@ -155,11 +155,11 @@
         return scheduler.onLoop(router -> router.openRequests()).get();
     }
 
-    boolean awaitFirstResponse(long most) throws InterruptedException {
-        return ((PlatformScheduler) scheduler).awaitFirstResponse(most);
+    boolean awaitFirstResponse(long maxMillis) throws InterruptedException {
+        return ((PlatformScheduler) scheduler).awaitFirstResponse(maxMillis);
     }
 
-    /** The clock moves on while the loop goes round, reading what comes, as it does when nothing holds it up. */
+    /** Advances the clock in steps of 10 ms with a loop iteration after each, as an event loop under no load would run. */
     void runFor(int millis) throws InterruptedException {
         for (int passed = 0; passed < millis; passed += 10) {
             ticker.advance(Math.min(10, millis - passed));
@@ -167,21 +167,21 @@
         }
     }
 
-    /** The loop goes round once: it reads what has come, then runs what waits. */
+    /** Runs one loop iteration: the loop reads what has arrived, then runs its pending tasks. */
     static void runLoopOnce(EventLoop loop) throws InterruptedException {
-        CountDownLatch round = new CountDownLatch(1);
-        ((SingleThreadEventLoop) loop).executeAfterEventLoopIteration(() -> loop.execute(round::countDown));
-        loop.submit(() -> {}).sync();     // wakes it if it rests
-        round.await();
+        CountDownLatch finished = new CountDownLatch(1);
+        ((SingleThreadEventLoop) loop).executeAfterEventLoopIteration(() -> loop.execute(finished::countDown));
+        loop.submit(() -> {}).sync();     // wakes the loop if it is blocked in select
+        finished.await();
     }
 
-    /** As at SIGTERM; the clock stands. */
+    /** Starts the shutdown as at SIGTERM, without advancing the clock. */
     void sigterm(Runnable whenLeft) throws InterruptedException {
         scheduler.leave(whenLeft);
         loop.submit(() -> {}).sync();
     }
 
-    /** Returns when the store's writer has written all that it was given so far. */
+    /** Waits until the store's writer has written everything queued so far. */
     void awaitStoreWrites() throws Exception {
         CompletableFuture<StoreFault> done = new CompletableFuture<>();
         ((ObjectScheduler) scheduler).ledger().store().write(new Batch(), Durability.BUFFERED, Runnable::run,
@@ -189,7 +189,7 @@
         assertNull(done.get());
     }
 
-    /** As after SIGTERM, when all have left. */
+    /** Ends the scheduler as at the end of a shutdown. */
     void end() {
         scheduler.end();
     }
--- a/src/test/java/kelphollow/program/ShutdownScheduleTest.java
+++ b/src/test/java/kelphollow/program/ShutdownScheduleTest.java
@@ -7,7 +7,7 @@
 import kelphollow.decision.ControlSettings;
 import org.junit.jupiter.api.Test;
 
-/** What happens when after SIGTERM, against the platform's kill: the longest deadline, 3 s at most, and 0.7 s after it. */
+/** The schedule after SIGTERM. The platform's SIGKILL follows after the longest deadline, capped at 3 s, plus 0.7 s. */
 class ShutdownScheduleTest {
     private static ControlSettings settings(double deadline) throws Exception {
         Map<String, Object> settings = ServerHarness.section(ServerHarness.example(), "settings");
@@ -29,7 +29,7 @@
         assertEquals(3_700 - 500, schedule.acceptFor());
     }
 
-    @Test void newConnectionsAreAcceptedForALeastTimeUnlessTheSocketIsShared() throws Exception {
+    @Test void newConnectionsAreAcceptedForAMinimumTimeUnlessTheSocketIsShared() throws Exception {
         ShutdownSchedule schedule = ShutdownSchedule.platform(settings(100));
 
         assertEquals(450, schedule.acceptFor());
@@ -37,7 +37,7 @@
         assertEquals(schedule.answerWithin(), schedule.acceptingNothing().answerWithin());
     }
 
-    @Test void nothingKillsTheGateway() {
+    @Test void theGatewayHasNoKillDeadline() {
         assertEquals(Double.POSITIVE_INFINITY, ShutdownSchedule.GATEWAY.answerWithin());
     }
 }
--- a/src/test/java/kelphollow/program/StartupTest.java
+++ b/src/test/java/kelphollow/program/StartupTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a start waits for, and what crosses it. */
+/** Startup: its wait for discovery, SIGTERM and bind errors during it, and checks of the settings. */
 @Timeout(60)
 class StartupTest {
     @TempDir
     Path folder;
 
-    @Test void aStartWaitsForTheFirstResponseOfDiscoveryBeItAListOrARejection() throws Exception {
+    @Test void startupWaitsForDiscoveryToRespondOrToRefuseTheConnection() throws Exception {
         try (ScriptedPeer discovery = new ScriptedPeer();
              ServerHarness harness = ServerHarness.respWith("automatic", discovery.address())) {
             ScriptedPeer.Connection call = discovery.accept();
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The program on a file with these addresses; its log is in the folder. */
+    /** Starts the program with these addresses; its log goes to the file {@code log} in the folder. */
     private Process start(InetSocketAddress listen, InetSocketAddress discovery) throws Exception {
         Path file = Files.writeString(folder.resolve("c.json"), "{\"name\":\"n\",\"listen\":\"127.0.0.1:" + listen.getPort()
             + "\",\"discovery\":\"127.0.0.1:" + discovery.getPort() + "\",\"settings\":" + settings() + "}");
@@ -49,11 +49,11 @@
         return builder.start();
     }
 
-    @Test void sigtermDuringAStartEndsItInOrder() throws Exception {
+    @Test void sigtermDuringStartupExitsWithCodeZero() throws Exception {
         try (ScriptedPeer discovery = new ScriptedPeer()) {
             Process program = start(new InetSocketAddress("127.0.0.1", 0), discovery.address());
             try {
-                discovery.accept();            // asked before the warm-up, long before the clients' socket is open
+                discovery.accept();            // polled before the warm-up, long before the client socket is open
                 program.destroy();
                 assertTrue(program.waitFor(20, TimeUnit.SECONDS));
                 assertFalse(Files.readString(folder.resolve("log")).contains("serves at"));
@@ -64,7 +64,7 @@
         }
     }
 
-    @Test void aStartThatCannotListenDoesNotEndAsIfAllWereInOrder() throws Exception {
+    @Test void startupThatCannotListenExitsWithCodeOne() throws Exception {
         try (ScriptedPeer holder = new ScriptedPeer()) {
             Process program = start(holder.address(), new InetSocketAddress("127.0.0.1", 1));
             try {
@@ -82,7 +82,7 @@
         return text.substring(text.indexOf('{', at), text.lastIndexOf('}'));
     }
 
-    @Test void aMalformedNumberOfTheSettingsIsNamed() throws Exception {
+    @Test void errorsOfMalformedNumbersInTheSettingsNameTheKey() throws Exception {
         for (List<String> fault : List.of(List.of("request_classes", "window"), List.of("request_classes", "worth"),
             List.of("grades", "ceiling_rate"), List.of("contract", "fall"), List.of("extra", "young_limit"),
             List.of("ceilings", "open_cap"))) {
--- a/src/test/java/kelphollow/program/StoreCommandTest.java
+++ b/src/test/java/kelphollow/program/StoreCommandTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operator's tools on real folders: what they print, how they end, and what they leave alone. */
+/** The operator's store tools on real folders: their output, their exit codes, and what they must not modify. */
 class StoreCommandTest {
     @TempDir
     Path folder;
@@ -83,7 +83,7 @@
         Files.write(file, bytes);
     }
 
-    @Test void aSoundStoreIsInspectedVerifiedAndDumped() {
+    @Test void anIntactStoreIsInspectedVerifiedAndDumped() {
         assertEquals(0, tool("verify"), out + err);
         assertTrue(out.startsWith("state=sound segments="), out);
         assertEquals(0, tool("inspect"));
@@ -97,7 +97,7 @@
         assertEquals("{\"table\":\"limits\",\"key\":\"volume\",\"value\":\"{\\\"level\\\":7}\"}", out.strip());
     }
 
-    @Test void compactingGivesBackWhatIsDead() {
+    @Test void compactionReclaimsDeadRecords() {
         assertEquals(0, tool("compact"));
         var figures = java.util.regex.Pattern.compile("compacted bytes=(\\d+) to=(\\d+) .*").matcher(out.strip());
         assertTrue(figures.matches(), out);
@@ -107,7 +107,7 @@
         assertEquals(20, out.lines().count());
     }
 
-    @Test void damageOfOneCopyIsToldAndThenRepaired() throws Exception {
+    @Test void damageOfOneCopyIsReportedAndThenRepaired() throws Exception {
         flip(segment(b), 200);
         byte[] damaged = Files.readAllBytes(segment(b));
         assertEquals(StoreTool.DIFFERS, tool("verify"));
@@ -119,7 +119,7 @@
         assertEquals(0, tool("verify"));
     }
 
-    @Test void damageOfBothCopiesNeedsTheOperatorsWord() throws Exception {
+    @Test void damageOfBothCopiesIsRepairedOnlyWithAcceptLoss() throws Exception {
         flip(segment(a), 200);
         flip(segment(b), 200);
         assertEquals(StoreTool.DAMAGED, tool("verify"));
@@ -131,10 +131,10 @@
         assertTrue(out.contains("damaged ") && out.contains("state=repaired_with_loss"), out);
         assertEquals(0, tool("verify"));
         assertEquals(0, tool("dump", "--table", "life"));
-        assertTrue(out.contains("\"key\":\"lost\""), "the loss is noted: silence proves nothing any more");
+        assertTrue(out.contains("\"key\":\"lost\""), "the loss is recorded: a missing record no longer proves anything");
     }
 
-    @Test void aStoreThatIsHeldIsLeftAlone() throws Exception {
+    @Test void aStoreInUseIsNotModified() throws Exception {
         try (Store held = open()) {
             for (String name : List.of("inspect", "verify", "dump", "compact", "repair")) {
                 assertEquals(StoreTool.HELD, tool(name), name);
@@ -144,7 +144,7 @@
         }
     }
 
-    @Test void whatIsNoStoreIsNotTouched() throws Exception {
+    @Test void foldersThatAreNoStoreAreNotModified() throws Exception {
         Path other = Files.createDirectories(folder.resolve("other"));
         Files.writeString(other.resolve("mine.db"), "somebody's");
         for (String name : List.of("inspect", "verify", "dump", "compact", "repair")) {
@@ -160,7 +160,7 @@
         assertEquals(Main.USAGE, run("mend", a.toString(), b.toString()));
     }
 
-    @Test void anUnknownFormatVersionIsRefusedByName() throws Exception {
+    @Test void anUnknownFormatVersionIsRejectedWithTheFilesName() throws Exception {
         byte[] bytes = Files.readAllBytes(a.resolve("MANIFEST"));
         bytes[11] = 9;
         java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
@@ -171,7 +171,7 @@
         assertTrue(err.contains(a.resolve("MANIFEST") + " has a format version other than 1"), err);
     }
 
-    @Test void theFoldersMayComeFromTheOperatorsFile() throws Exception {
+    @Test void theFoldersMayComeFromTheConfigurationFile() throws Exception {
         Path file = folder.resolve("objects.json");
         Files.writeString(file, "{\"store\":{\"folders\":[\"" + a + "\",\"" + b + "\"]}}");
         assertEquals(0, run("verify", "--config", file.toString()));
--- a/src/test/java/kelphollow/program/StoreRestartTest.java
+++ b/src/test/java/kelphollow/program/StoreRestartTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A gateway with a store that is killed and started again: what it may answer, must ask for, and may send. */
+/**
+ * A gateway with a store is killed and restarted. Guards against parts and completions that are sent twice because the new
+ * process does not know what the old one had sent: it must answer from the store or query the server first.
+ */
 @org.junit.jupiter.api.Timeout(30)
 class StoreRestartTest {
     private static final byte[] CONTENT = "0123456789".getBytes();
@@ -52,13 +55,13 @@
         client = new HttpTestClient(harness.address);
     }
 
-    /** A kill once the writer has written what it was given: outcomes are not waited for before an answer. */
+    /** Kills once the store's writer has written its queue, since an answer does not wait for its outcome record. */
     private void kill() throws Exception {
         harness.awaitStoreWrites();
         killWithoutAwaitingWrites();
     }
 
-    /** What the system had been given stays, the process goes: the next life works on copies of the folders. */
+    /** Simulates a kill: data handed to the operating system survives, so the next process opens copies of the folders. */
     private void killWithoutAwaitingWrites() throws Exception {
         client.close();
         for (String side : new String[] {"a", "b"}) {
@@ -94,7 +97,7 @@
         return "PUT /symbols/m?partNumber=" + n + "&uploadId=" + id;
     }
 
-    /** Lets the stand-in's own thread do what it now may. */
+    /** Waits for the fake server's thread to reach this condition. */
     private static void await(java.util.function.BooleanSupplier done) throws InterruptedException {
         for (int i = 0; i < 5_000 && !done.getAsBoolean(); i++) {
             TimeUnit.MILLISECONDS.sleep(1);
@@ -102,14 +105,14 @@
         assertTrue(done.getAsBoolean());
     }
 
-    /** A connection of its own: one whose body was not read is closed behind its answer. */
+    /** Calls on a new connection, since one whose request body was not read is closed after its response. */
     private HttpTestClient.Response callOnNewConnection(String line, byte[] body) throws IOException {
         try (HttpTestClient other = new HttpTestClient(harness.address)) {
             return other.call(line, "", body);
         }
     }
 
-    @Test void aPartSentTwiceOverAKillIsAnsweredFromTheStore() throws Exception {
+    @Test void aPartSentAgainAfterAKillIsAnsweredFromTheStore() throws Exception {
         String id = upload();
         HttpTestClient.Response first = client.call(part(id, 1), "", CONTENT);
         kill();
@@ -118,20 +121,20 @@
         assertEquals(200, again.status());
         assertEquals(first.headers().get("ETag"), again.headers().get("ETag"));
         assertEquals(409, client.call(part(id, 1), "", "other".getBytes()).status());
-        assertTrue(server.seen.isEmpty(), "nobody was asked");
+        assertTrue(server.seen.isEmpty(), "no request reached the server");
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
 
-    /** Guards against a body that was handed over before the intent was safe, when head and body came in one read. */
-    @Test void aBodyThatComesWithItsHeadWaitsForTheRecord() throws Exception {
+    /** Guards against a body forwarded before the intent is durable, when head and body arrive in one read. */
+    @Test void aBodyThatArrivesWithItsHeadWaitsForTheIntent() throws Exception {
         String id = upload();
         assertEquals(200, client.callInOneWrite(part(id, 1), CONTENT).status());
         assertEquals(200, client.callInOneWrite("POST /symbols/m?uploadId=" + id, LIST).status());
         assertArrayEquals(CONTENT, server.objects.get("/symbols/m").bytes());
     }
 
-    /** The whole record of an upload proves that a part was never sent: it goes out at once, without a question. */
-    @Test void aPartThatWasNeverSentGoesOutAtOnceAfterAKill() throws Exception {
+    /** The complete record of an upload proves that a part was never sent, so it is sent without a query. */
+    @Test void aPartThatWasNeverSentIsSentWithoutAQueryAfterAKill() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         kill();
@@ -140,7 +143,7 @@
         assertEquals(List.of(part(id, 2) + " HTTP/1.1"), List.copyOf(server.seen));
     }
 
-    @Test void aPartThatWasInFlightWhenTheGatewayDiedIsQueriedAndNeverSentBlind() throws Exception {
+    @Test void aPartThatWasInFlightAtAKillIsQueriedBeforeItIsSent() throws Exception {
         String id = upload();
         Fault hold = Fault.of("PUT", Kind.HOLD);
         server.faults.add(hold);
@@ -148,7 +151,7 @@
         server.held.take();
         kill();
         server.seen.clear();
-        assertEquals(503, client.call(part(id, 1), "", CONTENT).status(), "it may still be at work");
+        assertEquals(503, client.call(part(id, 1), "", CONTENT).status(), "the attempt may still be running");
         assertEquals("GET", server.seen.take().substring(0, 3));
         hold.gate().countDown();
         harness.ticker.advance(SETTLED_MS);
@@ -158,7 +161,7 @@
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
 
-    @Test void aPartThatIsNotThereOnceItCannotComeAnyMoreIsSent() throws Exception {
+    @Test void aPartStillMissingAfterItsDeadlineIsSent() throws Exception {
         String id = upload();
         Fault lost = Fault.of("PUT", Kind.HOLD);
         server.faults.add(lost);
@@ -173,7 +176,7 @@
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
 
-    @Test void aCompletionSentTwiceOverAKillIsAnsweredFromTheStore() throws Exception {
+    @Test void aCompletionSentAgainAfterAKillIsAnsweredFromTheStore() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         String line = "POST /symbols/m?uploadId=" + id;
@@ -185,10 +188,10 @@
         assertEquals(200, again.status());
         assertEquals(first.text(), again.text());
         assertEquals(404, client.call(line, "", "<other/>".getBytes()).status());
-        assertTrue(server.seen.isEmpty(), "nobody was asked");
+        assertTrue(server.seen.isEmpty(), "no request reached the server");
     }
 
-    @Test void aCompletionThatWasInFlightWhenTheGatewayDiedIsQueriedFirst() throws Exception {
+    @Test void aCompletionThatWasInFlightAtAKillIsQueriedFirst() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         String line = "POST /symbols/m?uploadId=" + id;
@@ -199,7 +202,7 @@
         server.held.take();
         kill();
         server.seen.clear();
-        assertEquals(503, client.call(line, "", LIST).status(), "it may still be at work");
+        assertEquals(503, client.call(line, "", LIST).status(), "the attempt may still be running");
         hold.gate().countDown();
         server.seen.clear();
         harness.ticker.advance(SETTLED_MS);
@@ -231,14 +234,14 @@
         assertEquals(404, client.call(part(id, 1), "", CONTENT).status());
     }
 
-    @Test void aSecondProgramOnTheFoldersIsRejectedAndTheKeyNamed() {
+    @Test void aSecondProgramOnTheFoldersIsRejectedWithTheKey() {
         ConfigurationException thrown = assertThrows(ConfigurationException.class,
             () -> ServerHarness.objects(Map.of("store", store()), server.address()));
         assertTrue(thrown.getMessage().startsWith("store.folders: "), thrown.getMessage());
         assertTrue(thrown.getMessage().endsWith("is held by a running program"), thrown.getMessage());
     }
 
-    @Test void faultyKeysAreNamed() throws Exception {
+    @Test void errorsOfInvalidValuesNameTheKey() throws Exception {
         Files.writeString(folder.resolve("file"), "somebody's");
         Files.createDirectories(folder.resolve("full"));
         Files.writeString(folder.resolve("full/other.db"), "somebody's");
@@ -259,20 +262,20 @@
         }
         assertEquals("somebody's", Files.readString(folder.resolve("full/other.db")));
         try (var files = Files.list(folder.resolve("full"))) {
-            assertEquals(1, files.count(), "nothing was put beside it");
+            assertEquals(1, files.count(), "no file was added");
         }
     }
 
-    // ---------------------------------------------------------------- the node list
+    // ---------------------------------------------------------------- endpoint list
 
-    private ServerHarness followingXds(InetSocketAddress xds) throws Exception {
+    private ServerHarness gatewayWithXds(InetSocketAddress xds) throws Exception {
         Map<String, Object> objects = new HashMap<>(ServerHarness.section(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
         return ServerHarness.objects(Map.of("objects", objects, "store", store(), "xds",
             Map.of("cluster", "dump-store", "server", "127.0.0.1:" + xds.getPort())), server.address());
     }
 
-    @Test void aStartWithoutItsListServesFromTheLastOne() throws Exception {
+    @Test void aStartWithoutTheControlPlaneUsesTheLastStoredList() throws Exception {
         client.close();
         harness.close();
         restarts++;
@@ -291,17 +294,17 @@
             exchange.close();
         });
         xds.start();
-        harness = followingXds(xds.getAddress());
+        harness = gatewayWithXds(xds.getAddress());
         client = new HttpTestClient(harness.address);
         for (int i = 0; i < 500 && client.call("GET /symbols/a", "", null).status() != 200; i++) {
             harness.ticker.advance(10);
         }
-        InetSocketAddress nobody = xds.getAddress();
+        InetSocketAddress stopped = xds.getAddress();
         xds.stop(0);
         harness.end();
         harness.close();
         client.close();
-        harness = followingXds(nobody);
+        harness = gatewayWithXds(stopped);
         client = new HttpTestClient(harness.address);
         assertArrayEquals(CONTENT, client.call("GET /symbols/a", "", null).body());
     }
--- a/src/test/java/kelphollow/program/StoredNamesTest.java
+++ b/src/test/java/kelphollow/program/StoredNamesTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a gateway keeps beyond its end: tables, keys and words of its records, as {@code store dump} shows them. */
+/** Tables, keys and values of the records that a gateway persists, as {@code store dump} prints them. */
 class StoredNamesTest {
     /** Far enough ahead that no record has expired when it is dumped. */
     private static final double NOW = 4_000_000_000_000.0;
@@ -64,7 +64,7 @@
             dump[1].lines().sorted().collect(Collectors.joining("\n")));
     }
 
-    @Test void aKeptListIsReadBack() throws Exception {
+    @Test void aStoredListIsReadBack() throws Exception {
         try (Ledger ledger = open()) {
             ledger.endpoints().received(members(), NOW);
         }
--- a/src/test/java/kelphollow/program/StreamedValueTest.java
+++ b/src/test/java/kelphollow/program/StreamedValueTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Values that are too long to be buffered, with clients and nodes that are slow over them. */
+/** Values that are too long to be buffered, with slow clients and nodes. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class StreamedValueTest {
     private static final int LENGTH = 4 * 1024 * 1024;
@@ -32,12 +32,12 @@
     private static Socket client(ServerHarness harness) throws Exception {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(16 * 1024);
-        socket.setSoTimeout(10_000);           // only so that a failure ends
+        socket.setSoTimeout(10_000);           // bounds a failing test
         socket.connect(harness.address);
         return socket;
     }
 
-    /** Answers each request on the connection; counts what it could write of the long value. */
+    /** Answers one request on the connection; counts the bytes written so far, and -1 once the connection has ended. */
     private static void node(Socket socket, byte[] answer, AtomicLong written) {
         Thread thread = new Thread(() -> {
             try (socket) {
@@ -51,7 +51,7 @@
                 socket.getInputStream().read();
                 written.set(-1);               // the connection has ended
             } catch (java.io.IOException e) {
-                written.set(-1);               // or was cut
+                written.set(-1);               // or was reset
             }
         });
         thread.setDaemon(true);
@@ -67,17 +67,17 @@
         return all;
     }
 
-    @Test void aClientThatDoesNotReadStallsNodesAndCostsNoMemory() throws Exception {
+    @Test void aClientThatDoesNotReadStallsNodesWithoutBufferingTheirValues() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
              ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
              Socket slow = client(harness)) {
             long before = PlatformDependent.usedDirectMemory();
-            int values = 3;                    // more than the kernel's buffers hold, as many as may be out at once
+            int values = 3;                    // more than the kernel's buffers hold, the most that may be in flight
             List<AtomicLong> written = new ArrayList<>();
             List<Socket> nodes = new ArrayList<>();
             for (int i = 0; i < values; i++) {
                 slow.getOutputStream().write(get("" + i));
-                nodes.add(listener.accept());  // before any value streams: a client that does not read is not read either
+                nodes.add(listener.accept());  // before any value streams: a client that does not read is not read from
             }
             for (Socket node : nodes) {
                 AtomicLong sent = new AtomicLong();
@@ -91,7 +91,7 @@
                 other.getOutputStream().write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
                 assertEquals("+PONG\r\n", new String(other.getInputStream().readNBytes(7), StandardCharsets.US_ASCII));
             }
-            harness.ticker.advance(9_000);       // it may take seconds over it
+            harness.ticker.advance(9_000);       // a client may take seconds to read on
             for (int i = 0; i < values; i++) {
                 InputStream in = slow.getInputStream();
                 assertEquals("$" + LENGTH + "\r\n", new String(in.readNBytes(10), StandardCharsets.US_ASCII));
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Returns when all buffers on the way are full: nothing has moved for 100 polls of 5 ms, though the loop has run in each
-     * of them, and each node has written four times what must come before a value begins to stream.
+     * Waits until all buffers on the path are full: no node has written for 100 polls of 5 ms with a loop iteration in each,
+     * and each node has written four times the bytes that must arrive before a value starts to stream.
      */
     private static void awaitStandstill(List<AtomicLong> written, ServerHarness harness) throws InterruptedException {
         long last = -1;
@@ -119,7 +119,7 @@
         }
     }
 
-    @Test void whatBreaksOffBeforeAnythingWasForwardedIsRequestedAnew() throws Exception {
+    @Test void aValueInterruptedBeforeAnyByteWasForwardedIsRequestedAgain() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
              ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
              Socket client = client(harness)) {
@@ -130,7 +130,7 @@
             }
             listener.setSoTimeout(1);
             Socket second = null;
-            while (second == null) {           // the clock moves until it is requested again
+            while (second == null) {           // advance the clock until the value is requested again
                 try {
                     second = listener.accept();
                 } catch (java.net.SocketTimeoutException e) {
@@ -145,7 +145,7 @@
         }
     }
 
-    @Test void aClientThatTakesNothingForTenSecondsIsClosedAndTheNodeWithIt() throws Exception {
+    @Test void aClientThatReadsNothingForTenSecondsIsClosedWithItsNodeConnection() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
              ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
              Socket slow = client(harness)) {
@@ -158,11 +158,11 @@
                 Thread.sleep(5);
             }
             byte[] got = slow.getInputStream().readAllBytes();
-            assertTrue(got.length < LENGTH, "it sees that the value is short");
+            assertTrue(got.length < LENGTH, "the client sees a truncated value");
         }
     }
 
-    @Test void aClientThatDisconnectsInTheMiddleLeavesNothingBehind() throws Exception {
+    @Test void aClientThatDisconnectsMidValueLeaksNoMemory() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
              ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress())) {
             long before = PlatformDependent.usedDirectMemory();
@@ -173,7 +173,7 @@
                 client.getInputStream().readNBytes(70_000);
             }
             while (written.get() >= 0) {
-                Thread.sleep(5);               // the node sees that it is abandoned
+                Thread.sleep(5);               // until the node sees its connection closed
             }
             assertTrue(PlatformDependent.usedDirectMemory() - before < 1024 * 1024, "direct memory");
         }
--- a/src/test/java/kelphollow/program/XdsTest.java
+++ b/src/test/java/kelphollow/program/XdsTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Envoy's clusters and endpoints: how they are read, and how a gateway follows them by REST. */
+/** Parsing of Envoy clusters and endpoints, and a gateway that polls them over REST. */
 @Timeout(30)
 class XdsTest {
     private static final InetSocketAddress ONE = new InetSocketAddress("127.0.0.1", 9101);
@@ -50,7 +50,7 @@
         assertEquals(endpoints, XdsClusters.endpoints(resources(camelCase), SERVICE, 2));
     }
 
-    @Test void aFaultyResourceIsRejectedAndItsPlaceNamed() throws Exception {
+    @Test void anInvalidResourceIsRejectedWithItsPath() throws Exception {
         String text = ServerHarness.assignment("HEALTHY", ONE, TWO);
         String[][] faults = {
             {"\"port_value\":9102", "\"port_value\":99999", "lb_endpoints[1].endpoint.address.socket_address.port_value"},
@@ -82,7 +82,7 @@
 
             plane.setEndpoints("{\"cluster_name\":7}");
             plane.awaitRounds(gateway, 1);
-            assertEquals(200, client.call("GET /symbols/a", "", null).status(), "the last good list stands");
+            assertEquals(200, client.call("GET /symbols/a", "", null).status(), "the last valid list is kept");
 
             plane.setEndpoints(ServerHarness.assignment("DRAINING", server.address()));
             plane.awaitRounds(gateway, 2);
@@ -92,13 +92,13 @@
             ServerHarness.runLoopOnce(gateway.loop);        // submitted, since no disconnect followed it
             gateway.ticker.advance(300);
             assertEquals(503, client.readResponse().status());
-            assertEquals(before, server.seen.size(), "nothing new went to the draining server");
+            assertEquals(before, server.seen.size(), "no new request was sent to the draining server");
         }
     }
 
     /** A control plane whose endpoints the test sets. */
     private static final class ControlPlane implements AutoCloseable {
-        /** The bodies of the requests that it has got. */
+        /** The bodies of the received requests, in order. */
         final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
         private final HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
         private String endpoints;
@@ -140,8 +140,8 @@
         }
 
         /**
-         * Moves the clock until the endpoints were requested so many times more, and the response to the last was
-         * read.
+         * Advances the clock until the endpoints have been requested {@code rounds} more times and the last response has
+         * been read.
          */
         void awaitRounds(ServerHarness gateway, int rounds) throws Exception {
             requests.clear();
