--- a/src/test/java/kelphollow/program/ClientRaceTest.java
+++ b/src/test/java/kelphollow/program/ClientRaceTest.java
@@ -26,17 +26,17 @@
      */
     static CountDownLatch blockLoop(ServerHarness harness) throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         harness.loop.execute(() -> {
             held.countDown();
             try {
-                go.await();
+                unblock.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
         held.await();
-        return go;
+        return unblock;
     }
 
     private static ScriptedPeer.Connection connectAndPing(ScriptedPeer clients, ServerHarness harness) throws Exception {
@@ -65,13 +65,13 @@
     @Test void requestsBeyondTheOpenLimitAreRejectedInOrder() throws Exception {
         try (ScriptedPeer clients = new ScriptedPeer(); ServerHarness harness = ServerHarness.resp(null, UNREACHABLE)) {
             ScriptedPeer.Connection client = connectAndPing(clients, harness);
-            CountDownLatch go = blockLoop(harness);
+            CountDownLatch unblock = blockLoop(harness);
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 300; i++) {
                 all.append(get("q" + i));
             }
             client.send(all + PING);
-            go.countDown();
+            unblock.countDown();
             for (int i = 0; i < 300; i++) {
                 for (int passed = 0; client.socket.getInputStream().available() == 0; passed += 100) {
                     assertTrue(passed < 20_000, "answer " + i);
@@ -89,9 +89,9 @@
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             ScriptedPeer.Connection client = connectAndPing(clients, harness);
             ScriptedPeer.Connection other = connectAndPing(clients, harness);
-            CountDownLatch go = blockLoop(harness);
+            CountDownLatch unblock = blockLoop(harness);
             client.send(get("left")).socket.close();
-            go.countDown();
+            unblock.countDown();
             ServerHarness.runLoopOnce(harness.loop);
             other.send(get("stays"));
             assertEquals(get("stays").substring(0, 48), node.accept().until("hosts=1\r\n").substring(0, 48));
@@ -102,11 +102,11 @@
         try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
              ServerHarness harness = ServerHarness.resp(null, node.address())) {
             ScriptedPeer.Connection client = connectAndPing(clients, harness);
-            CountDownLatch go = blockLoop(harness);
+            CountDownLatch unblock = blockLoop(harness);
             // Runs before the loop reads, so the connection's idle timeout has expired by then.
             harness.loop.execute(() -> harness.ticker.advance(10_200));
             client.send(get("late"));
-            go.countDown();
+            unblock.countDown();
             assertEquals("", client.until("\n"),
                 "closed without a reset, so the client knows that the request was not accepted");
             ScriptedPeer.Connection next = clients.connect(harness.address);
--- a/src/test/java/kelphollow/program/ConnectionPoolsTest.java
+++ b/src/test/java/kelphollow/program/ConnectionPoolsTest.java
@@ -68,18 +68,18 @@
     @Test void bytesThatArriveWhileTheLoopIsBlockedAreReadBeforeReuse() throws Exception {
         try (ScriptedPeer node = new ScriptedPeer()) {
             PooledConnection first = acquire(node);
-            ScriptedPeer.Connection line = node.accept();
+            ScriptedPeer.Connection connection = node.accept();
             loop.submit(first::release).sync();
 
             loop.submit(() -> {
-                line.send("noise");            // arrives, and is not read while this task runs
+                connection.send("noise");            // arrives, and is not read while this task runs
                 ticker.advance(100);
                 return pools.acquire("n", node.address(), user);
             }).sync();
 
             assertNotSame(first, connected.poll(10, TimeUnit.SECONDS));
             assertEquals(2, pools.connectAttempts());
-            assertTrue(line.hasEnded(), "a connection with unsolicited bytes is closed");
+            assertTrue(connection.hasEnded(), "a connection with unsolicited bytes is closed");
         }
     }
 }
--- a/src/test/java/kelphollow/program/DisconnectAfterRequestTest.java
+++ b/src/test/java/kelphollow/program/DisconnectAfterRequestTest.java
@@ -19,10 +19,10 @@
 @Timeout(20)
 class DisconnectAfterRequestTest {
     private interface Disconnect {
-        void apply(ScriptedPeer.Connection line) throws IOException;
+        void apply(ScriptedPeer.Connection connection) throws IOException;
     }
 
-    private static final Map<String, Disconnect> DISCONNECTS = Map.of("closed", line -> line.socket.close(),
+    private static final Map<String, Disconnect> DISCONNECTS = Map.of("closed", connection -> connection.socket.close(),
         "reset", ScriptedPeer.Connection::reset, "half-closed", ScriptedPeer.Connection::shutdown);
     private static final String HEAD_END = "\r\n\r\n";
 
@@ -47,11 +47,11 @@
         throws Exception {
         ScriptedPeer.Connection client = accepted ? clients.connect(harness.address) : null;
         ServerHarness.runLoopOnce(harness.loop);
-        CountDownLatch go = ClientRaceTest.blockLoop(harness);
+        CountDownLatch unblock = ClientRaceTest.blockLoop(harness);
         client = accepted ? client : clients.connect(harness.address);
         disconnect.apply(client.send(request));
-        go.countDown();
-        for (int turns = 0; turns < 3; turns++) {      // accepts, reads, starts the request
+        unblock.countDown();
+        for (int iterations = 0; iterations < 3; iterations++) {      // accepts, reads, starts the request
             ServerHarness.runLoopOnce(harness.loop);
         }
     }
@@ -113,7 +113,8 @@
             ScriptedPeer.Connection client = clients.connect(harness.address);
             client.send(request("GET", "a", "") + request("PUT", "b", "body") + request("GET", "c", ""));
             for (String expected : List.of("GET /symbols/a ", "PUT /symbols/b ", "GET /symbols/c ")) {
-                ScriptedPeer.Connection attempt = node.accept();   // the clock is stopped: no reuse
+                // The clock is stopped, so the previous connection is not reusable yet and each request opens a new one.
+                ScriptedPeer.Connection attempt = node.accept();
                 assertTrue(attempt.until(HEAD_END).startsWith(expected), expected);
                 if (expected.startsWith("PUT")) {
                     attempt.send("HTTP/1.1 100 Continue\r\n\r\n");
@@ -131,11 +132,11 @@
              ServerHarness harness = objects(node)) {
             ScriptedPeer.Connection client = clients.connect(harness.address);
             ServerHarness.runLoopOnce(harness.loop);
-            CountDownLatch go = ClientRaceTest.blockLoop(harness);
+            CountDownLatch unblock = ClientRaceTest.blockLoop(harness);
             // Runs before the loop reads, so the connection's idle timeout has expired by then.
             harness.loop.execute(() -> harness.ticker.advance(10_200));
             client.send(request("GET", "late", ""));
-            go.countDown();
+            unblock.countDown();
             assertEquals("", client.until("\n"),
                 "closed without a reset, so the client knows that the request was not accepted");
             clients.connect(harness.address).send(request("GET", "again", ""));
--- a/src/test/java/kelphollow/program/DisconnectBetweenAttemptsTest.java
+++ b/src/test/java/kelphollow/program/DisconnectBetweenAttemptsTest.java
@@ -65,10 +65,10 @@
             try (ScriptedPeer node = new ScriptedPeer(); ScriptedPeer clients = new ScriptedPeer();
                  ServerHarness harness = DisconnectAfterRequestTest.objects(node)) {
                 ScriptedPeer.Connection client = rejectFirstAttempt(harness, node, clients, request);
-                CountDownLatch go = ClientRaceTest.blockLoop(harness);
+                CountDownLatch unblock = ClientRaceTest.blockLoop(harness);
                 harness.loop.execute(() -> harness.ticker.advance(500));     // runs before the loop reads
                 client.socket.close();
-                go.countDown();
+                unblock.countDown();
                 ServerHarness.runLoopOnce(harness.loop);
                 assertEquals(0, harness.openRequests(), request);
                 assertEquals("", node.accept().until(HEAD_END), request);
--- a/src/test/java/kelphollow/program/FleetNamesTest.java
+++ b/src/test/java/kelphollow/program/FleetNamesTest.java
@@ -149,8 +149,8 @@
 
         @Override public void setAdmissionFilter(AdmissionFilter filter) {}
 
-        @Override public void onEndpointsReceived(Consumer<List<Endpoint>> heard) {
-            list = heard;
+        @Override public void onEndpointsReceived(Consumer<List<Endpoint>> listener) {
+            list = listener;
         }
 
         @Override public void eject(Set<String> names) {}
--- a/src/test/java/kelphollow/program/GracefulShutdownTest.java
+++ b/src/test/java/kelphollow/program/GracefulShutdownTest.java
@@ -32,7 +32,8 @@
             assertEquals(1, left.getCount());
             harness.ticker.advance(150);
             assertEquals(-1, client.getInputStream().read());
-            harness.ticker.advance(250);                        // the client stays open; no longer wait
+            // The client does not close its side; the program stops waiting for it.
+            harness.ticker.advance(250);
             assertTrue(left.await(10, TimeUnit.SECONDS));
         }
     }
--- a/src/test/java/kelphollow/program/HttpCallTest.java
+++ b/src/test/java/kelphollow/program/HttpCallTest.java
@@ -51,8 +51,8 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static String requestedPath(ScriptedPeer.Connection line) throws Exception {
-        return line.until("\r\n\r\n").split(" ")[1];
+    private static String requestedPath(ScriptedPeer.Connection connection) throws Exception {
+        return connection.until("\r\n\r\n").split(" ")[1];
     }
 
     private String outcome() throws InterruptedException {
@@ -124,15 +124,15 @@
             try (ScriptedPeer peer = new ScriptedPeer()) {
                 HttpCall calls = new HttpCall(loop, ticker, peer.address());
                 loop.execute(() -> send(calls, "/list"));
-                ScriptedPeer.Connection line = peer.accept();
-                requestedPath(line);
-                line.send("HTTP/1.1 200 OK\r\n\r\nhalf");
+                ScriptedPeer.Connection connection = peer.accept();
+                requestedPath(connection);
+                connection.send("HTTP/1.1 200 OK\r\n\r\nhalf");
 
                 if (reset) {
-                    line.reset();
+                    connection.reset();
                     assertEquals("failed: connection reset", outcome());
                 } else {
-                    line.shutdown();
+                    connection.shutdown();
                     assertEquals("half", outcome());
                 }
             }
@@ -158,14 +158,14 @@
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
             loop.execute(() -> send(calls, "/list"));
-            ScriptedPeer.Connection line = peer.accept();
-            requestedPath(line);
+            ScriptedPeer.Connection connection = peer.accept();
+            requestedPath(connection);
 
-            line.send("HTTP/1.1 200 OK\r\n\r\nand so on");
+            connection.send("HTTP/1.1 200 OK\r\n\r\nand so on");
             ticker.advance(1_000);
 
             assertEquals("failed: no answer in time", outcome());
-            assertTrue(line.hasEnded());
+            assertTrue(connection.hasEnded());
         }
     }
 }
--- a/src/test/java/kelphollow/program/PartialWriteTest.java
+++ b/src/test/java/kelphollow/program/PartialWriteTest.java
@@ -149,7 +149,7 @@
     }
 
     private interface Disconnect {
-        void apply(ScriptedPeer.Connection line) throws IOException;
+        void apply(ScriptedPeer.Connection connection) throws IOException;
     }
 
     /** Runs one request whose first attempt is interrupted after {@code bytes} bytes, and checks whether it is resent. */
@@ -194,7 +194,8 @@
             play(client, put(100 + bytes), bytes, ScriptedPeer.Connection::reset, ANSWER, "$2\r\nok\r\n");
             client.socket.close();
         }
-        play(clients.connect(at), put(101 + length), length - 1, line -> line.socket.close(), ANSWER, "$2\r\nok\r\n");
+        play(clients.connect(at), put(101 + length), length - 1, connection -> connection.socket.close(), ANSWER,
+            "$2\r\nok\r\n");
     }
 
     @Test void anObjectRequestIsResentOnlyIfItsLastByteWasNotWritten() throws Exception {
@@ -221,7 +222,7 @@
             ScriptedPeer.Connection attempt = node.accept();
             assertEquals(own, attempt.until("\r\n\r\n"));
             attempt.send("HTTP/1.1 100 Continue\r\n\r\n");
-            for (int turns = 0; turns < 3; turns++) {
+            for (int iterations = 0; iterations < 3; iterations++) {
                 ServerHarness.runLoopOnce(loop);              // reads the 100 Continue, then writes up to the limit
             }
             assertEquals("body".substring(0, bytes), attempt.receive(bytes));
--- a/src/test/java/kelphollow/program/ReloadRaceTest.java
+++ b/src/test/java/kelphollow/program/ReloadRaceTest.java
@@ -61,10 +61,10 @@
                 ScriptedPeer.Connection client = clients.connect(harness.address);
                 harness.reload(next.address());
                 ScriptedPeer.Connection whole = call(next, " HTTP");
-                CountDownLatch go = ClientRaceTest.blockLoop(harness);
+                CountDownLatch unblock = ClientRaceTest.blockLoop(harness);
                 client.send(ClientRaceTest.get("q"));
                 respond(whole, 7, true, host("n0", first, "draining"), host("n9", second, "ready"));
-                go.countDown();
+                unblock.countDown();
                 assertReceives(second, "q");
                 assertNull(first.acceptIfAny(), mode);
             }
@@ -79,13 +79,13 @@
             confirmInitialList(old);
             ScriptedPeer.Connection client = clients.connect(harness.address);
             ServerHarness.runLoopOnce(harness.loop);
-            CountDownLatch go = ClientRaceTest.blockLoop(harness);
+            CountDownLatch unblock = ClientRaceTest.blockLoop(harness);
             client.send(ClientRaceTest.get("q"));
             // The next loop iteration reads the command and connects; it ends before the connection is seen as established.
             List<ResolvedEndpoint> list = List.of(member("n0", first.address(), EndpointState.DRAINING),
                 member("n9", second.address(), EndpointState.HEALTHY));
             harness.loop.execute(() -> harness.afterNextLoopIteration(() -> harness.updateEndpoints(list)));
-            go.countDown();
+            unblock.countDown();
             ScriptedPeer.Connection abandoned = first.accept();
             ScriptedPeer.Connection retry = null;
             for (int passed = 0; retry == null; passed += 10) {
@@ -109,10 +109,10 @@
                  ScriptedPeer clients = new ScriptedPeer();
                  ServerHarness harness = ServerHarness.respWith(mode, old.address(), first.address())) {
                 ScriptedPeer.Connection watch = confirmInitialList(old);
-                CountDownLatch go = ClientRaceTest.blockLoop(harness);
+                CountDownLatch unblock = ClientRaceTest.blockLoop(harness);
                 respond(watch, 90, true, host("n0", second, "ready"));       // arrives before the reload, read after it
                 harness.signalReload(next.address());                              // runs before the loop reads again
-                go.countDown();
+                unblock.countDown();
                 ScriptedPeer.Connection whole = call(next, " HTTP");
                 clients.connect(harness.address).send(ClientRaceTest.get("before"));
                 assertReceives(first, "before");
@@ -133,10 +133,10 @@
                  ScriptedPeer clients = new ScriptedPeer();
                  ServerHarness harness = ServerHarness.respWith(mode, old.address(), first.address())) {
                 ScriptedPeer.Connection watch = call(old, "?index=1&wait=");
-                CountDownLatch go = ClientRaceTest.blockLoop(harness);
+                CountDownLatch unblock = ClientRaceTest.blockLoop(harness);
                 respond(watch, 2, false, host("n0", first, "draining"), host("n9", second, "ready"));
                 harness.loop.execute(() -> harness.afterNextLoopIteration(() -> harness.signalReload(next.address())));
-                go.countDown();
+                unblock.countDown();
                 ScriptedPeer.Connection whole = call(next, " HTTP");
                 clients.connect(harness.address).send(ClientRaceTest.get("between"));
                 assertReceives(second, "between");
--- a/src/test/java/kelphollow/program/ServerHarness.java
+++ b/src/test/java/kelphollow/program/ServerHarness.java
@@ -34,7 +34,7 @@
     final EventLoop loop = group.next();
     final ManualTicker ticker = new ManualTicker(loop);
     static final int SOCKETS = 48;
-    private static final int DIAL_TIMEOUT_MS = 250;
+    private static final int CONNECT_TIMEOUT_MS = 250;
     private static final double IDLE_TIME_MS = 12_000;
     private Scheduler scheduler;
     private RequestRouter router;
@@ -82,7 +82,7 @@
 
     private static PlatformConfig platformConfig(InetSocketAddress discovery, DiscoveryList known,
         ControlSettings settings) {
-        return new PlatformConfig("test", null, discovery, 1, SOCKETS, DIAL_TIMEOUT_MS, IDLE_TIME_MS, known, settings,
+        return new PlatformConfig("test", null, discovery, 1, SOCKETS, CONNECT_TIMEOUT_MS, IDLE_TIME_MS, known, settings,
             PlatformConfig.Operations.NONE);
     }
 
