--- a/src/test/java/kelphollow/program/DiscoveryWatchTest.java
+++ b/src/test/java/kelphollow/program/DiscoveryWatchTest.java
@@ -59,7 +59,7 @@
         }
     }
 
-    @Test void anAgentThatStallsOrEndsItsConnectionIsPolledAgainWithoutTheModule() throws Exception {
+    @Test void anAgentThatStallsOrClosesItsConnectionIsPolledAgainWithoutTheDecisionModule() throws Exception {
         try (FakeDiscovery agent = new FakeDiscovery();
              ServerHarness server = ServerHarness.respWith("automatic", agent.address())) {
             nextPoll(agent);
--- a/src/test/java/kelphollow/program/StreamedValueTest.java
+++ b/src/test/java/kelphollow/program/StreamedValueTest.java
@@ -22,7 +22,7 @@
 /** Values that are too long to be buffered, with slow clients and nodes. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class StreamedValueTest {
-    private static final int LENGTH = 4 * 1024 * 1024;
+    private static final int VALUE_BYTES = 4 * 1024 * 1024;
 
     private static byte[] get(String id) {
         return ("*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$1\r\n" + id + "\r\n$60\r\n"
@@ -59,11 +59,11 @@
     }
 
     private static byte[] answer() {
-        byte[] head = ("*3\r\n$" + LENGTH + "\r\n").getBytes(StandardCharsets.US_ASCII);
+        byte[] head = ("*3\r\n$" + VALUE_BYTES + "\r\n").getBytes(StandardCharsets.US_ASCII);
         byte[] tail = "\r\n$6\r\ncost=1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII);
-        byte[] all = Arrays.copyOf(head, head.length + LENGTH + tail.length);
-        Arrays.fill(all, head.length, head.length + LENGTH, (byte) 'v');
-        System.arraycopy(tail, 0, all, head.length + LENGTH, tail.length);
+        byte[] all = Arrays.copyOf(head, head.length + VALUE_BYTES + tail.length);
+        Arrays.fill(all, head.length, head.length + VALUE_BYTES, (byte) 'v');
+        System.arraycopy(tail, 0, all, head.length + VALUE_BYTES, tail.length);
         return all;
     }
 
@@ -94,10 +94,10 @@
             harness.ticker.advance(9_000);       // a client may take seconds to read on
             for (int i = 0; i < values; i++) {
                 InputStream in = slow.getInputStream();
-                assertEquals("$" + LENGTH + "\r\n", new String(in.readNBytes(10), StandardCharsets.US_ASCII));
-                byte[] expected = new byte[LENGTH];
+                assertEquals("$" + VALUE_BYTES + "\r\n", new String(in.readNBytes(10), StandardCharsets.US_ASCII));
+                byte[] expected = new byte[VALUE_BYTES];
                 Arrays.fill(expected, (byte) 'v');
-                assertArrayEquals(expected, in.readNBytes(LENGTH));
+                assertArrayEquals(expected, in.readNBytes(VALUE_BYTES));
                 assertEquals("\r\n", new String(in.readNBytes(2), StandardCharsets.US_ASCII));
             }
         }
@@ -112,7 +112,7 @@
         for (int same = 0; same < 100;) {
             long now = written.stream().mapToLong(AtomicLong::get).sum();
             ServerHarness.runLoopOnce(harness.loop);
-            boolean streams = written.stream().allMatch(bytes -> bytes.get() > LENGTH / 16);
+            boolean streams = written.stream().allMatch(bytes -> bytes.get() > VALUE_BYTES / 16);
             same = streams && now == last ? same + 1 : 0;
             last = now;
             Thread.sleep(5);
@@ -126,7 +126,7 @@
             client.getOutputStream().write(get("i"));
             try (Socket node = listener.accept()) {
                 node.getInputStream().readNBytes(get("i").length);
-                node.getOutputStream().write(("*3\r\n$" + LENGTH + "\r\nvvvv").getBytes(StandardCharsets.US_ASCII));
+                node.getOutputStream().write(("*3\r\n$" + VALUE_BYTES + "\r\nvvvv").getBytes(StandardCharsets.US_ASCII));
             }
             listener.setSoTimeout(1);
             Socket second = null;
@@ -158,7 +158,7 @@
                 Thread.sleep(5);
             }
             byte[] got = slow.getInputStream().readAllBytes();
-            assertTrue(got.length < LENGTH, "the client sees a truncated value");
+            assertTrue(got.length < VALUE_BYTES, "the client sees a truncated value");
         }
     }
 
