--- a/src/test/java/kelphollow/program/HttpCallTest.java
+++ b/src/test/java/kelphollow/program/HttpCallTest.java
@@ -20,14 +20,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Each response belongs to the call whose connection brings it, however calls, timeouts and responses cross. */
+/** A response is assigned to the call on whose connection it arrives, however calls, timeouts and responses race. */
 @Timeout(20)
 class HttpCallTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ManualTicker ticker = new ManualTicker(loop);
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
-    /** One for all calls, as a watch of discovery is. */
+    /** Shared by all calls, as the discovery watch does. */
     private final HttpCall.ResponseHandler handler = new HttpCall.ResponseHandler() {
         @Override public void responseReceived(int status, String body) {
             outcomes.add(body);
@@ -51,8 +51,8 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static String requestedPath(ScriptedPeer.Line line) throws Exception {
-        return line.until("\r\n\r\n").split(" ")[1];
+    private static String requestedPath(ScriptedPeer.Connection connection) throws Exception {
+        return connection.until("\r\n\r\n").split(" ")[1];
     }
 
     private String outcome() throws InterruptedException {
@@ -62,7 +62,7 @@
     @Test void aConnectionEstablishedAfterItsCallHasFailedSendsNothing() throws Exception {
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
-            // The loop begins to connect, and sees the connection established only when the second call is under way.
+            // The loop starts to connect and sees the established connection only after the second call has started.
             loop.execute(() -> {
                 send(calls, "/first");
                 loop.execute(() -> {
@@ -73,39 +73,39 @@
 
             assertEquals("failed: no answer in time", outcome());
             assertTrue(peer.accept().hasEnded());
-            ScriptedPeer.Line second = peer.accept();
+            ScriptedPeer.Connection second = peer.accept();
             assertEquals("/second", requestedPath(second));
             second.send(response("b"));
             assertEquals("b", outcome());
         }
     }
 
-    @Test void aSecondResponseThatComesLateIsNotTheNextCallsResponse() throws Exception {
+    @Test void anUnsolicitedSecondResponseIsNotAssignedToTheNextCall() throws Exception {
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
             loop.execute(() -> send(calls, "/first"));
-            ScriptedPeer.Line first = peer.accept();
+            ScriptedPeer.Connection first = peer.accept();
             assertEquals("/first", requestedPath(first));
             first.send(response("a"));
             assertEquals("a", outcome());
 
             loop.submit(() -> send(calls, "/second")).sync();
-            ScriptedPeer.Line second = peer.accept();
+            ScriptedPeer.Connection second = peer.accept();
             assertEquals("/second", requestedPath(second));
             first.send(response("late"));
 
-            assertTrue(first.hasEnded(), "nothing is taken from it any more");
+            assertTrue(first.hasEnded(), "the connection with the unsolicited response is closed");
             second.send(response("b"));
             assertEquals("b", outcome());
             assertNull(outcomes.poll());
         }
     }
 
-    @Test void aConnectionThatStayedQuietCarriesTheNextCall() throws Exception {
+    @Test void anIdleConnectionWithoutUnsolicitedBytesIsReused() throws Exception {
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
             loop.execute(() -> send(calls, "/first"));
-            ScriptedPeer.Line only = peer.accept();
+            ScriptedPeer.Connection only = peer.accept();
             requestedPath(only);
             only.send(response("a"));
             assertEquals("a", outcome());
@@ -124,15 +124,15 @@
             try (ScriptedPeer peer = new ScriptedPeer()) {
                 HttpCall calls = new HttpCall(loop, ticker, peer.address());
                 loop.execute(() -> send(calls, "/list"));
-                ScriptedPeer.Line line = peer.accept();
-                requestedPath(line);
-                line.send("HTTP/1.1 200 OK\r\n\r\nhalf");
+                ScriptedPeer.Connection connection = peer.accept();
+                requestedPath(connection);
+                connection.send("HTTP/1.1 200 OK\r\n\r\nhalf");
 
                 if (reset) {
-                    line.reset();
+                    connection.reset();
                     assertEquals("failed: connection reset", outcome());
                 } else {
-                    line.shutdown();
+                    connection.shutdown();
                     assertEquals("half", outcome());
                 }
             }
@@ -158,14 +158,14 @@
         try (ScriptedPeer peer = new ScriptedPeer()) {
             HttpCall calls = new HttpCall(loop, ticker, peer.address());
             loop.execute(() -> send(calls, "/list"));
-            ScriptedPeer.Line line = peer.accept();
-            requestedPath(line);
+            ScriptedPeer.Connection connection = peer.accept();
+            requestedPath(connection);
 
-            line.send("HTTP/1.1 200 OK\r\n\r\nand so on");
+            connection.send("HTTP/1.1 200 OK\r\n\r\nand so on");
             ticker.advance(1_000);
 
             assertEquals("failed: no answer in time", outcome());
-            assertTrue(line.hasEnded());
+            assertTrue(connection.hasEnded());
         }
     }
 }
--- a/src/test/java/kelphollow/program/SecondTermTest.java
+++ b/src/test/java/kelphollow/program/RepeatedSigtermTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** SIGTERM while the program leaves already, and a hand-over that its writer does not live to finish. */
+/** A second SIGTERM during shutdown, and a handover whose writer is killed before it is complete. */
 @Timeout(60)
-class SecondTermTest {
+class RepeatedSigtermTest {
     private static final Pattern AT = Pattern.compile("(management|serves) at 127\\.0\\.0\\.1:(\\d+)");
     @TempDir
     Path folder;
@@ -29,7 +29,7 @@
             + "\"mgmt\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.getPort() + "\","
             + "\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"n0\",\"dial\":\"127.0.0.1:" + node.getPort()
             + "\",\"site\":\"a\",\"block\":0,\"health\":\"ready\",\"born_ms\":0}]},"
-            + "\"settings\":" + StartTest.settings() + "}");
+            + "\"settings\":" + StartupTest.settings() + "}");
         ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-cp",
             System.getProperty("java.class.path"), Main.class.getName(), "serve").redirectErrorStream(true);
         builder.environment().put("GW_CONFIG", file.toString());
@@ -37,7 +37,7 @@
         return builder.start();
     }
 
-    /** Reads the log up to the line that tells this address. */
+    /** Reads the log up to the line that names this address. */
     private static InetSocketAddress address(BufferedReader log, String of) throws Exception {
         for (String line; (line = log.readLine()) != null;) {
             Matcher at = AT.matcher(line);
@@ -45,32 +45,32 @@
                 return new InetSocketAddress("127.0.0.1", Integer.parseInt(at.group(2)));
             }
         }
-        return fail("the program ended before it told where it " + of);
+        return fail("the program ended before it logged the address of: " + of);
     }
 
-    @Test void aSecondSigtermChangesNothingAndWhatWasTakenIsAnswered() throws Exception {
+    @Test void aSecondSigtermChangesNothingAndAcceptedRequestsAreAnswered() throws Exception {
         try (ScriptedPeer discovery = new ScriptedPeer(); ScriptedPeer node = new ScriptedPeer();
              ScriptedPeer clients = new ScriptedPeer()) {
             Process program = start(discovery.address(), node.address());
             try (BufferedReader log = program.inputReader()) {
-                ScriptedPeer.Line call = discovery.accept();
+                ScriptedPeer.Connection call = discovery.accept();
                 call.until("\r\n\r\n");
                 String list = FakeDiscovery.list(1, false);
                 call.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
                 InetSocketAddress management = address(log, "management");
-                ScriptedPeer.Line client = clients.connect(address(log, "serves"));
-                client.send(ClientCrossingTest.get("q"));
-                node.accept().until("hosts=1\r\n");          // it never answers
+                ScriptedPeer.Connection client = clients.connect(address(log, "serves"));
+                client.send(ClientRaceTest.get("q"));
+                node.accept().until("hosts=1\r\n");          // never answered
                 program.toHandle().destroy();   // SIGTERM; Process.destroy would close the log as well
-                ScriptedPeer.Line status;
-                do {                                         // one call a connection
+                ScriptedPeer.Connection status;
+                do {                                         // the management port serves one call per connection
                     status = clients.connect(management).send("status\n");
                 } while (!status.until("\n").startsWith("NAK leaving"));
                 program.toHandle().destroy();
                 program.toHandle().destroy();
                 String answer = client.until("\r\n");
-                assertTrue(answer.startsWith("-"), "taken before, answered after: " + answer);
-                assertEquals("", client.until("\n"), "a clean end");
+                assertTrue(answer.startsWith("-"), "accepted before SIGTERM, answered after it: " + answer);
+                assertEquals("", client.until("\n"), "closed without a reset");
                 assertTrue(program.waitFor(20, TimeUnit.SECONDS));
                 assertEquals(0, program.exitValue());
                 assertTrue(log.lines().anyMatch(l -> l.equals("kelphollow: left; 0 invariants broken")));
@@ -80,8 +80,8 @@
         }
     }
 
-    /** Killed between writing its levels and giving them their name: what it left is no hand-over, whole or not. */
-    @Test void aHandOverWhoseWriterIsKilledBeforeItsEndIsNotTakenAndNotWaitedFor() throws Exception {
+    /** Killed between writing the temporary file and renaming it: the leftover is no handover, complete or not. */
+    @Test void aHandoverWhoseWriterIsKilledBeforeTheRenameIsNeitherUsedNorWaitedFor() throws Exception {
         ProcessHandover old = new ProcessHandover(folder, 100);
         ProcessHandover next = new ProcessHandover(folder, 200);
         old.showAlive();
@@ -92,7 +92,7 @@
             Files.writeString(folder.resolve("kelphollow-handover.part"), complete.substring(0, bytes));
             assertEquals(Map.of(), next.await(100, 60_000), bytes + " bytes");
         }
-        old.handOver(Map.of("v1", 3.5));                      // over what another left there
+        old.handOver(Map.of("v1", 3.5));                      // overwrites the leftover
         assertEquals(Map.of("v1", 3.5), next.await(100, 60_000));
     }
 }
--- a/src/test/java/kelphollow/program/ScriptedPeer.java
+++ b/src/test/java/kelphollow/program/ScriptedPeer.java
@@ -10,68 +10,68 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A peer whose every byte, close and reset the test says; it does nothing by itself. */
+/** A peer that sends, closes and resets only when the test calls for it. */
 final class ScriptedPeer implements AutoCloseable {
-    private static final int GUARD_MILLIS = 10_000;   // only so that a failure ends; nothing is proved by waiting
+    private static final int GUARD_TIMEOUT_MS = 10_000;   // bounds a failing test; no check depends on waiting this long
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-    private final List<Line> lines = new ArrayList<>();
+    private final List<Connection> connections = new ArrayList<>();
 
     ScriptedPeer() throws IOException {
-        listener.setSoTimeout(GUARD_MILLIS);
+        listener.setSoTimeout(GUARD_TIMEOUT_MS);
     }
 
     InetSocketAddress address() {
         return new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort());
     }
 
-    /** The next connection that the program makes to this peer. */
-    Line accept() throws IOException {
-        return keep(new Line(listener.accept()));
+    /** Accepts the next connection that the program opens to this peer. */
+    Connection accept() throws IOException {
+        return track(new Connection(listener.accept()));
     }
 
-    /** The same if there is one already, else null. On the loopback a dial that was begun is there at once. */
-    Line acceptIfAny() throws IOException {
+    /** Accepts a pending connection, or returns null. On the loopback a started connect is pending at once. */
+    Connection acceptIfAny() throws IOException {
         listener.setSoTimeout(1);
         try {
             return accept();
         } catch (java.net.SocketTimeoutException none) {
             return null;
         } finally {
-            listener.setSoTimeout(GUARD_MILLIS);
+            listener.setSoTimeout(GUARD_TIMEOUT_MS);
         }
     }
 
-    /** A connection that this peer makes to the program. */
-    Line connect(InetSocketAddress to) throws IOException {
-        return keep(new Line(new Socket(to.getAddress(), to.getPort())));
+    /** Opens a connection from this peer to the program. */
+    Connection connect(InetSocketAddress to) throws IOException {
+        return track(new Connection(new Socket(to.getAddress(), to.getPort())));
     }
 
-    private Line keep(Line line) {
-        lines.add(line);
-        return line;
+    private Connection track(Connection connection) {
+        connections.add(connection);
+        return connection;
     }
 
-    /** One connection. */
-    static final class Line {
+    /** A blocking connection whose bytes are exchanged as ISO 8859-1 text. */
+    static final class Connection {
         final Socket socket;
 
-        private Line(Socket socket) throws IOException {
+        private Connection(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(GUARD_MILLIS);
+            socket.setSoTimeout(GUARD_TIMEOUT_MS);
             socket.setTcpNoDelay(true);
         }
 
-        Line send(String text) throws IOException {
+        Connection send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             return this;
         }
 
-        /** Just so many bytes, fewer if the connection ends. */
+        /** Reads exactly this many bytes, or fewer if the connection ends. */
         String receive(int bytes) throws IOException {
             return new String(socket.getInputStream().readNBytes(bytes), StandardCharsets.ISO_8859_1);
         }
 
-        /** All up to and with this text; what came until then if the connection ends. */
+        /** Reads up to and including this text, or up to the end of the connection. */
         String until(String end) throws IOException {
             ByteArrayOutputStream got = new ByteArrayOutputStream();
             for (int next; !got.toString(StandardCharsets.ISO_8859_1).endsWith(end)
@@ -81,7 +81,7 @@
             return got.toString(StandardCharsets.ISO_8859_1);
         }
 
-        /** Whether the program has closed or reset it, with nothing more sent. */
+        /** Returns whether the program closed or reset the connection without sending more; blocks until either. */
         boolean hasEnded() throws IOException {
             try {
                 return socket.getInputStream().read() < 0;
@@ -90,7 +90,7 @@
             }
         }
 
-        /** Ends the sending only. */
+        /** Half-closes: ends the sending direction only. */
         void shutdown() throws IOException {
             socket.shutdownOutput();
         }
@@ -103,8 +103,8 @@
 
     @Override public void close() throws IOException {
         listener.close();
-        for (Line line : lines) {
-            line.socket.close();
+        for (Connection connection : connections) {
+            connection.socket.close();
         }
     }
 }
--- a/src/test/java/kelphollow/program/StartTest.java
+++ b/src/test/java/kelphollow/program/StartupTest.java
@@ -17,28 +17,28 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a start waits for, and what crosses it. */
+/** Startup: its wait for discovery, SIGTERM and bind errors during it, and checks of the settings. */
 @Timeout(60)
-class StartTest {
+class StartupTest {
     @TempDir
     Path folder;
 
-    @Test void aStartWaitsForTheFirstResponseOfDiscoveryBeItAListOrARejection() throws Exception {
+    @Test void startupWaitsForDiscoveryToRespondOrToRefuseTheConnection() throws Exception {
         try (ScriptedPeer discovery = new ScriptedPeer();
              ServerHarness harness = ServerHarness.respWith("automatic", discovery.address())) {
-            ScriptedPeer.Line call = discovery.accept();
+            ScriptedPeer.Connection call = discovery.accept();
             call.until("\r\n\r\n");
-            assertFalse(harness.awaitList(0));
+            assertFalse(harness.awaitFirstResponse(0));
             String list = FakeDiscovery.list(4, false);
             call.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
-            assertTrue(harness.awaitList(10_000));
+            assertTrue(harness.awaitFirstResponse(10_000));
         }
         try (ServerHarness harness = ServerHarness.respWith("subscribe", new InetSocketAddress("127.0.0.1", 1))) {
-            assertTrue(harness.awaitList(10_000));
+            assertTrue(harness.awaitFirstResponse(10_000));
         }
     }
 
-    /** The program on a file with these addresses; its log is in the folder. */
+    /** Starts the program with these addresses; its log goes to the file {@code log} in the folder. */
     private Process start(InetSocketAddress listen, InetSocketAddress discovery) throws Exception {
         Path file = Files.writeString(folder.resolve("c.json"), "{\"name\":\"n\",\"listen\":\"127.0.0.1:" + listen.getPort()
             + "\",\"discovery\":\"127.0.0.1:" + discovery.getPort() + "\",\"settings\":" + settings() + "}");
@@ -49,11 +49,11 @@
         return builder.start();
     }
 
-    @Test void sigtermDuringAStartEndsItInOrder() throws Exception {
+    @Test void sigtermDuringStartupExitsWithCodeZero() throws Exception {
         try (ScriptedPeer discovery = new ScriptedPeer()) {
             Process program = start(new InetSocketAddress("127.0.0.1", 0), discovery.address());
             try {
-                discovery.accept();            // asked before the warm-up, long before the clients' socket is open
+                discovery.accept();            // polled before the warm-up, long before the client socket is open
                 program.destroy();
                 assertTrue(program.waitFor(20, TimeUnit.SECONDS));
                 assertFalse(Files.readString(folder.resolve("log")).contains("serves at"));
@@ -64,7 +64,7 @@
         }
     }
 
-    @Test void aStartThatCannotListenDoesNotEndAsIfAllWereInOrder() throws Exception {
+    @Test void startupThatCannotListenExitsWithCodeOne() throws Exception {
         try (ScriptedPeer holder = new ScriptedPeer()) {
             Process program = start(holder.address(), new InetSocketAddress("127.0.0.1", 1));
             try {
@@ -82,17 +82,17 @@
         return text.substring(text.indexOf('{', at), text.lastIndexOf('}'));
     }
 
-    @Test void aMalformedNumberOfTheSettingsIsNamed() throws Exception {
+    @Test void errorsOfMalformedNumbersInTheSettingsNameTheKey() throws Exception {
         for (List<String> fault : List.of(List.of("request_classes", "window"), List.of("request_classes", "worth"),
             List.of("grades", "ceiling_rate"), List.of("contract", "fall"), List.of("extra", "young_limit"),
             List.of("ceilings", "open_cap"))) {
-            Map<String, Object> settings = ServerHarness.part(ServerHarness.example(), "settings");
+            Map<String, Object> settings = ServerHarness.section(ServerHarness.example(), "settings");
             if (settings.get(fault.get(0)) instanceof List<?> rows) {
                 Map<Object, Object> row = new HashMap<>((Map<?, ?>) rows.get(0));
                 row.put(fault.get(1), "soon");
                 settings.put(fault.get(0), List.of(row));
             } else {
-                ServerHarness.part(settings, fault.get(0)).put(fault.get(1), -1.0);
+                ServerHarness.section(settings, fault.get(0)).put(fault.get(1), -1.0);
             }
             ConfigurationException thrown = assertThrows(ConfigurationException.class, () -> SettingsConfig.read(settings),
                 fault.toString());
@@ -101,7 +101,7 @@
     }
 
     @Test void aTokenClassNeedsItsWindow() throws Exception {
-        Map<String, Object> settings = ServerHarness.part(ServerHarness.example(), "settings");
+        Map<String, Object> settings = ServerHarness.section(ServerHarness.example(), "settings");
         settings.put("request_classes", List.of(Map.of("name", "k", "aim", 100.0, "deadline", 100.0, "effect", "token",
             "dedup_scope", "all")));
         ConfigurationException thrown = assertThrows(ConfigurationException.class, () -> SettingsConfig.read(settings));
--- a/src/test/java/kelphollow/program/StoreRestartTest.java
+++ b/src/test/java/kelphollow/program/StoreRestartTest.java
@@ -22,15 +22,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A gateway with a store that is killed and started again: what it may answer, must ask for, and may send. */
+/**
+ * A gateway with a store is killed and restarted. Guards against parts and completions that are sent twice because the new
+ * process does not know what the old one had sent: it must answer from the store or query the server first.
+ */
 @org.junit.jupiter.api.Timeout(30)
 class StoreRestartTest {
     private static final byte[] CONTENT = "0123456789".getBytes();
     private static final byte[] LIST = "<CompleteMultipartUpload/>".getBytes();
-    private static final int SETTLED = 3_100;
+    private static final int SETTLED_MS = 3_100;
     @TempDir
     Path folder;
-    private int lives;
+    private int restarts;
     private FakeObjectServer server;
     private ServerHarness harness;
     private HttpTestClient client;
@@ -41,28 +44,29 @@
     }
 
     private Map<String, Object> store() {
-        return Map.of("folders", List.of(folder.resolve(lives + "a").toString(), folder.resolve(lives + "b").toString()));
+        return Map.of("folders", List.of(folder.resolve(restarts + "a").toString(), folder.resolve(restarts + "b")
+            .toString()));
     }
 
     private void begin() throws Exception {
-        Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
+        Map<String, Object> objects = new HashMap<>(ServerHarness.section(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
         harness = ServerHarness.objects(Map.of("objects", objects, "store", store()), server.address());
         client = new HttpTestClient(harness.address);
     }
 
-    /** A kill once the writer has written what it was given: outcomes are not waited for before an answer. */
+    /** Kills once the store's writer has written its queue, since an answer does not wait for its outcome record. */
     private void kill() throws Exception {
-        harness.written();
-        killNow();
+        harness.awaitStoreWrites();
+        killWithoutAwaitingWrites();
     }
 
-    /** What the system had been given stays, the process goes: the next life works on copies of the folders. */
-    private void killNow() throws Exception {
+    /** Simulates a kill: data handed to the operating system survives, so the next process opens copies of the folders. */
+    private void killWithoutAwaitingWrites() throws Exception {
         client.close();
         for (String side : new String[] {"a", "b"}) {
-            Path from = folder.resolve(lives + side);
-            Path to = folder.resolve(lives + 1 + side);
+            Path from = folder.resolve(restarts + side);
+            Path to = folder.resolve(restarts + 1 + side);
             Files.createDirectories(to);
             try (var files = Files.list(from)) {
                 for (Path file : files.toList()) {
@@ -70,7 +74,7 @@
                 }
             }
         }
-        lives++;
+        restarts++;
         harness.close();
         begin();
     }
@@ -93,7 +97,7 @@
         return "PUT /symbols/m?partNumber=" + n + "&uploadId=" + id;
     }
 
-    /** Lets the stand-in's own thread do what it now may. */
+    /** Waits for the fake server's thread to reach this condition. */
     private static void await(java.util.function.BooleanSupplier done) throws InterruptedException {
         for (int i = 0; i < 5_000 && !done.getAsBoolean(); i++) {
             TimeUnit.MILLISECONDS.sleep(1);
@@ -101,36 +105,36 @@
         assertTrue(done.getAsBoolean());
     }
 
-    /** A connection of its own: one whose body was not read is closed behind its answer. */
-    private HttpTestClient.Answer callAnew(String line, byte[] body) throws IOException {
+    /** Calls on a new connection, since one whose request body was not read is closed after its response. */
+    private HttpTestClient.Response callOnNewConnection(String line, byte[] body) throws IOException {
         try (HttpTestClient other = new HttpTestClient(harness.address)) {
             return other.call(line, "", body);
         }
     }
 
-    @Test void aPartSentTwiceOverAKillIsAnsweredFromTheStore() throws Exception {
+    @Test void aPartSentAgainAfterAKillIsAnsweredFromTheStore() throws Exception {
         String id = upload();
-        HttpTestClient.Answer first = client.call(part(id, 1), "", CONTENT);
+        HttpTestClient.Response first = client.call(part(id, 1), "", CONTENT);
         kill();
         server.seen.clear();
-        HttpTestClient.Answer again = client.call(part(id, 1), "", CONTENT);
+        HttpTestClient.Response again = client.call(part(id, 1), "", CONTENT);
         assertEquals(200, again.status());
         assertEquals(first.headers().get("ETag"), again.headers().get("ETag"));
         assertEquals(409, client.call(part(id, 1), "", "other".getBytes()).status());
-        assertTrue(server.seen.isEmpty(), "nobody was asked");
+        assertTrue(server.seen.isEmpty(), "no request reached the server");
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
 
-    /** Guards against a body that was handed over before the intent was safe, when head and body came in one read. */
-    @Test void aBodyThatComesWithItsHeadWaitsForTheRecord() throws Exception {
+    /** Guards against a body forwarded before the intent is durable, when head and body arrive in one read. */
+    @Test void aBodyThatArrivesWithItsHeadWaitsForTheIntent() throws Exception {
         String id = upload();
-        assertEquals(200, client.callAtOnce(part(id, 1), CONTENT).status());
-        assertEquals(200, client.callAtOnce("POST /symbols/m?uploadId=" + id, LIST).status());
+        assertEquals(200, client.callInOneWrite(part(id, 1), CONTENT).status());
+        assertEquals(200, client.callInOneWrite("POST /symbols/m?uploadId=" + id, LIST).status());
         assertArrayEquals(CONTENT, server.objects.get("/symbols/m").bytes());
     }
 
-    /** The whole record of an upload proves that a part was never sent: it goes out at once, without a question. */
-    @Test void aPartThatWasNeverSentGoesOutAtOnceAfterAKill() throws Exception {
+    /** The complete record of an upload proves that a part was never sent, so it is sent without a query. */
+    @Test void aPartThatWasNeverSentIsSentWithoutAQueryAfterAKill() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         kill();
@@ -139,7 +143,7 @@
         assertEquals(List.of(part(id, 2) + " HTTP/1.1"), List.copyOf(server.seen));
     }
 
-    @Test void aPartThatWasInFlightWhenTheGatewayDiedIsQueriedAndNeverSentBlind() throws Exception {
+    @Test void aPartThatWasInFlightAtAKillIsQueriedBeforeItIsSent() throws Exception {
         String id = upload();
         Fault hold = Fault.of("PUT", Kind.HOLD);
         server.faults.add(hold);
@@ -147,17 +151,17 @@
         server.held.take();
         kill();
         server.seen.clear();
-        assertEquals(503, client.call(part(id, 1), "", CONTENT).status(), "it may still be at work");
+        assertEquals(503, client.call(part(id, 1), "", CONTENT).status(), "the attempt may still be running");
         assertEquals("GET", server.seen.take().substring(0, 3));
         hold.gate().countDown();
-        harness.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED_MS);
         await(() -> server.partWrites.containsKey(id + "#1"));
-        HttpTestClient.Answer again = callAnew(part(id, 1), CONTENT);
+        HttpTestClient.Response again = callOnNewConnection(part(id, 1), CONTENT);
         assertEquals(200, again.status());
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
 
-    @Test void aPartThatIsNotThereOnceItCannotComeAnyMoreIsSent() throws Exception {
+    @Test void aPartStillMissingAfterItsDeadlineIsSent() throws Exception {
         String id = upload();
         Fault lost = Fault.of("PUT", Kind.HOLD);
         server.faults.add(lost);
@@ -165,29 +169,29 @@
         server.held.take();
         server.seen.clear();
         kill();
-        harness.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED_MS);
         assertEquals(200, client.call(part(id, 1), "", CONTENT).status());
         assertEquals("GET", server.seen.take().substring(0, 3));
         assertEquals("PUT", server.seen.take().substring(0, 3));
         assertEquals(Map.of(id + "#1", 1), server.partWrites);
     }
 
-    @Test void aCompletionSentTwiceOverAKillIsAnsweredFromTheStore() throws Exception {
+    @Test void aCompletionSentAgainAfterAKillIsAnsweredFromTheStore() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         String line = "POST /symbols/m?uploadId=" + id;
-        HttpTestClient.Answer first = client.call(line, "", LIST);
+        HttpTestClient.Response first = client.call(line, "", LIST);
         assertEquals(200, first.status());
         kill();
         server.seen.clear();
-        HttpTestClient.Answer again = client.call(line, "", LIST);
+        HttpTestClient.Response again = client.call(line, "", LIST);
         assertEquals(200, again.status());
         assertEquals(first.text(), again.text());
         assertEquals(404, client.call(line, "", "<other/>".getBytes()).status());
-        assertTrue(server.seen.isEmpty(), "nobody was asked");
+        assertTrue(server.seen.isEmpty(), "no request reached the server");
     }
 
-    @Test void aCompletionThatWasInFlightWhenTheGatewayDiedIsQueriedFirst() throws Exception {
+    @Test void aCompletionThatWasInFlightAtAKillIsQueriedFirst() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
         String line = "POST /symbols/m?uploadId=" + id;
@@ -198,10 +202,10 @@
         server.held.take();
         kill();
         server.seen.clear();
-        assertEquals(503, client.call(line, "", LIST).status(), "it may still be at work");
+        assertEquals(503, client.call(line, "", LIST).status(), "the attempt may still be running");
         hold.gate().countDown();
         server.seen.clear();
-        harness.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED_MS);
         await(() -> server.objects.containsKey("/symbols/m"));
         assertEquals(404, client.call(line, "", LIST).status(), "the upload is gone: it was completed");
         assertTrue(server.seen.stream().noneMatch(l -> l.startsWith("POST")), server.seen.toString());
@@ -214,7 +218,7 @@
         String line = "POST /symbols/m?uploadId=" + id;
         server.faults.add(Fault.of("POST", Kind.CRASH_BEFORE));
         assertEquals(502, client.call(line, "", LIST).status());
-        harness.ticker.advance(SETTLED);
+        harness.ticker.advance(SETTLED_MS);
         server.seen.clear();
         assertEquals(200, client.call(line, "", LIST).status());
         assertEquals("GET", server.seen.take().substring(0, 3));
@@ -224,20 +228,20 @@
     @Test void anAbortedUploadLeavesNothingBehind() throws Exception {
         String id = upload();
         client.call(part(id, 1), "", CONTENT);
-        harness.written();
+        harness.awaitStoreWrites();
         assertEquals(204, client.call("DELETE /symbols/m?uploadId=" + id, "", null).status());
-        killNow();
+        killWithoutAwaitingWrites();
         assertEquals(404, client.call(part(id, 1), "", CONTENT).status());
     }
 
-    @Test void aSecondProgramOnTheFoldersIsRejectedAndTheKeyNamed() {
+    @Test void aSecondProgramOnTheFoldersIsRejectedWithTheKey() {
         ConfigurationException thrown = assertThrows(ConfigurationException.class,
             () -> ServerHarness.objects(Map.of("store", store()), server.address()));
         assertTrue(thrown.getMessage().startsWith("store.folders: "), thrown.getMessage());
         assertTrue(thrown.getMessage().endsWith("is held by a running program"), thrown.getMessage());
     }
 
-    @Test void faultyKeysAreNamed() throws Exception {
+    @Test void errorsOfInvalidValuesNameTheKey() throws Exception {
         Files.writeString(folder.resolve("file"), "somebody's");
         Files.createDirectories(folder.resolve("full"));
         Files.writeString(folder.resolve("full/other.db"), "somebody's");
@@ -258,23 +262,23 @@
         }
         assertEquals("somebody's", Files.readString(folder.resolve("full/other.db")));
         try (var files = Files.list(folder.resolve("full"))) {
-            assertEquals(1, files.count(), "nothing was put beside it");
+            assertEquals(1, files.count(), "no file was added");
         }
     }
 
-    // ---------------------------------------------------------------- the node list
+    // ---------------------------------------------------------------- endpoint list
 
-    private ServerHarness followingXds(InetSocketAddress xds) throws Exception {
-        Map<String, Object> objects = new HashMap<>(ServerHarness.part(ServerHarness.example(), "objects"));
+    private ServerHarness gatewayWithXds(InetSocketAddress xds) throws Exception {
+        Map<String, Object> objects = new HashMap<>(ServerHarness.section(ServerHarness.example(), "objects"));
         objects.put("shards", 1.0);
         return ServerHarness.objects(Map.of("objects", objects, "store", store(), "xds",
             Map.of("cluster", "dump-store", "server", "127.0.0.1:" + xds.getPort())), server.address());
     }
 
-    @Test void aStartWithoutItsListServesFromTheLastOne() throws Exception {
+    @Test void aStartWithoutTheControlPlaneUsesTheLastStoredList() throws Exception {
         client.close();
         harness.close();
-        lives++;
+        restarts++;
         server.objects.put("/symbols/a", new Stored(CONTENT, "\"e\""));
         com.sun.net.httpserver.HttpServer xds = com.sun.net.httpserver.HttpServer.create(
             new InetSocketAddress("127.0.0.1", 0), 0);
@@ -290,17 +294,17 @@
             exchange.close();
         });
         xds.start();
-        harness = followingXds(xds.getAddress());
+        harness = gatewayWithXds(xds.getAddress());
         client = new HttpTestClient(harness.address);
         for (int i = 0; i < 500 && client.call("GET /symbols/a", "", null).status() != 200; i++) {
             harness.ticker.advance(10);
         }
-        InetSocketAddress nobody = xds.getAddress();
+        InetSocketAddress stopped = xds.getAddress();
         xds.stop(0);
         harness.end();
         harness.close();
         client.close();
-        harness = followingXds(nobody);
+        harness = gatewayWithXds(stopped);
         client = new HttpTestClient(harness.address);
         assertArrayEquals(CONTENT, client.call("GET /symbols/a", "", null).body());
     }
--- a/src/test/java/kelphollow/program/StreamedValueTest.java
+++ b/src/test/java/kelphollow/program/StreamedValueTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Values that are too long to be buffered, with clients and nodes that are slow over them. */
+/** Values that are too long to be buffered, with slow clients and nodes. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class StreamedValueTest {
-    private static final int LENGTH = 4 * 1024 * 1024;
+    private static final int VALUE_BYTES = 4 * 1024 * 1024;
 
     private static byte[] get(String id) {
         return ("*4\r\n$7\r\nOBJ.GET\r\n$1\r\nk\r\n$1\r\n" + id + "\r\n$60\r\n"
@@ -32,12 +32,12 @@
     private static Socket client(ServerHarness harness) throws Exception {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(16 * 1024);
-        socket.setSoTimeout(10_000);           // only so that a failure ends
+        socket.setSoTimeout(10_000);           // bounds a failing test
         socket.connect(harness.address);
         return socket;
     }
 
-    /** Answers each request on the connection; counts what it could write of the long value. */
+    /** Answers one request on the connection; counts the bytes written so far, and -1 once the connection has ended. */
     private static void node(Socket socket, byte[] answer, AtomicLong written) {
         Thread thread = new Thread(() -> {
             try (socket) {
@@ -51,7 +51,7 @@
                 socket.getInputStream().read();
                 written.set(-1);               // the connection has ended
             } catch (java.io.IOException e) {
-                written.set(-1);               // or was cut
+                written.set(-1);               // or was reset
             }
         });
         thread.setDaemon(true);
@@ -59,25 +59,25 @@
     }
 
     private static byte[] answer() {
-        byte[] head = ("*3\r\n$" + LENGTH + "\r\n").getBytes(StandardCharsets.US_ASCII);
+        byte[] head = ("*3\r\n$" + VALUE_BYTES + "\r\n").getBytes(StandardCharsets.US_ASCII);
         byte[] tail = "\r\n$6\r\ncost=1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII);
-        byte[] all = Arrays.copyOf(head, head.length + LENGTH + tail.length);
-        Arrays.fill(all, head.length, head.length + LENGTH, (byte) 'v');
-        System.arraycopy(tail, 0, all, head.length + LENGTH, tail.length);
+        byte[] all = Arrays.copyOf(head, head.length + VALUE_BYTES + tail.length);
+        Arrays.fill(all, head.length, head.length + VALUE_BYTES, (byte) 'v');
+        System.arraycopy(tail, 0, all, head.length + VALUE_BYTES, tail.length);
         return all;
     }
 
-    @Test void aClientThatDoesNotReadStallsNodesAndCostsNoMemory() throws Exception {
+    @Test void aClientThatDoesNotReadStallsNodesWithoutBufferingTheirValues() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
              ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
              Socket slow = client(harness)) {
             long before = PlatformDependent.usedDirectMemory();
-            int values = 3;                    // more than the kernel's buffers hold, as many as may be out at once
+            int values = 3;                    // more than the kernel's buffers hold, the most that may be in flight
             List<AtomicLong> written = new ArrayList<>();
             List<Socket> nodes = new ArrayList<>();
             for (int i = 0; i < values; i++) {
                 slow.getOutputStream().write(get("" + i));
-                nodes.add(listener.accept());  // before any value streams: a client that does not read is not read either
+                nodes.add(listener.accept());  // before any value streams: a client that does not read is not read from
             }
             for (Socket node : nodes) {
                 AtomicLong sent = new AtomicLong();
@@ -91,46 +91,46 @@
                 other.getOutputStream().write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
                 assertEquals("+PONG\r\n", new String(other.getInputStream().readNBytes(7), StandardCharsets.US_ASCII));
             }
-            harness.ticker.advance(9_000);       // it may take seconds over it
+            harness.ticker.advance(9_000);       // a client may take seconds to read on
             for (int i = 0; i < values; i++) {
                 InputStream in = slow.getInputStream();
-                assertEquals("$" + LENGTH + "\r\n", new String(in.readNBytes(10), StandardCharsets.US_ASCII));
-                byte[] expected = new byte[LENGTH];
+                assertEquals("$" + VALUE_BYTES + "\r\n", new String(in.readNBytes(10), StandardCharsets.US_ASCII));
+                byte[] expected = new byte[VALUE_BYTES];
                 Arrays.fill(expected, (byte) 'v');
-                assertArrayEquals(expected, in.readNBytes(LENGTH));
+                assertArrayEquals(expected, in.readNBytes(VALUE_BYTES));
                 assertEquals("\r\n", new String(in.readNBytes(2), StandardCharsets.US_ASCII));
             }
         }
     }
 
     /**
-     * Returns when all buffers on the way are full: nothing has moved for 100 polls of 5 ms, though the loop has run in each
-     * of them, and each node has written four times what must come before a value begins to stream.
+     * Waits until all buffers on the path are full: no node has written for 100 polls of 5 ms with a loop iteration in each,
+     * and each node has written four times the bytes that must arrive before a value starts to stream.
      */
     private static void awaitStandstill(List<AtomicLong> written, ServerHarness harness) throws InterruptedException {
         long last = -1;
         for (int same = 0; same < 100;) {
             long now = written.stream().mapToLong(AtomicLong::get).sum();
-            ServerHarness.turn(harness.loop);
-            boolean streams = written.stream().allMatch(bytes -> bytes.get() > LENGTH / 16);
+            ServerHarness.runLoopOnce(harness.loop);
+            boolean streams = written.stream().allMatch(bytes -> bytes.get() > VALUE_BYTES / 16);
             same = streams && now == last ? same + 1 : 0;
             last = now;
             Thread.sleep(5);
         }
     }
 
-    @Test void whatBreaksOffBeforeAnythingWasForwardedIsRequestedAnew() throws Exception {
+    @Test void aValueInterruptedBeforeAnyByteWasForwardedIsRequestedAgain() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
              ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
              Socket client = client(harness)) {
             client.getOutputStream().write(get("i"));
             try (Socket node = listener.accept()) {
                 node.getInputStream().readNBytes(get("i").length);
-                node.getOutputStream().write(("*3\r\n$" + LENGTH + "\r\nvvvv").getBytes(StandardCharsets.US_ASCII));
+                node.getOutputStream().write(("*3\r\n$" + VALUE_BYTES + "\r\nvvvv").getBytes(StandardCharsets.US_ASCII));
             }
             listener.setSoTimeout(1);
             Socket second = null;
-            while (second == null) {           // the clock moves until it is requested again
+            while (second == null) {           // advance the clock until the value is requested again
                 try {
                     second = listener.accept();
                 } catch (java.net.SocketTimeoutException e) {
@@ -145,7 +145,7 @@
         }
     }
 
-    @Test void aClientThatTakesNothingForTenSecondsIsClosedAndTheNodeWithIt() throws Exception {
+    @Test void aClientThatReadsNothingForTenSecondsIsClosedWithItsNodeConnection() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
              ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress());
              Socket slow = client(harness)) {
@@ -158,11 +158,11 @@
                 Thread.sleep(5);
             }
             byte[] got = slow.getInputStream().readAllBytes();
-            assertTrue(got.length < LENGTH, "it sees that the value is short");
+            assertTrue(got.length < VALUE_BYTES, "the client sees a truncated value");
         }
     }
 
-    @Test void aClientThatDisconnectsInTheMiddleLeavesNothingBehind() throws Exception {
+    @Test void aClientThatDisconnectsMidValueLeaksNoMemory() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
              ServerHarness harness = ServerHarness.resp(null, (InetSocketAddress) listener.getLocalSocketAddress())) {
             long before = PlatformDependent.usedDirectMemory();
@@ -173,7 +173,7 @@
                 client.getInputStream().readNBytes(70_000);
             }
             while (written.get() >= 0) {
-                Thread.sleep(5);               // the node sees that it is abandoned
+                Thread.sleep(5);               // until the node sees its connection closed
             }
             assertTrue(PlatformDependent.usedDirectMemory() - before < 1024 * 1024, "direct memory");
         }
