--- a/src/main/java/kelphollow/lab/Clients.java
+++ b/src/main/java/kelphollow/lab/Clients.java
@@ -14,20 +14,20 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Open-loop arrivals: a request is due at its time whether or not earlier ones were answered, and its latency counts from
- * when it was due. Retries, marked as the SDKs of S3 mark them, count under the first attempt. Each request's id names the
- * instance that it went to.
+ * Open-loop load generator: a request is due at its time whether or not earlier ones were answered, and its latency counts
+ * from when it was due. Retries carry the attempt header of the S3 SDKs and count under the first attempt. Each request's id
+ * ends with the name of the instance that it was sent to.
  */
 final class Clients implements AutoCloseable {
-    /** How long a client waits, in milliseconds: the class's deadline and what the answer may take on its way. */
-    static final double PATIENCE = 2_600;
+    /** A client's request timeout: the class's deadline plus the time for the answer to arrive. */
+    static final double TIMEOUT_MS = 2_600;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    private static final double FINISH_SLACK = 2_000;
+    private static final double FINISH_TOLERANCE_MS = 2_000;
     private static final int GOLD_WEIGHT = 3;
-    private static final int OK = 200;
+    private static final int STATUS_OK = 200;
 
-    /** One request, over all its attempts. */
-    private record Sent(String id, String instance, boolean isWrite, double due) {}
+    /** One request with all its attempts; {@code due} in milliseconds since the run began. */
+    private record PendingRequest(String id, String instance, boolean isWrite, double due) {}
 
     private final History history;
     private final Instances instances;
@@ -36,17 +36,17 @@
     private final Random random;
     private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
         .connectTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MS)).build();
-    private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor(task -> {
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread thread = new Thread(task, "clients");
         thread.setDaemon(true);
         return thread;
     });
-    private final AtomicInteger open = new AtomicInteger();
-    /** Requests a second. */
+    private final AtomicInteger openRequests = new AtomicInteger();
+    /** Requests per second. */
     private volatile double rate;
     private volatile boolean finished;
     private double due;
-    private long number;
+    private long nextNumber;
 
     Clients(Scenario scenario, History history, Instances instances, long seed) {
         this.scenario = scenario;
@@ -65,16 +65,16 @@
         }
     }
 
-    /** So many a second from now on. */
-    void load(double perSecond) {
+    /** Changes the rate to this many requests per second. */
+    void setRate(double perSecond) {
         history.add(HistoryLine.LAB, "load", "rate", perSecond);
         rate = perSecond;
     }
 
-    /** Poisson arrivals. */
+    /** Schedules the next arrival of a Poisson process. */
     private void scheduleNext() {
         due += -Math.log(1 - random.nextDouble()) / rate * 1_000;
-        clock.schedule(() -> {
+        scheduler.schedule(() -> {
             if (!finished) {
                 send(due);
                 scheduleNext();
@@ -83,57 +83,57 @@
     }
 
     private void send(double at) {
-        List<String> all = instances.names();
-        String instance = all.get(random.nextInt(all.size()));
+        List<String> names = instances.names();
+        String instance = names.get(random.nextInt(names.size()));
         boolean isWrite = random.nextDouble() < scenario.writeShare();
-        Sent sent = new Sent("r" + number++ + "-" + instance, instance, isWrite, at);
-        history.add("client", "ask", "request", sent.id, "instance", instance, "write", isWrite, "worth",
+        PendingRequest pending = new PendingRequest("r" + nextNumber++ + "-" + instance, instance, isWrite, at);
+        history.add("client", "ask", "request", pending.id, "instance", instance, "write", isWrite, "worth",
             gold.contains(instance) ? GOLD_WEIGHT : 1, "due", at);
-        open.incrementAndGet();
-        attempt(sent, 1);
+        openRequests.incrementAndGet();
+        attempt(pending, 1);
     }
 
-    private void attempt(Sent sent, int attempt) {
-        HttpRequest.Builder request = HttpRequest.newBuilder(uri(sent)).timeout(Duration.ofMillis((long) PATIENCE))
+    private void attempt(PendingRequest pending, int attempt) {
+        HttpRequest.Builder request = HttpRequest.newBuilder(uri(pending)).timeout(Duration.ofMillis((long) TIMEOUT_MS))
             .header("amz-sdk-request", "attempt=" + attempt + "; max=" + (scenario.retries() + 1));
-        if (sent.isWrite) {
+        if (pending.isWrite) {
             request.PUT(HttpRequest.BodyPublishers.ofString("body"));
         }
-        CompletableFuture<HttpResponse<String>> answer = http.sendAsync(request.build(),
+        CompletableFuture<HttpResponse<String>> future = http.sendAsync(request.build(),
             HttpResponse.BodyHandlers.ofString());
-        answer.whenComplete((response, fault) -> answered(sent, attempt, response, fault));
+        future.whenComplete((response, error) -> onResponse(pending, attempt, response, error));
     }
 
-    private URI uri(Sent sent) {
-        return URI.create("http://127.0.0.1:" + instances.get(sent.instance).clientPort()
-            + (gold.contains(sent.instance) ? "/gold/" : "/lab/") + sent.id);
+    private URI uri(PendingRequest pending) {
+        return URI.create("http://127.0.0.1:" + instances.get(pending.instance).clientPort()
+            + (gold.contains(pending.instance) ? "/gold/" : "/lab/") + pending.id);
     }
 
-    private void answered(Sent sent, int attempt, HttpResponse<String> response, Throwable fault) {
+    private void onResponse(PendingRequest pending, int attempt, HttpResponse<String> response, Throwable error) {
         int status = response == null ? 0 : response.statusCode();
-        boolean mayRetry = !sent.isWrite && attempt <= scenario.retries() && history.now() - sent.due < PATIENCE / 2;
-        if (status > 0 && status != OK && mayRetry) {
-            history.add("client", "again", "request", sent.id, "status", status);
-            attempt(sent, attempt + 1);
+        boolean mayRetry = !pending.isWrite && attempt <= scenario.retries() && history.now() - pending.due < TIMEOUT_MS / 2;
+        if (status > 0 && status != STATUS_OK && mayRetry) {
+            history.add("client", "again", "request", pending.id, "status", status);
+            attempt(pending, attempt + 1);
             return;
         }
-        history.add("client", "answer", "request", sent.id, "status", status,
-            "fault", fault == null ? null : String.valueOf(fault.getCause() == null ? fault : fault.getCause()),
-            "took", history.now() - sent.due);
-        open.decrementAndGet();
+        history.add("client", "answer", "request", pending.id, "status", status,
+            "fault", error == null ? null : String.valueOf(error.getCause() == null ? error : error.getCause()),
+            "took", history.now() - pending.due);
+        openRequests.decrementAndGet();
     }
 
-    /** No new requests; waits until all that are open have ended, for as long as any may take. */
+    /** Sends no new requests and waits for the open ones, at most as long as a request can take. */
     void finish() throws InterruptedException {
         finished = true;
-        double until = history.now() + PATIENCE + FINISH_SLACK;
-        while (open.get() > 0 && history.now() < until) {
+        double until = history.now() + TIMEOUT_MS + FINISH_TOLERANCE_MS;
+        while (openRequests.get() > 0 && history.now() < until) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
 
     @Override public void close() {
         finished = true;
-        clock.shutdownNow();
+        scheduler.shutdownNow();
     }
 }
--- a/src/main/java/kelphollow/lab/DrainChecks.java
+++ b/src/main/java/kelphollow/lab/DrainChecks.java
@@ -7,19 +7,19 @@
 import java.util.Set;
 
 /**
- * Judges drains: a drain of which one instance is notified is kept by it after its grace, and by all others that it can
- * reach a bounded time later. Times in milliseconds.
+ * Checks drains: an instance that is notified of a drain sends nothing to the node once the grace has passed, and the other
+ * instances that it can reach follow within a bounded time after that.
  */
 final class DrainChecks {
-    private static final double GRACE = 250;
-    // News of a drain reaches the other instances within the bound that the product promises.
-    private static final double SPREAD = 250;
+    private static final double GRACE_MS = 250;
+    // The bound that the product promises for spreading a drain to the other instances.
+    private static final double SPREAD_MS = 250;
 
     private final List<HistoryLine> lines;
     private final List<Finding> findings = new ArrayList<>();
-    /** By node and instance: since when the instance is notified that the node drains. */
+    /** By node and instance: when the instance was notified that the node drains, in milliseconds. */
     private final Map<String, Map<String, Double>> notifiedAt = new HashMap<>();
-    /** Whether nothing lies between instances that may hold up their news. */
+    /** Whether no cut, loss or delay can hold up messages between instances. */
     private boolean networkIntact = true;
     private double lastDrainEndedAt;
 
@@ -30,26 +30,26 @@
     static List<Finding> check(List<HistoryLine> lines) {
         DrainChecks checks = new DrainChecks(lines);
         for (HistoryLine line : lines) {
-            checks.read(line);
+            checks.addLine(line);
         }
         return checks.findings;
     }
 
-    private void read(HistoryLine line) {
+    private void addLine(HistoryLine line) {
         if (line.is("plane", "told")) {
-            notified(line);
+            recordNotification(line);
         } else if (line.is(HistoryLine.LAB, "cut")) {
             networkIntact = false;
         } else if (line.is(HistoryLine.LAB, "net")) {
             networkIntact = line.number("loss") == 0 && line.number("delay") == 0;
         } else if (line.is(HistoryLine.LAB, "heal")) {
-            networkIntact = false;     // how soon all is known again depends on the rejoin: not judged here
+            networkIntact = false;     // the time to spread then depends on the rejoin, which is not checked here
         } else if (line.is("attempt")) {
-            judge(line);
+            checkAttempt(line);
         }
     }
 
-    private void notified(HistoryLine line) {
+    private void recordNotification(HistoryLine line) {
         String instance = line.text("instance");
         Set<String> draining = line.names("draining");
         notifiedAt.values().forEach(byInstance -> byInstance.remove(instance));
@@ -61,30 +61,31 @@
         }
     }
 
-    private void judge(HistoryLine attempt) {
+    private void checkAttempt(HistoryLine attempt) {
         String request = attempt.text("request");
         String instance = request.substring(request.lastIndexOf('-') + 1);
         Map<String, Double> byInstance = notifiedAt.getOrDefault(attempt.party(), Map.of());
-        Double own = byInstance.get(instance);
-        if (own != null) {
-            if (attempt.at() > own + GRACE + Checker.SLACK) {
-                breach("drain", attempt, instance, own, " ms after it was told that it drains");
+        Double ownAt = byInstance.get(instance);
+        if (ownAt != null) {
+            if (attempt.at() > ownAt + GRACE_MS + Checker.TIMING_TOLERANCE_MS) {
+                addFinding("drain", attempt, instance, ownAt, " ms after it was notified of the drain");
             }
         } else if (networkIntact) {
-            double first = byInstance.values().stream().mapToDouble(at -> at).min().orElse(Double.POSITIVE_INFINITY);
-            if (attempt.at() > first + GRACE + SPREAD + Checker.SLACK && first > lastDrainEndedAt
-                && wasMemberSince(instance, first)) {
-                breach("drain-spread", attempt, instance, first, " ms after another was told that it drains");
+            double firstAt = byInstance.values().stream().mapToDouble(at -> at).min().orElse(Double.POSITIVE_INFINITY);
+            if (attempt.at() > firstAt + GRACE_MS + SPREAD_MS + Checker.TIMING_TOLERANCE_MS && firstAt > lastDrainEndedAt
+                && wasMemberSince(instance, firstAt)) {
+                addFinding("drain-spread", attempt, instance, firstAt,
+                    " ms after another instance was notified of the drain");
             }
         }
     }
 
-    private void breach(String check, HistoryLine attempt, String instance, double since, String how) {
-        findings.add(Finding.of(check, instance + " sent to " + attempt.party() + " " + Math.round(attempt.at() - since)
-            + how, attempt));
+    private void addFinding(String check, HistoryLine attempt, String instance, double since, String reason) {
+        findings.add(Finding.of(check, instance + " sent to draining node " + attempt.party() + " "
+            + Math.round(attempt.at() - since) + reason, attempt));
     }
 
-    /** Whether the instance was a running member before that time and in the whole history after it. */
+    /** Whether the instance had joined before that time and was not started, stopped or resumed later in the history. */
     private boolean wasMemberSince(String instance, double time) {
         double joinedAt = Double.POSITIVE_INFINITY;
         for (HistoryLine line : lines) {
--- a/src/main/java/kelphollow/lab/FakeControlPlane.java
+++ b/src/main/java/kelphollow/lab/FakeControlPlane.java
@@ -11,47 +11,48 @@
 import kelphollow.protocol.json.Json;
 
 /**
- * A control plane that speaks xDS by REST, from its public description. Each instance may get another list; the history says
- * when it does. Safe from any thread.
+ * A control plane that serves xDS over REST, written from the protocol's public description. Each instance can be given its
+ * own endpoint list; the history records when an instance fetches a changed list. Thread-safe.
  */
 final class FakeControlPlane implements AutoCloseable {
     private final History history;
     private final Map<String, Integer> nodePorts;
-    /** Nodes that drain as each instance gets the list, and how often that changed. */
+    /** The draining nodes in each instance's endpoint list. */
     private final Map<String, Set<String>> draining = new ConcurrentHashMap<>();
+    /** The version of each instance's endpoint list; absent means 1. */
     private final Map<String, Integer> versions = new ConcurrentHashMap<>();
     private final FakeServer server;
     private volatile boolean down;
 
-    /** {@code nodePorts}: where each node listens. */
+    /** Starts the server; {@code nodePorts} holds the loopback port of each node. */
     FakeControlPlane(History history, Map<String, Integer> nodePorts) throws IOException {
         this.history = history;
         this.nodePorts = nodePorts;
-        this.server = new FakeServer("/v3/", this::answer);
+        this.server = new FakeServer("/v3/", this::handle);
     }
 
     int port() {
         return server.port();
     }
 
-    private void answer(HttpExchange exchange) throws IOException {
+    private void handle(HttpExchange exchange) throws IOException {
         String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
         if (down) {
-            return;                        // the connection ends without an answer
+            return;                        // closes the connection without an answer
         }
         Map<?, ?> request = (Map<?, ?>) Json.parse(body);
         String instance = (String) ((Map<?, ?>) request.get("node")).get("id");
         boolean isForClusters = exchange.getRequestURI().getPath().endsWith(":clusters");
-        Set<String> drained = draining.getOrDefault(instance, Set.of());
+        Set<String> drainingNodes = draining.getOrDefault(instance, Set.of());
         String version = isForClusters ? "c1" : "e" + versions.getOrDefault(instance, 1);
-        Object resource = isForClusters ? cluster() : assignment(drained);
+        Object resource = isForClusters ? cluster() : assignment(drainingNodes);
         byte[] answer = History.json(Map.of("version_info", version, "resources", List.of(resource)))
             .getBytes(StandardCharsets.UTF_8);
-        boolean isNews = !isForClusters && !version.equals(request.get("version_info"));
+        boolean isNewVersion = !isForClusters && !version.equals(request.get("version_info"));
         exchange.sendResponseHeaders(200, answer.length);
         exchange.getResponseBody().write(answer);
-        if (isNews) {
-            history.add("plane", "told", "instance", instance, "draining", drained);
+        if (isNewVersion) {
+            history.add("plane", "told", "instance", instance, "draining", drainingNodes);
         }
     }
 
@@ -59,9 +60,9 @@
         return Map.of("name", "lab", "eds_cluster_config", Map.of("service_name", "lab"));
     }
 
-    private Map<String, Object> assignment(Set<String> drained) {
+    private Map<String, Object> assignment(Set<String> drainingNodes) {
         List<Object> endpoints = new ArrayList<>();
-        nodePorts.forEach((node, port) -> endpoints.add(endpoint(node, port, drained.contains(node))));
+        nodePorts.forEach((node, port) -> endpoints.add(endpoint(node, port, drainingNodes.contains(node))));
         return Map.of("cluster_name", "lab", "endpoints",
             List.of(Map.of("locality", Map.of("zone", "z0"), "lb_endpoints", endpoints)));
     }
@@ -73,14 +74,14 @@
             Map.of("filter_metadata", metadata));
     }
 
-    /** From its next poll on the instance gets a list in which just these nodes drain. */
-    void drain(String instance, Set<String> nodes) {
+    /** Marks exactly these nodes as draining in the list that the instance gets from its next poll on. */
+    void setDraining(String instance, Set<String> nodes) {
         draining.put(instance, Set.copyOf(nodes));
         versions.merge(instance, 2, (old, first) -> old + 1);
     }
 
-    /** It answers from now on, or no more. */
-    void setUp(boolean up) {
+    /** Answers requests from now on, or closes their connections unanswered. */
+    void setAvailable(boolean up) {
         history.add(HistoryLine.LAB, up ? "discovery-up" : "discovery-down");
         down = !up;
     }
--- a/src/main/java/kelphollow/lab/FakeNodes.java
+++ b/src/main/java/kelphollow/lab/FakeNodes.java
@@ -11,17 +11,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Storage nodes that speak the object API, from its public description. A node notes each request in the history before it
- * answers. Safe from any thread.
+ * Storage nodes that serve the object API, written from its public description. A node records each request in the history
+ * before it answers. Thread-safe.
  */
 final class FakeNodes implements AutoCloseable {
-    /** How a node takes requests. */
+    /** How a node responds to requests. */
     enum Behavior {
-        /** It answers them. */
+        /** Answers them. */
         HEALTHY("back"),
-        /** It says nothing at all. */
+        /** Reads them and never answers. */
         UNRESPONSIVE("silent"),
-        /** It says at once that it cannot. */
+        /** Answers 500 at once. */
         FAILING("failing");
 
         private final String historyWord;
@@ -30,26 +30,26 @@
             this.historyWord = historyWord;
         }
 
-        /** What the history says when a node begins to behave so. */
+        /** The event that the history records when a node changes to this behavior. */
         String historyWord() {
             return historyWord;
         }
     }
 
-    /** One node: its cores are taken in turn of arrival. */
+    /** One node; requests get its cores in the order of their arrival. */
     private static final class Node {
         private final String name;
         private final FakeServer server;
         private final Semaphore cores;
-        /** Requests at work or waiting. */
-        private final AtomicInteger inside = new AtomicInteger();
+        /** Requests in service or waiting for a core. */
+        private final AtomicInteger inFlight = new AtomicInteger();
         private volatile Behavior behavior = Behavior.HEALTHY;
         private volatile double slowdown = 1;
 
         Node(String name, int cores, FakeNodes nodes) throws IOException {
             this.name = name;
             this.cores = new Semaphore(cores, true);
-            this.server = new FakeServer("/", exchange -> nodes.answer(this, exchange));
+            this.server = new FakeServer("/", exchange -> nodes.handle(this, exchange));
         }
     }
 
@@ -67,23 +67,23 @@
         }
     }
 
-    /** The nodes' ports by their names, in order. */
+    /** Returns the nodes' ports by node name, in order of creation. */
     Map<String, Integer> ports() {
         Map<String, Integer> ports = new LinkedHashMap<>();
         nodes.forEach((name, node) -> ports.put(name, node.server.port()));
         return ports;
     }
 
-    private void answer(Node node, HttpExchange exchange) throws IOException, InterruptedException {
+    private void handle(Node node, HttpExchange exchange) throws IOException, InterruptedException {
         byte[] body = exchange.getRequestBody().readAllBytes();
         String[] path = exchange.getRequestURI().getPath().split("/");
         history.add(node.name, "attempt", "request", path[path.length - 1], "method", exchange.getRequestMethod());
         Behavior behavior = node.behavior;
         if (behavior == Behavior.UNRESPONSIVE) {
-            closed.await();                // it took the request and says nothing, for good
+            closed.await();                // holds the request unanswered until the nodes are closed
         } else if (behavior == Behavior.FAILING) {
             exchange.sendResponseHeaders(500, -1);
-        } else if (capacity.service() > 0 && !work(node)) {
+        } else if (capacity.service() > 0 && !serve(node)) {
             exchange.sendResponseHeaders(503, -1);
         } else {
             exchange.getResponseHeaders().add("ETag", "\"e\"");
@@ -93,10 +93,10 @@
         }
     }
 
-    /** Takes its time; false if there is no room to wait. Whoever has gone meanwhile is worked for all the same. */
-    private boolean work(Node node) throws InterruptedException {
+    /** Serves a request on a core; false if the queue is full. A request whose client has disconnected is served too. */
+    private boolean serve(Node node) throws InterruptedException {
         try {
-            if (node.inside.incrementAndGet() > capacity.cores() + capacity.queue()) {
+            if (node.inFlight.incrementAndGet() > capacity.cores() + capacity.queue()) {
                 return false;
             }
             node.cores.acquire();
@@ -107,21 +107,21 @@
             }
             return true;
         } finally {
-            node.inside.decrementAndGet();
+            node.inFlight.decrementAndGet();
         }
     }
 
-    /** The node behaves so from its next request on, at its usual speed. */
-    void behave(String name, Behavior behavior) {
+    /** Sets a node's behavior from its next request on, and resets its speed. */
+    void setBehavior(String name, Behavior behavior) {
         history.add(HistoryLine.LAB, behavior.historyWord(), "node", name);
         nodes.get(name).behavior = behavior;
         nodes.get(name).slowdown = 1;
     }
 
-    /** The node takes so many times its service time from now on. */
-    void slowDown(String name, double times) {
-        history.add(HistoryLine.LAB, "slow", "node", name, "by", times);
-        nodes.get(name).slowdown = times;
+    /** Multiplies the service time of a node from now on. */
+    void setSlowdown(String name, double factor) {
+        history.add(HistoryLine.LAB, "slow", "node", name, "by", factor);
+        nodes.get(name).slowdown = factor;
     }
 
     @Override public void close() {
--- a/src/main/java/kelphollow/lab/FakeServer.java
+++ b/src/main/java/kelphollow/lab/FakeServer.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** An HTTP server of the loopback with a thread for each request, for parties that the program talks to. */
+/** An HTTP server on the loopback interface with a thread per request, for the fake parties that the program talks to. */
 final class FakeServer implements AutoCloseable {
-    /** What answers a request; the exchange is closed after it. */
+    /** Answers one request; the exchange is closed when it returns. */
     interface Handler {
         void handle(HttpExchange exchange) throws IOException, InterruptedException;
     }
@@ -23,7 +23,7 @@
         return thread;
     });
 
-    /** Serves what lies under the path, from now on. */
+    /** Starts a server on a free port for all paths under this one. */
     FakeServer(String path, Handler handler) throws IOException {
         server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), BACKLOG);
         server.setExecutor(threads);
@@ -41,7 +41,7 @@
         return server.getAddress().getPort();
     }
 
-    /** Ends at once; requests that are being answered are interrupted. */
+    /** Stops at once and interrupts the requests in progress. */
     @Override public void close() {
         server.stop(0);
         threads.shutdownNow();
--- a/src/main/java/kelphollow/lab/Finding.java
+++ b/src/main/java/kelphollow/lab/Finding.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 
-/** One breach: the check that found it, what it is, and the lines of the history that prove it. */
-record Finding(String check, String what, List<HistoryLine> proof) {
-    /** A breach that one line proves. */
-    static Finding of(String check, String what, HistoryLine line) {
-        return new Finding(check, what, List.of(line));
+/** A violation: the check that found it, its description, and the lines of the history that prove it. */
+record Finding(String check, String description, List<HistoryLine> evidence) {
+    /** Creates a finding with one line as evidence. */
+    static Finding of(String check, String description, HistoryLine line) {
+        return new Finding(check, description, List.of(line));
     }
 }
--- a/src/main/java/kelphollow/lab/History.java
+++ b/src/main/java/kelphollow/lab/History.java
@@ -13,32 +13,32 @@
 import kelphollow.protocol.json.Json;
 
 /**
- * What all parties did, one JSON object a line, on one monotonic clock: milliseconds since the run began. Safe from any
- * thread.
+ * The events of all parties of a run, one JSON object per line, timed by one monotonic clock in milliseconds since the run
+ * began. Thread-safe.
  */
 final class History implements AutoCloseable {
-    private final long began = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     private final List<Map<String, Object>> lines = new ArrayList<>();
     private final Writer file;
 
-    /** {@code file} may be null: the history is kept in memory alone. */
+    /** Opens a history; with a null {@code file} it is kept in memory only. */
     History(Path file) throws IOException {
         this.file = file == null ? null : Files.newBufferedWriter(file);
     }
 
-    /** In milliseconds since the run began. */
+    /** Returns the time since the run began, in milliseconds. */
     double now() {
-        return (System.nanoTime() - began) / 1e6;
+        return (System.nanoTime() - startNanos) / 1e6;
     }
 
-    /** One event of a party; {@code more} holds keys and values in turn. */
-    synchronized void add(String party, String what, Object... more) {
+    /** Adds an event of a party; {@code keysAndValues} holds further keys, each followed by its value. */
+    synchronized void add(String party, String what, Object... keysAndValues) {
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("at", now());
         line.put("party", party);
         line.put("what", what);
-        for (int i = 0; i < more.length; i += 2) {
-            line.put((String) more[i], more[i + 1]);
+        for (int i = 0; i < keysAndValues.length; i += 2) {
+            line.put((String) keysAndValues[i], keysAndValues[i + 1]);
         }
         lines.add(line);
         if (file != null) {
@@ -54,15 +54,15 @@
         return new ArrayList<>(lines);
     }
 
-    /** How many lines since that time fit. */
-    synchronized long count(double from, Predicate<HistoryLine> fits) {
+    /** Counts the lines since that time that match. */
+    synchronized long count(double from, Predicate<HistoryLine> matches) {
         long count = 0;
         for (int i = lines.size() - 1; i >= 0; i--) {
             HistoryLine line = new HistoryLine(lines.get(i));
             if (line.at() < from) {
                 break;
             }
-            count += fits.test(line) ? 1 : 0;
+            count += matches.test(line) ? 1 : 0;
         }
         return count;
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Any value of maps, lists, texts, numbers and booleans as JSON. */
+    /** Formats a value of maps, lists, strings, numbers and booleans as JSON. */
     static String json(Object value) {
         return Json.text(value);
     }
--- a/src/main/java/kelphollow/lab/HistoryLine.java
+++ b/src/main/java/kelphollow/lab/HistoryLine.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** One line of a history, as checks and statistics read it: who did what when, and further values by their keys. */
+/** One line of a history as checks and statistics read it: time, party, event and further values by key. */
 record HistoryLine(Map<String, Object> values) {
-    /** The party that plays the scenario. */
+    /** The party that runs the scenario. */
     static final String LAB = "lab";
 
     static List<HistoryLine> of(List<Map<String, Object>> lines) {
         return lines.stream().map(HistoryLine::new).toList();
     }
 
-    /** In milliseconds since the run began. */
+    /** Time of the event, in milliseconds since the run began. */
     double at() {
         return number("at");
     }
@@ -27,43 +27,43 @@
         return text("what");
     }
 
-    /** Whether this party did this. */
+    /** Whether the line is this event of this party. */
     boolean is(String party, String what) {
         return is(what) && party.equals(values.get("party"));
     }
 
-    /** Whether any party did this. */
+    /** Whether the line is this event, of any party. */
     boolean is(String what) {
         return what.equals(values.get("what"));
     }
 
-    /** Whether an instance has reported this event. */
+    /** Whether the line holds this event from an instance's own event log. */
     boolean isEvent(String event) {
         return is("event") && event.equals(values.get("event"));
     }
 
-    /** A text, or null if there is none. */
+    /** The value as a string, or null if the key is missing. */
     String text(String key) {
         Object value = values.get(key);
         return value == null ? null : String.valueOf(value);
     }
 
-    /** A number that must be there. */
+    /** A number; the key must be present. */
     double number(String key) {
         return ((Number) values.get(key)).doubleValue();
     }
 
-    /** An integer that must be there. */
+    /** An integer; the key must be present. */
     int integer(String key) {
         return ((Number) values.get(key)).intValue();
     }
 
-    /** Whether it is there and true. */
+    /** Whether the value is present and true. */
     boolean flag(String key) {
         return Boolean.TRUE.equals(values.get(key));
     }
 
-    /** The names of a list in order, empty if there is none. */
+    /** The names in a list, sorted; empty if the key is missing. */
     Set<String> names(String key) {
         Set<String> names = new TreeSet<>();
         if (values.get(key) instanceof Iterable<?> all) {
--- a/src/main/java/kelphollow/lab/InstanceConfig.java
+++ b/src/main/java/kelphollow/lab/InstanceConfig.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Makes the operator's file of each instance of a scenario. */
+/** Builds the configuration file of each instance of a scenario. */
 final class InstanceConfig {
     /** Latency objective of reads, in milliseconds. */
-    static final int READ_OBJECTIVE = 250;
+    static final int READ_OBJECTIVE_MS = 250;
     /** Latency objective of writes, in milliseconds. */
-    static final int WRITE_OBJECTIVE = 500;
+    static final int WRITE_OBJECTIVE_MS = 500;
     private static final int DEADLINE_MS = 2_000;
     private static final double GOLD_WEIGHT = 3;
 
@@ -18,15 +18,15 @@
     private final int controlPlanePort;
     private final Path key;
 
-    /** {@code key} is the file with the key of the whole fleet. */
+    /** {@code key} is the file with the key that the whole fleet shares. */
     InstanceConfig(Scenario scenario, int controlPlanePort, Path key) {
         this.scenario = scenario;
         this.controlPlanePort = controlPlanePort;
         this.key = key;
     }
 
-    /** The file of an instance whose peers are reached at these addresses. */
-    Map<String, Object> of(InstanceProcess instance, Map<String, Object> peers) {
+    /** Builds the configuration of an instance that reaches its peers at these addresses. */
+    Map<String, Object> build(InstanceProcess instance, Map<String, Object> peers) {
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", instance.name());
         config.put("listen", address(instance.clientPort()));
@@ -59,14 +59,14 @@
         settings.put("extra", Map.of("unit_mean", 1, "share_worth", 0.35, "beyond_share", 0.05));
         settings.put("grades", List.of(plan("lab", 1), plan("gold", GOLD_WEIGHT)));
         settings.put("request_classes", List.of(
-            Map.of("name", "read", "aim", READ_OBJECTIVE, "deadline", DEADLINE_MS, "effect", "pure", "worth", 2,
+            Map.of("name", "read", "aim", READ_OBJECTIVE_MS, "deadline", DEADLINE_MS, "effect", "pure", "worth", 2,
                 "late_share", 0.2),
-            Map.of("name", "write", "aim", WRITE_OBJECTIVE, "deadline", DEADLINE_MS, "effect", "side_effect", "worth", 2,
+            Map.of("name", "write", "aim", WRITE_OBJECTIVE_MS, "deadline", DEADLINE_MS, "effect", "side_effect", "worth", 2,
                 "late_share", 0.1)));
         return settings;
     }
 
-    /** Half of what nodes bear is reserved to neither plan: the priority weight shows only beyond the reserve. */
+    /** Neither plan reserves half of the nodes' capacity: the priority weight takes effect only beyond the reserve. */
     private Map<String, Object> plan(String name, double weight) {
         return Map.of("name", name, "rate", 1_000, "reserve", 10, "proportion", 1, "value_factor", weight,
             "ceiling_rate", scenario.limit().rate(), "limit_burst", scenario.limit().burst(),
--- a/src/main/java/kelphollow/lab/InstanceProcess.java
+++ b/src/main/java/kelphollow/lab/InstanceProcess.java
@@ -17,17 +17,17 @@
 import java.util.stream.Stream;
 import kelphollow.protocol.json.Json;
 
-/** One instance: a process of the program with a folder and ports of its own. For the thread that plays the scenario. */
+/** One process of the program with its own folder and ports. Only the thread that runs the scenario may use it. */
 final class InstanceProcess {
-    /** What runs, and how. */
+    /** State of the process; {@code STOPPED} is after SIGSTOP. */
     enum State { DOWN, UP, STOPPED }
 
     private static final int SHUTDOWN_SECONDS = 10;
     private static final int STATUS_TIMEOUT_MS = 1_000;
-    // A starved instance runs for a tenth of the time, in turns that are short against a round.
-    private static final long STARVED_MS = 90;
-    private static final long FED_MS = 10;
-    private static final int LOG_LINES = 3;
+    // A starved instance runs for a tenth of the time, in cycles that are short compared with a membership round.
+    private static final long STARVATION_STOPPED_MS = 90;
+    private static final long STARVATION_RUNNING_MS = 10;
+    private static final int CRASH_LOG_LINES = 3;
 
     private final String name;
     private final Path folder;
@@ -40,7 +40,7 @@
     private State state = State.DOWN;
     private int eventsRead;
 
-    /** {@code folder} is for what it leaves, and is made here. */
+    /** Creates {@code folder}, which takes the files of the instance, and reserves its ports. */
     InstanceProcess(String name, Path folder, History history, Ports ports) throws IOException {
         this.name = name;
         this.folder = Files.createDirectories(folder);
@@ -90,21 +90,21 @@
         Files.writeString(configFile(), History.json(config));
     }
 
-    // ---------------------------------------------------------------- life
+    // ---------------------------------------------------------------- starting, stopping, starving
 
-    /** Starts it, with its wall clock off by so many milliseconds. */
-    void start(double clockOff) throws IOException {
+    /** Starts the process with its wall clock shifted by {@code clockOffset} milliseconds. */
+    void start(double clockOffset) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-Xms24m", "-Xmx48m", "-Dkelphollow.clock.off.ms=" + (long) clockOff, "-cp",
+            "-XX:TieredStopAtLevel=1", "-Xms24m", "-Xmx48m", "-Dkelphollow.clock.off.ms=" + (long) clockOffset, "-cp",
             System.getProperty("java.class.path"), "kelphollow.program.Main", "serve", "--config", configFile().toString())
             .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()));
         builder.environment().put("TMPDIR", folder.toString());
-        history.add(HistoryLine.LAB, "start", "instance", name, "clock_off", clockOff);
+        history.add(HistoryLine.LAB, "start", "instance", name, "clock_off", clockOffset);
         process = builder.start();
         state = State.UP;
     }
 
-    /** SIGKILL, unless it is down. */
+    /** Sends SIGKILL unless the instance is down. */
     void kill() {
         if (state != State.DOWN) {
             history.add(HistoryLine.LAB, "kill", "instance", name);
@@ -113,15 +113,15 @@
         }
     }
 
-    /** Ends it, whatever its state, and waits until it has ended. */
+    /** Kills the process in any state and waits for its exit. */
     void destroy() {
         if (process != null) {
             process.destroyForcibly().onExit().join();
         }
     }
 
-    /** SIGTERM, and waits for the end. */
-    void leave() throws InterruptedException {
+    /** Sends SIGTERM and waits for the exit, for a limited time; after it the process is killed. */
+    void terminate() throws InterruptedException {
         history.add(HistoryLine.LAB, "term", "instance", name);
         process.destroy();
         boolean ended = process.waitFor(SHUTDOWN_SECONDS, TimeUnit.SECONDS);
@@ -132,8 +132,8 @@
         state = State.DOWN;
     }
 
-    /** Kills it and starts it anew. */
-    void restart(boolean lostStore, double clockOff) throws IOException {
+    /** Kills the process and starts it again; with {@code lostStore} its store is deleted in between. */
+    void restart(boolean lostStore, double clockOffset) throws IOException {
         kill();
         if (lostStore) {
             try (Stream<Path> files = Files.walk(storeFolder())) {
@@ -142,15 +142,15 @@
                 }
             }
         }
-        start(clockOff);
+        start(clockOffset);
     }
 
-    /** SIGSTOP. */
+    /** Sends SIGSTOP. */
     void stop() throws IOException {
         signal("STOP", "stop", State.STOPPED);
     }
 
-    /** SIGCONT. */
+    /** Sends SIGCONT. */
     void resume() throws IOException {
         signal("CONT", "cont", State.UP);
     }
@@ -159,7 +159,7 @@
         history.add(HistoryLine.LAB, historyWord, "instance", name);
         int code = send(signal);
         if (code != 0) {
-            throw new IOException("kill -" + signal + " of " + name + " ended with " + code);
+            throw new IOException("kill -" + signal + " for instance " + name + " failed with exit code " + code);
         }
         state = next;
     }
@@ -175,18 +175,18 @@
         }
     }
 
-    /** Takes most of the processor away from it, in turns of another thread. */
-    void starve(ScheduledExecutorService turns) {
+    /** Takes most processor time from the instance by stopping and resuming it on a thread of {@code scheduler}. */
+    void starve(ScheduledExecutorService scheduler) {
         history.add(HistoryLine.LAB, "starve", "instance", name);
-        starvation = turns.scheduleWithFixedDelay(() -> {
+        starvation = scheduler.scheduleWithFixedDelay(() -> {
             send("STOP");
-            sleep(STARVED_MS);
+            sleep(STARVATION_STOPPED_MS);
             send("CONT");
-        }, 0, FED_MS, TimeUnit.MILLISECONDS);
+        }, 0, STARVATION_RUNNING_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Gives it its processor back. */
-    void feed() {
+    /** Ends the starvation. */
+    void endStarvation() {
         history.add(HistoryLine.LAB, "feed", "instance", name);
         if (starvation != null) {
             starvation.cancel(false);
@@ -202,10 +202,10 @@
         }
     }
 
-    // ---------------------------------------------------------------- what is seen of it
+    // ---------------------------------------------------------------- observation
 
-    /** Takes its new events into the history, and notes it if it has ended by itself. */
-    void observe() throws IOException {
+    /** Copies new events of the instance into the history, and records a crash if the process has exited by itself. */
+    void collectEvents() throws IOException {
         if (Files.exists(eventsFile())) {
             String text = Files.readString(eventsFile());
             int end = Math.max(text.lastIndexOf('\n') + 1, eventsRead);
@@ -219,12 +219,12 @@
         if (state != State.DOWN && !process.isAlive()) {
             List<String> log = Files.readAllLines(logFile());
             history.add(name, "crashed", "code", process.exitValue(),
-                "log", log.subList(Math.max(0, log.size() - LOG_LINES), log.size()));
+                "log", log.subList(Math.max(0, log.size() - CRASH_LOG_LINES), log.size()));
             state = State.DOWN;
         }
     }
 
-    /** What it answers to {@code fleet status}, or null if it does not. */
+    /** Returns the answer to {@code fleet status}, or null if there is none. */
     Map<?, ?> fleetStatus() {
         try (Socket socket = new Socket("127.0.0.1", managementPort)) {
             socket.setSoTimeout(STATUS_TIMEOUT_MS);
@@ -236,12 +236,12 @@
         }
     }
 
-    /** Processor time that it has used, in milliseconds. */
+    /** Processor time that the process has used, in milliseconds. */
     long processorTime() {
         return process.info().totalCpuDuration().map(Duration::toMillis).orElse(0L);
     }
 
-    /** Time since its start, in milliseconds. */
+    /** Time since the start of the process, in milliseconds. */
     long upTime() {
         return process.info().startInstant().map(start -> Duration.between(start, Instant.now()).toMillis()).orElse(0L);
     }
--- a/src/main/java/kelphollow/lab/Instances.java
+++ b/src/main/java/kelphollow/lab/Instances.java
@@ -13,14 +13,14 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 
-/** All instances of a run, and the network between them. For the thread that plays the scenario, but for {@link #close}. */
+/** All instances of a run and their network. Only the thread that runs the scenario may use it, except {@link #close}. */
 final class Instances implements AutoCloseable {
-    private static final int STARVING_THREADS = 4;
+    private static final int STARVATION_THREADS = 4;
 
     private final History history;
     private final Network network;
-    private final Map<String, InstanceProcess> all = new LinkedHashMap<>();
-    private final ScheduledExecutorService turns = Executors.newScheduledThreadPool(STARVING_THREADS);
+    private final Map<String, InstanceProcess> instances = new LinkedHashMap<>();
+    private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(STARVATION_THREADS);
 
     Instances(Scenario scenario, History history, int controlPlanePort, Path folder, long seed)
         throws IOException, InterruptedException {
@@ -30,20 +30,20 @@
         Ports ports = new Ports();
         for (int i = 0; i < scenario.instances(); i++) {
             String name = "i" + i;
-            all.put(name, new InstanceProcess(name, folder.resolve(name), history, ports));
+            instances.put(name, new InstanceProcess(name, folder.resolve(name), history, ports));
         }
         Path key = folder.resolve("key");
         Files.writeString(key, "the key of one run " + Long.toHexString(random.nextLong()));
         InstanceConfig config = new InstanceConfig(scenario, controlPlanePort, key);
-        for (InstanceProcess instance : all.values()) {
+        for (InstanceProcess instance : instances.values()) {
             Map<String, Object> peers = new TreeMap<>();
-            for (InstanceProcess peer : all.values()) {
+            for (InstanceProcess peer : instances.values()) {
                 if (instance != peer) {
                     int port = network.open(instance.name(), peer.name(), peer.peerPort());
                     peers.put(peer.name(), "127.0.0.1:" + port);
                 }
             }
-            instance.configure(config.of(instance, peers));
+            instance.configure(config.build(instance, peers));
         }
     }
 
@@ -52,36 +52,39 @@
     }
 
     List<String> names() {
-        return List.copyOf(all.keySet());
+        return List.copyOf(instances.keySet());
     }
 
     InstanceProcess get(String name) {
-        return all.get(name);
+        return instances.get(name);
     }
 
-    /** Takes most of the processor away from an instance. */
+    /** Takes most processor time from an instance. */
     void starve(String name) {
-        all.get(name).starve(turns);
+        instances.get(name).starve(scheduler);
     }
 
-    /** Takes what is new of all instances into the history. */
-    void observe() throws IOException {
-        for (InstanceProcess instance : all.values()) {
-            instance.observe();
+    /** Copies new events of all instances into the history, and records crashes. */
+    void collectEvents() throws IOException {
+        for (InstanceProcess instance : instances.values()) {
+            instance.collectEvents();
         }
     }
 
-    /** Whether each running instance sees just the running ones as alive; if so wished the history says what each sees. */
-    boolean agree(boolean note) {
-        List<String> running = all.values().stream().filter(instance -> instance.state() == InstanceProcess.State.UP)
+    /**
+     * Whether each running instance sees exactly the running ones as alive; with {@code record}, adds each one's view to the
+     * history.
+     */
+    boolean allAgree(boolean record) {
+        List<String> running = instances.values().stream().filter(instance -> instance.state() == InstanceProcess.State.UP)
             .map(InstanceProcess::name).toList();
         boolean agree = true;
         for (String name : running) {
-            Map<?, ?> status = all.get(name).fleetStatus();
+            Map<?, ?> status = instances.get(name).fleetStatus();
             SortedSet<String> alive = alive(status);
             agree &= alive.equals(new TreeSet<>(running));
-            if (note) {
-                note(all.get(name), status, alive, running);
+            if (record) {
+                recordView(instances.get(name), status, alive, running);
             }
         }
         return agree;
@@ -99,7 +102,7 @@
         return alive;
     }
 
-    private void note(InstanceProcess instance, Map<?, ?> status, SortedSet<String> alive, List<String> running) {
+    private void recordView(InstanceProcess instance, Map<?, ?> status, SortedSet<String> alive, List<String> running) {
         history.add(instance.name(), "view", "alive", alive, "running", running,
             "bytes", status == null ? 0 : status.get("bytes_sent"),
             "datagrams", status == null ? 0 : status.get("datagrams_sent"),
@@ -107,10 +110,10 @@
             "cpu_ms", instance.processorTime(), "up_ms", instance.upTime());
     }
 
-    /** Ends every process, whatever its state, and waits until it has ended. */
+    /** Kills every process in any state and waits for its exit. */
     @Override public void close() {
-        turns.shutdownNow();
-        all.values().forEach(InstanceProcess::destroy);
+        scheduler.shutdownNow();
+        instances.values().forEach(InstanceProcess::destroy);
         network.close();
     }
 }
--- a/src/main/java/kelphollow/lab/InvalidScenarioException.java
+++ b/src/main/java/kelphollow/lab/InvalidScenarioException.java
@@ -1,6 +1,6 @@
 package kelphollow.lab;
 
-/** A scenario that cannot be played; the message names the key. */
+/** Thrown for a scenario that cannot be run; the message names the faulty key. */
 final class InvalidScenarioException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/kelphollow/lab/Lab.java
+++ b/src/main/java/kelphollow/lab/Lab.java
@@ -10,11 +10,11 @@
 import java.util.stream.Stream;
 import kelphollow.protocol.json.Json;
 
-/** Plays one scenario and has its history judged. Ends by itself, and leaves no process, also when interrupted. */
+/** Runs one scenario and checks its history. Ends by itself and leaves no process behind, even when interrupted. */
 public final class Lab {
-    /** Exit code: no check found anything. */
+    /** Exit code: no check found a violation. */
     public static final int PASS = 0;
-    /** Exit code: a check found a breach. */
+    /** Exit code: a check found a violation. */
     public static final int FAIL = 1;
     /** Exit code: the scenario or the folder cannot be used. */
     public static final int INVALID = 2;
@@ -22,9 +22,9 @@
     private Lab() {}
 
     /**
-     * Plays the scenario in the file.
+     * Runs the scenario in the file.
      *
-     * @param report a folder for the history and what the processes left, or null
+     * @param report an empty or missing folder for the history and the files of the processes, or null
      * @return {@link #PASS}, {@link #FAIL} with the lines that prove it on {@code out}, or {@link #INVALID}
      */
     public static int run(Path file, long seed, Path report, PrintStream out, PrintStream err)
@@ -38,10 +38,10 @@
         }
         if (report != null && !isEmpty(report)) {
             err.println("kelphollow: " + report
-                + " is not empty: what an earlier run left would be taken for this one's");
+                + " is not empty: files of an earlier run would be mistaken for those of this run");
             return INVALID;
         }
-        List<Map<String, Object>> history = play(scenario, seed, report);
+        List<Map<String, Object>> history = runScenario(scenario, seed, report);
         List<HistoryLine> lines = HistoryLine.of(history);
         RunStatistics statistics = new RunStatistics(lines);
         if (report != null) {
@@ -49,8 +49,8 @@
         }
         List<Finding> findings = Checker.check(history);
         for (Finding finding : findings) {
-            out.println("FAIL " + finding.check() + ": " + finding.what());
-            finding.proof().forEach(line -> out.println("    " + History.json(line.values())));
+            out.println("FAIL " + finding.check() + ": " + finding.description());
+            finding.evidence().forEach(line -> out.println("    " + History.json(line.values())));
         }
         out.println((findings.isEmpty() ? "PASS " : "FAIL ") + scenario.name() + " seed " + seed + ": "
             + statistics.summary());
@@ -59,7 +59,7 @@
 
     private static Scenario read(Path file) throws IOException, InvalidScenarioException {
         if (!(Json.parse(Files.readString(file)) instanceof Map<?, ?> json)) {
-            throw new InvalidScenarioException("the file holds no JSON object");
+            throw new InvalidScenarioException("the file does not contain a JSON object");
         }
         return ScenarioReader.read(json);
     }
@@ -73,11 +73,11 @@
         }
     }
 
-    private static List<Map<String, Object>> play(Scenario scenario, long seed, Path report)
+    private static List<Map<String, Object>> runScenario(Scenario scenario, long seed, Path report)
         throws IOException, InterruptedException {
         Path folder = report == null ? Files.createTempDirectory("kelphollow-lab") : Files.createDirectories(report);
         try (History history = new History(folder.resolve("history.jsonl"))) {
-            play(scenario, seed, folder, history);
+            runScenario(scenario, seed, folder, history);
             return history.lines();
         } finally {
             if (report == null) {
@@ -94,18 +94,18 @@
         }
     }
 
-    private static void play(Scenario scenario, long seed, Path folder, History history)
+    private static void runScenario(Scenario scenario, long seed, Path folder, History history)
         throws IOException, InterruptedException {
         try (FakeNodes nodes = new FakeNodes(history, scenario.nodes(), scenario.nodeCapacity());
              FakeControlPlane controlPlane = new FakeControlPlane(history, nodes.ports());
              Instances instances = new Instances(scenario, history, controlPlane.port(), folder, seed);
              Clients clients = new Clients(scenario, history, instances, seed)) {
-            Thread end = new Thread(instances::close, "lab-end");
-            Runtime.getRuntime().addShutdownHook(end);   // an interrupted run leaves no process either
+            Thread shutdownHook = new Thread(instances::close, "lab-end");
+            Runtime.getRuntime().addShutdownHook(shutdownHook);   // an interrupted run must not leave processes behind
             try {
-                new Timeline(scenario, history, nodes, controlPlane, instances, clients).play();
+                new ScenarioRunner(scenario, history, nodes, controlPlane, instances, clients).run();
             } finally {
-                Runtime.getRuntime().removeShutdownHook(end);
+                Runtime.getRuntime().removeShutdownHook(shutdownHook);
             }
         }
     }
--- a/src/main/java/kelphollow/lab/LoadPhase.java
+++ b/src/main/java/kelphollow/lab/LoadPhase.java
@@ -1,14 +1,14 @@
 package kelphollow.lab;
 
 /**
- * What became of the requests of one load, as counts; a phase lasts to the next load, or to the last request, and its first
- * second is left out.
+ * Counts the outcomes of the requests of one load setting. A phase lasts until the next load setting or the last request;
+ * its first second is not counted.
  */
 final class LoadPhase {
-    private static final double LEFT_OUT_MS = 1_000;
+    private static final double UNCOUNTED_MS = 1_000;
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** The same a second; {@code weighted} is what was served within its latency objective by its priority weight. */
+    /** Requests per second; {@code weighted} is the sum of the priority weights of those served within their objective. */
     record Rates(double offered, double served, double inTime, double weighted) {}
 
     private final double from;
@@ -18,14 +18,14 @@
     private double inTime;
     private double weighted;
 
-    /** {@code loadAt} is when the load began, in milliseconds. */
+    /** {@code loadAt} is when the load was set, in milliseconds since the run began. */
     LoadPhase(double loadAt) {
-        this.from = loadAt + LEFT_OUT_MS;
+        this.from = loadAt + UNCOUNTED_MS;
         this.to = from;
     }
 
-    /** Counts a request; false if it was sent in the time that is left out. */
-    boolean offer(double at) {
+    /** Counts a request; false if it was sent in the uncounted first second. */
+    boolean countOffered(double at) {
         if (at <= from) {
             return false;
         }
@@ -34,7 +34,7 @@
         return true;
     }
 
-    void serve(boolean withinObjective, double weight) {
+    void countServed(boolean withinObjective, double weight) {
         served++;
         if (withinObjective) {
             inTime++;
--- a/src/main/java/kelphollow/lab/MembershipChecks.java
+++ b/src/main/java/kelphollow/lab/MembershipChecks.java
@@ -9,61 +9,61 @@
 import java.util.TreeSet;
 
 /**
- * Judges membership: nobody who was there and reachable is found dead, incarnations only go up, and all agree at the end.
- * Times in milliseconds.
+ * Checks membership: no instance that was available and reachable is declared failed, incarnations never decrease, and all
+ * instances agree at the end.
  */
 final class MembershipChecks {
-    // An instance that reports that it had no processor was not there so long round its report: 5 s before is more than the
-    // longest suspicion of a small fleet, 0.5 s after is more than the reading of its report may take.
-    private static final double STALL_BEFORE = 5_000;
-    private static final double STALL_AFTER = 500;
-    // An instance found dead must have been out of reach at some moment so long before, suspicion and rounds included.
-    private static final double MEMORY = 60_000;
+    // An instance that reports a stall counts as unavailable around its report: 5 s before is more than the longest
+    // suspicion of a small fleet, 0.5 s after is more than reading its report takes.
+    private static final double STALL_BEFORE_MS = 5_000;
+    private static final double STALL_AFTER_MS = 500;
+    // An instance declared failed must have been unreachable within this time before, suspicion and rounds included.
+    private static final double EXCUSE_WINDOW_MS = 60_000;
 
-    /** Which paths between two instances, "from to", were cut from some time on. */
+    /** The paths between two instances, as "from to", that are cut from a time on. */
     private record Cuts(double since, Set<String> paths) {}
 
     private final List<HistoryLine> lines;
-    private final Absences away;
+    private final Unavailability unavailability;
     private final Set<String> instances = new TreeSet<>();
     private final List<Finding> findings = new ArrayList<>();
 
     private MembershipChecks(List<HistoryLine> lines) {
         this.lines = lines;
-        this.away = Absences.of(lines, false);
+        this.unavailability = Unavailability.of(lines, false);
         lines.stream().filter(line -> line.is(HistoryLine.LAB, "start"))
             .forEach(line -> instances.add(line.text("instance")));
     }
 
     static List<Finding> check(List<HistoryLine> lines) {
         MembershipChecks checks = new MembershipChecks(lines);
-        checks.nobodyReachableIsFoundDead();
-        checks.incarnationsGrow();
-        checks.allAgreeAtTheEnd();
+        checks.checkFalseFailures();
+        checks.checkIncarnations();
+        checks.checkFinalAgreement();
         return checks.findings;
     }
 
-    /** Who is found dead had been killed, stopped, or cut off from whoever says so, directly and by way of any other. */
-    private void nobodyReachableIsFoundDead() {
-        List<Cuts> past = new ArrayList<>();
-        past.add(new Cuts(0, Set.of()));
+    /** An instance declared failed was killed, stopped, or cut off from the reporter, both directly and by any third one. */
+    private void checkFalseFailures() {
+        List<Cuts> cutHistory = new ArrayList<>();
+        cutHistory.add(new Cuts(0, Set.of()));
         for (HistoryLine line : lines) {
             if (line.is(HistoryLine.LAB, "cut") || line.is(HistoryLine.LAB, "heal")) {
-                past.add(new Cuts(line.at(), cutBy(line, past.get(past.size() - 1).paths)));
-            } else if (line.isEvent("failed") && !isExcused(line, past)) {
+                cutHistory.add(new Cuts(line.at(), applyCut(line, cutHistory.get(cutHistory.size() - 1).paths)));
+            } else if (line.isEvent("failed") && !isExcused(line, cutHistory)) {
                 findings.add(Finding.of("false-failure",
-                    line.party() + " found " + line.text("of") + " dead, which was there all the time", line));
+                    line.party() + " declared " + line.text("of") + " failed, which was reachable all the time", line));
             }
         }
     }
 
-    private static Set<String> cutBy(HistoryLine line, Set<String> before) {
+    private static Set<String> applyCut(HistoryLine line, Set<String> before) {
         Set<String> paths = new HashSet<>(before);
-        for (String one : line.names("who")) {
-            for (String other : line.names("from")) {
-                if (!one.equals(other)) {
-                    Set<String> changed = line.flag("one_way") ? Set.of(path(one, other))
-                        : Set.of(path(one, other), path(other, one));
+        for (String side : line.names("who")) {
+            for (String otherSide : line.names("from")) {
+                if (!side.equals(otherSide)) {
+                    Set<String> changed = line.flag("one_way") ? Set.of(path(side, otherSide))
+                        : Set.of(path(side, otherSide), path(otherSide, side));
                     if (line.is("cut")) {
                         paths.addAll(changed);
                     } else {
@@ -79,31 +79,31 @@
         return from + " " + to;
     }
 
-    private boolean isExcused(HistoryLine failure, List<Cuts> past) {
-        String dead = failure.text("of");
-        String by = failure.party();
+    private boolean isExcused(HistoryLine failure, List<Cuts> cutHistory) {
+        String failed = failure.text("of");
+        String reporter = failure.party();
         double at = failure.at();
-        double from = Math.max(0, at - MEMORY);
-        if (wasMissing(dead, from, at) || wasMissing(by, from, at)) {
+        double from = Math.max(0, at - EXCUSE_WINDOW_MS);
+        if (wasUnavailable(failed, from, at) || wasUnavailable(reporter, from, at)) {
             return true;
         }
-        for (int i = 0; i < past.size(); i++) {
-            double until = i + 1 < past.size() ? past.get(i + 1).since : Double.POSITIVE_INFINITY;
-            if (until >= from && !isReachable(by, dead, past.get(i).paths)) {
+        for (int i = 0; i < cutHistory.size(); i++) {
+            double until = i + 1 < cutHistory.size() ? cutHistory.get(i + 1).since : Double.POSITIVE_INFINITY;
+            if (until >= from && !isReachable(reporter, failed, cutHistory.get(i).paths)) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean wasMissing(String instance, double from, double at) {
-        return away.wasAwayOnceStarted(instance, from, at)
-            || away.wasStalled(instance, at - STALL_BEFORE, at + STALL_AFTER);
+    private boolean wasUnavailable(String instance, double from, double at) {
+        return unavailability.wasUnavailableAfterFirstStart(instance, from, at)
+            || unavailability.wasStalled(instance, at - STALL_BEFORE_MS, at + STALL_AFTER_MS);
     }
 
-    /** Whether a probe and its answer can pass, directly or by way of one other. */
-    private boolean isReachable(String by, String target, Set<String> cut) {
-        return instances.stream().anyMatch(relay -> !relay.equals(by) && isOpen(by, relay, cut)
+    /** Whether a probe and its answer can pass, directly or through one other instance. */
+    private boolean isReachable(String reporter, String target, Set<String> cut) {
+        return instances.stream().anyMatch(relay -> !relay.equals(reporter) && isOpen(reporter, relay, cut)
             && (relay.equals(target) || isOpen(relay, target, cut)));
     }
 
@@ -111,8 +111,8 @@
         return !cut.contains(path(one, other)) && !cut.contains(path(other, one));
     }
 
-    /** As each instance sees it, the incarnations of another only go up. */
-    private void incarnationsGrow() {
+    /** The incarnation of an instance never decreases in the view of another. */
+    private void checkIncarnations() {
         Map<String, Double> highest = new HashMap<>();
         for (HistoryLine line : lines) {
             if (line.is(HistoryLine.LAB, "start")) {
@@ -122,18 +122,19 @@
                 double epoch = line.number("epoch");
                 if (epoch < highest.getOrDefault(key, -1.0)) {
                     findings.add(Finding.of("epochs",
-                        key + " in life " + (long) epoch + " after life " + highest.get(key).longValue(), line));
+                        key + " in incarnation " + (long) epoch + " after incarnation " + highest.get(key).longValue(),
+                        line));
                 }
                 highest.put(key, epoch);
             }
         }
     }
 
-    private void allAgreeAtTheEnd() {
+    private void checkFinalAgreement() {
         for (HistoryLine line : lines) {
             if (line.is("view") && !line.names("alive").equals(line.names("running"))) {
-                findings.add(Finding.of("agree", line.party() + " sees " + line.text("alive") + " while "
-                    + line.text("running") + " run", line));
+                findings.add(Finding.of("agree", line.party() + " sees " + line.text("alive") + " as alive, but "
+                    + line.text("running") + " are running", line));
             }
         }
     }
--- a/src/main/java/kelphollow/lab/Network.java
+++ b/src/main/java/kelphollow/lab/Network.java
@@ -11,11 +11,11 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 
-/** The relays between instances, one for each direction of each pair, and what is done to them. */
+/** The relays between instances, one for each direction of each pair, and the faults applied to them. */
 final class Network implements AutoCloseable {
     /** One direction between two instances. */
     private record Path(String from, String to) {
-        Path back() {
+        Path reversed() {
             return new Path(to, from);
         }
     }
@@ -36,28 +36,29 @@
         this.random = random;
     }
 
-    /** Opens the path from one instance to another that listens at this port; gives the port where it begins. */
+    /** Opens the path from one instance to another that listens on {@code port}; returns the port to send to. */
     int open(String from, String to, int port) throws IOException, InterruptedException {
         Relay relay = new Relay(group.next(), new InetSocketAddress("127.0.0.1", port), random.nextLong());
         relays.put(new Path(from, to), relay);
         return relay.open().getPort();
     }
 
-    /** Cuts or heals what goes from each of the one side to each of the other; both ways unless {@code oneWay}. */
-    void cut(List<String> one, List<String> other, boolean oneWay, boolean isCut) {
-        history.add(HistoryLine.LAB, isCut ? "cut" : "heal", "who", one, "from", other, "one_way", oneWay);
-        for (String from : one) {
-            for (String to : other) {
+    /** Cuts or heals the paths from each instance of one side to each of the other; both ways unless {@code oneWay}. */
+    void cut(List<String> side, List<String> otherSide, boolean oneWay, boolean isCut) {
+        history.add(HistoryLine.LAB, isCut ? "cut" : "heal", "who", side, "from", otherSide, "one_way", oneWay);
+        for (String from : side) {
+            for (String to : otherSide) {
                 if (!from.equals(to)) {
                     Path path = new Path(from, to);
                     cuts.put(path, isCut);
                     if (!oneWay) {
-                        cuts.put(path.back(), isCut);
+                        cuts.put(path.reversed(), isCut);
                     }
                 }
             }
         }
-        relays.forEach((path, relay) -> relay.cut(cuts.getOrDefault(path, false), cuts.getOrDefault(path.back(), false)));
+        relays.forEach((path, relay) -> relay.cut(cuts.getOrDefault(path, false),
+            cuts.getOrDefault(path.reversed(), false)));
     }
 
     void setQuality(Scenario.LinkQuality quality) {
@@ -66,7 +67,7 @@
         relays.values().forEach(relay -> relay.setQuality(quality));
     }
 
-    /** What went to these before goes to them again. */
+    /** Sends recorded datagrams to these instances again. */
     void replay(List<String> targets) {
         history.add(HistoryLine.LAB, "replay", "who", targets);
         relays.forEach((path, relay) -> {
@@ -76,17 +77,17 @@
         });
     }
 
-    /** Random, oversized and truncated packets, as strangers might send. */
-    void noise(List<String> targets) {
+    /** Sends random datagrams to these instances, some oversized, as unrelated senders might. */
+    void sendNoise(List<String> targets) {
         history.add(HistoryLine.LAB, "noise", "who", targets);
         relays.forEach((path, relay) -> {
             if (targets.contains(path.to)) {
-                noise(relay);
+                sendNoise(relay);
             }
         });
     }
 
-    private void noise(Relay relay) {
+    private void sendNoise(Relay relay) {
         for (int i = 0; i < NOISE_PACKETS; i++) {
             byte[] bytes = new byte[1 + random.nextInt(i % OVERSIZED_EVERY == 0 ? OVERSIZED_BYTES : NOISE_BYTES)];
             random.nextBytes(bytes);
--- a/src/main/java/kelphollow/lab/Plots.java
+++ b/src/main/java/kelphollow/lab/Plots.java
@@ -12,13 +12,13 @@
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Plots of a run: service over time, and how many of the others each instance sees as alive. */
+/** Plots of a run: requests served over time, and how many peers each instance sees as alive. */
 final class Plots {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 420;
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** How many of the others an instance sees as alive, over the seconds of the run. */
+    /** The number of peers that an instance sees as alive, over the seconds of the run. */
     private record Curve(List<Double> times, List<Double> counts) {
         Curve() {
             this(new ArrayList<>(List.of(0.0)), new ArrayList<>(List.of(0.0)));
@@ -36,14 +36,14 @@
 
     private Plots() {}
 
-    /** Writes the plots of a run that has something to show into the folder. */
+    /** Writes the plots of a run into the folder, leaving out those without data. */
     static void write(Scenario scenario, List<HistoryLine> lines, Path folder) throws IOException {
         writeService(scenario, lines, folder.resolve("service.png"));
         writeMembers(scenario, lines, folder.resolve("members.png"));
     }
 
     private static void writeService(Scenario scenario, List<HistoryLine> lines, Path file) throws IOException {
-        XYChart chart = chart(scenario.name() + ": requests a second", "requests");
+        XYChart chart = chart(scenario.name() + ": requests per second", "requests");
         List<RunStatistics.Second> seconds = new RunStatistics(lines).seconds();
         List<Double> times = new ArrayList<>();
         List<Double> served = new ArrayList<>();
@@ -61,7 +61,7 @@
     }
 
     private static void writeMembers(Scenario scenario, List<HistoryLine> lines, Path file) throws IOException {
-        XYChart chart = chart(scenario.name() + ": others seen as there", "instances");
+        XYChart chart = chart(scenario.name() + ": peers seen as alive", "instances");
         chart.getStyler().setDefaultSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Step);
         Map<String, Curve> curves = new TreeMap<>();
         for (HistoryLine line : lines) {
@@ -75,7 +75,7 @@
         }
     }
 
-    private static void add(HistoryLine line, Curve curve, int others) {
+    private static void add(HistoryLine line, Curve curve, int peers) {
         double time = line.at() / MILLIS_PER_SECOND;
         int change = switch (String.valueOf(line.text("event"))) {
             case "joined" -> 1;
@@ -85,7 +85,7 @@
         if (line.isEvent("started")) {
             curve.add(time, 0);
         } else if (change != 0) {
-            curve.add(time, Math.max(0, Math.min(others, curve.last() + change)));
+            curve.add(time, Math.max(0, Math.min(peers, curve.last() + change)));
         }
     }
 
--- a/src/main/java/kelphollow/lab/Relay.java
+++ b/src/main/java/kelphollow/lab/Relay.java
@@ -29,9 +29,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The path from one instance to another, datagrams and connections alike. A path that is cut is silent, as a network is:
- * what was under way stays unanswered. A TCP path needs both directions. Lives on one event loop; its methods are for other
- * threads. Each buffer is released by the write that sends it, or here if it is lost.
+ * Forwards datagrams and TCP connections from one instance to another. A cut path drops everything silently, as a broken
+ * network does: messages under way get no answer and connections stay open. A TCP path needs both directions. All state
+ * belongs to one event loop; the package-visible methods are called from other threads. The write that sends a buffer
+ * releases it; a dropped buffer is released here.
  */
 final class Relay {
     private static final int MAX_RECORDED = 100;
@@ -39,19 +40,19 @@
     private static final int MAX_DATAGRAM_BYTES = 65_535;
     private static final double MICROS_PER_MILLI = 1_000;
 
-    /** Which directions are cut. */
+    /** The directions that are cut. */
     private enum Cut {
-        NONE, THERE, BACK, BOTH;
+        NONE, FORWARD, BACKWARD, BOTH;
 
-        static Cut of(boolean there, boolean back) {
-            if (there) {
-                return back ? BOTH : THERE;
+        static Cut of(boolean forward, boolean backward) {
+            if (forward) {
+                return backward ? BOTH : FORWARD;
             }
-            return back ? BACK : NONE;
+            return backward ? BACKWARD : NONE;
         }
 
         boolean losesDatagrams() {
-            return this == THERE || this == BOTH;
+            return this == FORWARD || this == BOTH;
         }
     }
 
@@ -59,9 +60,9 @@
     private final InetSocketAddress target;
     private final Random random;
     private final List<Channel> connections = new ArrayList<>();
-    /** The last datagrams that came, for a replay. */
+    /** The last datagrams received, for {@link #replay}. */
     private final ArrayDeque<byte[]> recorded = new ArrayDeque<>();
-    private Channel out;
+    private Channel sender;
     private Channel listener;
     private Scenario.LinkQuality quality = Scenario.LinkQuality.GOOD;
     private Cut cut = Cut.NONE;
@@ -72,15 +73,15 @@
         this.random = new Random(seed);
     }
 
-    /** Opens the path and returns where it begins: one port for both, so it is tried until both have it. */
+    /** Opens the path and returns its address. TCP and UDP share one port, so ports are tried until both can bind it. */
     InetSocketAddress open() throws InterruptedException, IOException {
-        out = udp(new ChannelInboundHandlerAdapter(), new InetSocketAddress("127.0.0.1", 0)).sync().channel();
+        sender = bindUdp(new ChannelInboundHandlerAdapter(), new InetSocketAddress("127.0.0.1", 0)).sync().channel();
         for (int attempt = 0; attempt < MAX_BIND_ATTEMPTS; attempt++) {
             listen();
             InetSocketAddress at = (InetSocketAddress) listener.localAddress();
-            ChannelFuture bound = udp(new SimpleChannelInboundHandler<DatagramPacket>() {
+            ChannelFuture bound = bindUdp(new SimpleChannelInboundHandler<DatagramPacket>() {
                 @Override protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-                    pass(packet.content());
+                    forward(packet.content());
                 }
             }, at).await();
             if (bound.isSuccess()) {
@@ -88,7 +89,7 @@
             }
             listener.close().sync();
         }
-        throw new IOException("no port is free for datagrams and connections both");
+        throw new IOException("no port was free for both TCP and UDP in " + MAX_BIND_ATTEMPTS + " attempts");
     }
 
     private void listen() throws InterruptedException {
@@ -100,13 +101,13 @@
             }).bind("127.0.0.1", 0).sync().channel();
     }
 
-    private ChannelFuture udp(ChannelHandler handler, InetSocketAddress at) {
+    private ChannelFuture bindUdp(ChannelHandler handler, InetSocketAddress at) {
         return new Bootstrap().group(loop).channel(NioDatagramChannel.class)
             .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES)).handler(handler)
             .bind(at);
     }
 
-    private void pass(ByteBuf bytes) {
+    private void forward(ByteBuf bytes) {
         if (recorded.size() >= MAX_RECORDED) {
             recorded.poll();
         }
@@ -116,18 +117,18 @@
         }
         for (int copies = random.nextDouble() < quality.duplicate() ? 2 : 1; copies > 0; copies--) {
             ByteBuf copy = bytes.copy();
-            long late = (long) ((quality.delay() + quality.jitter() * random.nextDouble()) * MICROS_PER_MILLI);
+            long delayMicros = (long) ((quality.delay() + quality.jitter() * random.nextDouble()) * MICROS_PER_MILLI);
             Runnable send = () -> {
                 if (cut.losesDatagrams()) {
                     copy.release();
                 } else {
-                    out.writeAndFlush(new DatagramPacket(copy, target));
+                    sender.writeAndFlush(new DatagramPacket(copy, target));
                 }
             };
-            if (late == 0) {
+            if (delayMicros == 0) {
                 send.run();
             } else {
-                loop.schedule(send, late, TimeUnit.MICROSECONDS);
+                loop.schedule(send, delayMicros, TimeUnit.MICROSECONDS);
             }
         }
     }
@@ -135,16 +136,16 @@
     private void connect(Channel from) {
         connections.add(from);
         if (cut != Cut.NONE) {
-            return;                        // it is open and silent, and closed when the path is healed
+            return;                        // stays open without traffic; healing the path closes it
         }
         new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.AUTO_READ, false)
-            .handler(new Pipe(from)).connect(target).addListener((ChannelFuture connected) -> {
+            .handler(new Forwarder(from)).connect(target).addListener((ChannelFuture connected) -> {
                 if (!connected.isSuccess()) {
                     from.close();
                     return;
                 }
                 connections.add(connected.channel());
-                from.pipeline().addLast(new Pipe(connected.channel()));
+                from.pipeline().addLast(new Forwarder(connected.channel()));
                 loop.schedule(() -> {
                     from.config().setAutoRead(true);
                     connected.channel().config().setAutoRead(true);
@@ -152,11 +153,11 @@
             });
     }
 
-    /** Passes on what comes on one end of a connection to the other. */
-    private final class Pipe extends ChannelInboundHandlerAdapter {
+    /** Forwards what one end of a connection receives to the other end. */
+    private final class Forwarder extends ChannelInboundHandlerAdapter {
         private final Channel other;
 
-        Pipe(Channel other) {
+        Forwarder(Channel other) {
             this.other = other;
         }
 
@@ -179,11 +180,11 @@
         }
     }
 
-    /** Cuts the way there, and whether the way back is cut, which a connection needs too. */
-    void cut(boolean there, boolean back) {
+    /** Sets which directions are cut; connections need the way back too. */
+    void cut(boolean forward, boolean backward) {
         loop.submit(() -> {
             Cut before = cut;
-            cut = Cut.of(there, back);
+            cut = Cut.of(forward, backward);
             if (before != Cut.NONE && cut == Cut.NONE) {
                 connections.forEach(Channel::close);
                 connections.clear();
@@ -198,13 +199,13 @@
         }).syncUninterruptibly();
     }
 
-    /** Sends again what was recorded, as it was. */
+    /** Sends the recorded datagrams again, unchanged. */
     void replay() {
         loop.submit(() -> List.copyOf(recorded).forEach(this::inject)).syncUninterruptibly();
     }
 
-    /** Sends bytes as if they came over the path. */
+    /** Sends bytes to the target as if they had come over the path. */
     void inject(byte[] bytes) {
-        out.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), target));
+        sender.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), target));
     }
 }
--- a/src/main/java/kelphollow/lab/RunChecks.java
+++ b/src/main/java/kelphollow/lab/RunChecks.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Judges the run itself: steps that waited in vain, processes that ended by themselves or in disorder. */
+/** Checks the run itself: steps that timed out, processes that crashed or exited with an error after SIGTERM. */
 final class RunChecks {
     private RunChecks() {}
 
@@ -11,11 +11,13 @@
         List<Finding> findings = new ArrayList<>();
         for (HistoryLine line : lines) {
             if (line.is(HistoryLine.LAB, "missed")) {
-                findings.add(Finding.of("steps", "step " + line.text("step") + " waited in vain", line));
+                findings.add(Finding.of("steps", "step " + line.text("step") + " timed out waiting for its condition",
+                    line));
             } else if (line.is("crashed")) {
-                findings.add(Finding.of("crash", line.party() + " ended by itself with code " + line.text("code"), line));
+                findings.add(Finding.of("crash", line.party() + " exited by itself with code " + line.text("code"), line));
             } else if (line.is(HistoryLine.LAB, "ended") && line.integer("code") != 0) {
-                findings.add(Finding.of("leave", line.text("instance") + " left with code " + line.text("code"), line));
+                findings.add(Finding.of("leave", line.text("instance") + " exited after SIGTERM with code "
+                    + line.text("code"), line));
             }
         }
         return findings;
--- a/src/main/java/kelphollow/lab/RunStatistics.java
+++ b/src/main/java/kelphollow/lab/RunStatistics.java
@@ -9,23 +9,23 @@
 import java.util.Set;
 import org.HdrHistogram.Histogram;
 
-/** What a history says in numbers; times in milliseconds, late by up to the 20 ms in which events are read. */
+/** Statistics of a history. Times are in milliseconds and up to 20 ms late, the interval in which events are read. */
 final class RunStatistics {
-    private static final int MAX_RECORDED = 120_000;
-    private static final int DIGITS = 3;
+    private static final int MAX_RECORDED_MS = 120_000;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private final List<HistoryLine> lines;
-    /** From a kill or stop to each other instance's finding. */
-    private final Histogram detection = new Histogram(MAX_RECORDED, DIGITS);
-    /** From the first notification of a drain to each other instance's following it. */
-    private final Histogram drains = new Histogram(MAX_RECORDED, DIGITS);
-    private final Histogram latency = new Histogram(MAX_RECORDED, DIGITS);
-    private final Histogram rejections = new Histogram(MAX_RECORDED, DIGITS);
-    private final Map<String, Double> awayAt = new HashMap<>();
-    /** Instances that follow the present drain. */
+    /** From a kill or stop of an instance until each other instance declares it failed. */
+    private final Histogram detection = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
+    /** From the first notification of a drain until each instance follows it. */
+    private final Histogram drainPropagation = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
+    private final Histogram latency = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
+    private final Histogram rejections = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
+    private final Map<String, Double> unavailableSince = new HashMap<>();
+    /** Instances that follow the current drain. */
     private final Set<String> following = new HashSet<>();
     private final Set<String> unresponsive = new HashSet<>();
     private boolean draining;
@@ -33,7 +33,7 @@
     private int requests;
     private int served;
     private int suspected;
-    /** Attempts at nodes while they did not respond. */
+    /** Attempts at nodes while these were unresponsive. */
     private int attemptsAtUnresponsive;
     private double datagrams;
     private double bytes;
@@ -42,13 +42,13 @@
 
     RunStatistics(List<HistoryLine> lines) {
         this.lines = lines;
-        lines.forEach(this::read);
+        lines.forEach(this::addLine);
     }
 
-    private void read(HistoryLine line) {
+    private void addLine(HistoryLine line) {
         switch (line.what()) {
-            case "kill", "stop" -> awayAt.put(line.text("instance"), line.at());
-            case "start", "cont" -> awayAt.remove(line.text("instance"));
+            case "kill", "stop" -> unavailableSince.put(line.text("instance"), line.at());
+            case "start", "cont" -> unavailableSince.remove(line.text("instance"));
             case "ask" -> requests++;
             case "silent" -> unresponsive.add(line.text("node"));
             case "back" -> unresponsive.remove(line.text("node"));
@@ -73,14 +73,14 @@
     private void readAnswer(HistoryLine line) {
         if (line.integer("status") == OK) {
             served++;
-            latency.recordValue(recorded(line));
+            latency.recordValue(latencyMs(line));
         } else if (line.integer("status") == UNAVAILABLE) {
-            rejections.recordValue(recorded(line));
+            rejections.recordValue(latencyMs(line));
         }
     }
 
-    private static long recorded(HistoryLine line) {
-        return Math.max(0, Math.min(MAX_RECORDED, (long) line.number("took")));
+    private static long latencyMs(HistoryLine line) {
+        return Math.max(0, Math.min(MAX_RECORDED_MS, (long) line.number("took")));
     }
 
     private void readDrain(HistoryLine line) {
@@ -97,16 +97,16 @@
         if ("suspected".equals(event)) {
             suspected++;
         }
-        Double since = awayAt.get(line.text("of"));
+        Double since = unavailableSince.get(line.text("of"));
         if ("failed".equals(event) && since != null) {
             detection.recordValue((long) (line.at() - since));
         }
         if ("cordoned".equals(event) && !line.names("nodes").isEmpty() && following.add(line.party())) {
-            drains.recordValue((long) Math.max(0, line.at() - drainedAt));
+            drainPropagation.recordValue((long) Math.max(0, line.at() - drainedAt));
         }
     }
 
-    /** One line for whoever reads the result. */
+    /** Returns a one-line summary for the report. */
     String summary() {
         StringBuilder summary = new StringBuilder(format("%d lines in %.1f s, %d requests, %d served; suspicions %d",
             lines.size(), lines.get(lines.size() - 1).at() / MILLIS_PER_SECOND, requests, served, suspected));
@@ -122,11 +122,12 @@
             phases.forEach(phase -> summary.append(format("; of %.0f a second %.0f served, %.0f in time, worth %.0f",
                 phase.offered(), phase.served(), phase.inTime(), phase.weighted())));
         }
-        return summary.append(spread("refusals", rejections)).append(spread("latencies", latency))
-            .append(spread("deaths found", detection)).append(spread("drains followed", drains)).toString();
+        return summary.append(percentiles("refusals", rejections)).append(percentiles("latencies", latency))
+            .append(percentiles("deaths found", detection)).append(percentiles("drains followed", drainPropagation))
+            .toString();
     }
 
-    private static String spread(String what, Histogram values) {
+    private static String percentiles(String what, Histogram values) {
         return values.getTotalCount() == 0 ? "" : format("; %s %d, median %d ms, 99th percentile %d ms", what,
             values.getTotalCount(), values.getValueAtPercentile(50), values.getValueAtPercentile(99));
     }
@@ -135,7 +136,7 @@
         return String.format(Locale.ROOT, pattern, values);
     }
 
-    /** For each load that had requests, what became of them a second. */
+    /** Returns the rates of each load phase that had requests. */
     List<LoadPhase.Rates> phases() {
         Map<String, HistoryLine> offered = new HashMap<>();
         Map<String, LoadPhase> phaseOf = new HashMap<>();
@@ -146,7 +147,7 @@
                 phases.add(new LoadPhase(line.at()));
             } else if (line.is("ask") && !phases.isEmpty()) {
                 LoadPhase phase = phases.get(phases.size() - 1);
-                if (phase.offer(line.at())) {
+                if (phase.countOffered(line.at())) {
                     offered.put(request, line);
                     phaseOf.put(request, phase);
                 }
@@ -158,14 +159,14 @@
     }
 
     private static void serve(LoadPhase phase, HistoryLine request, double took) {
-        double objective = request.flag("write") ? InstanceConfig.WRITE_OBJECTIVE : InstanceConfig.READ_OBJECTIVE;
-        phase.serve(took <= objective, request.text("worth") == null ? 1 : request.number("worth"));
+        double objective = request.flag("write") ? InstanceConfig.WRITE_OBJECTIVE_MS : InstanceConfig.READ_OBJECTIVE_MS;
+        phase.countServed(took <= objective, request.text("worth") == null ? 1 : request.number("worth"));
     }
 
-    /** Served and not served, of the requests of one second of the run. */
+    /** Requests of one second of the run, by whether they were served. */
     record Second(int served, int notServed) {}
 
-    /** Each second of the run, by when its requests were due. */
+    /** Returns the counts of each second of the run; a request counts in the second in which it was sent. */
     List<Second> seconds() {
         List<Second> seconds = new ArrayList<>();
         Map<String, Integer> secondOf = new HashMap<>();
--- a/src/main/java/kelphollow/lab/Scenario.java
+++ b/src/main/java/kelphollow/lab/Scenario.java
@@ -4,81 +4,81 @@
 import java.util.Locale;
 
 /**
- * What happens in a run, as data. Times in milliseconds.
+ * The parties, load and faults of a run. Times are in milliseconds.
  *
- * @param instances how many processes of the program; they are named i0, i1 and so on
- * @param nodes how many storage nodes, n0 and so on, each of which holds one cell
- * @param period of membership's rounds
- * @param sharesFindings whether instances share which nodes are unresponsive
- * @param shedsLoad whether requests of less priority weight are shed for what other instances reject
- * @param retryShare at each node, the share of retries to first attempts that instances are set to keep to
- * @param limit of the volume that all requests are for, over all instances
- * @param nodeCapacity of each node
- * @param rate requests a second over all instances, open loop
- * @param writeShare the part of the requests that are writes, which must not run twice
- * @param retries how often a client retries a read that was not served, at once, whatever it is advised
- * @param gold instances whose clients use the volume of three times the priority weight
- * @param steps faults, in order; each waits for what it names
- * @param calm how long the fleet must agree at the end before the run is over
+ * @param instances number of processes of the program; they are named i0, i1 and so on
+ * @param nodes number of storage nodes, named n0, n1 and so on, each of which holds one cell
+ * @param period length of a membership round
+ * @param sharesFindings whether instances tell each other which nodes are unresponsive
+ * @param shedsLoad whether an instance sheds requests of lower priority weight because of rejections at others
+ * @param retryShare bound on the ratio of retries to first attempts at each node, as configured in the instances
+ * @param limit rate limit of the volume over all instances
+ * @param nodeCapacity capacity of each node
+ * @param rate requests per second over all instances, open loop
+ * @param writeShare share of the requests that are writes, which must not run twice
+ * @param retries how often a client retries a failed read; it retries at once and ignores the advised delay
+ * @param gold instances whose clients use the volume with three times the priority weight
+ * @param steps faults, in order; each waits for its condition
+ * @param calm how long all instances must agree on membership before the run ends
  */
 record Scenario(String name, int instances, int nodes, double period, boolean sharesFindings, boolean shedsLoad,
                 double retryShare, Limit limit, NodeCapacity nodeCapacity, double rate, double writeShare, int retries,
                 List<String> gold, List<Step> steps, double calm) {
-    /** The limit of the one volume, in units; a rate of 0 means none. */
+    /** Rate limit of the volume, in units per second and units; a rate of 0 means no limit. */
     record Limit(double rate, double burst, double slack) {}
 
     /**
-     * Each request takes a node {@code service} ms on one of its cores; 0: no time. Beyond so many waiting it answers
-     * 503.
+     * A request occupies one of a node's cores for {@code service} ms; with 0 it takes no time. A node with {@code queue}
+     * waiting requests answers 503 to further ones.
      */
     record NodeCapacity(double service, int cores, int queue) {}
 
-    /** What a step does; its word in a scenario is the name in small letters with hyphens. */
+    /** What a step does; scenario files hold the name in lower case with hyphens. */
     enum Action {
         KILL, STOP, CONT, RESTART, CUT, HEAL, NET, SILENT_NODE, FAILING_NODE, SLOW_NODE, NODE_BACK, LOAD, DRAIN, UNDRAIN,
         DISCOVERY_DOWN, DISCOVERY_UP, NOISE, REPLAY, STARVE, FEED, LEAVE, NOTHING
     }
 
-    /** What a step waits for; its word in a scenario is the name in small letters. */
+    /** What a step waits for; scenario files hold the name in lower case. */
     enum Condition {
-        /** All running instances see just each other. */
+        /** All running instances see exactly each other as alive. */
         AGREE,
-        /** {@code count} instances have had an event since the last step. */
+        /** {@code count} events of the given kind were reported since the last step. */
         SEEN,
-        /** {@code count} requests have been served since the last step. */
+        /** {@code count} requests were served since the step began to wait. */
         SERVED,
-        /** {@code count} milliseconds have passed. */
+        /** {@code count} milliseconds passed since the step began to wait. */
         AFTER
     }
 
-    /** The word of an enum's constant in a scenario. */
+    /** Returns the spelling of an enum constant in scenario files. */
     static String word(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /**
-     * One step of the timeline.
+     * One step of a scenario: a condition to wait for, then an action.
      *
-     * @param within the step fails, and with it the run, if what it waits for has not come by then
-     * @param event for {@code SEEN}: the event
-     * @param of for {@code SEEN}: the instance that it is about, or empty
-     * @param who instances or nodes; for a cut, one side of it
-     * @param from for a one-way cut or a bad link: the other side; empty: all others
-     * @param lostStore for a restart: the store is gone
-     * @param clockOff for a restart: the wall clock of the new process is off by so much
-     * @param oneWay for a cut: only what goes from {@code who} to {@code from} is lost
-     * @param by for load: requests a second from now on; for a slow node: so many times its service
+     * @param timeout the step fails, and with it the run, if its condition is not met by then
+     * @param event for {@code SEEN}: the kind of event
+     * @param of for {@code SEEN}: the instance that the event is about, or empty for any
+     * @param who the instances or nodes that the action applies to; for a cut, one side of it
+     * @param from for a cut: the other side, where empty means all others; for a drain: the nodes
+     * @param lostStore for a restart: whether the store is deleted
+     * @param clockOffset for a restart: shift of the wall clock of the new process
+     * @param oneWay for a cut: only messages from {@code who} to {@code from} are lost
+     * @param by for load: requests per second from now on; for a slow node: the factor of its service time
      */
-    record Step(Condition until, String event, String of, double count, double within, Action action, List<String> who,
-                List<String> from, boolean lostStore, double clockOff, boolean oneWay, double by, LinkQuality link) {
-        /** Waits until all agree, and does nothing. */
-        static Step agree(double within) {
-            return new Step(Condition.AGREE, "", "", 0, within, Action.NOTHING, List.of(), List.of(), false, 0, false, 0,
+    record Step(Condition condition, String event, String of, double count, double timeout, Action action, List<String> who,
+                List<String> from, boolean lostStore, double clockOffset, boolean oneWay, double by, LinkQuality link) {
+        /** Returns a step that waits until all instances agree and does nothing. */
+        static Step agree(double timeout) {
+            return new Step(Condition.AGREE, "", "", 0, timeout, Action.NOTHING, List.of(), List.of(), false, 0, false, 0,
                 LinkQuality.GOOD);
         }
     }
 
-    /** How a link treats datagrams: parts lost and doubled, and by how much they are late, with jitter that reorders. */
+    /** Quality of a link for datagrams: shares lost and duplicated, delay, and a random extra delay that reorders them. */
     record LinkQuality(double loss, double duplicate, double delay, double jitter) {
         static final LinkQuality GOOD = new LinkQuality(0, 0, 0, 0);
     }
--- a/src/main/java/kelphollow/lab/ScenarioReader.java
+++ b/src/main/java/kelphollow/lab/ScenarioReader.java
@@ -8,20 +8,20 @@
 import kelphollow.lab.Scenario.Action;
 import kelphollow.lab.Scenario.Condition;
 
-/** Reads one JSON object of a scenario's file; a faulty one is rejected as a whole, and the message names the key. */
+/** Reads one JSON object of a scenario file. Any fault rejects the whole file, with a message that names the key. */
 final class ScenarioReader {
     private static final int MAX_PARTIES = 20;
     private static final double MAX_COUNT = 1e6;
-    private static final double MAX_CLOCK_OFF = 1e9;
+    private static final double MAX_CLOCK_OFFSET_MS = 1e9;
     private static final double MAX_MILLIS = 10_000;
     private static final double DEFAULT_SLOWDOWN = 6;
-    private static final Set<Action> OF_NODES = Set.of(Action.SILENT_NODE, Action.FAILING_NODE, Action.SLOW_NODE,
+    private static final Set<Action> NODE_ACTIONS = Set.of(Action.SILENT_NODE, Action.FAILING_NODE, Action.SLOW_NODE,
         Action.NODE_BACK);
-    private static final Set<Action> OF_NOBODY = Set.of(Action.HEAL, Action.NET, Action.DISCOVERY_DOWN,
+    private static final Set<Action> ACTIONS_WITHOUT_TARGET = Set.of(Action.HEAL, Action.NET, Action.DISCOVERY_DOWN,
         Action.DISCOVERY_UP, Action.LOAD, Action.NOTHING);
 
     private final Map<?, ?> values;
-    /** What stands before a key to name it in full. */
+    /** Prefix of a key in messages, such as "steps[0].". */
     private final String path;
 
     private ScenarioReader(Map<?, ?> values, String path) {
@@ -38,7 +38,7 @@
         allowOnly("name", "instances", "nodes", "period_ms", "findings", "shed", "repeats", "limit", "node", "clients",
             "steps", "calm_ms");
         if (!(values.get("name") instanceof String name) || !name.matches("[a-z0-9-]{1,64}")) {
-            throw new InvalidScenarioException("name is missing or not of a to z, 0 to 9 and -");
+            throw new InvalidScenarioException("name is missing or does not match [a-z0-9-]{1,64}");
         }
         int instances = (int) number("instances", Double.NaN, 1, MAX_PARTIES);
         int nodes = (int) number("nodes", 2, 1, MAX_PARTIES);
@@ -75,28 +75,28 @@
     private Scenario.Step step(int instances, int nodes) throws InvalidScenarioException {
         allowOnly("wait", "event", "of", "count", "within_ms", "do", "who", "from", "lost_store", "clock_off_ms", "one_way",
             "by", "loss", "duplicate", "delay_ms", "jitter_ms");
-        Condition until = constant("wait", Condition.class);
+        Condition condition = constant("wait", Condition.class);
         Action action = constant("do", Action.class);
-        boolean ofNodes = OF_NODES.contains(action);
-        List<String> who = names("who", ofNodes ? "n" : "i", ofNodes ? nodes : instances);
+        boolean isNodeAction = NODE_ACTIONS.contains(action);
+        List<String> who = names("who", isNodeAction ? "n" : "i", isNodeAction ? nodes : instances);
         boolean drains = action == Action.DRAIN || action == Action.UNDRAIN;
         List<String> from = names("from", drains ? "n" : "i", drains ? nodes : instances);
-        if (who.isEmpty() && !OF_NOBODY.contains(action)) {
+        if (who.isEmpty() && !ACTIONS_WITHOUT_TARGET.contains(action)) {
             throw new InvalidScenarioException(path + "who is missing or empty");
         }
         if (drains && from.isEmpty()) {
-            throw new InvalidScenarioException(path + "from is missing: the nodes that drain");
+            throw new InvalidScenarioException(path + "from is missing or empty: it must list the nodes to drain");
         }
         String event = textOrEmpty("event");
-        if (until == Condition.SEEN && event.isEmpty()) {
+        if (condition == Condition.SEEN && event.isEmpty()) {
             throw new InvalidScenarioException(path + "event is missing");
         }
-        if (until != Condition.AGREE && values.get("count") == null) {
+        if (condition != Condition.AGREE && values.get("count") == null) {
             throw new InvalidScenarioException(path + "count is missing");
         }
-        return new Scenario.Step(until, event, textOrEmpty("of"), number("count", 0, 0, MAX_COUNT),
+        return new Scenario.Step(condition, event, textOrEmpty("of"), number("count", 0, 0, MAX_COUNT),
             number("within_ms", 30_000, 1, 120_000), action, who, from, flag("lost_store", false),
-            number("clock_off_ms", 0, -MAX_CLOCK_OFF, MAX_CLOCK_OFF), flag("one_way", false),
+            number("clock_off_ms", 0, -MAX_CLOCK_OFFSET_MS, MAX_CLOCK_OFFSET_MS), flag("one_way", false),
             number("by", action == Action.LOAD ? Double.NaN : DEFAULT_SLOWDOWN, 0, 10_000), link());
     }
 
@@ -107,7 +107,7 @@
 
     // ---------------------------------------------------------------- values
 
-    /** An object that may have these keys, or an empty one if there is none. */
+    /** Returns a reader of the object under a key that allows only these keys; a missing object reads as empty. */
     private ScenarioReader section(String key, String... keys) throws InvalidScenarioException {
         Map<?, ?> section = values.get(key) instanceof Map<?, ?> map ? map : Map.of();
         ScenarioReader reader = new ScenarioReader(section, path + key + ".");
@@ -123,9 +123,9 @@
         }
     }
 
-    /** True or false if it is there, {@code absent} where it is missing or no truth value. */
-    private boolean flag(String key, boolean absent) {
-        return values.get(key) instanceof Boolean flag ? flag : absent;
+    /** Returns a boolean, or {@code defaultValue} if the key is missing or not a boolean. */
+    private boolean flag(String key, boolean defaultValue) {
+        return values.get(key) instanceof Boolean flag ? flag : defaultValue;
     }
 
     private String textOrEmpty(String key) {
@@ -142,8 +142,8 @@
             + (values.get(key) == null ? "missing" : "'" + values.get(key) + "', which is not known"));
     }
 
-    /** Names of a letter and a number below {@code many}, empty if there is no such list. */
-    private List<String> names(String key, String letter, int many) throws InvalidScenarioException {
+    /** Reads a list of names, each of a letter and a number below {@code count}; empty if the key is missing. */
+    private List<String> names(String key, String letter, int count) throws InvalidScenarioException {
         if (values.get(key) == null) {
             return List.of();
         }
@@ -153,22 +153,22 @@
         Set<String> names = new LinkedHashSet<>();
         for (Object name : list) {
             if (!(name instanceof String text) || !text.matches(letter + "[0-9]{1,2}")
-                || Integer.parseInt(text.substring(1)) >= many) {
+                || Integer.parseInt(text.substring(1)) >= count) {
                 throw new InvalidScenarioException(path + key + " names " + name + ", which is not one of " + letter
-                    + "0 to " + letter + (many - 1));
+                    + "0 to " + letter + (count - 1));
             }
             names.add(text);
         }
         return List.copyOf(names);
     }
 
-    /** A number within bounds; {@code absent} stands in for a missing one, NaN if it must be there. */
-    private double number(String key, double absent, double least, double most) throws InvalidScenarioException {
-        Object value = values.get(key) == null ? (Double) absent : values.get(key);
-        if (value instanceof Double number && number >= least && number <= most) {
+    /** Reads a number within bounds; {@code defaultValue} is used for a missing key, NaN means that the key is required. */
+    private double number(String key, double defaultValue, double min, double max) throws InvalidScenarioException {
+        Object value = values.get(key) == null ? (Double) defaultValue : values.get(key);
+        if (value instanceof Double number && number >= min && number <= max) {
             return number;
         }
         throw new InvalidScenarioException(path + key
-            + (values.get(key) == null ? " is missing" : " must be from " + least + " to " + most));
+            + (values.get(key) == null ? " is missing" : " must be from " + min + " to " + max));
     }
 }
--- a/src/main/java/kelphollow/lab/package-info.java
+++ b/src/main/java/kelphollow/lab/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The rig that breaks a fleet: it starts real processes of the program, fake storage nodes, a fake control plane,
- * clients and relays, injects the faults of a scenario, and judges the history that is left. It knows the program from
- * outside only; the checks know the history only.
+ * Fault-injection tests of a fleet: starts real processes of the program, fake storage nodes, a fake control plane, clients
+ * and relays, injects the faults of a scenario, and checks the recorded history. It uses only the program's external
+ * interfaces; the checks use only the history.
  */
 package kelphollow.lab;
--- a/src/test/java/kelphollow/lab/LabNamesTest.java
+++ b/src/test/java/kelphollow/lab/LabNamesTest.java
@@ -21,11 +21,11 @@
 import kelphollow.protocol.json.Json;
 import org.junit.jupiter.api.Test;
 
-/** Keys and words of the lab's scenario files, and names in the histories that its runs leave. */
+/** Guards the keys and words of scenario files, and the names in the histories of runs, against unintended changes. */
 class LabNamesTest {
     private static final Path SCENARIOS = Path.of("src/lab/scenarios");
     private static final String UNKNOWN_WORD = "no-such-word";
-    /** A fault is for instances or for nodes, and may need another side of either. */
+    /** An action applies to instances or to nodes, and may need a second list of either. */
     private static final List<String> PARTIES = List.of("i0", "n0");
 
     private static KeyProbe probe() throws IOException {
@@ -40,16 +40,16 @@
         }
     }
 
-    @Test void eachKeyOfAScenarioIsRead() throws Exception {
+    @Test void everyScenarioKeyIsRead() throws Exception {
         RecordedNames.assertRecorded("lab-keys.txt", RecordedNames.keys(RecordedNames.example("example-lab.json")));
         assertEquals(Set.of(), probe().keysNotUsed());
     }
 
-    @Test void unknownKeysAreRefusedWhereTheyWere() throws Exception {
+    @Test void objectsThatRejectUnknownKeysAreAsRecorded() throws Exception {
         RecordedNames.assertRecorded("lab-refuses-unknown.txt", probe().objectsThatRefuseUnknownKeys());
     }
 
-    @Test void eachShippedScenarioIsRead() throws Exception {
+    @Test void everyShippedScenarioIsValid() throws Exception {
         try (Stream<Path> files = Files.list(SCENARIOS)) {
             for (Path file : files.toList()) {
                 read((Map<?, ?>) Json.parse(Files.readString(file)));
@@ -57,18 +57,18 @@
         }
     }
 
-    /** Lines hold the key and the word. What a step waits for is written into the history too, in capitals. */
-    @Test void eachWordOfAStepIsUnderstood() throws Exception {
+    /** Each recorded line holds a key and a word. The word of a condition is also written to the history, in upper case. */
+    @Test void everyStepWordIsUnderstood() throws Exception {
         Set<Object> meanings = new HashSet<>();
         for (String line : RecordedNames.read("lab-words.txt")) {
             String[] words = line.split(" ");
             Scenario.Step step = step(words[0], words[1]);
-            meanings.add(words[0].equals("do") ? step.action() : step.until());
+            meanings.add(words[0].equals("do") ? step.action() : step.condition());
             if (words[0].equals("wait")) {
-                assertEquals(words[1].toUpperCase(Locale.ROOT), step.until().name());
+                assertEquals(words[1].toUpperCase(Locale.ROOT), step.condition().name());
             }
         }
-        assertEquals(RecordedNames.read("lab-words.txt").size(), meanings.size(), "each word has a meaning of its own");
+        assertEquals(RecordedNames.read("lab-words.txt").size(), meanings.size(), "each word must have its own meaning");
         for (String key : List.of("do", "wait")) {
             String outcome = probe().outcomeWith("steps[]." + key, UNKNOWN_WORD);
             assertTrue(KeyProbe.isRefused(outcome) && outcome.contains(UNKNOWN_WORD), outcome);
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Each line of a run's history has a recorded form: who tells it, what it tells and by which keys. Runs call this, since
-     * most lines come only with processes.
+     * Asserts that each line of a run's history has a recorded form: party, event and keys. Tests that run processes call
+     * this, since most lines occur only there.
      */
     static void assertHistoryHasRecordedNames(Path history) throws IOException {
         SortedSet<String> forms = new TreeSet<>();
--- a/src/test/java/kelphollow/lab/LabTest.java
+++ b/src/test/java/kelphollow/lab/LabTest.java
@@ -16,12 +16,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Fleets of five real processes under faults. Seven scenarios here; all of {@code src/lab/scenarios} in the profile
- * {@code fleet}.
+ * Runs scenarios with fleets of five real processes under faults: seven by default, all of {@code src/lab/scenarios} in the
+ * Maven profile {@code fleet}.
  */
 class LabTest {
     private static final Path SCENARIOS = Path.of("src/lab/scenarios");
-    private static final List<String> SHORT = List.of("crash.json", "drain.json", "failing-nodes.json", "halves.json",
+    private static final List<String> DEFAULT_SCENARIOS = List.of("crash.json", "drain.json", "failing-nodes.json",
+        "halves.json",
         "silent-node.json", "stopped.json", "uneven-broken.json");
     @TempDir
     Path folder;
@@ -29,21 +30,21 @@
     @TestFactory Stream<DynamicTest> scenarios() throws IOException {
         try (Stream<Path> files = Files.list(SCENARIOS)) {
             return files.sorted().filter(f -> Boolean.getBoolean("kelphollow.lab.all")
-                || SHORT.contains(f.getFileName().toString())).toList().stream()
-                .map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> play(f)));
+                || DEFAULT_SCENARIOS.contains(f.getFileName().toString())).toList().stream()
+                .map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> runScenario(f)));
         }
     }
 
-    private void play(Path file) throws Exception {
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        int code = Lab.run(file, 1, folder.resolve(file.getFileName().toString()), new PrintStream(said), System.err);
-        assertEquals(Lab.PASS, code, said::toString);
+    private void runScenario(Path file) throws Exception {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        int code = Lab.run(file, 1, folder.resolve(file.getFileName().toString()), new PrintStream(output), System.err);
+        assertEquals(Lab.PASS, code, output::toString);
         LabNamesTest.assertHistoryHasRecordedNames(folder.resolve(file.getFileName().toString()).resolve("history.jsonl"));
         assertEquals(0, ProcessHandle.current().descendants().filter(p -> p.info().commandLine().orElse("")
-            .contains(folder.toString())).count(), "a process is left");
+            .contains(folder.toString())).count(), "processes must not outlive the run");
     }
 
-    @Test void aFaultyScenarioIsRefusedWholeNamingTheKey() throws Exception {
+    @Test void invalidScenarioIsRejectedWithAMessageThatNamesTheKey() throws Exception {
         String good = Files.readString(SCENARIOS.resolve("crash.json"));
         for (String[] fault : new String[][] {{"\"instances\": 5", "\"instances\": 0", "instances must be from 1"},
             {"\"instances\": 5,", "", "instances is missing"}, {"\"i1\"", "\"i9\"", "steps[0].who names i9"},
@@ -53,9 +54,9 @@
             {"{\"name\"", "{name", "crash"}}) {
             assertTrue(good.contains(fault[0]), fault[0]);
             Path file = Files.writeString(folder.resolve("crash-bad.json"), good.replace(fault[0], fault[1]));
-            ByteArrayOutputStream told = new ByteArrayOutputStream();
-            assertEquals(Lab.INVALID, Lab.run(file, 1, null, System.out, new PrintStream(told)), fault[2]);
-            assertTrue(told.toString().contains(fault[2]), told.toString());
+            ByteArrayOutputStream errors = new ByteArrayOutputStream();
+            assertEquals(Lab.INVALID, Lab.run(file, 1, null, System.out, new PrintStream(errors)), fault[2]);
+            assertTrue(errors.toString().contains(fault[2]), errors.toString());
         }
     }
 }
