--- a/src/main/java/kelphollow/lab/soak/ListKnowledge.java
+++ b/src/main/java/kelphollow/lab/soak/ListKnowledge.java
@@ -13,15 +13,15 @@
 import kelphollow.lab.soak.SoakHistory.WatchSilent;
 
 /**
- * Which version of the list a process counts as notified of at what time, by the platform's rules: from its being written to
- * it, and in any case some time after the change. Times in milliseconds.
+ * Derives which list version a process counts as notified of at a time. By the platform's rules that is from the time the
+ * version is written to it, and in any case after a fixed time since the change. Times are in milliseconds.
  */
 final class ListKnowledge {
-    /** A change counts as notified so long after it, as long as discovery can be reached. */
-    static final double NOTIFIED_AFTER = 6_000;
-    /** The same counted from a move of discovery. */
-    static final double MOVE_NOTIFIED_AFTER = 4_000;
-    /** No version. */
+    /** Time after a change from which it counts as notified, while discovery is reachable. */
+    static final double NOTIFIED_AFTER_MS = 6_000;
+    /** Time after a move of discovery from which earlier changes count as notified. */
+    static final double MOVE_NOTIFIED_AFTER_MS = 4_000;
+    /** Stands for no version. */
     static final long NONE = -1;
 
     /** One process of an instance. */
@@ -30,32 +30,32 @@
     private final boolean pushed;
     private final double slack;
     private final List<ListChanged> changes;
-    private final List<ListWritten> writings;
+    private final List<ListWritten> writes;
     private final List<DiscoveryMoved> moves;
-    private final List<WatchSilent> silences;
+    private final List<WatchSilent> silentWatches;
     private final List<Incarnation> incarnations;
     private final List<Outage> outages;
     private final Map<ProcessRun, double[]> notifiedFrom = new HashMap<>();
 
-    /** {@code slack} is what the machine that played may have added. */
+    /** {@code slack} is the delay that the machine of the run may have added. */
     ListKnowledge(SoakHistory history, double slack) {
         this.pushed = history.isPushed();
         this.slack = slack;
         this.changes = history.all(ListChanged.class);
-        this.writings = history.all(ListWritten.class);
+        this.writes = history.all(ListWritten.class);
         this.moves = history.all(DiscoveryMoved.class);
-        this.silences = history.all(WatchSilent.class);
+        this.silentWatches = history.all(WatchSilent.class);
         this.incarnations = history.all(Incarnation.class);
         this.outages = history.all(Outage.class).stream().sorted(Comparator.comparingDouble(Outage::from)).toList();
     }
 
-    /** When the process began that an instance ran at that time. */
+    /** Returns the start time of the process that an instance ran at that time. */
     double processStartedAt(int instance, double at) {
         return incarnations.stream().filter(process -> process.instance() == instance && process.from() <= at)
             .mapToDouble(Incarnation::from).max().orElse(0);
     }
 
-    /** The newest version that the process counts as notified of at that time, by whichever rule, or {@link #NONE}. */
+    /** Returns the newest version that the process counts as notified of at that time by any rule, or {@link #NONE}. */
     long notifiedVersion(int instance, double processFrom, double at) {
         double[] from = notifiedFrom.computeIfAbsent(new ProcessRun(instance, processFrom), process -> changes.stream()
             .mapToDouble(change -> notifiedFrom(process, change)).toArray());
@@ -68,14 +68,14 @@
         return newest;
     }
 
-    /** The newest version that was written to the process by that time, or {@link #NONE}. */
+    /** Returns the newest version that was written to the process by that time, or {@link #NONE}. */
     long writtenVersion(int instance, double processFrom, double at) {
-        return writings.stream().filter(
+        return writes.stream().filter(
             written -> written.instance() == instance && written.at() >= processFrom && written.at() <= at)
             .mapToLong(ListWritten::version).max().orElse(NONE);
     }
 
-    /** Whether the node may get nothing new in any version from the first to the last of these. */
+    /** Whether no version from the first to the last of these allows new requests to the node. */
     boolean isUnusable(String node, long first, long last) {
         boolean usable = true;
         for (ListChanged change : changes) {
@@ -91,29 +91,29 @@
         return !usable;
     }
 
-    /** When a change counts as notified: written to the process, or by the rules on silence, outages and moves. */
+    /** Returns when a change counts as notified: at its write, or by the rules on silent watches, outages and moves. */
     private double notifiedFrom(ProcessRun process, ListChanged change) {
-        double written = writings.stream()
-            .filter(writing -> writing.instance() == process.instance && writing.at() >= process.from
-                && writing.version() >= change.version())
+        double written = writes.stream()
+            .filter(write -> write.instance() == process.instance && write.at() >= process.from
+                && write.version() >= change.version())
             .mapToDouble(ListWritten::at).min().orElse(Double.POSITIVE_INFINITY);
         boolean atOnce = pushed && !isSilent(process.instance, change.at());
-        double byTime = reachableFor(change.at(), atOnce ? 0 : NOTIFIED_AFTER);
+        double byAge = reachableFor(change.at(), atOnce ? 0 : NOTIFIED_AFTER_MS);
         double byMove = Double.POSITIVE_INFINITY;
         for (DiscoveryMoved moved : moves) {
             if (moved.instance() == process.instance && moved.at() >= change.at() && moved.at() >= process.from) {
-                byMove = Math.min(byMove, reachableFor(moved.at(), MOVE_NOTIFIED_AFTER));
+                byMove = Math.min(byMove, reachableFor(moved.at(), MOVE_NOTIFIED_AFTER_MS));
             }
         }
-        return Math.min(written, Math.min(byTime, byMove));
+        return Math.min(written, Math.min(byAge, byMove));
     }
 
     private boolean isSilent(int instance, double at) {
-        return silences.stream().anyMatch(silence -> silence.instance() == instance && at >= silence.at() - slack
-            && at < silence.at() + NOTIFIED_AFTER);
+        return silentWatches.stream().anyMatch(silent -> silent.instance() == instance && at >= silent.at() - slack
+            && at < silent.at() + NOTIFIED_AFTER_MS);
     }
 
-    /** The first time at which discovery could be reached for so long without a break since {@code from}. */
+    /** Returns the first time since {@code from} at which discovery had been reachable for all of {@code span}. */
     private double reachableFor(double from, double span) {
         double since = from;
         for (Outage outage : outages) {
--- a/src/main/java/kelphollow/lab/soak/RespClient.java
+++ b/src/main/java/kelphollow/lab/soak/RespClient.java
@@ -11,11 +11,11 @@
 
 /** A blocking client of the platform's protocol on one connection. */
 public final class RespClient implements AutoCloseable {
-    private static final int TIMEOUT_MS = 20_000;   // only so that a failure ends
+    private static final int TIMEOUT_MS = 20_000;   // ends a test that would otherwise hang
     private final Socket socket;
     private final InputStream in;
 
-    /** Connects. */
+    /** Connects to the address. */
     public RespClient(InetSocketAddress to) throws IOException {
         socket = new Socket();
         socket.connect(to, TIMEOUT_MS);
@@ -24,7 +24,7 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** The bytes of a request for one piece of data; {@code wait} in milliseconds. */
+    /** Encodes a request for one object; {@code wait} is its deadline in milliseconds. */
     public static String get(String id, String requestClass, int wait, int cell) {
         String fields = "c=" + requestClass + ",t=padrao,d=" + wait + ",volume=v" + cell + ",units=1,shard=" + cell
             + ",hosts=1";
@@ -32,22 +32,22 @@
             + fields + "\r\n";
     }
 
-    /** Writes this text, a byte a character. */
+    /** Writes the text in ISO 8859-1, one byte per character. */
     public void send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** A read that takes longer than this, in milliseconds, throws. */
-    void waitAtMost(int millis) throws IOException {
+    /** Sets the read timeout in milliseconds. */
+    void setReadTimeout(int millis) throws IOException {
         socket.setSoTimeout(millis);
     }
 
-    /** The next line without its end. */
+    /** Reads the next line, without its line ending. */
     public String line() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int next; (next = in.read()) != '\n';) {
             if (next < 0) {
-                throw new EOFException("ended after '" + line + "'");
+                throw new EOFException("connection ended after '" + line + "'");
             }
             if (next != '\r') {
                 line.write(next);
@@ -56,7 +56,7 @@
         return line.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** The next answer: its first line, or the value of a bulk string, also of the first one of an array. */
+    /** Reads the next reply: its first line, or the value of a bulk string, alone or as the first element of an array. */
     public String answer() throws IOException {
         String head = line();
         if (head.startsWith("*")) {
--- a/src/main/java/kelphollow/lab/soak/ServeProcess.java
+++ b/src/main/java/kelphollow/lab/soak/ServeProcess.java
@@ -10,15 +10,15 @@
 import kelphollow.lab.Ports;
 
 /**
- * The program as a process of its own on the platform's protocol: {@code serve} with a file written here. It can be killed,
- * stopped, signalled to end or to reload its file, and started anew under the same address.
+ * A process of the program that serves the platform's protocol, with a configuration file written by this class. It can be
+ * killed, stopped, terminated, told to reload its file, and restarted at the same address.
  */
 public final class ServeProcess implements AutoCloseable {
     private static final String MAIN = "kelphollow.program.Main";
     /** A process that is not ready after this time, in seconds, has failed to start. */
     private static final int READY_TIMEOUT_SECONDS = 60;
-    /** After SIGTERM the platform kills no sooner than this, in milliseconds: the longest deadline counted, and 0.7 s. */
-    private static final long KILLED_AFTER_MS = 3_700;
+    /** The platform kills no sooner than this after SIGTERM: the longest deadline that counts plus 0.7 s. */
+    private static final long MIN_KILL_DELAY_MS = 3_700;
     private static final int POLL_MS = 20;
     private static final String CLASSES = "[{\"name\":\"dump-read\",\"aim\":250,\"deadline\":1200,\"effect\":\"pure\","
         + "\"worth\":2,\"late_share\":0.2},{\"name\":\"dump-write\",\"aim\":500,\"deadline\":3000,"
@@ -38,14 +38,14 @@
     private double startedAt;
     private double termAt;
     private volatile boolean serving;
-    private boolean endNoted;
+    private boolean exitRecorded;
 
-    /** Keeps no history. */
+    /** Creates an instance whose history is not kept. */
     public ServeProcess(Path folder, int instance, String settings) throws IOException {
         this(folder, instance, settings, new SoakHistory());
     }
 
-    /** {@code settings} is the JSON object of that name; files and logs go into the folder. */
+    /** {@code settings} is the JSON object under that key; configuration files and logs go to the folder. */
     ServeProcess(Path folder, int instance, String settings, SoakHistory history) throws IOException {
         this.folder = folder;
         this.name = "n" + instance;
@@ -55,7 +55,7 @@
         this.listen = new InetSocketAddress("127.0.0.1", PORTS.free());
     }
 
-    /** Settings of one of so many instances; {@code pushed}: lists come to an agent, else they are polled. */
+    /** Returns the settings for a fleet of this size; with {@code pushed} lists are pushed to an agent, else polled. */
     public static String settings(int instances, boolean pushed) {
         return "{\"me\":0,\"fleet_size\":" + instances + ",\"my_zone\":\"a\",\"tick\":2,\"discovery\":\""
             + (pushed ? "automatic" : "subscribe") + "\",\"ceilings\":{\"cancel\":true,\"most_tries\":3,\"open_cap\":20000,"
@@ -65,7 +65,7 @@
             + "\"reserve\":320,\"proportion\":1,\"value_factor\":0.9}],\"request_classes\":" + CLASSES + "}";
     }
 
-    /** Where clients connect, the same in all its incarnations. */
+    /** The address for clients, the same in all incarnations. */
     public InetSocketAddress address() {
         return listen;
     }
@@ -74,7 +74,7 @@
         return folder.resolve(name + ".log");
     }
 
-    /** Writes the file that the program reads at its start and at SIGHUP, complete at once. */
+    /** Replaces the file that the program reads at start and on SIGHUP, atomically. */
     public void configure(InetSocketAddress discovery, String known, long seed) throws IOException {
         String limits = "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024}";
         Path complete = Files.writeString(folder.resolve(name + ".json.part"), "{\"name\":\"" + name
@@ -84,7 +84,7 @@
         Files.move(complete, folder.resolve(name + ".json"), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Starts it; assertions are on, so that a broken invariant shows. */
+    /** Starts the process with assertions enabled, so that a broken invariant is logged. */
     public void start() throws IOException {
         starts++;
         ProcessBuilder builder = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC",
@@ -93,7 +93,7 @@
         Map<String, String> environment = builder.environment();
         environment.put("GW_CONFIG", folder.resolve(name + ".json").toString());
         environment.put("TMPDIR", Files.createDirectories(folder.resolve(name + ".tmp" + starts)).toString());
-        endNoted = false;
+        exitRecorded = false;
         startedAt = history.now();
         termAt = Double.POSITIVE_INFINITY;
         Process started = builder.start();
@@ -111,56 +111,57 @@
             client.send("*1\r\n$4\r\nPING\r\n");
             return client.answer().equals("+PONG");
         } catch (IOException e) {
-            return false;                  // not listening yet
+            return false;                  // the process does not listen yet
         }
     }
 
-    /** Waits until it has answered a client's PING; throws if it ends or takes longer than a minute. */
+    /** Waits until the process has answered a PING; throws if it exits or takes longer than a minute. */
     public void awaitReady() throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_SECONDS);
         while (!serving) {
             if (System.nanoTime() > until || !process.isAlive()) {
-                throw new IllegalStateException(name + " is not ready: " + Files.readString(log()));
+                throw new IllegalStateException(name + " exited or did not answer PING within " + READY_TIMEOUT_SECONDS
+                    + " s: " + Files.readString(log()));
             }
             Thread.sleep(POLL_MS);
         }
     }
 
-    /** It has answered a PING in this incarnation, and has not had SIGTERM. */
+    /** Whether the process has answered a PING and has not been sent SIGTERM. */
     boolean isServing() {
         return serving && process.isAlive();
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL and waits for the exit. */
     public void kill() throws InterruptedException {
         serving = false;
         process.destroyForcibly().waitFor();
-        noteEnd(true);
+        recordExit(true);
     }
 
-    /** Notes the end of this incarnation, once. */
-    private void noteEnd(boolean killed) {
-        if (!endNoted) {
-            endNoted = true;
+    /** Records the exit of this incarnation, once. */
+    private void recordExit(boolean killed) {
+        if (!exitRecorded) {
+            exitRecorded = true;
             history.add(new SoakHistory.Incarnation(instance, startedAt, termAt, history.now(), killed,
                 process.exitValue()));
         }
     }
 
-    /** SIGTERM. */
-    void term() {
+    /** Sends SIGTERM without waiting. */
+    void terminate() {
         serving = false;
         termAt = history.now();
         process.destroy();
     }
 
-    /** Whether it has ended since SIGTERM; it is killed once the platform would kill it. */
-    boolean hasEnded() throws InterruptedException {
+    /** Whether the process has exited; it is killed when the platform would kill it after SIGTERM. */
+    boolean hasExited() throws InterruptedException {
         if (!process.isAlive()) {
-            noteEnd(false);
+            recordExit(false);
             return true;
         }
-        if (history.now() - termAt > KILLED_AFTER_MS) {
+        if (history.now() - termAt > MIN_KILL_DELAY_MS) {
             kill();
             return true;
         }
@@ -172,16 +173,16 @@
         new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** SIGTERM, unless it has had it or has ended. */
-    void termIfServing() {
+    /** Sends SIGTERM, unless it was sent before or the process has exited. */
+    void terminateIfRunning() {
         if (process.isAlive() && termAt == Double.POSITIVE_INFINITY) {
-            term();
+            terminate();
         }
     }
 
-    /** Waits for the end; a process that has ended by itself is noted as it ended. */
-    void awaitEnd() throws InterruptedException {
-        while (!hasEnded()) {
+    /** Waits for the exit, and records it also for a process that exited by itself. */
+    void awaitExit() throws InterruptedException {
+        while (!hasExited()) {
             Thread.sleep(POLL_MS);
         }
     }
--- a/src/main/java/kelphollow/lab/soak/Soak.java
+++ b/src/main/java/kelphollow/lab/soak/Soak.java
@@ -19,24 +19,24 @@
 import kelphollow.lab.soak.SoakHistory.RequestEnded;
 import kelphollow.lab.soak.SoakHistory.RequestSent;
 
-/** One run: starts all parties, plays the faults at their times, stops everything, and has the history judged. */
+/** One run: starts all parties, injects the faults at their times, stops everything, and checks the history. */
 public final class Soak implements AutoCloseable {
-    /** What is played; {@code seconds} of faults and load, beside the starts and the end. */
+    /** Parameters of a run; {@code seconds} of faults and load, without the time to start and stop. */
     public record Plan(long seed, int instances, int nodes, int seconds, boolean pushed) {}
 
-    /** No rule was broken. */
+    /** Exit code: no rule was broken. */
     public static final int PASS = 0;
-    /** A rule was broken. */
+    /** Exit code: a rule was broken. */
     public static final int BROKEN = 1;
     private static final int CLIENTS = 3;
     private static final int PRINTED_BREACHES = 20;
-    private static final int FAULT_LINES = 5;
+    private static final int MAX_FAULT_LINES = 5;
     private static final int LATENESS_INTERVAL_MS = 10;
-    /** How late the threads of this process may be before the run says nothing, in milliseconds. */
-    private static final double MAX_LATENESS = 250;
-    /** What is granted to the machine anyway, in milliseconds. */
-    private static final double SLACK = 120;
-    private static final Pattern FAULT = Pattern.compile("invariant broken|AssertionError|Exception|SEVERE");
+    /** Lateness of this process's threads above which time checks of a run mean nothing. */
+    private static final double MAX_LATENESS_MS = 250;
+    /** Delay that the checks always allow for the machine. */
+    private static final double SLACK_MS = 120;
+    private static final Pattern FAULT_LINE = Pattern.compile("invariant broken|AssertionError|Exception|SEVERE");
 
     private final Plan plan;
     private final Path folder;
@@ -45,7 +45,7 @@
     private final SoakDiscovery discovery;
     private final List<SoakNode> nodes = new ArrayList<>();
     private final List<ServeProcess> instances = new ArrayList<>();
-    private final FaultPlayer faults;
+    private final FaultInjector injector;
     private final AtomicBoolean ended = new AtomicBoolean();
     private volatile double lateness;
 
@@ -53,42 +53,42 @@
         this.plan = plan;
         this.folder = folder;
         if (Files.exists(folder)) {
-            throw new IOException(folder + " is there already");
+            throw new IOException("folder " + folder + " already exists; a run needs a new one");
         }
         Files.createDirectories(folder);
         this.out = out;
         this.discovery = new SoakDiscovery(history, new Random(plan.seed() + 1));
-        this.faults = new FaultPlayer(plan, history, discovery, nodes, instances, new Random(plan.seed() ^ 0x5eedL));
+        this.injector = new FaultInjector(plan, history, discovery, nodes, instances, new Random(plan.seed() ^ 0x5eedL));
         history.setPushed(plan.pushed());
     }
 
-    /** Plays a run and prints what it found; the result is {@link #PASS} or {@link #BROKEN}. */
+    /** Runs the plan and prints the violations found; returns {@link #PASS} or {@link #BROKEN}. */
     public static int run(Plan plan, Path folder, PrintStream out) throws Exception {
         List<SoakChecker.Breach> breaches;
         try (Soak soak = new Soak(plan, folder, out)) {
-            breaches = soak.play();
+            breaches = soak.execute();
         }
         breaches.stream().limit(PRINTED_BREACHES).forEach(out::println);
         out.println(plan + ": " + (breaches.isEmpty() ? "no rule broken" : breaches.size() + " breaches"));
         return breaches.isEmpty() ? PASS : BROKEN;
     }
 
-    private List<SoakChecker.Breach> play() throws Exception {
+    private List<SoakChecker.Breach> execute() throws Exception {
         watchLateness();
         startAll();
         SoakClients clients = new SoakClients(history, plan.nodes());
         for (int i = 0; i < plan.instances(); i++) {
             clients.start(i, instances.get(i).address(), CLIENTS, plan.seed() * 1_000 + i);
         }
-        faults.play(SoakFaults.draw(plan.seed(), plan.seconds(), plan.instances(), plan.nodes(), plan.pushed()));
+        injector.inject(SoakFaults.draw(plan.seed(), plan.seconds(), plan.instances(), plan.nodes(), plan.pushed()));
         clients.close();
-        discovery.comeBack();
-        endAll();
+        discovery.recover();
+        stopAll();
         ended.set(true);
         readLogs();
         SoakHistory complete = history.snapshot();
         report(complete);
-        return SoakChecker.judge(complete, SLACK + lateness);
+        return SoakChecker.check(complete, SLACK_MS + lateness);
     }
 
     private void startAll() throws Exception {
@@ -98,7 +98,7 @@
         discovery.change(nodes.stream().map(node -> ListedNode.of(node, Health.READY, 0)).toList());
         for (int i = 0; i < plan.instances(); i++) {
             instances.add(new ServeProcess(folder, i, ServeProcess.settings(plan.instances(), plan.pushed()), history));
-            faults.configure(i);
+            injector.configure(i);
             instances.get(i).start();
         }
         for (ServeProcess instance : instances) {
@@ -106,12 +106,12 @@
         }
     }
 
-    private void endAll() throws InterruptedException {
+    private void stopAll() throws InterruptedException {
         for (ServeProcess instance : instances) {
-            instance.termIfServing();
+            instance.terminateIfRunning();
         }
         for (ServeProcess instance : instances) {
-            instance.awaitEnd();
+            instance.awaitExit();
         }
     }
 
@@ -129,7 +129,7 @@
         try (Stream<Path> files = Files.list(folder).filter(file -> file.toString().endsWith(".log"))) {
             for (Path log : files.toList()) {
                 try (Stream<String> lines = Files.lines(log)) {
-                    lines.filter(line -> FAULT.matcher(line).find()).limit(FAULT_LINES)
+                    lines.filter(line -> FAULT_LINE.matcher(line).find()).limit(MAX_FAULT_LINES)
                         .forEach(line -> history.add(new SoakHistory.FaultLogged(log.getFileName() + ": " + line)));
                 }
             }
@@ -141,8 +141,8 @@
         out.printf("%d requests, %d served, %d attempts, %d versions, %d lives, threads late by %.0f ms at most%n",
             complete.all(RequestSent.class).size(), served, complete.all(AttemptArrived.class).size(),
             complete.all(ListChanged.class).size(), complete.all(Incarnation.class).size(), lateness);
-        if (lateness > MAX_LATENESS) {
-            out.println("the machine was too slow for a judgement of times");
+        if (lateness > MAX_LATENESS_MS) {
+            out.println("the machine was too slow to check times");
         }
     }
 
--- a/src/main/java/kelphollow/lab/soak/SoakClients.java
+++ b/src/main/java/kelphollow/lab/soak/SoakClients.java
@@ -11,12 +11,12 @@
 import kelphollow.lab.soak.SoakHistory.RequestSent;
 
 /**
- * Clients of one run, some for each instance, each on one connection at a time. They request what lies on all nodes, pause
- * for random times, write some requests in segments and leave some before the answer. A request whose connection ends unread
- * is sent once more on a new one, as the platform's clients do.
+ * Clients of one run, several per instance, each with one connection at a time. They request objects of all nodes, pause for
+ * random times, write some requests in segments and abandon some before the answer. A request whose connection ends without
+ * an answer is sent once more on a new one, as the platform's clients do.
  */
 final class SoakClients implements AutoCloseable {
-    /** The classes of the example's settings: name, patience in milliseconds, and whether it must run only once. */
+    /** A request class of the settings: name, client timeout in milliseconds, and whether it must run only once. */
     private record RequestClass(String name, int patience, boolean mustRunOnce) {}
 
     private static final List<RequestClass> CLASSES = List.of(new RequestClass("dump-read", 1_200, false),
@@ -27,20 +27,20 @@
     private static final double SEGMENTED_SHARE = 0.1;
     private static final double LONG_PAUSE_SHARE = 0.02;
     private static final double RECONNECT_SHARE = 0.05;
-    /** How much longer than its time a client waits before it counts an answer as missing, in milliseconds. */
-    private static final int EXTRA_PATIENCE_MS = 2_000;
+    /** Time that a client waits beyond its timeout before it counts an answer as missing. */
+    private static final int EXTRA_WAIT_MS = 2_000;
 
     private final SoakHistory history;
     private final int cells;
     private final List<Thread> threads = new ArrayList<>();
-    private volatile boolean ending;
+    private volatile boolean closing;
 
     SoakClients(SoakHistory history, int cells) {
         this.history = history;
         this.cells = cells;
     }
 
-    /** Starts so many clients of an instance. */
+    /** Starts this many clients of an instance. */
     void start(int instance, InetSocketAddress address, int count, long seed) {
         for (int i = 0; i < count; i++) {
             String name = "i" + instance + "c" + i;
@@ -49,15 +49,15 @@
         }
     }
 
-    /** Lets each client finish what it waits for. */
+    /** Waits until each client has finished its current request. */
     @Override public void close() throws InterruptedException {
-        ending = true;
+        closing = true;
         for (Thread thread : threads) {
-            thread.join(CLASSES.get(CLASSES.size() - 1).patience() + 2 * EXTRA_PATIENCE_MS);
+            thread.join(CLASSES.get(CLASSES.size() - 1).patience() + 2 * EXTRA_WAIT_MS);
         }
     }
 
-    /** One client. */
+    /** One client with its own thread and connection. */
     private final class Client {
         private final String name;
         private final int instance;
@@ -74,18 +74,18 @@
         }
 
         void run() throws Exception {
-            while (!ending) {
+            while (!closing) {
                 int maxPause = random.nextDouble() < LONG_PAUSE_SHARE ? MAX_LONG_PAUSE_MS : MAX_PAUSE_MS;
                 Thread.sleep(random.nextInt(maxPause));
                 if (connection == null || random.nextDouble() < RECONNECT_SHARE) {
-                    drop();
+                    disconnect();
                     if (!connect()) {
                         continue;
                     }
                 }
                 request(CLASSES.get(random.nextInt(CLASSES.size())));
             }
-            drop();
+            disconnect();
         }
 
         private boolean connect() {
@@ -93,11 +93,11 @@
                 connection = new RespClient(address);
                 return true;
             } catch (IOException e) {
-                return false;              // its process is away
+                return false;              // the process is down
             }
         }
 
-        private void drop() throws IOException {
+        private void disconnect() throws IOException {
             if (connection != null) {
                 connection.close();
                 connection = null;
@@ -113,7 +113,7 @@
                     history.add(new RequestEnded(history.now(), id, outcome));
                     return;
                 }
-                drop();
+                disconnect();
                 if (attempt > 0 || !connect()) {
                     history.add(new RequestEnded(history.now(), id, outcome));
                     return;
@@ -138,17 +138,17 @@
                 }
                 if (random.nextDouble() < LEAVE_SHARE) {
                     Thread.sleep(random.nextInt(requestClass.patience() / 4));
-                    drop();
+                    disconnect();
                     return Outcome.CLIENT_LEFT;
                 }
-                connection.waitAtMost(requestClass.patience() + EXTRA_PATIENCE_MS);
+                connection.setReadTimeout(requestClass.patience() + EXTRA_WAIT_MS);
                 String answer = connection.answer();
                 if (answer.equals("ok")) {
                     return Outcome.SERVED;
                 }
                 return answer.startsWith("-BUSY") ? Outcome.REJECTED : Outcome.FAILED;
             } catch (SocketTimeoutException e) {
-                drop();
+                disconnect();
                 return Outcome.NO_ANSWER;
             } catch (IOException e) {
                 return Outcome.CONNECTION_ENDED;
--- a/src/main/java/kelphollow/lab/soak/SoakDiscovery.java
+++ b/src/main/java/kelphollow/lab/soak/SoakDiscovery.java
@@ -22,14 +22,14 @@
 import java.util.stream.Collectors;
 
 /**
- * A fake discovery service for all instances of a run, from the platform's description: the complete list, changes since a
- * version, and calls that wait for changes. Each instance has addresses of its own, so that its calls are known; behind them
- * is one service that works through calls that begin a watch in turn, rejects them while its queue is full, and can be down.
- * Where lists are pushed it plays the instances' agents: each call is served at once, and all are silent while it is down.
- * Safe from any thread.
+ * A fake discovery service for all instances of a run, written from the platform's description: complete lists, changes
+ * since a version, and calls that wait for changes. Each instance gets its own addresses, which identify its calls. One
+ * service behind them handles calls that begin a watch one after the other, rejects them while its queue is full, and can be
+ * down. Where lists are pushed it acts as the instances' agents: each call is served at once, and none is while it is down.
+ * Thread-safe.
  */
 final class SoakDiscovery implements AutoCloseable {
-    /** Whether a node may get new requests, with its word in the list. */
+    /** Whether a node may get new requests; {@code word} is its form in the list. */
     enum Health {
         READY("ready"), DRAINING("draining"), REMOVED("gone");
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /** A node of the list; {@code startedAt} in Unix milliseconds, 0 if it is long ago. */
+    /** A node of the list; {@code startedAt} in Unix milliseconds, 0 for a node that has long been running. */
     record ListedNode(String name, InetSocketAddress address, int cell, Health health, long startedAt) {
         static ListedNode of(SoakNode node, Health health, long startedAt) {
             return new ListedNode(node.name(), node.address(), node.cell(), health, startedAt);
@@ -54,8 +54,8 @@
     }
 
     /**
-     * A call: changes since this version, or the complete list; answered after {@code patience} milliseconds at the
-     * latest.
+     * A call for the changes since a version, or for the complete list. Without changes it is answered after
+     * {@code patience} milliseconds.
      */
     private record Call(long sinceVersion, int patience) {
         static final long COMPLETE = -1;
@@ -64,21 +64,21 @@
             return sinceVersion < 0;
         }
 
-        /** Whether it is one of the calls that begin a watch, which are worked through in turn. */
+        /** Whether the call begins a watch; such calls are handled one after the other. */
         boolean beginsWatch() {
-            return isForCompleteList() || patience <= AT_ONCE_MS;
+            return isForCompleteList() || patience <= MAX_IMMEDIATE_WAIT_MS;
         }
     }
 
-    /** A list as it goes into a response, and the version up to which it is complete. */
+    /** The list of a response, as JSON, and the version up to which it is complete. */
     private record Response(String list, long version) {}
 
-    /** Calls that wait longer for their turn than this, in milliseconds, are rejected; so are all while it is down. */
-    private static final double MAX_TURN = 2_000;
-    private static final int AT_ONCE_MS = 1;
+    /** Calls that would queue for longer than this are rejected, as are all calls while the service is down. */
+    private static final double MAX_QUEUE_MS = 2_000;
+    private static final int MAX_IMMEDIATE_WAIT_MS = 1;
     private static final double QUEUE_FULL = -1;
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final int RESET_ONE_OF = 3;
+    private static final int RESETS_ONE_IN = 3;
     private static final long FIRST_VERSION = 1;
     private static final String UNAVAILABLE = "503 Service Unavailable";
     private static final Pattern CALL = Pattern.compile("GET /catalog/members(?:\\?index=(\\d+)&wait=(\\d+))? .*");
@@ -88,10 +88,10 @@
     private final Map<String, ListedNode> nodes = new LinkedHashMap<>();
     private final Map<String, Long> changedIn = new LinkedHashMap<>();
     private final List<ServerSocket> listeners = new ArrayList<>();
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
     private final Set<Integer> truncating = ConcurrentHashMap.newKeySet();
     private final Map<Integer, Set<Socket>> silenced = new ConcurrentHashMap<>();
-    private final Map<Integer, Set<Socket>> callsOf = new ConcurrentHashMap<>();
+    private final Map<Integer, Set<Socket>> callsByInstance = new ConcurrentHashMap<>();
     /** The complete list of each version, and the newest version that was written to each instance. */
     private final Map<Long, String> lists = new HashMap<>();
     private final Map<Integer, Long> lastWritten = new HashMap<>();
@@ -107,23 +107,23 @@
         this.random = random;
     }
 
-    /** A further address of the service for this instance. */
+    /** Opens another address of the service for this instance. */
     InetSocketAddress addressFor(int instance) throws IOException {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         listeners.add(listener);
         SoakThreads.start("discovery", () -> {
             while (true) {
                 Socket socket = listener.accept();
-                open.add(socket);
+                openSockets.add(socket);
                 SoakThreads.start("discovery call", () -> serve(instance, socket));
             }
         });
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    // ---------------------------------------------------------------- what the run does to it
+    // ---------------------------------------------------------------- list changes and faults
 
-    /** Puts these nodes into the list, as one version. */
+    /** Adds or updates these nodes in the list, all in one new version. */
     synchronized void change(List<ListedNode> changed) {
         version++;
         for (ListedNode node : changed) {
@@ -136,8 +136,8 @@
         notifyAll();
     }
 
-    /** The complete list as this instance last had it: the first one, or what was last written to it. */
-    synchronized String lastHad(int instance) {
+    /** Returns the complete list of the newest version written to this instance, or of the first version. */
+    synchronized String lastListOf(int instance) {
         return lists.get(lastWritten.getOrDefault(instance, FIRST_VERSION));
     }
 
@@ -150,7 +150,7 @@
             + listed.stream().map(ListedNode::json).collect(Collectors.joining(",")) + "]}";
     }
 
-    /** Goes down: watches end, calls are rejected late or reset. */
+    /** Takes the service down: watches end, and calls are rejected after a delay or reset. */
     synchronized void goDown() {
         if (!down) {
             down = true;
@@ -159,8 +159,8 @@
         }
     }
 
-    /** Is back. */
-    synchronized void comeBack() {
+    /** Ends an outage. */
+    synchronized void recover() {
         if (down) {
             down = false;
             history.add(new SoakHistory.Outage(downFrom, history.now()));
@@ -168,19 +168,19 @@
         }
     }
 
-    /** Works through so many calls a second that begin a watch; infinite: each at once. */
-    synchronized void serve(double perSecond) {
+    /** Sets the rate at which calls that begin a watch are handled; infinite means without delay. */
+    synchronized void setCallRate(double perSecond) {
         callsPerSecond = perSecond;
     }
 
-    /** The calls of this instance that are open never hear anything any more; its next ones do. */
-    void silence(int instance) {
-        Set<Socket> calls = callsOf.getOrDefault(instance, Set.of());
+    /** Stops all responses to the open calls of this instance; later calls are answered. */
+    void silenceWatches(int instance) {
+        Set<Socket> calls = callsByInstance.getOrDefault(instance, Set.of());
         silenced.computeIfAbsent(instance, i -> ConcurrentHashMap.newKeySet()).addAll(calls);
         history.add(new SoakHistory.WatchSilent(history.now(), instance));
     }
 
-    /** Responses to this instance are truncated, or all of them complete again. */
+    /** Starts or stops truncating the responses to this instance. */
     void truncate(int instance, boolean on) {
         if (on) {
             truncating.add(instance);
@@ -189,10 +189,10 @@
         }
     }
 
-    // ---------------------------------------------------------------- a call
+    // ---------------------------------------------------------------- serving calls
 
     private void serve(int instance, Socket socket) throws IOException, InterruptedException {
-        Set<Socket> calls = callsOf.computeIfAbsent(instance, i -> ConcurrentHashMap.newKeySet());
+        Set<Socket> calls = callsByInstance.computeIfAbsent(instance, i -> ConcurrentHashMap.newKeySet());
         calls.add(socket);
         try (socket) {
             socket.setTcpNoDelay(true);
@@ -205,7 +205,7 @@
             }
         } finally {
             calls.remove(socket);
-            open.remove(socket);
+            openSockets.remove(socket);
         }
     }
 
@@ -214,7 +214,7 @@
             : new Call(Long.parseLong(line.group(1)), Integer.parseInt(line.group(2)));
     }
 
-    /** The first line of the next request, or null at the end of the connection. */
+    /** Reads the next request and returns its first line, or null at the end of the connection. */
     private static String requestLine(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -227,17 +227,17 @@
         return head.substring(0, head.indexOf("\r\n"));
     }
 
-    /** Returns whether the connection goes on. */
+    /** Answers a call and returns whether the connection stays open. */
     private boolean answer(int instance, Socket socket, Call call) throws IOException, InterruptedException {
         if (!history.isPushed() && call.beginsWatch()) {
-            double turn = turn();
-            if (turn > 0) {
-                Thread.sleep((long) Math.min(turn, MAX_TURN));
+            double queueTime = queueTime();
+            if (queueTime > 0) {
+                Thread.sleep((long) Math.min(queueTime, MAX_QUEUE_MS));
             }
-            if (turn > MAX_TURN || isDown()) {
+            if (queueTime > MAX_QUEUE_MS || isDown()) {
                 return reject(socket);
             }
-            if (turn < 0) {
+            if (queueTime < 0) {
                 write(socket, UNAVAILABLE, "");
                 return true;
             }
@@ -248,7 +248,7 @@
             return false;
         }
         if (silenced.getOrDefault(instance, Set.of()).contains(socket)) {
-            return socket.getInputStream().read() >= 0;      // until the instance gives it up
+            return socket.getInputStream().read() >= 0;      // until the instance closes the connection
         }
         if (truncating.contains(instance)) {
             String list = response.list;
@@ -256,13 +256,13 @@
                 + list.substring(0, list.length() / 2)).getBytes(StandardCharsets.US_ASCII));
             return false;
         }
-        noteWritten(instance, response.version);
+        recordWritten(instance, response.version);
         history.add(new SoakHistory.ListWritten(history.now(), instance, response.version));
         write(socket, "200 OK", response.list);
         return true;
     }
 
-    /** Waits until there is something to answer, for as long as the call does; null if the service is down then. */
+    /** Waits for a change, as long as the call does, and returns the response; null if the service is down then. */
     private synchronized Response awaitChange(Call call) throws InterruptedException {
         double until = history.now() + call.patience;
         while (!closed && (down ? history.isPushed() : call.sinceVersion == version && history.now() < until)) {
@@ -276,7 +276,7 @@
         return new Response(list(call.isForCompleteList(), listed), version);
     }
 
-    private synchronized void noteWritten(int instance, long upTo) {
+    private synchronized void recordWritten(int instance, long upTo) {
         lastWritten.merge(instance, upTo, Math::max);
     }
 
@@ -284,23 +284,23 @@
         return down;
     }
 
-    /** How long a call waits for its turn, in milliseconds, or {@link #QUEUE_FULL}. */
-    private synchronized double turn() {
+    /** Returns the time that a call has to queue, in milliseconds, or {@link #QUEUE_FULL}. */
+    private synchronized double queueTime() {
         if (down) {
-            return MAX_TURN;
+            return MAX_QUEUE_MS;
         }
         double now = history.now();
         freeAt = Math.max(freeAt, now);
-        double waits = freeAt - now;
-        if (waits > 2 * MAX_TURN) {
+        double waitTime = freeAt - now;
+        if (waitTime > 2 * MAX_QUEUE_MS) {
             return QUEUE_FULL;
         }
         freeAt += MILLIS_PER_SECOND / callsPerSecond;
-        return waits;
+        return waitTime;
     }
 
     private boolean reject(Socket socket) throws IOException {
-        if (random.nextInt(RESET_ONE_OF) == 0) {
+        if (random.nextInt(RESETS_ONE_IN) == 0) {
             socket.setSoLinger(true, 0);
             return false;
         }
@@ -321,7 +321,7 @@
         for (ServerSocket listener : listeners) {
             listener.close();
         }
-        for (Socket socket : List.copyOf(Collections.unmodifiableSet(open))) {
+        for (Socket socket : List.copyOf(Collections.unmodifiableSet(openSockets))) {
             socket.close();
         }
     }
--- a/src/main/java/kelphollow/lab/soak/SoakFaults.java
+++ b/src/main/java/kelphollow/lab/soak/SoakFaults.java
@@ -7,30 +7,30 @@
 import java.util.Random;
 
 /**
- * The faults of one run, drawn by seed: each kind comes again and again at random times, so that they overlap. The order of
- * the kinds and of the draws is part of what a seed means.
+ * Draws the faults of one run from a seed: each kind recurs at random times, so that faults overlap. The order of the kinds
+ * and of the draws determines the faults of a seed, so both must stay as they are.
  */
 final class SoakFaults {
-    /** What a fault's target number counts. */
+    /** Whether a fault's target number is an instance or a node. */
     private enum Target { INSTANCE, NODE }
 
-    /** What happens. */
+    /** Kind of fault. */
     enum Kind {
-        /** SIGKILL; a new start after the time, on a list that is some versions old. */
+        /** SIGKILL; the process is restarted after the duration, with a list that is some versions old. */
         KILL(Target.INSTANCE),
-        /** SIGTERM; a new start once it has ended. */
+        /** SIGTERM; the process is restarted once it has exited. */
         TERM(Target.INSTANCE),
-        /** The process stands still for up to 120 ms. */
+        /** The process is stopped for up to 120 ms. */
         STALL(Target.INSTANCE),
-        /** SIGHUP with another address of discovery. */
+        /** SIGHUP with a new discovery address. */
         MOVE(Target.INSTANCE),
-        /** Two SIGHUPs right behind each other. */
+        /** Two moves, the second after the duration of the fault. */
         MOVE_TWICE(Target.INSTANCE),
-        /** Discovery cannot be reached. */
+        /** Discovery is down. */
         DISCOVERY_DOWN(Target.INSTANCE),
-        /** Discovery works through few calls a second. */
+        /** Discovery handles few calls per second. */
         DISCOVERY_SLOW(Target.INSTANCE),
-        /** The open watch of an instance falls silent. */
+        /** The open watch of an instance gets no more responses. */
         WATCH_SILENT(Target.INSTANCE),
         /** Discovery's responses to an instance are truncated. */
         RESPONSES_TRUNCATED(Target.INSTANCE),
@@ -48,7 +48,7 @@
         NODE_ERRS(Target.NODE),
         /** A node rejects all commands. */
         NODE_BUSY(Target.NODE),
-        /** A node's replies come in two segments. */
+        /** A node sends its replies in two segments. */
         NODE_SEGMENTS(Target.NODE);
 
         private final Target target;
@@ -58,28 +58,28 @@
         }
     }
 
-    /** One fault: when, what it meets (an instance or a node, by number) and for how long, in milliseconds. */
-    record Step(double at, Kind kind, int target, double lasts) {}
+    /** One fault: its time, kind, target (the number of an instance or node) and duration; times in milliseconds. */
+    record Step(double at, Kind kind, int target, double duration) {}
 
-    private static final double FIRST_AT = 1_500;
-    private static final double QUIET_END = 3_000;
+    private static final double FIRST_FAULT_MS = 1_500;
+    private static final double FAULT_FREE_END_MS = 3_000;
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private SoakFaults() {}
 
-    /** The faults of a run of so many seconds, in the order of their times. */
+    /** Draws the faults of a run of this many seconds, sorted by time. */
     static List<Step> draw(long seed, double seconds, int instances, int nodes, boolean pushed) {
         Random random = new Random(seed);
         List<Kind> kinds = new ArrayList<>(List.of(Kind.values()));
         Collections.shuffle(kinds, random);
         if (pushed) {
-            kinds.remove(Kind.DISCOVERY_SLOW);   // an agent on the same machine has one caller
+            kinds.remove(Kind.DISCOVERY_SLOW);   // an agent on the same machine has a single caller
         }
         List<Step> steps = new ArrayList<>();
         for (Kind kind : kinds.subList(0, kinds.size() * 2 / 3)) {
             double mean = meanInterval(kind, instances);
-            double at = FIRST_AT + mean * random.nextDouble();
-            while (at < seconds * MILLIS_PER_SECOND - QUIET_END) {
+            double at = FIRST_FAULT_MS + mean * random.nextDouble();
+            while (at < seconds * MILLIS_PER_SECOND - FAULT_FREE_END_MS) {
                 int target = random.nextInt(kind.target == Target.NODE ? nodes : instances);
                 steps.add(new Step(at, kind, target, duration(kind, random)));
                 at += mean * -Math.log(1 - random.nextDouble());
--- a/src/main/java/kelphollow/lab/soak/SoakHistory.java
+++ b/src/main/java/kelphollow/lab/soak/SoakHistory.java
@@ -3,21 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What all parties of a run did, on one monotonic clock in milliseconds since the run began. Safe from any thread. */
+/** The events of all parties of a run, timed by one monotonic clock in milliseconds since the run began. Thread-safe. */
 final class SoakHistory {
-    /** Something that a party did. */
+    /** An event of one party. */
     sealed interface Event {}
 
-    /** Discovery has a new version, in which this node may get new requests or not. */
+    /** Discovery has a new version, in which this node may get new requests if {@code usable}. */
     record ListChanged(double at, long version, String node, boolean usable) implements Event {}
 
     /** Discovery has written a response to this instance that is complete up to this version. */
     record ListWritten(double at, int instance, long version) implements Event {}
 
-    /** Discovery could not be reached in this time. */
+    /** Discovery was unreachable between these times. */
     record Outage(double from, double to) implements Event {}
 
-    /** The open watch of this instance fell silent; its next call is answered. */
+    /** The open watch of this instance gets no more responses; its next call is answered. */
     record WatchSilent(double at, int instance) implements Event {}
 
     /** The instance was signalled to reload its file, in which discovery has another address. */
@@ -27,10 +27,10 @@
     record Incarnation(int instance, double from, double termAt, double ended, boolean killed,
                        int exitCode) implements Event {}
 
-    /** The first byte of a command has reached a node, which has so long for it and may run it. */
+    /** The first byte of a command reached a node; {@code timeLeft} is the deadline sent, {@code mayRun} if not rejected. */
     record AttemptArrived(double at, String node, String id, double timeLeft, boolean mayRun) implements Event {}
 
-    /** A client has written a complete request; it waits for so long. */
+    /** A client has written a complete request; {@code patience} is its timeout in milliseconds. */
     record RequestSent(double at, String id, int instance, boolean mustRunOnce, double patience) implements Event {}
 
     /** How a request ended for its client. */
@@ -38,19 +38,19 @@
         SERVED, REJECTED, FAILED, CLIENT_LEFT, CONNECTION_ENDED, NO_ANSWER
     }
 
-    /** The client has its answer, or has ended the connection, or saw it end. */
+    /** The client got its answer, closed the connection, or saw it end. */
     record RequestEnded(double at, String id, Outcome outcome) implements Event {}
 
-    /** A line of a process's log that tells of a fault of the program itself. */
+    /** A line of a process's log that reports a fault of the program itself. */
     record FaultLogged(String line) implements Event {}
 
-    private final long began = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     private final List<Event> events = new ArrayList<>();
     private volatile boolean pushed;
 
-    /** In milliseconds since the run began. */
+    /** Returns the time since the run began, in milliseconds. */
     double now() {
-        return (System.nanoTime() - began) / 1e6;
+        return (System.nanoTime() - startNanos) / 1e6;
     }
 
     /** Whether lists are pushed to an agent of each instance, rather than polled. */
@@ -66,7 +66,7 @@
         events.add(event);
     }
 
-    /** The history up to now; what comes later is not in it. */
+    /** Returns a copy of the history that later events do not change. */
     synchronized SoakHistory snapshot() {
         SoakHistory copy = new SoakHistory();
         copy.events.addAll(events);
@@ -74,7 +74,7 @@
         return copy;
     }
 
-    /** All events of a type, in the order in which they were added. */
+    /** Returns all events of a type in the order in which they were added. */
     synchronized <T extends Event> List<T> all(Class<T> type) {
         return events.stream().filter(type::isInstance).map(type::cast).toList();
     }
--- a/src/main/java/kelphollow/lab/soak/SoakNode.java
+++ b/src/main/java/kelphollow/lab/soak/SoakNode.java
@@ -16,28 +16,28 @@
 import java.util.regex.Pattern;
 
 /**
- * A fake storage node on the platform's protocol, which notes each command's first byte and can be made to fail. Safe from
- * any thread.
+ * A fake storage node that serves the platform's protocol, records the arrival of each command's first byte and can be made
+ * to fail. Thread-safe.
  */
 final class SoakNode implements AutoCloseable {
-    /** What becomes of the commands that come. */
+    /** How the node responds to commands. */
     enum Mode {
-        /** They are served. */
+        /** Serves them. */
         SERVES,
-        /** Nothing: the connection stays open. */
+        /** Does not answer; the connection stays open. */
         HANGS,
-        /** Their connection is reset. */
+        /** Resets their connection. */
         RESETS,
-        /** They fail. */
+        /** Answers with an error. */
         FAILS,
-        /** They are rejected before they run. */
+        /** Rejects them before they run. */
         REJECTS,
-        /** They are served, with a pause within each reply. */
+        /** Serves them, with a pause within each reply. */
         SERVES_IN_SEGMENTS
     }
 
     private static final Pattern TIME_LEFT = Pattern.compile("(?:^|,)d=([0-9.]+)");
-    /** Places of the id and the fields among a command's words. */
+    /** Positions of the id and the fields among a command's words. */
     private static final int ID = 2;
     private static final int FIELDS = 3;
     private static final int BACKLOG = 200;
@@ -48,7 +48,7 @@
     private final int cell;
     private final SoakHistory history;
     private final Random random;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
     private ServerSocket listener;
     private volatile Mode mode = Mode.SERVES;
 
@@ -60,14 +60,14 @@
         start();
     }
 
-    /** Listens, at a new address each time. */
+    /** Listens on a new port each time. */
     void start() throws IOException {
-        ServerSocket own = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
-        listener = own;
+        ServerSocket newListener = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
+        listener = newListener;
         SoakThreads.start(name, () -> {
             while (true) {
-                Socket socket = own.accept();
-                open.add(socket);
+                Socket socket = newListener.accept();
+                openSockets.add(socket);
                 SoakThreads.start(name + " connection", () -> serve(socket));
             }
         });
@@ -77,7 +77,7 @@
         return name;
     }
 
-    /** The cell that it holds. */
+    /** The cell that the node holds. */
     int cell() {
         return cell;
     }
@@ -86,7 +86,7 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    void mode(Mode next) {
+    void setMode(Mode next) {
         mode = next;
     }
 
@@ -106,16 +106,16 @@
                 }
             }
         } finally {
-            open.remove(socket);
+            openSockets.remove(socket);
         }
     }
 
-    /** Returns whether the connection goes on. */
+    /** Answers a command and returns whether the connection stays open. */
     private boolean answer(Socket socket, InputStream in, Mode now) throws IOException, InterruptedException {
         Thread.sleep(MIN_SERVICE_MS + random.nextInt(SERVICE_SPREAD_MS));
         switch (now) {
             case HANGS -> {
-                in.read();                 // until the attempt is given up
+                in.read();                 // until the caller closes the connection
                 return false;
             }
             case RESETS -> {
@@ -138,10 +138,10 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A command's words; its first byte has been read. */
+    /** Reads the words of a command whose first byte has been read. */
     private static String[] command(int first, InputStream in) throws IOException {
         if (first != '*') {
-            throw new EOFException("not a command: " + first);
+            throw new EOFException("a command must begin with '*', found byte " + first);
         }
         String[] words = new String[Integer.parseInt(line(in))];
         for (int i = 0; i < words.length; i++) {
@@ -149,7 +149,7 @@
             int length = Integer.parseInt(line(in));
             byte[] word = in.readNBytes(length);
             if (word.length < length) {
-                throw new EOFException("a truncated command");
+                throw new EOFException("connection ended within a command");
             }
             words[i] = new String(word, StandardCharsets.ISO_8859_1);
             in.skipNBytes(2);
@@ -161,7 +161,7 @@
         StringBuilder line = new StringBuilder();
         for (int next; (next = in.read()) != '\n';) {
             if (next < 0) {
-                throw new EOFException("a truncated line");
+                throw new EOFException("connection ended within a line");
             }
             if (next != '\r') {
                 line.append((char) next);
@@ -170,10 +170,10 @@
         return line.toString();
     }
 
-    /** The process dies: its connections are reset and new ones refused, until {@link #start}. */
+    /** Simulates the death of the process: resets its connections and refuses new ones until {@link #start}. */
     @Override public void close() throws IOException {
         listener.close();
-        for (Socket socket : open) {
+        for (Socket socket : openSockets) {
             socket.setSoLinger(true, 0);
             socket.close();
         }
--- a/src/main/java/kelphollow/lab/soak/SoakThreads.java
+++ b/src/main/java/kelphollow/lab/soak/SoakThreads.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 
-/** Threads of the fake parties: each ends with the connection or listener that it serves. */
+/** Starts threads of the fake parties; each ends with the connection or listener that it serves. */
 final class SoakThreads {
-    /** What such a thread does. */
+    /** The body of such a thread. */
     interface Task {
         void run() throws Exception;
     }
@@ -13,13 +13,13 @@
 
     private SoakThreads() {}
 
-    /** Starts a daemon thread; an end of its connection ends it quietly, any other fault is shown. */
+    /** Starts a daemon thread; an I/O error or interrupt ends it silently, any other exception is rethrown. */
     static Thread start(String name, Task task) {
         Thread thread = new Thread(null, () -> {
             try {
                 task.run();
             } catch (IOException e) {
-                // its connection or listener has ended
+                // the connection or listener was closed
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (Exception e) {
--- a/src/test/java/kelphollow/lab/soak/FaultSoakTest.java
+++ b/src/test/java/kelphollow/lab/soak/FaultSoakTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real processes under faults that overlap: a short run of each way in which lists come, both at the same time. Longer ones
- * with many seeds are played by the command {@code soak}.
+ * Runs real processes under overlapping faults: one short run with polled lists and one with pushed lists, at the same time.
+ * The command {@code soak} does longer runs with many seeds.
  */
 @Timeout(120)
 class FaultSoakTest {
@@ -26,17 +26,17 @@
     @TempDir
     Path folder;
 
-    private Void play(long seed, boolean pushed) throws Exception {
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
+    private Void runSoak(long seed, boolean pushed) throws Exception {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
         Soak.Plan plan = new Soak.Plan(seed, INSTANCES, NODES, SECONDS, pushed);
-        assertEquals(Soak.PASS, Soak.run(plan, folder.resolve("run-" + seed), new PrintStream(said)), said::toString);
+        assertEquals(Soak.PASS, Soak.run(plan, folder.resolve("run-" + seed), new PrintStream(output)), output::toString);
         return null;
     }
 
-    @Test void noRuleIsBroken() throws Exception {
+    @Test void noRuleIsBrokenWithPolledOrPushedLists() throws Exception {
         ExecutorService runs = Executors.newFixedThreadPool(2);
         try {
-            List<Callable<Void>> both = List.of(() -> play(4, false), () -> play(3, true));
+            List<Callable<Void>> both = List.of(() -> runSoak(4, false), () -> runSoak(3, true));
             for (Future<Void> run : runs.invokeAll(both)) {
                 run.get();
             }
@@ -44,6 +44,6 @@
             runs.shutdownNow();
         }
         assertEquals(0, ProcessHandle.current().descendants().filter(p -> p.info().commandLine().orElse("")
-            .contains(folder.toString())).count(), "a process is left");
+            .contains(folder.toString())).count(), "processes must not outlive the run");
     }
 }
--- a/src/test/java/kelphollow/lab/soak/SoakCheckerTest.java
+++ b/src/test/java/kelphollow/lab/soak/SoakCheckerTest.java
@@ -15,7 +15,7 @@
 import kelphollow.lab.soak.SoakHistory.RequestSent;
 import org.junit.jupiter.api.Test;
 
-/** The checker finds each breach that is planted in a history, and none in the same history without it. */
+/** Checks that each breach added to a history is reported, and that the history without it has none. */
 class SoakCheckerTest {
     private static final double NEVER = Double.POSITIVE_INFINITY;
     private final SoakHistory history = new SoakHistory();
@@ -26,110 +26,111 @@
         history.add(new ListChanged(10_000, 2, "a", false));
     }
 
-    /** A safe read that comes to instance 0 and reaches node a at that time, and is served. */
-    private void request(String id, double at) {
+    /** Adds a read that instance 0 gets, that reaches node a at that time, and that is served. */
+    private void addServedRead(String id, double at) {
         history.add(new RequestSent(at - 5, id, 0, false, 1_200));
         history.add(new AttemptArrived(at, "a", id, 1_190, true));
         history.add(new RequestEnded(at + 20, id, Outcome.SERVED));
     }
 
-    private List<String> broken() {
-        return SoakChecker.judge(history, 0).stream().map(SoakChecker.Breach::rule).toList();
+    private List<String> brokenRules() {
+        return SoakChecker.check(history, 0).stream().map(SoakChecker.Breach::rule).toList();
     }
 
-    @Test void aDrainCountsFromItsWritingAndInAnyCaseAfterSixSeconds() {
-        request("early", 16_299);
-        assertEquals(List.of(), broken(), "within the grace after the term of 6 s");
-        request("late", 16_300);
-        assertEquals(List.of("drain"), broken());
+    @Test void drainCountsFromItsWriteAndAtTheLatestAfterSixSeconds() {
+        addServedRead("early", 16_299);
+        assertEquals(List.of(), brokenRules(), "within the grace after the notification time of 6 s");
+        addServedRead("late", 16_300);
+        assertEquals(List.of("drain"), brokenRules());
         history.add(new ListWritten(12_000, 0, 2));
-        request("written", 12_300);
-        assertEquals(List.of("drain", "drain", "drain"), broken(), "written at 12 s, it counts from there for all");
+        addServedRead("written", 12_300);
+        assertEquals(List.of("drain", "drain", "drain"), brokenRules(),
+            "written at 12 s, the version counts from then for all requests");
     }
 
-    @Test void aNodeThatIsBackInAWrittenListMayBeUsed() {
+    @Test void nodeThatReturnsInAWrittenListMayBeUsed() {
         history.add(new ListChanged(11_000, 3, "a", true));
-        request("unheard", 16_900);
-        assertEquals(List.of("drain"), broken(), "the process has heard neither");
+        addServedRead("unheard", 16_900);
+        assertEquals(List.of("drain"), brokenRules(), "neither version was written to the process");
         history.add(new ListWritten(16_800, 0, 3));
-        assertEquals(List.of(), broken());
+        assertEquals(List.of(), brokenRules());
     }
 
-    @Test void whatAnEarlierProcessWasWrittenIsNotKnownToTheNextOne() {
+    @Test void listWrittenToAnEarlierProcessDoesNotCountForTheNext() {
         history.add(new ListWritten(10_100, 0, 2));
         history.add(new Incarnation(0, 11_000, 90_000, 92_000, false, 0));
-        request("new", 12_000);
-        assertEquals(List.of(), broken(), "not written to it, and not yet 6 s old");
-        request("newer", 16_400);
-        assertEquals(List.of("drain"), broken());
+        addServedRead("new", 12_000);
+        assertEquals(List.of(), brokenRules(), "not written to it, and not yet 6 s old");
+        addServedRead("newer", 16_400);
+        assertEquals(List.of("drain"), brokenRules());
     }
 
-    @Test void anOutageStopsTheTermAndAMoveShortensIt() {
+    @Test void outageExtendsTheNotificationTimeAndMoveShortensIt() {
         history.add(new Outage(12_000, 20_000));
-        request("back", 26_200);
-        assertEquals(List.of(), broken());
-        request("late", 26_400);
-        assertEquals(List.of("drain"), broken());
+        addServedRead("back", 26_200);
+        assertEquals(List.of(), brokenRules());
+        addServedRead("late", 26_400);
+        assertEquals(List.of("drain"), brokenRules());
         history.add(new DiscoveryMoved(20_500, 0));
-        request("moved", 24_900);
-        assertEquals(List.of("drain", "drain", "drain"), broken(), "4 s after the move, for the first one too");
+        addServedRead("moved", 24_900);
+        assertEquals(List.of("drain", "drain", "drain"), brokenRules(), "4 s after the move, for the first one too");
     }
 
-    @Test void whatAnAgentHasCountsAtOnce() {
+    @Test void pushedListCountsAtOnce() {
         history.setPushed(true);
-        request("grace", 10_250);
-        assertEquals(List.of(), broken());
-        request("late", 10_400);
-        assertEquals(List.of("drain"), broken());
+        addServedRead("grace", 10_250);
+        assertEquals(List.of(), brokenRules());
+        addServedRead("late", 10_400);
+        assertEquals(List.of("drain"), brokenRules());
     }
 
-    @Test void aRequestHasItsAnswerInItsTimeUnlessItsProcessWasKilled() {
-        request("fine", 5_000);
+    @Test void requestMustBeAnsweredInTimeUnlessItsProcessWasKilled() {
+        addServedRead("fine", 5_000);
         history.add(new RequestSent(50_000, "none", 0, false, 1_200));
         history.add(new RequestEnded(53_200, "none", Outcome.NO_ANSWER));
-        assertEquals(List.of("lost"), broken());
+        assertEquals(List.of("lost"), brokenRules());
         history.add(new RequestSent(60_000, "cut", 0, false, 1_200));
         history.add(new RequestEnded(60_100, "cut", Outcome.CONNECTION_ENDED));
-        assertEquals(List.of("lost"), broken(), "it never reached a node: its client sends it elsewhere");
+        assertEquals(List.of("lost"), brokenRules(), "it never reached a node: its client sends it elsewhere");
         history.add(new ListChanged(55_000, 3, "a", true));
         history.add(new ListWritten(55_100, 0, 3));
         history.add(new AttemptArrived(60_050, "a", "cut", 1_100, true));
-        assertEquals(List.of("lost", "lost"), broken());
+        assertEquals(List.of("lost", "lost"), brokenRules());
         history.add(new Incarnation(0, 40_000, NEVER, 60_090, true, 137));
-        assertEquals(List.of("lost"), broken(), "the kill explains the second");
+        assertEquals(List.of("lost"), brokenRules(), "the kill excuses the second request");
     }
 
-    @Test void whatMayRunOnceMayNeitherRunTwiceNorBeRefusedAfterIt() {
+    @Test void requestThatMustRunOnceMayNeitherRunTwiceNorBeRejectedAfterRunning() {
         history.add(new RequestSent(1_000, "w", 0, true, 3_000));
         history.add(new AttemptArrived(1_010, "a", "w", 2_900, false));
         history.add(new AttemptArrived(1_100, "a", "w", 2_900, true));
         history.add(new RequestEnded(1_200, "w", Outcome.SERVED));
-        assertEquals(List.of(), broken(), "the first was turned away");
+        assertEquals(List.of(), brokenRules(), "the first attempt was rejected");
         history.add(new AttemptArrived(1_150, "a", "w", 2_800, true));
-        assertEquals(List.of("duplicate"), broken());
+        assertEquals(List.of("duplicate"), brokenRules());
         history.add(new RequestSent(2_000, "r", 0, true, 3_000));
         history.add(new AttemptArrived(2_010, "a", "r", 2_900, true));
         history.add(new RequestEnded(2_100, "r", Outcome.REJECTED));
-        assertEquals(List.of("duplicate", "duplicate"), broken());
+        assertEquals(List.of("duplicate", "duplicate"), brokenRules());
     }
 
-    @Test void nothingIsSentForAClientThatHasGoneNorWithMoreTimeThanItHas() {
+    @Test void attemptsAfterTheClientLeftOrBeyondItsDeadlineAreReported() {
         history.add(new RequestSent(1_000, "g", 0, false, 1_200));
         history.add(new RequestEnded(1_100, "g", Outcome.CLIENT_LEFT));
         history.add(new AttemptArrived(1_190, "a", "g", 1_000, true));
-        assertEquals(List.of(), broken());
+        assertEquals(List.of(), brokenRules());
         history.add(new AttemptArrived(1_201, "a", "g", 990, true));
-        assertEquals(List.of("lost"), broken());
+        assertEquals(List.of("lost"), brokenRules());
         history.add(new RequestSent(3_000, "d", 0, false, 1_200));
         history.add(new AttemptArrived(3_500, "a", "d", 851, true));
         history.add(new RequestEnded(3_600, "d", Outcome.SERVED));
-        assertEquals(List.of("lost", "deadline"), broken());
+        assertEquals(List.of("lost", "deadline"), brokenRules());
     }
 
-    @Test void aProcessEndsOnlyWhenItIsToldToAndInOrder() {
+    @Test void unexpectedExitsAndLoggedFaultsAreReported() {
         history.add(new Incarnation(1, 0, 5_000, 6_000, false, 1));
         history.add(new Incarnation(2, 0, NEVER, 6_000, false, 0));
         history.add(new FaultLogged("n1.log: SEVERE: invariant broken"));
-        assertEquals(List.of("crash", "crash", "fault"), broken());
+        assertEquals(List.of("crash", "crash", "fault"), brokenRules());
     }
 }
