--- a/src/main/java/kelphollow/scale/DrainProbes.java
+++ b/src/main/java/kelphollow/scale/DrainProbes.java
@@ -15,7 +15,7 @@
  */
 final class DrainProbes {
     /** How long a drain lasts before the notifier revokes it. */
-    static final double DRAIN_DURATION = 10_000;
+    static final double DRAIN_DURATION_MILLIS = 10_000;
     /** Times are recorded in tenths of a millisecond. */
     private static final double UNIT = 0.1;
     private static final int DIGITS = 3;
@@ -68,20 +68,20 @@
     }
 
     /** An instance that ended or was suspended applies nothing more, and what it was notified of may have ended with it. */
-    synchronized void excuse(int instance) {
+    synchronized void exclude(int instance) {
         open.values().removeIf(probe -> probe.notifier == instance);
         open.values().forEach(probe -> probe.waiting.clear(instance));
     }
 
     /** Ends drains that have lasted their time; at the end of the run those that have lasted half of it count too. */
-    synchronized List<Ended> end(double now, boolean last) {
+    synchronized List<Ended> endExpired(double now, boolean last) {
         List<Ended> ended = new ArrayList<>();
         for (Probe probe : List.copyOf(open.values())) {
             double lasted = now - probe.notifiedAt;
-            if (lasted >= DRAIN_DURATION || last) {
+            if (lasted >= DRAIN_DURATION_MILLIS || last) {
                 open.remove(SimulatedNodes.nodeName(probe.node));
                 ended.add(new Ended(probe.node, probe.notifier));
-                if (lasted >= DRAIN_DURATION / 2) {
+                if (lasted >= DRAIN_DURATION_MILLIS / 2) {
                     missed += probe.waiting.cardinality();
                     probe.waiting.stream().forEach(instance -> record(probe, instance, now));
                 }
--- a/src/main/java/kelphollow/scale/DeathProbes.java
+++ b/src/main/java/kelphollow/scale/FailureDetectionProbes.java
@@ -10,9 +10,9 @@
  * Measures how long each instance takes to detect a death, and counts false findings about instances that run and can be
  * reached. Thread-safe: instances report from their loops.
  */
-final class DeathProbes {
+final class FailureDetectionProbes {
     /** How long after a resumption or a healed partition earlier findings may still arrive, in milliseconds. */
-    static final double AFTERMATH = 15_000;
+    static final double RECOVERY_GRACE_MILLIS = 15_000;
     private static final int DIGITS = 3;
 
     /** A death; {@code waiting} are the instances that have not found it yet. */
@@ -33,13 +33,13 @@
     private long undetected;
     private String firstFalseFailure = "";
 
-    DeathProbes(ScaleScenario scenario, NetworkModel network) {
+    FailureDetectionProbes(ScaleScenario scenario, NetworkModel network) {
         this.scenario = scenario;
         this.network = network;
     }
 
     /** Joining is over: false findings until now are counted apart. */
-    synchronized void begin() {
+    synchronized void beginMeasurement() {
         falseFailuresJoining = falseFailures;
         falseSuspicionsJoining = falseSuspicions;
         falseFailures = 0;
@@ -56,7 +56,7 @@
 
     /** @param waiting instances that are to find it */
     synchronized void died(int instance, double now, BitSet waiting) {
-        excuse(instance);
+        exclude(instance);
         down.put(ScaleScenario.nameOf(instance), new Death(now, waiting));
     }
 
@@ -70,11 +70,11 @@
         healedAt = now;
     }
 
-    private void excuse(int instance) {
+    private void exclude(int instance) {
         down.values().forEach(death -> death.waiting.clear(instance));
     }
 
-    synchronized void event(int by, double now, String kind, String of, long epoch) {
+    synchronized void reported(int by, double now, String kind, String of, long epoch) {
         Death death = down.get(of);
         if (death != null) {
             if (kind.equals("failed") && death.waiting.get(by)) {
@@ -84,10 +84,10 @@
             return;
         }
         boolean earlierIncarnation = epochs.containsKey(of) && epoch < epochs.get(of);
-        boolean explained = network.hasPartitions() || now - healedAt < AFTERMATH
-            || now - resumedAt.getOrDefault(of, Double.NEGATIVE_INFINITY) < AFTERMATH
-            || now - resumedAt.getOrDefault(ScaleScenario.nameOf(by), Double.NEGATIVE_INFINITY) < AFTERMATH;
-        if (earlierIncarnation || explained) {
+        boolean explainedByFault = network.hasPartitions() || now - healedAt < RECOVERY_GRACE_MILLIS
+            || now - resumedAt.getOrDefault(of, Double.NEGATIVE_INFINITY) < RECOVERY_GRACE_MILLIS
+            || now - resumedAt.getOrDefault(ScaleScenario.nameOf(by), Double.NEGATIVE_INFINITY) < RECOVERY_GRACE_MILLIS;
+        if (earlierIncarnation || explainedByFault) {
             return;
         }
         if (kind.equals("failed")) {
@@ -101,13 +101,13 @@
     }
 
     /** Counts who has not found a death that is older than the longest suspicion. */
-    synchronized void end(double now) {
-        double longest = longestDetection();
+    synchronized void countUndetected(double now) {
+        double longest = maxDetectionMillis();
         down.values().forEach(death -> undetected += now - death.at > longest ? death.waiting.cardinality() : 0);
     }
 
     /** A round of probes over all, and the longest suspicion, with half of it on top for news to spread; in milliseconds. */
-    double longestDetection() {
+    double maxDetectionMillis() {
         MembershipSettings settings = MembershipSettings.DEFAULTS.withProtocolPeriod(scenario.period());
         double suspicion = settings.suspicionMultiplier() * Math.max(1, Math.log10(scenario.instances() + 1))
             * settings.protocolPeriod() * settings.suspicionMaxFactor();
--- a/src/main/java/kelphollow/scale/FleetHost.java
+++ b/src/main/java/kelphollow/scale/FleetHost.java
@@ -14,7 +14,7 @@
     Ticker ticker(int instance, SuspendableExecutor process);
 
     /** What carries an instance's packets, all that arrives through its executor. */
-    Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key, int mostMembers);
+    Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key, int maxMembers);
 
     /** Opens the transport; not on a loop. */
     void open(int instance, Fleet fleet) throws IOException;
@@ -37,7 +37,7 @@
     void advance(double millis) throws InterruptedException;
 
     /** How late loops were at the 99th percentile since the last call, in milliseconds; 0 on a simulated clock. */
-    double lateness();
+    double p99Lateness();
 
     @Override void close();
 }
--- a/src/main/java/kelphollow/scale/NetworkDelays.java
+++ b/src/main/java/kelphollow/scale/NetworkDelays.java
@@ -51,7 +51,7 @@
         @Override public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
             DatagramPacket packet = (DatagramPacket) message;
             int to = network.instanceAt(packet.recipient());
-            double delay = to < 0 ? NetworkModel.LOST : network.datagram(self, to);
+            double delay = to < 0 ? NetworkModel.LOST : network.datagramDelay(self, to);
             pass(delay, ctx, packet, () -> ctx.writeAndFlush(packet, promise));
         }
 
@@ -59,7 +59,7 @@
             DatagramPacket packet = (DatagramPacket) message;
             int from = network.instanceAt(packet.sender());
             if (from >= 0 && isProcess.test(from)) {
-                pass(network.datagram(from, self), ctx, packet, () -> ctx.fireChannelRead(packet));
+                pass(network.datagramDelay(from, self), ctx, packet, () -> ctx.fireChannelRead(packet));
             } else {
                 ctx.fireChannelRead(packet);
             }
@@ -89,8 +89,8 @@
         @Override public void connect(ChannelHandlerContext ctx, SocketAddress remote, SocketAddress local,
             ChannelPromise promise) {
             peer = network.instanceAt((InetSocketAddress) remote);
-            double there = peer < 0 ? NetworkModel.LOST : network.reliable(self, peer);
-            double back = peer < 0 ? NetworkModel.LOST : network.reliable(peer, self);
+            double there = peer < 0 ? NetworkModel.LOST : network.connectionDelay(self, peer);
+            double back = peer < 0 ? NetworkModel.LOST : network.connectionDelay(peer, self);
             if (Double.isNaN(there + back)) {
                 promise.tryFailure(new ConnectException("cut off"));
                 ctx.close();
@@ -100,7 +100,7 @@
         }
 
         @Override public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-            double delay = network.reliable(self, peer);
+            double delay = network.connectionDelay(self, peer);
             if (Double.isNaN(delay)) {
                 ReferenceCountUtil.release(message);
                 return;
@@ -109,7 +109,7 @@
         }
 
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
-            double delay = network.reliable(peer, self);
+            double delay = network.connectionDelay(peer, self);
             if (Double.isNaN(delay)) {
                 ReferenceCountUtil.release(message);
                 return;
--- a/src/main/java/kelphollow/scale/NetworkModel.java
+++ b/src/main/java/kelphollow/scale/NetworkModel.java
@@ -54,16 +54,17 @@
     }
 
     /** Delay of a datagram in milliseconds, drawn anew each time, or {@link #LOST}. */
-    synchronized double datagram(int from, int to) {
-        return random.nextDouble() < loss ? LOST : reliable(from, to);
+    synchronized double datagramDelay(int from, int to) {
+        return random.nextDouble() < loss ? LOST : connectionDelay(from, to);
     }
 
     /** Delay of a segment of a connection in milliseconds: TCP recovers from loss, but not from a partition. */
-    synchronized double reliable(int from, int to) {
-        return isPartitioned(from, to) ? LOST : base(from, to) * (1 + scenario.network().jitter() * random.nextDouble());
+    synchronized double connectionDelay(int from, int to) {
+        return isPartitioned(from, to) ? LOST : baseDelay(from, to) * (1 + scenario.network().jitter() * random
+            .nextDouble());
     }
 
-    private double base(int from, int to) {
+    private double baseDelay(int from, int to) {
         ScaleScenario.Network network = scenario.network();
         if (scenario.zoneOf(from) == scenario.zoneOf(to)) {
             return network.zone();
@@ -97,7 +98,7 @@
     }
 
     /** Sets the loss of datagrams, as a share of 1. */
-    synchronized void loss(double share) {
+    synchronized void setLoss(double share) {
         loss = share;
     }
 }
--- a/src/main/java/kelphollow/scale/RealInstances.java
+++ b/src/main/java/kelphollow/scale/RealInstances.java
@@ -20,11 +20,12 @@
 final class RealInstances implements ScaleRun.ExternalInstances, AutoCloseable {
     private final ScaleScenario scenario;
     private final NetworkModel network;
-    private final DiscoveryStandIn discovery;
+    private final StubDiscoveryServer discovery;
     private final List<RealInstance> instances = new ArrayList<>();
     private Set<String> runningAtEnd = Set.of();
 
-    RealInstances(ScaleScenario scenario, NetworkModel network, DiscoveryStandIn discovery, Path folder) throws IOException {
+    RealInstances(ScaleScenario scenario, NetworkModel network, StubDiscoveryServer discovery, Path folder)
+        throws IOException {
         this.scenario = scenario;
         this.network = network;
         this.discovery = discovery;
--- a/src/main/java/kelphollow/scale/Scale.java
+++ b/src/main/java/kelphollow/scale/Scale.java
@@ -134,7 +134,7 @@
         throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("kelphollow-scale");
         NetworkModel network = new NetworkModel(scenario, options.seed(), freePort());
-        try (DiscoveryStandIn discovery = new DiscoveryStandIn(scenario);
+        try (StubDiscoveryServer discovery = new StubDiscoveryServer(scenario);
              RealInstances real = new RealInstances(scenario, network, discovery, folder);
              FleetHost host = new SocketHost(network, scenario.loops(), real::isProcess)) {
             Thread cleanUp = new Thread(real::close, "scale-end");
@@ -143,7 +143,7 @@
                 real.start();
                 ScaleRun run = new ScaleRun(scenario, host, network, real, options.seed());
                 run.play();
-                double lateness = host.lateness();
+                double lateness = host.p99Lateness();
                 moments.add(run.samples().moments());
                 run.end();
                 real.verify(run.failures());
@@ -190,7 +190,7 @@
         throws IOException {
         if (options.report() != null) {
             Files.createDirectories(options.report());
-            LoadProfilePlots.write(reports, moments, options.report());
+            ScalePlots.write(reports, moments, options.report());
         }
     }
 
--- a/src/main/java/kelphollow/scale/LoadProfilePlots.java
+++ b/src/main/java/kelphollow/scale/ScalePlots.java
@@ -10,23 +10,23 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /** Plots of runs: figures over size where several sizes were played, and over time for each. Stateless. */
-final class LoadProfilePlots {
+final class ScalePlots {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 420;
 
-    private LoadProfilePlots() {}
+    private ScalePlots() {}
 
     /** Writes {@code over-size-*.png} and {@code over-time-*.png} into the folder. */
     static void write(List<ScaleReport> reports, List<List<Samples.Moment>> moments, Path folder) throws IOException {
-        size(reports, folder, "bytes", "bytes sent a second by instance", r -> r.figure("bytes_per_second", "mean"));
-        size(reports, folder, "fresh", "share of parts seen fresh", r -> r.figure("parts_fresh_share", "mean"));
-        size(reports, folder, "drain", "drain kept by all: p99 in ms", r -> r.figure("drain_ms", "p99"));
-        size(reports, folder, "core", "share of a core by instance", r -> r.number("core_share"));
-        time(reports, moments, folder, "bytes", "bytes sent a second by instance", Samples.Moment::bytesOut);
-        time(reports, moments, folder, "fresh", "share of parts seen fresh", Samples.Moment::freshShare);
+        plotOverSize(reports, folder, "bytes", "bytes sent a second by instance", r -> r.figure("bytes_per_second", "mean"));
+        plotOverSize(reports, folder, "fresh", "share of parts seen fresh", r -> r.figure("parts_fresh_share", "mean"));
+        plotOverSize(reports, folder, "drain", "drain kept by all: p99 in ms", r -> r.figure("drain_ms", "p99"));
+        plotOverSize(reports, folder, "core", "share of a core by instance", r -> r.number("core_share"));
+        plotOverTime(reports, moments, folder, "bytes", "bytes sent a second by instance", Samples.Moment::bytesOut);
+        plotOverTime(reports, moments, folder, "fresh", "share of parts seen fresh", Samples.Moment::freshShare);
     }
 
-    private static void size(List<ScaleReport> reports, Path folder, String name, String title,
+    private static void plotOverSize(List<ScaleReport> reports, Path folder, String name, String title,
         ToDoubleFunction<ScaleReport> figure) throws IOException {
         XYChart chart = chart(title, "instances");
         chart.addSeries(title, reports.stream().map(r -> r.number("instances")).toList(),
@@ -34,7 +34,7 @@
         save(chart, folder, "over-size-" + name);
     }
 
-    private static void time(List<ScaleReport> reports, List<List<Samples.Moment>> moments, Path folder, String name,
+    private static void plotOverTime(List<ScaleReport> reports, List<List<Samples.Moment>> moments, Path folder, String name,
         String title, ToDoubleFunction<Samples.Moment> figure) throws IOException {
         XYChart chart = chart(title, "seconds");
         for (int i = 0; i < reports.size(); i++) {
--- a/src/main/java/kelphollow/scale/ScaleRun.java
+++ b/src/main/java/kelphollow/scale/ScaleRun.java
@@ -49,7 +49,7 @@
     private final ExternalInstances external;
     private final List<SimulatedInstance> instances = new ArrayList<>();
     private final DrainProbes drains;
-    private final DeathProbes deaths;
+    private final FailureDetectionProbes deaths;
     private final Samples samples;
     private final List<String> failures = new ArrayList<>();
     private final Processor processor = new Processor();
@@ -63,7 +63,7 @@
         this.network = network;
         this.external = external;
         this.drains = new DrainProbes(scenario);
-        this.deaths = new DeathProbes(scenario, network);
+        this.deaths = new FailureDetectionProbes(scenario, network);
         this.samples = new Samples(scenario);
         for (int i = 0; i < scenario.simulated(); i++) {
             instances.add(new SimulatedInstance(scenario, i, host, network, this, seed));
@@ -132,9 +132,9 @@
         double drainAt = scenario.drainInterval() / 2;
         double sampledAt = 0;
         int step = 0;
-        host.lateness();
+        host.p99Lateness();
         samples.begin(running());
-        deaths.begin();
+        deaths.beginMeasurement();
         external.begin();
         processor.begin();
         for (double at = 0; at < span; at = host.now() - from) {
@@ -160,7 +160,7 @@
         processor.end();
         external.end(names());
         revokeDrains(true);
-        deaths.end(host.now());
+        deaths.countUndetected(host.now());
     }
 
     /** Notifies one running instance alone that a node drains, another one and another node each time. */
@@ -184,7 +184,7 @@
     }
 
     private void revokeDrains(boolean last) {
-        for (DrainProbes.Ended ended : drains.end(host.now(), last)) {
+        for (DrainProbes.Ended ended : drains.endExpired(host.now(), last)) {
             SimulatedInstance notifier = instances.get(ended.notifier());
             if (notifier.isRunning()) {
                 notifier.drain(ended.node(), false);
@@ -197,7 +197,7 @@
     }
 
     @Override public void event(int instance, double now, String kind, String of, long epoch) {
-        deaths.event(instance, now, kind, of, epoch);
+        deaths.reported(instance, now, kind, of, epoch);
     }
 
     // ---------------------------------------------------------------- faults
@@ -215,7 +215,7 @@
                 network.heal();
                 deaths.healed(host.now());
             }
-            case LOSS -> network.loss(step.loss());
+            case LOSS -> network.setLoss(step.loss());
         }
     }
 
@@ -242,7 +242,7 @@
     }
 
     private void down(SimulatedInstance instance) {
-        drains.excuse(instance.index());
+        drains.exclude(instance.index());
         BitSet waiting = new BitSet();
         running().forEach(i -> waiting.set(i.index()));
         deaths.died(instance.index(), host.now(), waiting);
@@ -276,12 +276,12 @@
         }
         if (deaths.undetected() > 0) {
             failures.add("detection: " + deaths.undetected() + " times an instance did not find a death within "
-                + Math.round(deaths.longestDetection()) + " ms");
+                + Math.round(deaths.maxDetectionMillis()) + " ms");
         }
         if (drains.missed() > 0) {
             failures.add("drain: " + drains.missed() + " times an instance did not keep a drain another one was told,"
-                + " within " + Math.round(DrainProbes.DRAIN_DURATION / 2_000) + " to "
-                + Math.round(DrainProbes.DRAIN_DURATION / 1_000) + " s");
+                + " within " + Math.round(DrainProbes.DRAIN_DURATION_MILLIS / 2_000) + " to "
+                + Math.round(DrainProbes.DRAIN_DURATION_MILLIS / 1_000) + " s");
         }
     }
 
@@ -312,7 +312,7 @@
         return drains;
     }
 
-    DeathProbes deaths() {
+    FailureDetectionProbes deaths() {
         return deaths;
     }
 
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -70,7 +70,7 @@
     }
 
     @Override public Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key,
-        int mostMembers) {
+        int maxMembers) {
         return (name, epoch, peers) -> new Line(instance, process, new PacketSealer(name, epoch, key), name, peers);
     }
 
@@ -96,7 +96,7 @@
         now = until;
     }
 
-    @Override public double lateness() {
+    @Override public double p99Lateness() {
         return 0;
     }
 
@@ -138,7 +138,7 @@
             }
             traffic.sent(Traffic.kind(packet), bytes);
             int target = network.instanceAt(to);
-            double delay = target < 0 ? NetworkModel.LOST : network.datagram(self, target);
+            double delay = target < 0 ? NetworkModel.LOST : network.datagramDelay(self, target);
             Packet arrives = packet instanceof Packet.Membership membership
                 ? new Packet.Membership(membership.message(), membership.states().subList(0, datagram.states())) : packet;
             deliver(target, delay, line -> {
@@ -166,7 +166,8 @@
 
         @Override public void exchange(String with, InetSocketAddress at, Packet.FullExchange ours) {
             int target = network.instanceAt(at);
-            double delay = target < 0 ? NetworkModel.LOST : network.reliable(self, target) + network.reliable(target, self);
+            double delay = target < 0 ? NetworkModel.LOST : network.connectionDelay(self, target) + network.connectionDelay(
+                target, self);
             if (Double.isNaN(delay)) {
                 return;
             }
--- a/src/main/java/kelphollow/scale/SocketHost.java
+++ b/src/main/java/kelphollow/scale/SocketHost.java
@@ -88,8 +88,8 @@
     }
 
     @Override public Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key,
-        int mostMembers) {
-        return (name, epoch, peers) -> new SocketPeerTransport(loop(instance), name, epoch, key, mostMembers,
+        int maxMembers) {
+        return (name, epoch, peers) -> new SocketPeerTransport(loop(instance), name, epoch, key, maxMembers,
             new SuspendablePeers(instance, process, peers), new NetworkDelays(network, instance, isProcess));
     }
 
@@ -129,7 +129,7 @@
         TimeUnit.NANOSECONDS.sleep((long) (millis * NANOS_PER_MILLI));
     }
 
-    @Override public double lateness() {
+    @Override public double p99Lateness() {
         synchronized (late) {
             double p99 = late.getTotalCount() == 0 ? 0 : late.getValueAtPercentile(99);
             late.reset();
--- a/src/main/java/kelphollow/scale/DiscoveryStandIn.java
+++ b/src/main/java/kelphollow/scale/StubDiscoveryServer.java
@@ -17,7 +17,7 @@
  * A discovery service that serves xDS by REST: the same endpoints to all processes, as many as the scenario has. Its
  * responses are counted. The endpoints are addresses that nobody calls: the run has no requests. Thread-safe.
  */
-final class DiscoveryStandIn implements AutoCloseable {
+final class StubDiscoveryServer implements AutoCloseable {
     private static final int THREADS = 4;
     private static final int BACKLOG = 256;
 
@@ -31,7 +31,7 @@
     private final byte[] endpoints;
     private final AtomicLong responses = new AtomicLong();
 
-    DiscoveryStandIn(ScaleScenario scenario) throws IOException {
+    StubDiscoveryServer(ScaleScenario scenario) throws IOException {
         clusters = response("c1", Map.of("name", "scale", "eds_cluster_config", Map.of("service_name", "scale")));
         endpoints = response("e1", Map.of("cluster_name", "scale", "endpoints",
             List.of(Map.of("locality", Map.of("zone", "z0"), "lb_endpoints", nodes(scenario)))));
--- a/src/test/java/kelphollow/scale/ScaleSimulationTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSimulationTest.java
@@ -210,8 +210,8 @@
         }
 
         @Override public Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key,
-            int mostMembers) {
-            Fleet.TransportFactory intact = host.transports(instance, process, key, mostMembers);
+            int maxMembers) {
+            Fleet.TransportFactory intact = host.transports(instance, process, key, maxMembers);
             return instance != faulty ? intact
                 : (name, epoch, peers) -> new FaultyLine(this, intact.open(name, epoch, new FaultyPeers(this, peers)));
         }
@@ -236,8 +236,8 @@
             host.advance(millis);
         }
 
-        @Override public double lateness() {
-            return host.lateness();
+        @Override public double p99Lateness() {
+            return host.p99Lateness();
         }
 
         @Override public void close() {
