--- a/src/main/java/kelphollow/scale/DrainProbes.java
+++ b/src/main/java/kelphollow/scale/DrainProbes.java
@@ -9,34 +9,34 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures how long a drain that one instance alone is notified of takes until each other one applies it. Those that never
- * do are counted, and are in the figures with the time that was waited for them: a lost drain must not make them better.
- * Thread-safe: instances report from their loops. Times are milliseconds.
+ * Measures how long a drain takes to reach every instance when only one is notified of it. Instances that never apply it are
+ * counted as missed and recorded with the time waited for them; otherwise a lost drain would improve the percentiles.
+ * Thread-safe: instances report from their event loops. Times are milliseconds.
  */
 final class DrainProbes {
     /** How long a drain lasts before the notifier revokes it. */
     static final double DRAIN_DURATION_MILLIS = 10_000;
-    /** Times are recorded in tenths of a millisecond. */
-    private static final double UNIT = 0.1;
-    private static final int DIGITS = 3;
+    /** Resolution of the histograms, in milliseconds. */
+    private static final double UNIT_MILLIS = 0.1;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
-    /** Whose times: of all instances, or of those in the notifier's region or out of it. */
+    /** Selects the instances measured: all, those in the notifier's region, or those in other regions. */
     enum Reach {
         ALL, REGION, ACROSS
     }
 
-    /** A drain that has lasted its time: which node, and which instance was notified of it. */
+    /** A drain to revoke: the drained node and the instance that was notified of the drain. */
     record Ended(int node, int notifier) {}
 
-    /** A drain; {@code waiting} are the instances that have not applied it yet. */
+    /** A drain in progress; {@code waiting} holds the instances that have not applied it yet. */
     private record Probe(int node, int notifier, double notifiedAt, BitSet waiting) {}
 
     private final ScaleScenario scenario;
-    /** By the node's name. */
+    /** Drains in progress by node name. */
     private final Map<String, Probe> open = new HashMap<>();
-    private final Histogram all = new Histogram(DIGITS);
-    private final Histogram sameRegion = new Histogram(DIGITS);
-    private final Histogram otherRegions = new Histogram(DIGITS);
+    private final Histogram all = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram sameRegion = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram otherRegions = new Histogram(SIGNIFICANT_DIGITS);
     private long notified;
     private long missed;
 
@@ -50,7 +50,7 @@
         open.put(SimulatedNodes.nodeName(node), new Probe(node, notifier, now, waiting));
     }
 
-    /** An instance ejects these nodes from now on. */
+    /** Records that an instance ejects these nodes from now on. */
     synchronized void ejected(int instance, double now, Set<String> nodes) {
         open.forEach((node, probe) -> {
             if (probe.waiting.get(instance) && nodes.contains(node)) {
@@ -61,19 +61,25 @@
     }
 
     private void record(Probe probe, int instance, double now) {
-        long tenths = Math.round((now - probe.notifiedAt) / UNIT);
+        long tenths = Math.round((now - probe.notifiedAt) / UNIT_MILLIS);
         all.recordValue(tenths);
         boolean isSameRegion = scenario.regionOf(instance) == scenario.regionOf(probe.notifier);
         (isSameRegion ? sameRegion : otherRegions).recordValue(tenths);
     }
 
-    /** An instance that ended or was suspended applies nothing more, and what it was notified of may have ended with it. */
+    /**
+     * Drops an instance that ended or was suspended: it applies no more drains, and a drain it was notified of may be lost
+     * with it.
+     */
     synchronized void exclude(int instance) {
         open.values().removeIf(probe -> probe.notifier == instance);
         open.values().forEach(probe -> probe.waiting.clear(instance));
     }
 
-    /** Ends drains that have lasted their time; at the end of the run those that have lasted half of it count too. */
+    /**
+     * Ends the drains that have reached {@link #DRAIN_DURATION_MILLIS}. At the end of the run all drains end, and those that
+     * have lasted less than half of it are left out of the figures.
+     */
     synchronized List<Ended> endExpired(double now, boolean last) {
         List<Ended> ended = new ArrayList<>();
         for (Probe probe : List.copyOf(open.values())) {
@@ -95,7 +101,7 @@
         return notified;
     }
 
-    /** Instances that did not apply a drain, over all drains. */
+    /** Number of instances that did not apply a drain, summed over all drains. */
     synchronized long missed() {
         return missed;
     }
@@ -106,6 +112,6 @@
             case REGION -> sameRegion;
             case ACROSS -> otherRegions;
         };
-        return Percentiles.of(times, UNIT);
+        return Percentiles.of(times, UNIT_MILLIS);
     }
 }
--- a/src/main/java/kelphollow/scale/FailureDetectionProbes.java
+++ b/src/main/java/kelphollow/scale/FailureDetectionProbes.java
@@ -7,25 +7,25 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures how long each instance takes to detect a death, and counts false findings about instances that run and can be
- * reached. Thread-safe: instances report from their loops.
+ * Measures how long each instance takes to detect the failure of another one, and counts false failures and false suspicions
+ * of instances that run and are reachable. Thread-safe: instances report from their event loops. Times are milliseconds.
  */
 final class FailureDetectionProbes {
-    /** How long after a resumption or a healed partition earlier findings may still arrive, in milliseconds. */
+    /** For this long after a resumption or a healed partition, reports that result from the fault may still arrive. */
     static final double RECOVERY_GRACE_MILLIS = 15_000;
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
-    /** A death; {@code waiting} are the instances that have not found it yet. */
-    private record Death(double at, BitSet waiting) {}
+    /** A failed instance; {@code waiting} holds the instances that have not detected the failure yet. */
+    private record Failure(double at, BitSet waiting) {}
 
     private final NetworkModel network;
     private final ScaleScenario scenario;
-    private final Map<String, Death> down = new HashMap<>();
-    /** When the instance was resumed last. */
+    private final Map<String, Failure> down = new HashMap<>();
+    /** Time of each instance's last resumption, by name. */
     private final Map<String, Double> resumedAt = new HashMap<>();
     private double healedAt = Double.NEGATIVE_INFINITY;
     private final Map<String, Long> epochs = new HashMap<>();
-    private final Histogram detection = new Histogram(DIGITS);
+    private final Histogram detection = new Histogram(SIGNIFICANT_DIGITS);
     private long falseFailures;
     private long falseSuspicions;
     private long falseFailuresJoining;
@@ -38,7 +38,7 @@
         this.network = network;
     }
 
-    /** Joining is over: false findings until now are counted apart. */
+    /** Ends the joining phase: false reports made until now are counted separately. */
     synchronized void beginMeasurement() {
         falseFailuresJoining = falseFailures;
         falseSuspicionsJoining = falseSuspicions;
@@ -47,17 +47,17 @@
         firstFalseFailure = "";
     }
 
-    /** An incarnation begins. */
+    /** Records the start of an incarnation; reports about earlier epochs of the instance no longer count as false. */
     synchronized void started(int instance, long epoch) {
         String name = ScaleScenario.nameOf(instance);
         epochs.put(name, epoch);
         down.remove(name);
     }
 
-    /** @param waiting instances that are to find it */
+    /** @param waiting instances expected to detect the failure; changed from here on */
     synchronized void died(int instance, double now, BitSet waiting) {
         exclude(instance);
-        down.put(ScaleScenario.nameOf(instance), new Death(now, waiting));
+        down.put(ScaleScenario.nameOf(instance), new Failure(now, waiting));
     }
 
     synchronized void resumed(int instance, double now) {
@@ -70,16 +70,18 @@
         healedAt = now;
     }
 
+    /** A failed instance detects nothing, so no detection is expected of it any more. */
     private void exclude(int instance) {
-        down.values().forEach(death -> death.waiting.clear(instance));
+        down.values().forEach(failure -> failure.waiting.clear(instance));
     }
 
+    /** Records that instance {@code by} reports {@code of} as failed or, for any other kind, as suspected. */
     synchronized void reported(int by, double now, String kind, String of, long epoch) {
-        Death death = down.get(of);
-        if (death != null) {
-            if (kind.equals("failed") && death.waiting.get(by)) {
-                death.waiting.clear(by);
-                detection.recordValue(Math.round(now - death.at));
+        Failure failure = down.get(of);
+        if (failure != null) {
+            if (kind.equals("failed") && failure.waiting.get(by)) {
+                failure.waiting.clear(by);
+                detection.recordValue(Math.round(now - failure.at));
             }
             return;
         }
@@ -93,20 +95,20 @@
         if (kind.equals("failed")) {
             falseFailures++;
             if (firstFalseFailure.isEmpty()) {
-                firstFalseFailure = ScaleScenario.nameOf(by) + " found " + of + " dead";
+                firstFalseFailure = ScaleScenario.nameOf(by) + " reported " + of + " as failed";
             }
         } else {
             falseSuspicions++;
         }
     }
 
-    /** Counts who has not found a death that is older than the longest suspicion. */
+    /** Counts the missing detections of each failure that is older than {@link #maxDetectionMillis}. */
     synchronized void countUndetected(double now) {
-        double longest = maxDetectionMillis();
-        down.values().forEach(death -> undetected += now - death.at > longest ? death.waiting.cardinality() : 0);
+        double maxMillis = maxDetectionMillis();
+        down.values().forEach(failure -> undetected += now - failure.at > maxMillis ? failure.waiting.cardinality() : 0);
     }
 
-    /** A round of probes over all, and the longest suspicion, with half of it on top for news to spread; in milliseconds. */
+    /** Ten protocol periods for probing, and the longest suspicion timeout plus half of it for dissemination. */
     double maxDetectionMillis() {
         MembershipSettings settings = MembershipSettings.DEFAULTS.withProtocolPeriod(scenario.period());
         double suspicion = settings.suspicionMultiplier() * Math.max(1, Math.log10(scenario.instances() + 1))
--- a/src/main/java/kelphollow/scale/FidelityCheck.java
+++ b/src/main/java/kelphollow/scale/FidelityCheck.java
@@ -6,20 +6,24 @@
 import java.util.Map;
 
 /**
- * Whether simulated instances send what real ones send in the same run: one that sends less would make size look cheap. How
- * often exchanges fall due is drawn at random and rare, so their size is compared and not their number. Stateless.
+ * Compares the traffic of simulated instances with that of real ones in the same run: instances that send too little would
+ * understate the cost of a large fleet. Exchanges are rare and randomly timed, so their size is compared, not their number.
+ * Stateless.
  */
 final class FidelityCheck {
-    /** A simulated instance's figures are within this share of a real one's. */
+    /** Largest relative difference allowed between a simulated and a real instance. */
     static final double TOLERANCE = 0.1;
-    /** With fewer datagrams of real instances the comparison is not made: gossip comes in bursts. */
+    /** With fewer datagrams from real instances nothing is compared, because gossip is bursty. */
     static final long MIN_DATAGRAMS = 1_000;
-    /** From this many exchanges of real instances on, simulated ones that made none fail the check. */
+    /** Once real instances made this many exchanges, simulated ones that made none fail the check. */
     static final long MIN_EXCHANGES = 10;
 
     private FidelityCheck() {}
 
-    /** Simulated divided by real, by figure; the size of exchanges only where both made any, or the real ones many. */
+    /**
+     * Returns the ratio of simulated to real by figure. The size of exchanges is included if both made some, or if the real
+     * ones made at least {@link #MIN_EXCHANGES}.
+     */
     static Map<String, Object> ratios(TrafficCount simulated, double simulatedSeconds, TrafficCount real,
         double realSeconds) {
         Map<String, Object> ratios = new LinkedHashMap<>();
@@ -37,14 +41,15 @@
         return real <= 0 ? 0 : Percentiles.rounded(simulated / real);
     }
 
-    /** Adds the figures that differ, if the real instances sent enough to compare. */
+    /** Adds a failure for each ratio beyond {@link #TOLERANCE}, if real instances sent enough datagrams to compare. */
     static void verify(Map<String, Object> ratios, long realDatagrams, List<String> failures) {
         if (realDatagrams < MIN_DATAGRAMS) {
             return;
         }
         ratios.forEach((figure, ratio) -> {
             if (Math.abs((double) ratio - 1) > TOLERANCE) {
-                failures.add(String.format(Locale.ROOT, "likeness: %s of a hollow instance is %.2f times a real one's",
+                failures.add(String.format(Locale.ROOT,
+                    "likeness: %s of a simulated instance is %.2f times that of a real one",
                     figure, (double) ratio));
             }
         });
--- a/src/main/java/kelphollow/scale/NetworkDelays.java
+++ b/src/main/java/kelphollow/scale/NetworkDelays.java
@@ -17,8 +17,8 @@
 import kelphollow.protocol.peer.ChannelCustomizer;
 
 /**
- * Stages of one instance's line that delay or drop what it sends, and what it receives from processes, as the {@link
- * NetworkModel} says. Each handler is confined to its channel's event loop and owns the messages that it holds.
+ * Installs channel handlers that delay or drop the messages one instance sends, and those it receives from real processes,
+ * according to the {@link NetworkModel}. Each handler is confined to its channel's event loop and owns the messages held.
  */
 final class NetworkDelays implements ChannelCustomizer {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -29,8 +29,8 @@
     private final IntPredicate isProcess;
 
     /**
-     * @param self the instance
-     * @param isProcess which instances are processes of their own
+     * @param self index of the instance
+     * @param isProcess tells whether the instance at an index is a real process
      */
     NetworkDelays(NetworkModel network, int self, IntPredicate isProcess) {
         this.network = network;
@@ -46,33 +46,33 @@
         pipeline.addLast(new ExchangeDelay());
     }
 
-    /** Delays a datagram, or drops it. */
+    /** Delays or drops datagrams: all that are sent, and those received from real processes. */
     private final class DatagramDelay extends ChannelDuplexHandler {
         @Override public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
             DatagramPacket packet = (DatagramPacket) message;
             int to = network.instanceAt(packet.recipient());
             double delay = to < 0 ? NetworkModel.LOST : network.datagramDelay(self, to);
-            pass(delay, ctx, packet, () -> ctx.writeAndFlush(packet, promise));
+            delayOrDrop(delay, ctx, packet, () -> ctx.writeAndFlush(packet, promise));
         }
 
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
             DatagramPacket packet = (DatagramPacket) message;
             int from = network.instanceAt(packet.sender());
             if (from >= 0 && isProcess.test(from)) {
-                pass(network.datagramDelay(from, self), ctx, packet, () -> ctx.fireChannelRead(packet));
+                delayOrDrop(network.datagramDelay(from, self), ctx, packet, () -> ctx.fireChannelRead(packet));
             } else {
                 ctx.fireChannelRead(packet);
             }
         }
 
-        private void pass(double delay, ChannelHandlerContext ctx, DatagramPacket packet, Runnable passOn) {
+        private void delayOrDrop(double delay, ChannelHandlerContext ctx, DatagramPacket packet, Runnable forward) {
             if (Double.isNaN(delay)) {
                 packet.release();
                 return;
             }
             ctx.channel().eventLoop().schedule(() -> {
                 if (ctx.channel().isActive()) {
-                    passOn.run();
+                    forward.run();
                 } else {
                     packet.release();
                 }
@@ -89,14 +89,15 @@
         @Override public void connect(ChannelHandlerContext ctx, SocketAddress remote, SocketAddress local,
             ChannelPromise promise) {
             peer = network.instanceAt((InetSocketAddress) remote);
-            double there = peer < 0 ? NetworkModel.LOST : network.connectionDelay(self, peer);
-            double back = peer < 0 ? NetworkModel.LOST : network.connectionDelay(peer, self);
-            if (Double.isNaN(there + back)) {
-                promise.tryFailure(new ConnectException("cut off"));
+            double outbound = peer < 0 ? NetworkModel.LOST : network.connectionDelay(self, peer);
+            double inbound = peer < 0 ? NetworkModel.LOST : network.connectionDelay(peer, self);
+            if (Double.isNaN(outbound + inbound)) {
+                promise.tryFailure(new ConnectException("instance " + self + " cannot reach " + remote
+                    + ": network partition or unknown address"));
                 ctx.close();
                 return;
             }
-            writes.schedule(ctx, there + back, () -> ctx.connect(remote, local, promise));
+            writes.schedule(ctx, outbound + inbound, () -> ctx.connect(remote, local, promise));
         }
 
         @Override public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
@@ -117,7 +118,7 @@
             reads.schedule(ctx, delay, () -> ctx.fireChannelRead(message));
         }
 
-        /** The end of the peer's sending must not overtake what it sent before. */
+        /** Half-closure lets the peer's end of output be queued behind its delayed messages instead of overtaking them. */
         @Override public void handlerAdded(ChannelHandlerContext ctx) {
             ctx.channel().config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
         }
@@ -131,7 +132,7 @@
         }
     }
 
-    /** Delays what goes one way over a connection without changing its order. */
+    /** Delays the messages of one direction of a connection without reordering them. */
     private static final class OrderedDelay {
         private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
         private long lastAt = System.nanoTime();
--- a/src/main/java/kelphollow/scale/NetworkModel.java
+++ b/src/main/java/kelphollow/scale/NetworkModel.java
@@ -12,12 +12,13 @@
  * several event loops use it.
  */
 final class NetworkModel {
-    /** Returned for what does not arrive. */
+    /** Delay of a message that is lost. */
     static final double LOST = Double.NaN;
-    /** Loopback addresses 127.77.x.y, so that hundreds of instances have one port each. */
+    /** Instances have loopback addresses 127.77.x.y, so that hundreds of them can use the same port. */
     private static final int SECOND_BYTE = 77;
     private static final int HOSTS_PER_SUBNET = 250;
 
+    /** One direction between two regions. */
     private record Path(int from, int to) {}
 
     private final ScaleScenario scenario;
@@ -33,6 +34,7 @@
         this.loss = scenario.network().loss();
     }
 
+    /** The loopback address of an instance. */
     InetSocketAddress addressOf(int instance) {
         try {
             byte thirdByte = (byte) (instance / HOSTS_PER_SUBNET);
@@ -80,7 +82,7 @@
         return !partitions.isEmpty();
     }
 
-    /** Partitions a region from another one, or from all others for -1. */
+    /** Partitions region {@code from} from region {@code to}, or from all others if {@code to} is negative. */
     synchronized void partition(int from, int to, boolean oneWay) {
         for (int other = 0; other < scenario.regions(); other++) {
             if (other != from && (to < 0 || other == to)) {
@@ -97,8 +99,8 @@
         partitions.clear();
     }
 
-    /** Sets the loss of datagrams, as a share of 1. */
-    synchronized void setLoss(double share) {
-        loss = share;
+    /** Sets the probability from 0 to 1 that a datagram is lost. */
+    synchronized void setLoss(double probability) {
+        loss = probability;
     }
 }
--- a/src/main/java/kelphollow/scale/Percentiles.java
+++ b/src/main/java/kelphollow/scale/Percentiles.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** The figures of a histogram as they are in a report. Stateless. */
+/** Summarizes a histogram for a report. Stateless. */
 final class Percentiles {
     private Percentiles() {}
 
-    /** Count, minimum, mean, p1, p50, p99 and max in units of {@code unit}; zeros for an empty histogram. */
+    /** Count, and minimum, mean, p1, p50, p99 and maximum multiplied by {@code unit}; zeros for an empty histogram. */
     static Map<String, Object> of(Histogram values, double unit) {
         boolean any = values.getTotalCount() > 0;
         Map<String, Object> figures = new LinkedHashMap<>();
--- a/src/main/java/kelphollow/scale/ScalePlots.java
+++ b/src/main/java/kelphollow/scale/ScalePlots.java
@@ -9,10 +9,10 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Plots of runs: figures over size where several sizes were played, and over time for each. Stateless. */
+/** Plots figures of several runs over the number of instances, and of each run over time. Stateless. */
 final class ScalePlots {
-    private static final int WIDTH = 900;
-    private static final int HEIGHT = 420;
+    private static final int WIDTH_PIXELS = 900;
+    private static final int HEIGHT_PIXELS = 420;
 
     private ScalePlots() {}
 
@@ -49,7 +49,7 @@
 
     private static XYChart chart(String title, String axis) {
         System.setProperty("java.awt.headless", "true");
-        return new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle(axis).build();
+        return new XYChartBuilder().width(WIDTH_PIXELS).height(HEIGHT_PIXELS).title(title).xAxisTitle(axis).build();
     }
 
     private static void save(XYChart chart, Path folder, String name) throws IOException {
--- a/src/main/java/kelphollow/scale/StubDiscoveryServer.java
+++ b/src/main/java/kelphollow/scale/StubDiscoveryServer.java
@@ -14,8 +14,8 @@
 import kelphollow.protocol.json.Json;
 
 /**
- * A discovery service that serves xDS by REST: the same endpoints to all processes, as many as the scenario has. Its
- * responses are counted. The endpoints are addresses that nobody calls: the run has no requests. Thread-safe.
+ * Stub xDS server over REST that serves one endpoint per node of the scenario, the same to all processes, and counts its
+ * responses. The endpoint addresses are never called, because the run sends no requests. Thread-safe.
  */
 final class StubDiscoveryServer implements AutoCloseable {
     private static final int THREADS = 4;
@@ -34,24 +34,24 @@
     StubDiscoveryServer(ScaleScenario scenario) throws IOException {
         clusters = response("c1", Map.of("name", "scale", "eds_cluster_config", Map.of("service_name", "scale")));
         endpoints = response("e1", Map.of("cluster_name", "scale", "endpoints",
-            List.of(Map.of("locality", Map.of("zone", "z0"), "lb_endpoints", nodes(scenario)))));
+            List.of(Map.of("locality", Map.of("zone", "z0"), "lb_endpoints", lbEndpoints(scenario)))));
         server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), BACKLOG);
         server.setExecutor(threads);
         server.createContext("/v3/", this::respond);
         server.start();
     }
 
-    private static List<Object> nodes(ScaleScenario scenario) {
-        List<Object> nodes = new ArrayList<>();
+    private static List<Object> lbEndpoints(ScaleScenario scenario) {
+        List<Object> lbEndpoints = new ArrayList<>();
         for (int i = 0; i < scenario.nodes(); i++) {
             String name = SimulatedNodes.nodeName(i);
             int colon = name.lastIndexOf(':');
-            nodes.add(Map.of("endpoint", Map.of("address", Map.of("socket_address",
+            lbEndpoints.add(Map.of("endpoint", Map.of("address", Map.of("socket_address",
                 Map.of("address", name.substring(0, colon), "port_value", Integer.parseInt(name.substring(colon + 1))))),
                 "health_status", i < scenario.state().drains() ? "DRAINING" : "HEALTHY",
                 "metadata", Map.of("filter_metadata", Map.of("kelphollow", Map.of("shard", i)))));
         }
-        return nodes;
+        return lbEndpoints;
     }
 
     private static byte[] response(String version, Object resource) {
--- a/src/main/java/kelphollow/scale/package-info.java
+++ b/src/main/java/kelphollow/scale/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The scale run: many simulated instances of the control plane in one process, without clients and data path, beside real
- * processes of the program, on sockets or on a simulated clock. It measures what size costs and how long state takes to
- * spread, and injects faults. Decides nothing of the fleet: the instances run the production classes.
+ * Scale tests of the control plane: many simulated instances in one process, without clients or data path, on a simulated
+ * clock or on sockets beside real processes of the program. They inject faults and measure the cost of fleet size and how
+ * long state takes to spread. The instances run the production classes; this package makes no fleet decisions.
  */
 package kelphollow.scale;
