--- a/src/main/java/kelphollow/scale/NetworkModel.java
+++ b/src/main/java/kelphollow/scale/NetworkModel.java
@@ -12,12 +12,13 @@
  * several event loops use it.
  */
 final class NetworkModel {
-    /** Returned for what does not arrive. */
+    /** Delay of a message that is lost. */
     static final double LOST = Double.NaN;
-    /** Loopback addresses 127.77.x.y, so that hundreds of instances have one port each. */
+    /** Instances have loopback addresses 127.77.x.y, so that hundreds of them can use the same port. */
     private static final int SECOND_BYTE = 77;
     private static final int HOSTS_PER_SUBNET = 250;
 
+    /** One direction between two regions. */
     private record Path(int from, int to) {}
 
     private final ScaleScenario scenario;
@@ -33,6 +34,7 @@
         this.loss = scenario.network().loss();
     }
 
+    /** The loopback address of an instance. */
     InetSocketAddress addressOf(int instance) {
         try {
             byte thirdByte = (byte) (instance / HOSTS_PER_SUBNET);
@@ -54,16 +56,17 @@
     }
 
     /** Delay of a datagram in milliseconds, drawn anew each time, or {@link #LOST}. */
-    synchronized double datagram(int from, int to) {
-        return random.nextDouble() < loss ? LOST : reliable(from, to);
+    synchronized double datagramDelay(int from, int to) {
+        return random.nextDouble() < loss ? LOST : connectionDelay(from, to);
     }
 
     /** Delay of a segment of a connection in milliseconds: TCP recovers from loss, but not from a partition. */
-    synchronized double reliable(int from, int to) {
-        return isPartitioned(from, to) ? LOST : base(from, to) * (1 + scenario.network().jitter() * random.nextDouble());
+    synchronized double connectionDelay(int from, int to) {
+        return isPartitioned(from, to) ? LOST : baseDelay(from, to) * (1 + scenario.network().jitter() * random
+            .nextDouble());
     }
 
-    private double base(int from, int to) {
+    private double baseDelay(int from, int to) {
         ScaleScenario.Network network = scenario.network();
         if (scenario.zoneOf(from) == scenario.zoneOf(to)) {
             return network.zone();
@@ -79,7 +82,7 @@
         return !partitions.isEmpty();
     }
 
-    /** Partitions a region from another one, or from all others for -1. */
+    /** Partitions region {@code from} from region {@code to}, or from all others if {@code to} is negative. */
     synchronized void partition(int from, int to, boolean oneWay) {
         for (int other = 0; other < scenario.regions(); other++) {
             if (other != from && (to < 0 || other == to)) {
@@ -96,8 +99,8 @@
         partitions.clear();
     }
 
-    /** Sets the loss of datagrams, as a share of 1. */
-    synchronized void loss(double share) {
-        loss = share;
+    /** Sets the probability from 0 to 1 that a datagram is lost. */
+    synchronized void setLoss(double probability) {
+        loss = probability;
     }
 }
