--- a/src/main/java/kelphollow/scale/ProcessConfig.java
+++ b/src/main/java/kelphollow/scale/ProcessConfig.java
@@ -32,10 +32,10 @@
     }
 
     /** The operator's file of an instance; {@code key} is the fleet's key file. */
-    Map<String, Object> of(RealInstance instance, Path key) throws IOException {
+    Map<String, Object> configOf(RealInstance instance, Path key) throws IOException {
         Map<String, Object> peers = new TreeMap<>();
         for (int seed : SimulatedInstance.seeds(scenario)) {
-            peers.put(ScaleScenario.nameOf(seed), text(network.addressOf(seed)));
+            peers.put(ScaleScenario.nameOf(seed), hostAndPort(network.addressOf(seed)));
         }
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", ScaleScenario.nameOf(instance.index()));
@@ -48,8 +48,9 @@
             List.of(instance.folder().resolve("a").toString(), instance.folder().resolve("b").toString())));
         config.put("xds",
             Map.of("cluster", "scale", "server", RealInstance.LOOPBACK + ":" + discoveryPort, "refresh_ms", REFRESH_MILLIS));
-        config.put("fleet", Map.of("listen", text(network.addressOf(instance.index())), "peers", peers, "key_file", key
-            .toString(),
+        config.put("fleet", Map.of("listen", hostAndPort(network.addressOf(instance.index())), "peers", peers, "key_file",
+            key
+                .toString(),
             "period_ms", scenario.period(), "fades_ms", scenario.timeToLive(),
             "events", instance.folder().resolve("events.jsonl").toString()));
         config.put("settings", settings(instance.index()));
@@ -74,7 +75,7 @@
         return settings;
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/src/main/java/kelphollow/scale/RealInstances.java
+++ b/src/main/java/kelphollow/scale/RealInstances.java
@@ -34,7 +34,7 @@
         for (int i = scenario.simulated(); i < scenario.instances(); i++) {
             Path own = Files.createDirectories(folder.resolve(ScaleScenario.nameOf(i)));
             RealInstance instance = new RealInstance(i, own, ProcessConfig.freePort());
-            Files.writeString(instance.configFile(), Json.write(config.of(instance, key)));
+            Files.writeString(instance.configFile(), Json.write(config.configOf(instance, key)));
             instances.add(instance);
         }
     }
--- a/src/main/java/kelphollow/scale/Processor.java
+++ b/src/main/java/kelphollow/scale/ResourceMeter.java
@@ -4,7 +4,7 @@
 import java.lang.management.ManagementFactory;
 
 /** Processor time and live memory of this process; what the tool itself needs is in both. Confined to the run's thread. */
-final class Processor {
+final class ResourceMeter {
     private static final OperatingSystemMXBean SYSTEM = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -15,7 +15,7 @@
 
     /** Memory is counted from here. */
     void beforeStart() {
-        heapBefore = live();
+        heapBefore = liveHeapBytes();
     }
 
     /** Processor time is counted from here. */
@@ -26,16 +26,16 @@
     /** Processor time is counted until here; memory is read after a collection. */
     void end() {
         cpuNanos = SYSTEM.getProcessCpuTime() - cpuBefore;
-        heapAfter = live();
+        heapAfter = liveHeapBytes();
     }
 
-    private static long live() {
+    private static long liveHeapBytes() {
         System.gc();
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
     }
 
     /** Processor seconds of this process. */
-    double seconds() {
+    double processorSeconds() {
         return cpuNanos / NANOS_PER_SECOND;
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** The load of the machine over the last minute, or below 0 where it is not known. */
-    static double load() {
+    static double loadAverage() {
         return SYSTEM.getSystemLoadAverage();
     }
 }
--- a/src/main/java/kelphollow/scale/Samples.java
+++ b/src/main/java/kelphollow/scale/Samples.java
@@ -56,7 +56,7 @@
         double bytes = 0;
         for (SimulatedInstance instance : running) {
             long[] held = {0};
-            instance.eachPart((name, age) -> {
+            instance.forEachState((name, age) -> {
                 if (names.contains(name) && age < scenario.timeToLive()) {
                     held[0]++;
                     ages.recordValue(Math.round(age));
--- a/src/main/java/kelphollow/scale/Scale.java
+++ b/src/main/java/kelphollow/scale/Scale.java
@@ -67,7 +67,7 @@
                 scenarios.add(scenario.withInstances(size));
             }
             for (ScaleScenario sized : scenarios) {
-                bound(sized, Processor.machineMemory());
+                bound(sized, ResourceMeter.machineMemory());
             }
         } catch (ScaleScenario.InvalidScenario e) {
             err.println("kelphollow: " + options.scenario() + ": " + e.getMessage());
--- a/src/main/java/kelphollow/scale/ScaleReport.java
+++ b/src/main/java/kelphollow/scale/ScaleReport.java
@@ -31,11 +31,11 @@
         addCosts(scenario, run);
         addDeaths(run);
         figures.put("late_p99_ms", Percentiles.rounded(lateness));
-        figures.put("load", Percentiles.rounded(Processor.load()));
+        figures.put("load", Percentiles.rounded(ResourceMeter.loadAverage()));
         if (!real.isEmpty()) {
             figures.put("real_instances", real);
         }
-        scenario.objectives().forEach(this::compare);
+        scenario.objectives().forEach(this::checkObjective);
         figures.put("failures", failures);
         figures.put("aims_missed", missed);
     }
@@ -68,8 +68,8 @@
         figures.put("datagrams_per_second", Percentiles.rounded(run.samples().total().datagramsOut()
             / run.samples().instanceSeconds()));
         figures.put("by_kind", run.samples().byKind());
-        figures.put("core_share", Percentiles.rounded(run.processor().seconds() / seconds / scenario.simulated()));
-        figures.put("memory_mb", Percentiles.rounded(run.processor().liveBytes() / MEGABYTE / scenario.simulated()));
+        figures.put("core_share", Percentiles.rounded(run.resources().processorSeconds() / seconds / scenario.simulated()));
+        figures.put("memory_mb", Percentiles.rounded(run.resources().liveBytes() / MEGABYTE / scenario.simulated()));
     }
 
     private void addDeaths(ScaleRun run) {
@@ -83,7 +83,7 @@
         figures.put("exchanges_turned_away", run.rejectedExchanges());
     }
 
-    private void compare(String objective, double bound) {
+    private void checkObjective(String objective, double bound) {
         double measured = switch (objective) {
             case "parts_fresh_share" -> figure("parts_fresh_share", "mean");
             case "drain_p99_ms" -> figure("drain_ms", "p99");
--- a/src/main/java/kelphollow/scale/ScaleRun.java
+++ b/src/main/java/kelphollow/scale/ScaleRun.java
@@ -52,7 +52,7 @@
     private final DeathProbes deaths;
     private final Samples samples;
     private final List<String> failures = new ArrayList<>();
-    private final Processor processor = new Processor();
+    private final ResourceMeter resources = new ResourceMeter();
     private double joinedAfter = Double.NaN;
     private double measuredSpan;
     private int drainNumber;
@@ -72,9 +72,9 @@
 
     /** Plays the scenario; what did not hold is in {@link #failures} afterwards. */
     void play() throws IOException, InterruptedException {
-        processor.beforeStart();
+        resources.beforeStart();
         for (SimulatedInstance instance : instances) {
-            begin(instance);
+            start(instance);
         }
         if (!join()) {
             failures.add("agree: the instances did not all see each other within "
@@ -84,7 +84,7 @@
         verify();
     }
 
-    private void begin(SimulatedInstance instance) throws IOException {
+    private void start(SimulatedInstance instance) throws IOException {
         instance.start();
         deaths.started(instance.index(), instance.epoch());
     }
@@ -136,7 +136,7 @@
         samples.begin(running());
         deaths.begin();
         external.begin();
-        processor.begin();
+        resources.begin();
         for (double at = 0; at < span; at = host.now() - from) {
             double next = Math.min(span, sampleAt);
             next = scenario.drainInterval() > 0 ? Math.min(next, drainAt) : next;
@@ -148,7 +148,7 @@
                 drainAt += scenario.drainInterval();
             }
             for (; step < scenario.steps().size() && at >= scenario.steps().get(step).at(); step++) {
-                act(scenario.steps().get(step));
+                apply(scenario.steps().get(step));
             }
             if (at >= sampleAt || at >= span) {
                 samples.take(running(), names(), at, at - sampledAt);
@@ -157,7 +157,7 @@
             }
         }
         measuredSpan = host.now() - from;
-        processor.end();
+        resources.end();
         external.end(names());
         revokeDrains(true);
         deaths.end(host.now());
@@ -202,7 +202,7 @@
 
     // ---------------------------------------------------------------- faults
 
-    private void act(ScaleScenario.Step step) throws IOException {
+    private void apply(ScaleScenario.Step step) throws IOException {
         switch (step.fault()) {
             case KILL -> instancesOf(step).forEach(this::kill);
             case SUSPEND -> instancesOf(step).forEach(this::suspend);
@@ -230,18 +230,18 @@
     private void kill(SimulatedInstance instance) {
         if (instance.isAlive()) {
             instance.kill();
-            down(instance);
+            recordDeath(instance);
         }
     }
 
     private void suspend(SimulatedInstance instance) {
         if (instance.isRunning()) {
             instance.suspend();
-            down(instance);
+            recordDeath(instance);
         }
     }
 
-    private void down(SimulatedInstance instance) {
+    private void recordDeath(SimulatedInstance instance) {
         drains.excuse(instance.index());
         BitSet waiting = new BitSet();
         running().forEach(i -> waiting.set(i.index()));
@@ -258,7 +258,7 @@
     private void restart(List<SimulatedInstance> which) throws IOException {
         which.forEach(this::kill);
         for (SimulatedInstance instance : which) {
-            begin(instance);
+            start(instance);
         }
     }
 
@@ -316,8 +316,8 @@
         return deaths;
     }
 
-    Processor processor() {
-        return processor;
+    ResourceMeter resources() {
+        return resources;
     }
 
     /** Ends all simulated instances. */
--- a/src/main/java/kelphollow/scale/ScenarioReader.java
+++ b/src/main/java/kelphollow/scale/ScenarioReader.java
@@ -19,32 +19,34 @@
 
     /** Reads a scenario; throws with the key that is wrong. */
     static ScaleScenario read(Map<?, ?> json) throws InvalidScenario {
-        known(json, "", "name", "instances", "real", "nodes", "regions", "zones", "period_ms", "fades_ms", "part", "network",
+        rejectUnknownKeys(json, "", "name", "instances", "real", "nodes", "regions", "zones", "period_ms", "fades_ms",
+            "part", "network",
             "warmup_ms", "seconds", "drain_every_ms", "loops", "aims", "steps");
         if (!(json.get("name") instanceof String name) || !name.matches("[a-z0-9-]{1,64}")) {
             throw new InvalidScenario("name is missing or not of a to z, 0 to 9 and -");
         }
-        int instances = whole(json, "", "instances", Double.NaN, 2, ScaleScenario.MAX_INSTANCES);
-        int real = whole(json, "", "real", 0, 0, ScaleScenario.MAX_PROCESSES);
+        int instances = integer(json, "", "instances", Double.NaN, 2, ScaleScenario.MAX_INSTANCES);
+        int real = integer(json, "", "real", 0, 0, ScaleScenario.MAX_PROCESSES);
         if (real >= instances) {
             throw new InvalidScenario("real must leave one hollow instance at least");
         }
-        int regions = whole(json, "", "regions", 1, 1, 16);
-        int zones = whole(json, "", "zones", regions, regions, 64);
-        int nodes = whole(json, "", "nodes", 1_000, 1, 10_000);
+        int regions = integer(json, "", "regions", 1, 1, 16);
+        int zones = integer(json, "", "zones", regions, regions, 64);
+        int nodes = integer(json, "", "nodes", 1_000, 1, 10_000);
         double period = number(json, "", "period_ms", 500, 20, 60_000);
         ScaleScenario scenario = new ScaleScenario(name, instances, real, nodes, regions, zones, period,
             number(json, "", "fades_ms", 10_000, 4 * period, 600_000), state(object(json, "part"), nodes),
             network(object(json, "network")), number(json, "", "warmup_ms", 10_000, 0, 3_600_000),
             number(json, "", "seconds", 20, 0.1, 86_400), number(json, "", "drain_every_ms", 1_000, 0, 3_600_000),
-            whole(json, "", "loops", 4, 1, 64), objectives(object(json, "aims")), List.of());
+            integer(json, "", "loops", 4, 1, 64), objectives(object(json, "aims")), List.of());
         return scenario.withSteps(steps(json.get("steps"), scenario));
     }
 
     private static StateSize state(Map<?, ?> json, int nodes) throws InvalidScenario {
-        known(json, "part.", "drains", "silent", "silent_by", "refused");
-        StateSize state = new StateSize(whole(json, "part.", "drains", 2, 0, 250), whole(json, "part.", "silent", 0, 0, 250),
-            whole(json, "part.", "silent_by", 3, 1, ScaleScenario.MAX_INSTANCES), whole(json, "part.", "refused", 1, 0,
+        rejectUnknownKeys(json, "part.", "drains", "silent", "silent_by", "refused");
+        StateSize state = new StateSize(integer(json, "part.", "drains", 2, 0, 250), integer(json, "part.", "silent", 0, 0,
+            250),
+            integer(json, "part.", "silent_by", 3, 1, ScaleScenario.MAX_INSTANCES), integer(json, "part.", "refused", 1, 0,
                 250));
         if (state.drains() + state.unresponsive() + state.rejected() >= nodes) {
             throw new InvalidScenario("nodes: fewer than the keys of 'part'");
@@ -53,14 +55,14 @@
     }
 
     private static Network network(Map<?, ?> json) throws InvalidScenario {
-        known(json, "network.", "zone_ms", "region_ms", "far_ms", "jitter", "loss");
+        rejectUnknownKeys(json, "network.", "zone_ms", "region_ms", "far_ms", "jitter", "loss");
         return new Network(number(json, "network.", "zone_ms", 0.5, 0, 10_000),
             number(json, "network.", "region_ms", 2, 0, 10_000), number(json, "network.", "far_ms", 40, 0, 10_000),
             number(json, "network.", "jitter", 0.2, 0, 10), number(json, "network.", "loss", 0, 0, 1));
     }
 
     private static Map<String, Double> objectives(Map<?, ?> json) throws InvalidScenario {
-        known(json, "aims.", ScaleScenario.OBJECTIVES.toArray(String[]::new));
+        rejectUnknownKeys(json, "aims.", ScaleScenario.OBJECTIVES.toArray(String[]::new));
         Map<String, Double> objectives = new TreeMap<>();
         for (Object key : json.keySet()) {
             objectives.put((String) key, number(json, "aims.", (String) key, Double.NaN, 0, 1e9));
@@ -93,17 +95,17 @@
     }
 
     private static Step step(Map<?, ?> json, String at, ScaleScenario scenario) throws InvalidScenario {
-        known(json, at, "at_ms", "do", "first", "count", "zone", "from", "to", "one_way", "loss");
+        rejectUnknownKeys(json, at, "at_ms", "do", "first", "count", "zone", "from", "to", "one_way", "loss");
         Fault fault = Fault.ofWord(json.get("do"));
         if (fault == null) {
             throw new InvalidScenario(at + "do is "
                 + (json.get("do") == null ? "missing" : "'" + json.get("do") + "', which is not known"));
         }
-        int first = whole(json, at, "first", 0, 0, scenario.simulated() - 1);
-        int count = whole(json, at, "count", fault.concernsInstances() ? 1 : 0, 0, scenario.simulated() - first);
+        int first = integer(json, at, "first", 0, 0, scenario.simulated() - 1);
+        int count = integer(json, at, "count", fault.concernsInstances() ? 1 : 0, 0, scenario.simulated() - first);
         return new Step(number(json, at, "at_ms", Double.NaN, 0, 86_400_000), fault, first, count,
-            whole(json, at, "zone", 0, 0, scenario.zones() - 1), whole(json, at, "from", 0, 0, scenario.regions() - 1),
-            whole(json, at, "to", -1, -1, scenario.regions() - 1), Boolean.TRUE.equals(json.get("one_way")),
+            integer(json, at, "zone", 0, 0, scenario.zones() - 1), integer(json, at, "from", 0, 0, scenario.regions() - 1),
+            integer(json, at, "to", -1, -1, scenario.regions() - 1), Boolean.TRUE.equals(json.get("one_way")),
             number(json, at, "loss", fault == Fault.LOSS ? Double.NaN : 0, 0, 1));
     }
 
@@ -118,26 +120,26 @@
         throw new InvalidScenario(key + " is not an object");
     }
 
-    private static int whole(Map<?, ?> json, String at, String key, double absent, int least, int most)
+    private static int integer(Map<?, ?> json, String at, String key, double defaultValue, int min, int max)
         throws InvalidScenario {
-        double value = number(json, at, key, absent, least, most);
+        double value = number(json, at, key, defaultValue, min, max);
         if (value != Math.rint(value)) {
             throw new InvalidScenario(at + key + " must be a whole number");
         }
         return (int) value;
     }
 
-    private static double number(Map<?, ?> json, String at, String key, double absent, double least, double most)
+    private static double number(Map<?, ?> json, String at, String key, double defaultValue, double min, double max)
         throws InvalidScenario {
-        Object value = json.get(key) == null ? (Double) absent : json.get(key);
-        if (value instanceof Double d && d >= least && d <= most) {
+        Object value = json.get(key) == null ? (Double) defaultValue : json.get(key);
+        if (value instanceof Double d && d >= min && d <= max) {
             return d;
         }
         throw new InvalidScenario(at + key
-            + (json.get(key) == null ? " is missing" : " must be from " + least + " to " + most));
+            + (json.get(key) == null ? " is missing" : " must be from " + min + " to " + max));
     }
 
-    private static void known(Map<?, ?> json, String at, String... keys) throws InvalidScenario {
+    private static void rejectUnknownKeys(Map<?, ?> json, String at, String... keys) throws InvalidScenario {
         for (Object key : json.keySet()) {
             if (!List.of(keys).contains(key)) {
                 throw new InvalidScenario(at + key + " is not known");
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -36,7 +36,7 @@
     private final NetworkModel network;
     private final PriorityQueue<Due> schedule = new PriorityQueue<>(
         Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
-    private final Map<Integer, Line> lines = new HashMap<>();
+    private final Map<Integer, SimulatedTransport> transports = new HashMap<>();
     private double now;
     private long order;
 
@@ -70,8 +70,9 @@
     }
 
     @Override public Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key,
-        int mostMembers) {
-        return (name, epoch, peers) -> new Line(instance, process, new PacketSealer(name, epoch, key), name, peers);
+        int maxMembers) {
+        return (name, epoch, peers) -> new SimulatedTransport(instance, process, new PacketSealer(name, epoch, key), name,
+            peers);
     }
 
     @Override public void open(int instance, Fleet fleet) throws IOException {
@@ -102,11 +103,11 @@
 
     @Override public void close() {
         schedule.clear();
-        lines.clear();
+        transports.clear();
     }
 
     /** The packets of one instance. */
-    private final class Line implements PeerTransport {
+    private final class SimulatedTransport implements PeerTransport {
         private final int self;
         private final SuspendableExecutor process;
         private final PacketSealer sealer;
@@ -116,7 +117,7 @@
         private final Map<DropReason, Long> drops = new EnumMap<>(DropReason.class);
         private int callers;
 
-        Line(int self, SuspendableExecutor process, PacketSealer sealer, String name, PeerListener peers) {
+        SimulatedTransport(int self, SuspendableExecutor process, PacketSealer sealer, String name, PeerListener peers) {
             this.self = self;
             this.process = process;
             this.sealer = sealer;
@@ -125,7 +126,7 @@
         }
 
         @Override public InetSocketAddress listen(InetSocketAddress at) {
-            lines.put(self, this);
+            transports.put(self, this);
             return at;
         }
 
@@ -141,25 +142,25 @@
             double delay = target < 0 ? NetworkModel.LOST : network.datagram(self, target);
             Packet arrives = packet instanceof Packet.Membership membership
                 ? new Packet.Membership(membership.message(), membership.states().subList(0, datagram.states())) : packet;
-            deliver(target, delay, line -> {
-                line.traffic.received(Traffic.kind(arrives), bytes);
+            deliver(target, delay, transport -> {
+                transport.traffic.received(Traffic.kind(arrives), bytes);
                 if (arrives instanceof Packet.Membership membership) {
-                    line.peers.membershipReceived(name, membership);
+                    transport.peers.membershipReceived(name, membership);
                 } else if (arrives instanceof Packet.Comparison comparison) {
-                    line.peers.comparisonReceived(name, comparison);
+                    transport.peers.comparisonReceived(name, comparison);
                 }
             });
             return (long) bytes + SocketPeerTransport.HEADER_BYTES;
         }
 
-        private void deliver(int target, double delay, Consumer<Line> arrive) {
+        private void deliver(int target, double delay, Consumer<SimulatedTransport> arrive) {
             if (Double.isNaN(delay)) {
                 return;
             }
             schedule(now + delay, () -> {
-                Line line = lines.get(target);
-                if (line != null) {
-                    line.process.execute(() -> arrive.accept(line));
+                SimulatedTransport transport = transports.get(target);
+                if (transport != null) {
+                    transport.process.execute(() -> arrive.accept(transport));
                 }
             });
         }
@@ -171,11 +172,11 @@
                 return;
             }
             int bytes = sealer.sealed(ours, CHALLENGE).length;
-            deliver(target, delay / 2 * TRIPS_TO_MESSAGE, line -> line.answer(this, bytes, ours, delay / 2));
+            deliver(target, delay / 2 * TRIPS_TO_MESSAGE, transport -> transport.answer(this, bytes, ours, delay / 2));
             traffic.sent(Traffic.Kind.EXCHANGE, bytes);
         }
 
-        private void answer(Line caller, int bytes, Packet.FullExchange theirs, double delayBack) {
+        private void answer(SimulatedTransport caller, int bytes, Packet.FullExchange theirs, double delayBack) {
             if (callers >= MAX_CALLERS) {
                 drops.merge(DropReason.CROWDED, 1L, Long::sum);
                 return;
@@ -187,7 +188,7 @@
             traffic.sent(Traffic.Kind.EXCHANGE, answerBytes);
             schedule(now + delayBack, () -> {
                 callers--;
-                if (lines.get(caller.self) == caller) {
+                if (transports.get(caller.self) == caller) {
                     caller.process.execute(() -> {
                         caller.traffic.received(Traffic.Kind.EXCHANGE, answerBytes);
                         caller.peers.exchangeAnswered(name, ours);
@@ -205,7 +206,7 @@
         }
 
         @Override public void close() {
-            lines.remove(self, this);
+            transports.remove(self, this);
         }
     }
 }
--- a/src/main/java/kelphollow/scale/SimulatedInstance.java
+++ b/src/main/java/kelphollow/scale/SimulatedInstance.java
@@ -160,7 +160,7 @@
         return host.call(index, fleet::presentMembers);
     }
 
-    void eachPart(BiConsumer<String, Double> nameAndAge) {
+    void forEachState(BiConsumer<String, Double> nameAndAge) {
         host.run(index, () -> {
             fleet.forEachState((state, age) -> nameAndAge.accept(state.instance(), age));
         });
--- a/src/main/java/kelphollow/scale/SocketHost.java
+++ b/src/main/java/kelphollow/scale/SocketHost.java
@@ -88,8 +88,8 @@
     }
 
     @Override public Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key,
-        int mostMembers) {
-        return (name, epoch, peers) -> new SocketPeerTransport(loop(instance), name, epoch, key, mostMembers,
+        int maxMembers) {
+        return (name, epoch, peers) -> new SocketPeerTransport(loop(instance), name, epoch, key, maxMembers,
             new SuspendablePeers(instance, process, peers), new NetworkDelays(network, instance, isProcess));
     }
 
--- a/src/test/java/kelphollow/scale/ScaleSimulationTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSimulationTest.java
@@ -111,14 +111,14 @@
     /** An instance whose packets carry no state: its drains reach nobody, and the check must report it. */
     @Test void anInstanceThatSendsNoStateIsDetected() throws Exception {
         ScaleRun run = play(scenario(SMALL + "'seconds':9"), SEED, host -> new FaultyHost(host, NOTIFIED_SECOND) {
-            @Override long send(PeerTransport line, InetSocketAddress to, Packet packet) {
+            @Override long send(PeerTransport transport, InetSocketAddress to, Packet packet) {
                 if (packet instanceof Packet.Comparison comparison) {
-                    return comparison.message() instanceof AntiEntropy.Delta ? 0 : line.send(to, packet);
+                    return comparison.message() instanceof AntiEntropy.Delta ? 0 : transport.send(to, packet);
                 }
-                return line.send(to, new Packet.Membership(((Packet.Membership) packet).message(), List.of()));
+                return transport.send(to, new Packet.Membership(((Packet.Membership) packet).message(), List.of()));
             }
 
-            @Override Packet.FullExchange full(Packet.FullExchange packet) {
+            @Override Packet.FullExchange outgoingExchange(Packet.FullExchange packet) {
                 return new Packet.FullExchange(packet.updates(), List.of());
             }
         });
@@ -128,7 +128,7 @@
     /** An instance that sends nothing counts as dead to the others though it runs: a false finding. */
     @Test void aFalseFailureIsCounted() throws Exception {
         ScaleRun run = play(scenario(SMALL + "'seconds':12"), SEED, host -> new FaultyHost(host, 3) {
-            @Override long send(PeerTransport line, InetSocketAddress to, Packet packet) {
+            @Override long send(PeerTransport transport, InetSocketAddress to, Packet packet) {
                 return 0;                  // it neither answers nor refutes a suspicion
             }
         });
@@ -139,7 +139,7 @@
     @Test void anUndetectedDeathIsCounted() throws Exception {
         ScaleRun run = play(scenario(SMALL + "'seconds':14,'steps':[{'at_ms':0,'do':'kill','first':9}]"), SEED,
             host -> new FaultyHost(host, 3) {
-                @Override void small(PeerListener peers, String from, Packet.Membership packet) {
+                @Override void membershipReceived(PeerListener peers, String from, Packet.Membership packet) {
                     if (packet.message() instanceof Message.Ack) {
                         peers.membershipReceived(from, new Packet.Membership(packet.message(), List.of()));
                     } else {
@@ -147,7 +147,7 @@
                     }
                 }
 
-                @Override void compared(PeerListener peers, String from, Packet.Comparison packet) {
+                @Override void comparisonReceived(PeerListener peers, String from, Packet.Comparison packet) {
                     // nor does it learn of it by comparing views
                 }
             });
@@ -193,27 +193,27 @@
             this.faulty = faulty;
         }
 
-        long send(PeerTransport line, InetSocketAddress to, Packet packet) {
-            return line.send(to, packet);
+        long send(PeerTransport transport, InetSocketAddress to, Packet packet) {
+            return transport.send(to, packet);
         }
 
-        void compared(PeerListener peers, String from, Packet.Comparison packet) {
+        void comparisonReceived(PeerListener peers, String from, Packet.Comparison packet) {
             peers.comparisonReceived(from, packet);
         }
 
-        void small(PeerListener peers, String from, Packet.Membership packet) {
+        void membershipReceived(PeerListener peers, String from, Packet.Membership packet) {
             peers.membershipReceived(from, packet);
         }
 
-        Packet.FullExchange full(Packet.FullExchange packet) {
+        Packet.FullExchange outgoingExchange(Packet.FullExchange packet) {
             return packet;
         }
 
         @Override public Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key,
-            int mostMembers) {
-            Fleet.TransportFactory intact = host.transports(instance, process, key, mostMembers);
+            int maxMembers) {
+            Fleet.TransportFactory intact = host.transports(instance, process, key, maxMembers);
             return instance != faulty ? intact
-                : (name, epoch, peers) -> new FaultyLine(this, intact.open(name, epoch, new FaultyPeers(this, peers)));
+                : (name, epoch, peers) -> new FaultyTransport(this, intact.open(name, epoch, new FaultyPeers(this, peers)));
         }
 
         @Override public void open(int instance, Fleet fleet) throws IOException {
@@ -247,15 +247,15 @@
 
     private record FaultyPeers(FaultyHost fault, PeerListener peers) implements PeerListener {
         @Override public void membershipReceived(String from, Packet.Membership packet) {
-            fault.small(peers, from, packet);
+            fault.membershipReceived(peers, from, packet);
         }
 
         @Override public void comparisonReceived(String from, Packet.Comparison packet) {
-            fault.compared(peers, from, packet);
+            fault.comparisonReceived(peers, from, packet);
         }
 
         @Override public Packet.FullExchange exchangeRequested(String from, Packet.FullExchange theirs) {
-            return fault.full(peers.exchangeRequested(from, theirs));
+            return fault.outgoingExchange(peers.exchangeRequested(from, theirs));
         }
 
         @Override public void exchangeAnswered(String from, Packet.FullExchange theirs) {
@@ -263,29 +263,29 @@
         }
     }
 
-    private record FaultyLine(FaultyHost fault, PeerTransport line) implements PeerTransport {
+    private record FaultyTransport(FaultyHost fault, PeerTransport transport) implements PeerTransport {
         @Override public InetSocketAddress listen(InetSocketAddress at) throws IOException {
-            return line.listen(at);
+            return transport.listen(at);
         }
 
         @Override public long send(InetSocketAddress to, Packet packet) {
-            return fault.send(line, to, packet);
+            return fault.send(transport, to, packet);
         }
 
         @Override public void exchange(String with, InetSocketAddress at, Packet.FullExchange ours) {
-            line.exchange(with, at, fault.full(ours));
+            transport.exchange(with, at, fault.outgoingExchange(ours));
         }
 
         @Override public Map<DropReason, Long> drops() {
-            return line.drops();
+            return transport.drops();
         }
 
         @Override public Traffic traffic() {
-            return line.traffic();
+            return transport.traffic();
         }
 
         @Override public void close() {
-            line.close();
+            transport.close();
         }
     }
 }
