--- a/src/main/java/kelphollow/scale/ProcessConfig.java
+++ b/src/main/java/kelphollow/scale/ProcessConfig.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Writes the operator's files of the processes of a run, in the product's own keys. Confined to the run's thread. */
+/** Builds the configuration files of a run's processes, in the keys of {@code serve}. Confined to the run's thread. */
 final class ProcessConfig {
-    /** How often a process polls discovery, in milliseconds; the response has all endpoints. */
+    /** Interval at which a process polls discovery, in milliseconds; each response lists all endpoints. */
     private static final int REFRESH_MILLIS = 5_000;
 
     private final ScaleScenario scenario;
@@ -24,14 +24,14 @@
         this.discoveryPort = discoveryPort;
     }
 
-    /** A port that is free now. */
+    /** Returns a TCP port that is free now; another process may still take it before it is bound. */
     static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, new InetSocketAddress(RealInstance.LOOPBACK, 0).getAddress())) {
             return socket.getLocalPort();
         }
     }
 
-    /** The operator's file of an instance; {@code key} is the fleet's key file. */
+    /** Returns the configuration of an instance as JSON values; {@code key} is the fleet's key file. */
     Map<String, Object> configOf(RealInstance instance, Path key) throws IOException {
         Map<String, Object> peers = new TreeMap<>();
         for (int seed : SimulatedInstance.seeds(scenario)) {
--- a/src/main/java/kelphollow/scale/RealInstance.java
+++ b/src/main/java/kelphollow/scale/RealInstance.java
@@ -13,20 +13,20 @@
 import kelphollow.protocol.peer.Traffic;
 
 /**
- * One process of the program, with its own folder and management line, and what it did while it was measured. Confined to
- * the run's thread, but for {@link #close}.
+ * One process of the program with its own folder and management port, and its traffic and resource use over the
+ * measurement. Confined to the run's thread, except for {@link #close}.
  */
 final class RealInstance implements AutoCloseable {
     static final String LOOPBACK = "127.0.0.1";
     private static final int TIMEOUT_MILLIS = 5_000;
-    /** Last lines of the log of a process that ended by itself, for the message. */
+    /** How many of the last log lines the error for a process that exited by itself quotes. */
     private static final int LOG_LINES = 3;
     private static final double KILOBYTES_PER_MEGABYTE = 1_024;
     private static final String REPLY_PREFIX = "ACK ";
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** The status of a process at one moment. */
+    /** Counters of a process at one moment; {@code nanos} is of {@link System#nanoTime}. */
     private record Status(long nanos, TrafficCount traffic, Duration cpu, double residentMegabytes, Map<?, ?> fleet) {}
 
     private final int index;
@@ -58,7 +58,7 @@
         return managementPort;
     }
 
-    /** The operator's file of the process. */
+    /** Returns the path of the process's configuration file. */
     Path configFile() {
         return folder.resolve("config.json");
     }
@@ -72,42 +72,42 @@
         process = builder.start();
     }
 
-    /** Whether it was started and has ended. */
+    /** Returns whether the process was started and has exited. */
     boolean hasEnded() {
         return process != null && !process.isAlive();
     }
 
-    /** The measurement begins. */
+    /** Takes the counters at the start of the measurement. */
     void begin() throws IOException {
         atBegin = status();
     }
 
-    /** The measurement ends. */
+    /** Takes the counters at the end of the measurement. */
     void end() throws IOException {
         atEnd = status();
     }
 
-    /** What the process sent and received while it was measured. */
+    /** Returns what the process sent and received during the measurement. */
     TrafficCount traffic() {
         return atEnd.traffic.since(atBegin.traffic);
     }
 
-    /** For how many seconds it was measured. */
+    /** Returns the length of the measurement in seconds. */
     double seconds() {
         return (atEnd.nanos - atBegin.nanos) / NANOS_PER_SECOND;
     }
 
-    /** Processor seconds while it was measured. */
+    /** Returns the processor seconds used during the measurement. */
     double processorSeconds() {
         return atEnd.cpu.minus(atBegin.cpu).toNanos() / NANOS_PER_SECOND;
     }
 
-    /** Resident memory at the end of the measurement. */
+    /** Returns the resident memory at the end of the measurement; 0 where the system does not report it. */
     double residentMegabytes() {
         return atEnd.residentMegabytes;
     }
 
-    /** The fleet's status, in the words of the management line, at the end of the measurement. */
+    /** Returns the reply to {@code fleet status} at the end of the measurement. */
     Map<?, ?> fleet() {
         return atEnd.fleet;
     }
@@ -115,7 +115,7 @@
     private Status status() throws IOException {
         if (!process.isAlive()) {
             List<String> log = Files.readAllLines(folder.resolve("log"));
-            throw new IOException("the process of " + ScaleScenario.nameOf(index) + " ended by itself: "
+            throw new IOException("process of " + ScaleScenario.nameOf(index) + " exited unexpectedly; end of its log: "
                 + String.join(" / ", log.subList(Math.max(0, log.size() - LOG_LINES), log.size())));
         }
         Map<?, ?> fleet = fleetStatus(managementPort);
@@ -135,7 +135,8 @@
             socket.getOutputStream().write("fleet status\n".getBytes(StandardCharsets.US_ASCII));
             String reply = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             if (!reply.startsWith(REPLY_PREFIX + "{")) {
-                throw new IOException("an instance answered: " + reply);
+                throw new IOException("'fleet status' on port " + port + " returned '" + reply
+                    + "', expected ACK and a JSON object");
             }
             return (Map<?, ?>) Json.parse(reply.substring(REPLY_PREFIX.length()).strip());
         }
@@ -155,7 +156,7 @@
         return 0;
     }
 
-    /** Ends the process and waits until it has ended. */
+    /** Kills the process and waits for its exit. */
     @Override public void close() {
         if (process != null) {
             process.destroyForcibly().onExit().join();
--- a/src/main/java/kelphollow/scale/RealInstances.java
+++ b/src/main/java/kelphollow/scale/RealInstances.java
@@ -13,9 +13,9 @@
 import kelphollow.protocol.json.Json;
 
 /**
- * The instances of a fleet that are processes of the program, as an operator would start them, without clients. Their
- * traffic is read over their management lines; they cannot tell that the others are simulated. Confined to the run's thread,
- * but for {@link #close}, which an interrupted run calls from its shutdown hook.
+ * The instances of a fleet that run as processes of the program, started as by an operator, without clients. Their traffic
+ * is read over their management ports; to them the simulated instances look like any others. Confined to the run's thread,
+ * except for {@link #close}, which an interrupted run calls from its shutdown hook.
  */
 final class RealInstances implements ScaleRun.ExternalInstances, AutoCloseable {
     private final ScaleScenario scenario;
@@ -51,7 +51,7 @@
         return index >= scenario.simulated();
     }
 
-    /** Processes that ended by themselves. */
+    /** Returns the names of processes that exited by themselves. */
     List<String> crashed() {
         return instances.stream().filter(RealInstance::hasEnded).map(RealInstance::name).toList();
     }
@@ -75,19 +75,19 @@
 
     // ---------------------------------------------------------------- figures
 
-    /** What all real instances sent and received while they were measured. */
+    /** Returns what all real instances together sent and received during the measurement. */
     private TrafficCount total() {
         TrafficCount total = new TrafficCount();
         instances.forEach(instance -> total.add(instance.traffic()));
         return total;
     }
 
-    /** Over how many seconds, summed over instances. */
+    /** Returns the measured seconds, summed over instances. */
     private double instanceSeconds() {
         return instances.stream().mapToDouble(RealInstance::seconds).sum();
     }
 
-    /** Means over the real instances, and the simulated ones compared with them; empty without any. */
+    /** Returns means over the real instances and the simulated ones' ratio to them; empty if there are no real instances. */
     Map<String, Object> figures(Samples simulated, List<String> failures) {
         if (instances.isEmpty()) {
             return Map.of();
@@ -125,19 +125,19 @@
         return fresh / (double) scenario.instances();
     }
 
-    /** Adds what does not hold of the processes. */
+    /** Adds a failure for processes that exited and one for processes with a wrong view of the fleet. */
     void verify(List<String> failures) {
         List<String> crashed = crashed();
         if (!crashed.isEmpty()) {
-            failures.add("crash: processes ended by themselves: " + crashed);
+            failures.add("crash: processes exited unexpectedly: " + crashed);
         }
         long disagreeing = network.hasPartitions() ? 0 : disagreeing(runningAtEnd);
         if (disagreeing > 0) {
-            failures.add("agree: " + disagreeing + " processes see others than just the running instances at the end");
+            failures.add("agree: " + disagreeing + " processes do not list exactly the running instances at the end");
         }
     }
 
-    /** How many of the real instances report others than just these as present. */
+    /** Counts the real instances whose present members (alive or suspect) differ from {@code running}. */
     private long disagreeing(Set<String> running) {
         return instances.stream().filter(instance -> {
             Set<String> present = new TreeSet<>();
@@ -150,7 +150,7 @@
         }).count();
     }
 
-    /** Ends every process and waits until it has ended. */
+    /** Kills every process and waits for its exit. */
     @Override public void close() {
         for (RealInstance instance : instances) {
             instance.close();
--- a/src/main/java/kelphollow/scale/ResourceMeter.java
+++ b/src/main/java/kelphollow/scale/ResourceMeter.java
@@ -3,7 +3,7 @@
 import com.sun.management.OperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
 
-/** Processor time and live memory of this process; what the tool itself needs is in both. Confined to the run's thread. */
+/** Measures processor time and live heap of this process, the tool's own share included. Confined to the run's thread. */
 final class ResourceMeter {
     private static final OperatingSystemMXBean SYSTEM = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
     private static final double NANOS_PER_SECOND = 1e9;
@@ -13,17 +13,17 @@
     private long cpuBefore;
     private long cpuNanos;
 
-    /** Memory is counted from here. */
+    /** Takes the live heap before any instance starts. */
     void beforeStart() {
         heapBefore = liveHeapBytes();
     }
 
-    /** Processor time is counted from here. */
+    /** Starts to count processor time. */
     void begin() {
         cpuBefore = SYSTEM.getProcessCpuTime();
     }
 
-    /** Processor time is counted until here; memory is read after a collection. */
+    /** Stops counting processor time and takes the live heap after a garbage collection. */
     void end() {
         cpuNanos = SYSTEM.getProcessCpuTime() - cpuBefore;
         heapAfter = liveHeapBytes();
@@ -34,22 +34,22 @@
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
     }
 
-    /** Processor seconds of this process. */
+    /** Returns the processor seconds between {@link #begin} and {@link #end}. */
     double processorSeconds() {
         return cpuNanos / NANOS_PER_SECOND;
     }
 
-    /** Bytes that stayed live and were not there before the start. */
+    /** Returns by how many bytes the live heap grew since {@link #beforeStart}; 0 if it shrank. */
     long liveBytes() {
         return Math.max(0, heapAfter - heapBefore);
     }
 
-    /** All memory of the machine, in bytes. */
+    /** Returns the machine's total memory in bytes. */
     static long machineMemory() {
         return SYSTEM.getTotalMemorySize();
     }
 
-    /** The load of the machine over the last minute, or below 0 where it is not known. */
+    /** Returns the machine's load average over the last minute, or a negative value where it is not available. */
     static double loadAverage() {
         return SYSTEM.getSystemLoadAverage();
     }
--- a/src/main/java/kelphollow/scale/Samples.java
+++ b/src/main/java/kelphollow/scale/Samples.java
@@ -10,18 +10,18 @@
 import kelphollow.protocol.peer.Traffic;
 import org.HdrHistogram.Histogram;
 
-/** Samples of the simulated instances, once a second: states, their ages, traffic. Confined to the run's thread. */
+/** Samples the simulated instances once a second: fresh states, their ages, traffic. Confined to the run's thread. */
 final class Samples {
-    /** Shares are recorded in ten-thousandths. */
+    /** Shares are recorded in ten-thousandths, since the histogram holds integers. */
     private static final double SHARE_UNIT = 1e-4;
     private static final int DIGITS = 3;
-    /** Exact for shares, of which there are ten thousand. */
+    /** Significant digits that keep all ten thousand shares exact. */
     private static final int SHARE_DIGITS = 4;
 
-    /** The counts of an incarnation at the last sample. */
+    /** An incarnation's traffic counters at the last sample. */
     private record Baseline(long epoch, TrafficCount traffic) {}
 
-    /** Means over instances at one moment, for the plots. */
+    /** Means over instances at one sample, for the plots; {@code bytesOut} is per second. */
     record Moment(double seconds, double freshShare, double bytesOut) {}
 
     private final ScaleScenario scenario;
@@ -38,18 +38,18 @@
         this.scenario = scenario;
     }
 
-    /** Takes the counts from which the next sample goes on. */
+    /** Takes the counters that the first sample is compared with. */
     void begin(List<SimulatedInstance> running) {
         running.forEach(i -> baselines.put(i.index(), new Baseline(i.epoch(), i.traffic())));
     }
 
     /**
-     * One sample.
+     * Takes one sample.
      *
-     * @param running the simulated instances that run
-     * @param names of all instances that run, real ones too
-     * @param at since the measurement began, in milliseconds
-     * @param span since the sample before, in milliseconds
+     * @param running the running simulated instances
+     * @param names names of all running instances, real ones included
+     * @param at milliseconds since the measurement began
+     * @param span milliseconds since the previous sample
      */
     void take(List<SimulatedInstance> running, Set<String> names, double at, double span) {
         double shares = 0;
@@ -75,7 +75,7 @@
         TrafficCount now = instance.traffic();
         Baseline before = baselines.put(instance.index(), new Baseline(instance.epoch(), now));
         if (before == null || before.epoch != instance.epoch()) {
-            return 0;                      // an incarnation that began meanwhile is counted from its first complete span on
+            return 0;                      // a new incarnation is counted from its first complete span on
         }
         TrafficCount added = now.since(before.traffic);
         total.add(added);
@@ -106,7 +106,7 @@
         return Percentiles.of(bytesIn, 1);
     }
 
-    /** By kind, a second and instance: packets and bytes with headers, out and in. */
+    /** Returns packets and bytes with headers, out and in, per second and instance, by kind of traffic. */
     Map<String, Object> byKind() {
         return byKind(total, instanceSeconds);
     }
@@ -124,12 +124,12 @@
         return kinds;
     }
 
-    /** All that simulated instances sent and received while they were measured. */
+    /** Returns what all simulated instances together sent and received in the sampled spans. */
     TrafficCount total() {
         return total;
     }
 
-    /** Over how many seconds, summed over instances. */
+    /** Returns the sampled seconds, summed over instances. */
     double instanceSeconds() {
         return instanceSeconds;
     }
--- a/src/main/java/kelphollow/scale/Scale.java
+++ b/src/main/java/kelphollow/scale/Scale.java
@@ -15,47 +15,47 @@
 import kelphollow.protocol.json.Json;
 
 /**
- * Plays a scale scenario at one size or several and reports. A scenario beyond the bounds of the machine is rejected before
- * anything starts; a run ends by itself and leaves no process.
+ * Runs a scale scenario at one or several fleet sizes and reports. A scenario that needs more memory than allowed is
+ * rejected before anything starts; a run ends by itself and leaves no process behind.
  */
 public final class Scale {
-    /** Exit code: everything held. */
+    /** Exit code: all invariants and objectives held. */
     public static final int PASSED = 0;
     /** Exit code: an invariant or an objective did not hold. */
     public static final int FAILED = 1;
-    /** Exit code: the scenario cannot be played. */
+    /** Exit code: the scenario is invalid or too large for the machine. */
     public static final int INVALID = 2;
-    /** Exit code: the host could not keep up, so the run is no result. */
+    /** Exit code: the host could not keep up, so the figures are not valid. */
     public static final int VOID = 3;
     private static final int SIMULATED_PORT = 7_946;
     private static final int PORT_ATTEMPTS = 1_000;
-    /** Ports below those that systems assign by themselves: an instance keeps its own while it is down. */
+    /** Ports below the ephemeral range, so that the system does not assign an instance's port while the instance is down. */
     private static final int MIN_PORT = 15_000;
     private static final int MAX_PORT = 32_000;
-    /** Where the simulated clock starts, in milliseconds: an ordinary date. */
+    /** Start of the simulated clock, in milliseconds since 1970: a realistic date. */
     private static final double SIMULATED_START = 1_700_000_000_000.0;
-    /** Memory of one instance's state that another one holds. */
+    /** Estimated memory of one instance's state as held by another instance, in bytes. */
     private static final long BYTES_PER_STATE = 4_096;
-    /** Memory of a process of the program. */
+    /** Estimated memory of a process of the program. */
     private static final long BYTES_PER_PROCESS = 160L << 20;
-    /** Memory of a simulated instance without what it holds of others. */
+    /** Estimated memory of a simulated instance without the states of others that it holds. */
     private static final long BYTES_PER_INSTANCE = 1 << 20;
 
     /**
-     * The options of the command line.
+     * Command-line options.
      *
-     * @param sizes to play instead of the scenario's, or empty
-     * @param seconds to measure instead of the scenario's, or NaN
-     * @param report a folder for plots, or null
-     * @param json a file for the figures, or null
-     * @param simulated on one clock without sockets and processes
+     * @param sizes fleet sizes that replace the scenario's, one run each; empty for the scenario's
+     * @param seconds measured time that replaces the scenario's, or NaN
+     * @param report folder for plots, or null
+     * @param json file for the figures, or null
+     * @param simulated whether to run on one simulated clock, without sockets and processes
      */
     public record Options(Path scenario, List<Integer> sizes, double seconds, long seed, Path report, Path json,
                           boolean simulated) {}
 
     private Scale() {}
 
-    /** Returns {@link #PASSED}, {@link #FAILED} with what did not hold on {@code out}, {@link #INVALID} or {@link #VOID}. */
+    /** Returns an exit code; prints failed invariants and missed objectives to {@code out}, invalid input to {@code err}. */
     public static int run(Options options, PrintStream out, PrintStream err) throws IOException, InterruptedException {
         List<ScaleScenario> scenarios = new ArrayList<>();
         try {
@@ -67,7 +67,7 @@
                 scenarios.add(scenario.withInstances(size));
             }
             for (ScaleScenario sized : scenarios) {
-                bound(sized, ResourceMeter.machineMemory());
+                checkMemory(sized, ResourceMeter.machineMemory());
             }
         } catch (ScaleScenario.InvalidScenario e) {
             err.println("kelphollow: " + options.scenario() + ": " + e.getMessage());
@@ -91,7 +91,7 @@
     private static ScaleScenario read(Options options) throws ScaleScenario.InvalidScenario {
         try {
             if (!(Json.parse(Files.readString(options.scenario())) instanceof Map<?, ?> json)) {
-                throw new ScaleScenario.InvalidScenario("the file holds no JSON object");
+                throw new ScaleScenario.InvalidScenario("expected a JSON object at the top level");
             }
             ScaleScenario scenario = ScenarioReader.read(json);
             scenario = Double.isNaN(options.seconds()) ? scenario : scenario.withSeconds(options.seconds());
@@ -101,16 +101,16 @@
         }
     }
 
-    /** Rejects what needs more than half of the machine's memory, or of this process's own heap. */
-    static void bound(ScaleScenario scenario, long machineMemory) throws ScaleScenario.InvalidScenario {
+    /** Rejects a scenario that needs more than half of the machine's memory or more than this process's maximum heap. */
+    static void checkMemory(ScaleScenario scenario, long machineMemory) throws ScaleScenario.InvalidScenario {
         long simulated = scenario.simulated() * (BYTES_PER_INSTANCE + BYTES_PER_STATE * scenario.instances());
         if (simulated + scenario.real() * BYTES_PER_PROCESS > machineMemory / 2) {
             throw new ScaleScenario.InvalidScenario((scenario.real() > 0 ? "real" : "instances")
-                + ": needs more than half of the machine's memory");
+                + ": needs more than half of the machine's memory, which is " + (machineMemory >> 20) + " MB");
         }
         if (simulated > Runtime.getRuntime().maxMemory()) {
-            throw new ScaleScenario.InvalidScenario("instances: needs some " + (simulated >> 20)
-                + " MB, more than this process may have (-Xmx)");
+            throw new ScaleScenario.InvalidScenario("instances: need about " + (simulated >> 20)
+                + " MB, more than this process's maximum heap (-Xmx)");
         }
     }
 
@@ -138,7 +138,7 @@
              RealInstances real = new RealInstances(scenario, network, discovery, folder);
              FleetHost host = new SocketHost(network, scenario.loops(), real::isProcess)) {
             Thread cleanUp = new Thread(real::close, "scale-end");
-            Runtime.getRuntime().addShutdownHook(cleanUp);   // an interrupted run leaves no process either
+            Runtime.getRuntime().addShutdownHook(cleanUp);   // kills the processes if the run is interrupted
             try {
                 real.start();
                 ScaleRun run = new ScaleRun(scenario, host, network, real, options.seed());
@@ -164,10 +164,10 @@
             try (ServerSocket tcp = new ServerSocket(port); DatagramSocket udp = new DatagramSocket(port)) {
                 return port;
             } catch (IOException e) {
-                // it is in use
+                // in use: try another one
             }
         }
-        throw new IOException("no free port");
+        throw new IOException("no free port from " + MIN_PORT + " to " + MAX_PORT + " in " + PORT_ATTEMPTS + " attempts");
     }
 
     private static void delete(Path folder) throws IOException {
--- a/src/main/java/kelphollow/scale/ScaleReport.java
+++ b/src/main/java/kelphollow/scale/ScaleReport.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * The figures of one run. Shares of a core and memory are the process's per simulated instance, so the tool's own share is
- * in them; bytes include headers. A run on a host that could not keep up says so and is no result. Confined to one thread.
+ * The figures of one run. Core share and memory are this process's divided by the number of simulated instances, so they
+ * include the tool's own; bytes include headers. A run on a host that could not keep up is void. Confined to one thread.
  */
 final class ScaleReport {
-    /** A run whose event loops were later than this at the 99th percentile is void; in milliseconds. */
+    /** Largest valid 99th percentile of the event loops' lateness, in milliseconds; above it, a run is void. */
     static final double MAX_LATENESS = 20;
     private static final double MEGABYTE = 1 << 20;
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -21,7 +21,7 @@
     private final List<String> missed = new ArrayList<>();
     private final boolean isVoid;
 
-    /** @param real figures of the real instances; empty without any */
+    /** @param real figures of the real instances; empty if there are none */
     ScaleReport(ScaleScenario scenario, ScaleRun run, Map<String, Object> real, double lateness, boolean simulated,
         long seed) {
         this.failures = run.failures();
@@ -97,7 +97,7 @@
         }
     }
 
-    /** One number out of a figure that has percentiles. */
+    /** Returns one value, such as {@code p99}, of a figure that has percentiles. */
     double figure(String figure, String key) {
         return ((Number) ((Map<?, ?>) figures.get(figure)).get(key)).doubleValue();
     }
@@ -126,12 +126,12 @@
         return missed;
     }
 
-    /** The names of the columns of {@link #line}. */
+    /** Column headings for {@link #line}. */
     static final String HEADER = String.format("%9s %4s %5s %9s %9s %9s %9s %8s %9s %9s %9s %8s %8s %8s %7s %6s",
         "instances", "real", "", "fresh", "fresh min", "drain p50", "drain p99", "missed", "B/s out", "p99", "B/s in",
         "dgram/s", "core %", "MB", "late", "false");
 
-    /** The run as one row of a table. */
+    /** Returns the run as one row of a table. */
     String line() {
         return String.format(Locale.ROOT,
             "%9.0f %4.0f %5s %9.4f %9.4f %9.0f %9.0f %8.0f %9.0f %9.0f %9.0f %8.1f %8.2f %8.2f %7.1f %6.0f",
--- a/src/main/java/kelphollow/scale/ScaleRun.java
+++ b/src/main/java/kelphollow/scale/ScaleRun.java
@@ -9,20 +9,20 @@
 import kelphollow.protocol.peer.DropReason;
 
 /**
- * Plays one scenario: starts all instances, waits until they see each other, then measures for the scenario's time while it
- * injects faults and drains. All decisions are the instances' own. Confined to the thread of the run.
+ * Runs one scenario: starts all instances, waits until all list each other as present, then measures for the scenario's time
+ * while it injects faults and drains. The instances take all other decisions themselves. Confined to the run's thread.
  */
 final class ScaleRun implements SimulatedInstance.Observer {
-    /** How long instances may take to see each other beyond the warm-up; all times in milliseconds. */
+    /** How long after the warm-up instances may take to list each other as present; all times in milliseconds. */
     static final double JOIN_TIMEOUT = 60_000;
     private static final double SAMPLE_INTERVAL = 1_000;
     private static final double JOIN_POLL_INTERVAL = 500;
-    /** A prime, so that all instances are notified of drains in turn, those of one zone not one after the other. */
+    /** A prime, so that drains visit all instances in turn and consecutive ones are not in the same zone. */
     private static final long NOTIFIER_STRIDE = 7_919;
 
-    /** The instances of a fleet that are processes. */
+    /** The instances of a fleet that run as processes. */
     interface ExternalInstances {
-        /** No processes. */
+        /** For a fleet without processes. */
         ExternalInstances NONE = new ExternalInstances() {
             @Override public Set<String> names() {
                 return Set.of();
@@ -33,13 +33,13 @@
             @Override public void end(Set<String> running) {}
         };
 
-        /** Names of those that run. */
+        /** Returns the names of the running processes. */
         Set<String> names();
 
-        /** Marks where the measurement begins. */
+        /** Takes the counters at the start of the measurement. */
         void begin() throws IOException;
 
-        /** Marks its end, with the names of all that run then. */
+        /** Takes the counters at the end of the measurement; {@code running} names all instances that run then. */
         void end(Set<String> running) throws IOException;
     }
 
@@ -70,14 +70,14 @@
         }
     }
 
-    /** Plays the scenario; what did not hold is in {@link #failures} afterwards. */
+    /** Runs the scenario; violated invariants are in {@link #failures} afterwards. */
     void play() throws IOException, InterruptedException {
         resources.beforeStart();
         for (SimulatedInstance instance : instances) {
             start(instance);
         }
         if (!join()) {
-            failures.add("agree: the instances did not all see each other within "
+            failures.add("agree: the instances did not all list each other as present within "
                 + Math.round((scenario.warmup() + JOIN_TIMEOUT) / 1_000) + " s");
         }
         measure();
@@ -111,7 +111,7 @@
         return names;
     }
 
-    /** How many running instances see others than just the running ones. */
+    /** Counts the running simulated instances whose present members differ from the running instances. */
     private int disagreeing() {
         Set<String> names = names();
         int count = 0;
@@ -163,7 +163,7 @@
         deaths.end(host.now());
     }
 
-    /** Notifies one running instance alone that a node drains, another one and another node each time. */
+    /** Notifies a single running instance that a node drains; instance and node change each time. */
     private void drain() {
         revokeDrains(false);
         List<SimulatedInstance> running = running();
@@ -264,23 +264,23 @@
 
     // ---------------------------------------------------------------- verdict
 
-    /** Counts and invariants only: speed is a matter of the objectives. */
+    /** Checks counts and invariants only; the objectives bound latencies and costs. */
     private void verify() {
         int disagreeing = network.hasPartitions() ? 0 : disagreeing();
         if (disagreeing > 0) {
-            failures.add("agree: " + disagreeing + " instances see others than just the running ones at the end");
+            failures.add("agree: " + disagreeing + " instances do not list exactly the running instances at the end");
         }
         if (deaths.falseFailures() > 0) {
-            failures.add("false-failure: " + deaths.falseFailures() + " findings that a running instance is dead, at first "
+            failures.add("false-failure: " + deaths.falseFailures() + " times a running instance was found dead, first: "
                 + deaths.firstFalseFailure());
         }
         if (deaths.undetected() > 0) {
-            failures.add("detection: " + deaths.undetected() + " times an instance did not find a death within "
+            failures.add("detection: " + deaths.undetected() + " times an instance did not detect a death within "
                 + Math.round(deaths.longestDetection()) + " ms");
         }
         if (drains.missed() > 0) {
-            failures.add("drain: " + drains.missed() + " times an instance did not keep a drain another one was told,"
-                + " within " + Math.round(DrainProbes.DRAIN_DURATION / 2_000) + " to "
+            failures.add("drain: " + drains.missed() + " times an instance did not apply a drain that another one"
+                + " was notified of, within " + Math.round(DrainProbes.DRAIN_DURATION / 2_000) + " to "
                 + Math.round(DrainProbes.DRAIN_DURATION / 1_000) + " s");
         }
     }
@@ -289,17 +289,17 @@
         return failures;
     }
 
-    /** Exchanges that were rejected by an instance that already had as many as it accepts. */
+    /** Returns how many full exchanges instances rejected because they already handled as many as they accept. */
     long rejectedExchanges() {
         return running().stream().mapToLong(i -> i.dropped(DropReason.CROWDED)).sum();
     }
 
-    /** Milliseconds from the last start until all saw each other; NaN if they never did. */
+    /** Returns the milliseconds from the last start until all listed each other as present; NaN if that did not happen. */
     double joinedAfter() {
         return joinedAfter;
     }
 
-    /** Milliseconds that were measured. */
+    /** Returns the length of the measurement in milliseconds. */
     double measuredSpan() {
         return measuredSpan;
     }
@@ -320,7 +320,7 @@
         return resources;
     }
 
-    /** Ends all simulated instances. */
+    /** Kills all simulated instances. */
     void end() {
         instances.stream().filter(SimulatedInstance::isAlive).forEach(SimulatedInstance::kill);
     }
--- a/src/main/java/kelphollow/scale/ScenarioReader.java
+++ b/src/main/java/kelphollow/scale/ScenarioReader.java
@@ -11,24 +11,24 @@
 import kelphollow.scale.ScaleScenario.Step;
 
 /**
- * Reads a scenario from the JSON of its file: maps the file's keys, of which some are older words, to the scenario's terms,
- * with defaults and bounds. Stateless.
+ * Reads a scenario from the JSON of its file: maps the file's keys, some of which are older names, to the fields of
+ * {@link ScaleScenario}, with defaults and bounds. Stateless.
  */
 final class ScenarioReader {
     private ScenarioReader() {}
 
-    /** Reads a scenario; throws with the key that is wrong. */
+    /** Reads a scenario; the exception's message starts with the path of the wrong key. */
     static ScaleScenario read(Map<?, ?> json) throws InvalidScenario {
         rejectUnknownKeys(json, "", "name", "instances", "real", "nodes", "regions", "zones", "period_ms", "fades_ms",
             "part", "network",
             "warmup_ms", "seconds", "drain_every_ms", "loops", "aims", "steps");
         if (!(json.get("name") instanceof String name) || !name.matches("[a-z0-9-]{1,64}")) {
-            throw new InvalidScenario("name is missing or not of a to z, 0 to 9 and -");
+            throw new InvalidScenario("name must be 1 to 64 characters of a to z, 0 to 9 and -, not " + json.get("name"));
         }
         int instances = integer(json, "", "instances", Double.NaN, 2, ScaleScenario.MAX_INSTANCES);
         int real = integer(json, "", "real", 0, 0, ScaleScenario.MAX_PROCESSES);
         if (real >= instances) {
-            throw new InvalidScenario("real must leave one hollow instance at least");
+            throw new InvalidScenario("real must be less than instances (" + instances + "), not " + real);
         }
         int regions = integer(json, "", "regions", 1, 1, 16);
         int zones = integer(json, "", "zones", regions, regions, 64);
@@ -49,7 +49,8 @@
             integer(json, "part.", "silent_by", 3, 1, ScaleScenario.MAX_INSTANCES), integer(json, "part.", "refused", 1, 0,
                 250));
         if (state.drains() + state.unresponsive() + state.rejected() >= nodes) {
-            throw new InvalidScenario("nodes: fewer than the keys of 'part'");
+            throw new InvalidScenario("nodes must be more than the sum of part.drains, part.silent and part.refused, not "
+                + nodes);
         }
         return state;
     }
@@ -75,18 +76,18 @@
             return List.of();
         }
         if (!(json instanceof List<?> list)) {
-            throw new InvalidScenario("steps is not a list");
+            throw new InvalidScenario("steps must be a list");
         }
         List<Step> steps = new ArrayList<>();
         double last = 0;
         for (int i = 0; i < list.size(); i++) {
             String at = "steps[" + i + "].";
             if (!(list.get(i) instanceof Map<?, ?> map)) {
-                throw new InvalidScenario("steps[" + i + "] is not an object");
+                throw new InvalidScenario("steps[" + i + "] must be an object");
             }
             Step step = step(map, at, scenario);
             if (step.at() < last) {
-                throw new InvalidScenario(at + "at_ms is before the step before it");
+                throw new InvalidScenario(at + "at_ms must be at least the previous step's " + last + ", not " + step.at());
             }
             last = step.at();
             steps.add(step);
@@ -96,7 +97,7 @@
 
     private static Step step(Map<?, ?> json, String at, ScaleScenario scenario) throws InvalidScenario {
         rejectUnknownKeys(json, at, "at_ms", "do", "first", "count", "zone", "from", "to", "one_way", "loss");
-        Fault fault = Fault.ofWord(json.get("do"));
+        Fault fault = Fault.ofKey(json.get("do"));
         if (fault == null) {
             throw new InvalidScenario(at + "do is "
                 + (json.get("do") == null ? "missing" : "'" + json.get("do") + "', which is not known"));
@@ -117,14 +118,14 @@
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new InvalidScenario(key + " is not an object");
+        throw new InvalidScenario(key + " must be an object");
     }
 
     private static int integer(Map<?, ?> json, String at, String key, double defaultValue, int min, int max)
         throws InvalidScenario {
         double value = number(json, at, key, defaultValue, min, max);
         if (value != Math.rint(value)) {
-            throw new InvalidScenario(at + key + " must be a whole number");
+            throw new InvalidScenario(at + key + " must be a whole number, not " + value);
         }
         return (int) value;
     }
@@ -136,7 +137,7 @@
             return d;
         }
         throw new InvalidScenario(at + key
-            + (json.get(key) == null ? " is missing" : " must be from " + min + " to " + max));
+            + (json.get(key) == null ? " is missing" : " must be from " + min + " to " + max + ", not " + value));
     }
 
     private static void rejectUnknownKeys(Map<?, ?> json, String at, String... keys) throws InvalidScenario {
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -20,17 +20,18 @@
 import kelphollow.routing.Ticker;
 
 /**
- * Runs instances on one simulated clock without sockets. Packets are encoded, sealed and counted as on the peer line, and
- * delivered as objects, which are immutable: decoding and the check of the seal are left out. Confined to the run's thread.
+ * Runs instances on one simulated clock without sockets. Packets are encoded, sealed and counted as by
+ * {@link SocketPeerTransport}, but delivered as immutable objects, without decoding and authentication. Confined to the
+ * run's thread.
  */
 final class SimulatedHost implements FleetHost {
     private static final byte[] CHALLENGE = new byte[16];
-    /** One-way trips until the called side has the caller's message: SYN, SYN and ACK, ACK, challenge, and the message. */
+    /** One-way trips until the callee has the caller's message: SYN, SYN-ACK, ACK, challenge, message. */
     private static final int TRIPS_TO_MESSAGE = 5;
-    /** Full exchanges that the called side accepts at a time, as the peer line does. */
+    /** Full exchanges that the callee handles at a time, as in {@link SocketPeerTransport}. */
     private static final int MAX_CALLERS = 32;
 
-    /** A task due at a time; {@code order} is that of scheduling among tasks of the same time. */
+    /** A task due at a time; tasks of the same time run in the order in which they were scheduled. */
     private record Due(double at, long order, Runnable task) {}
 
     private final NetworkModel network;
@@ -40,7 +41,7 @@
     private double now;
     private long order;
 
-    /** Starts the clock at {@code start}, in milliseconds. */
+    /** Creates a host whose clock starts at {@code start}, in milliseconds. */
     SimulatedHost(NetworkModel network, double start) {
         this.network = network;
         this.now = start;
@@ -106,7 +107,7 @@
         transports.clear();
     }
 
-    /** The packets of one instance. */
+    /** Sends and receives the packets of one instance. */
     private final class SimulatedTransport implements PeerTransport {
         private final int self;
         private final SuspendableExecutor process;
--- a/src/main/java/kelphollow/scale/SimulatedInstance.java
+++ b/src/main/java/kelphollow/scale/SimulatedInstance.java
@@ -25,21 +25,22 @@
 import kelphollow.routing.Ticker;
 
 /**
- * One instance of the control plane without clients and data path: the production fleet over {@link SimulatedNodes}. A kill
- * ends an incarnation without notice; the next one has a higher epoch at the same address. Confined to the run's thread.
+ * One instance of the control plane without clients and data path: the production {@link Fleet} over {@link SimulatedNodes}.
+ * A kill ends an incarnation without notice; the next one has a higher epoch at the same address. Confined to the run's
+ * thread.
  */
 final class SimulatedInstance {
     /** The fleet's key in a run. */
     static final byte[] KEY = "the key of one scale run".getBytes(StandardCharsets.US_ASCII);
-    /** The share of retries that an operator's file has by default. */
+    /** The configuration's default retry share. */
     private static final double RETRY_SHARE = 0.1;
 
-    /** Receives what instances find; called on their loops. */
+    /** Receives the findings of instances; called on their event loops. */
     interface Observer {
-        /** {@code instance} ejects these nodes from now on. */
+        /** Called when the set of nodes that {@code instance} ejects becomes {@code nodes}. */
         void ejected(int instance, double now, Set<String> nodes);
 
-        /** {@code instance} logs an event of an incarnation of the instance {@code of}, in the words of the fleet's log. */
+        /** Called when {@code instance} logs the event {@code kind} about an incarnation of the instance {@code of}. */
         void event(int instance, double now, String kind, String of, long epoch);
     }
 
@@ -68,7 +69,7 @@
         return index;
     }
 
-    /** The number of this incarnation. */
+    /** Returns the epoch of the current incarnation. */
     long epoch() {
         return epoch;
     }
@@ -81,7 +82,7 @@
         return process != null && !process.isKilled();
     }
 
-    /** Begins an incarnation; not on a loop. */
+    /** Starts a new incarnation; must not be called on an event loop. */
     void start() throws IOException {
         epoch++;
         SuspendableExecutor newProcess = new SuspendableExecutor();
@@ -113,7 +114,7 @@
             DisseminationSettings.DEFAULTS);
     }
 
-    /** The first instance of each zone: what others contact at their start. */
+    /** Returns the seeds that instances contact when they start: the first simulated instance of each zone. */
     static List<Integer> seeds(ScaleScenario scenario) {
         return IntStream.range(0, scenario.simulated())
             .filter(i -> i == 0 || scenario.zoneOf(i) != scenario.zoneOf(i - 1)).boxed().toList();
@@ -128,7 +129,7 @@
             new ControlSettings.Rules(250, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0));
     }
 
-    /** SIGKILL: the others are not notified. */
+    /** Models SIGKILL: the other instances are not notified. */
     void kill() {
         host.run(index, () -> {
             process.kill();
@@ -136,14 +137,14 @@
         });
     }
 
-    /** SIGSTOP. */
+    /** Models SIGSTOP. */
     void suspend() {
         host.run(index, () -> {
             process.suspend();
         });
     }
 
-    /** SIGCONT. */
+    /** Models SIGCONT. */
     void resume() {
         host.run(index, () -> {
             process.resume();
@@ -166,7 +167,7 @@
         });
     }
 
-    /** What this incarnation sent and received so far, by kind: packets out, bytes out, packets in, bytes in. */
+    /** Returns what this incarnation has sent and received so far. */
     TrafficCount traffic() {
         return host.call(index, () -> {
             Traffic traffic = fleet.transport().traffic();
@@ -179,11 +180,11 @@
         });
     }
 
-    long dropped(DropReason why) {
-        return host.call(index, () -> fleet.transport().drops().getOrDefault(why, 0L));
+    long dropped(DropReason reason) {
+        return host.call(index, () -> fleet.transport().drops().getOrDefault(reason, 0L));
     }
 
-    /** Reads the fleet's events from its log. */
+    /** Passes failures and suspicions from the fleet's event log to the observer. */
     private final class EventReader extends Handler {
         private final Ticker ticker;
 
@@ -200,7 +201,7 @@
                     observer.event(index, ticker.now(), (String) event.get("event"), (String) event.get("instance"),
                         ((Double) event.get("epoch")).longValue());
                 } catch (IOException e) {
-                    throw new IllegalStateException(e);   // the fleet wrote it as JSON
+                    throw new IllegalStateException(e);   // the fleet logs events as JSON
                 }
             }
         }
--- a/src/main/java/kelphollow/scale/SimulatedNodes.java
+++ b/src/main/java/kelphollow/scale/SimulatedNodes.java
@@ -14,17 +14,17 @@
 import kelphollow.routing.Ticker;
 
 /**
- * The routing of an instance without a data path: a scripted endpoint list of full size, nodes that do not respond and are
- * probed once a second unless the fleet ejects them, and shards where requests are rejected. It reports of nodes what an
- * instance in service would report. Confined to the instance's loop.
+ * Simulates the routing of an instance without a data path: a scripted endpoint list of full size, unresponsive nodes that
+ * are probed once a second unless the fleet ejects them, and shards at which requests are rejected. It reports about nodes
+ * what a production instance would report. Confined to the instance's event loop.
  */
 final class SimulatedNodes implements FleetRouting {
-    /** The class and plan of the requests that are rejected here; the fleet's settings must know both. */
+    /** Class of the rejected requests; the instance's settings must define it and {@link #PLAN}. */
     static final String CLASS = "write";
     static final String PLAN = "usual";
-    /** How often an unresponsive node is probed, in milliseconds, as the decision module does. */
+    /** Interval at which an unresponsive node is probed, in milliseconds, as in the decision module. */
     private static final double PROBE_INTERVAL = 1_000;
-    /** How often requests are rejected, in milliseconds: often enough to renew an overload report. */
+    /** Interval at which requests are rejected, in milliseconds; short enough to keep an overload report renewed. */
     private static final double REJECT_INTERVAL = 100;
 
     private static final int NODES_PER_SUBNET = 250;
@@ -39,7 +39,7 @@
     private double probedAt;
     private long rejections;
 
-    /** @param ejections receives, each time it changes, which nodes are ejected because of other instances */
+    /** @param ejections receives the set of nodes that the fleet ejects, each time the fleet sets it */
     SimulatedNodes(ScaleScenario scenario, int instance, Ticker ticker, Consumer<Set<String>> ejections) {
         this.scenario = scenario;
         this.ticker = ticker;
@@ -54,12 +54,12 @@
         }
     }
 
-    /** The node's address: xDS names nodes by it, and keys of the digest are as long. */
+    /** Returns the node's address, by which xDS names it; keys of the digest have the same length as in production. */
     static String nodeName(int node) {
         return "10.1." + node / NODES_PER_SUBNET + "." + (1 + node % NODES_PER_SUBNET) + ":9000";
     }
 
-    /** Receives the first list from discovery; after the fleet has started. */
+    /** Delivers the first endpoint list and starts to reject requests; called after the fleet has started. */
     void start() {
         List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < scenario.nodes(); i++) {
@@ -74,7 +74,7 @@
             draining ? EndpointState.DRAINING : EndpointState.HEALTHY, 0);
     }
 
-    /** Discovery notifies this instance alone that the node drains, or no longer. */
+    /** Simulates that discovery notifies only this instance that a node starts or stops draining. */
     void drain(int node, boolean draining) {
         endpointsListener.accept(List.of(entry(node, draining)));
     }
@@ -100,8 +100,8 @@
         admission = filter;
     }
 
-    @Override public void onEndpointsReceived(Consumer<List<Endpoint>> heard) {
-        endpointsListener = heard;
+    @Override public void onEndpointsReceived(Consumer<List<Endpoint>> listener) {
+        endpointsListener = listener;
     }
 
     @Override public void eject(Set<String> nodes) {
--- a/src/main/java/kelphollow/scale/SocketHost.java
+++ b/src/main/java/kelphollow/scale/SocketHost.java
@@ -21,14 +21,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Runs instances on a few event loops with sockets of their own at loopback addresses. Delay, loss and partitions are stages
- * of each line's channels ({@link NetworkDelays}): on what simulated instances send, and on what they receive from
- * processes, whose lines are as in service. Confined to the run's thread.
+ * Runs instances on a few event loops, each instance with its own sockets at a loopback address. {@link NetworkDelays}
+ * handlers in the channels add delay, loss and partitions: to what simulated instances send, and to what they receive from
+ * processes, whose own channels are unmodified. Confined to the run's thread.
  */
 final class SocketHost implements FleetHost {
-    /** The wheel's tick in milliseconds, as a scheduler of the lab has it. */
+    /** Tick of the timer wheel in milliseconds, as in the lab's scheduler. */
     private static final long TICK_MILLIS = 2;
-    /** Interval of the heartbeats that measure how late loops are. */
+    /** Interval of the heartbeats that measure the lateness of the event loops. */
     private static final long HEARTBEAT_MILLIS = 10;
     private static final int DIGITS = 3;
     private static final double NANOS_PER_MILLI = 1e6;
@@ -43,7 +43,7 @@
     private final List<ScheduledFuture<?>> heartbeats = new ArrayList<>();
     private final Histogram late = new Histogram(DIGITS);
 
-    /** @param isProcess which instances are processes of their own */
+    /** @param isProcess whether the instance with an index runs as a process */
     SocketHost(NetworkModel network, int loopCount, IntPredicate isProcess) {
         this.network = network;
         this.isProcess = isProcess;
@@ -100,7 +100,7 @@
                 fleet.transport().listen(at);
                 return;
             } catch (IOException e) {
-                if (attempt == BIND_ATTEMPTS) {   // the last incarnation has the port until its channels are closed
+                if (attempt == BIND_ATTEMPTS) {   // the previous incarnation holds the port until its channels close
                     throw e;
                 }
                 sleep(BIND_PAUSE_MILLIS);
@@ -143,7 +143,7 @@
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** A suspended instance receives nothing until it is resumed, and answers no exchange. */
+    /** Delays what a suspended instance receives until it is resumed, and fails full exchanges meanwhile. */
     private final class SuspendablePeers implements PeerListener {
         private final int self;
         private final SuspendableExecutor process;
@@ -165,7 +165,7 @@
 
         @Override public Packet.FullExchange exchangeRequested(String from, Packet.FullExchange theirs) {
             if (!process.isRunning() || network.isPartitioned(ScaleScenario.indexOf(from), self)) {
-                throw new IllegalStateException("stopped or cut off");   // the line ends the connection
+                throw new IllegalStateException("instance is not running or is partitioned");   // closes the connection
             }
             return peers.exchangeRequested(from, theirs);
         }
--- a/src/main/java/kelphollow/scale/SuspendableExecutor.java
+++ b/src/main/java/kelphollow/scale/SuspendableExecutor.java
@@ -3,11 +3,11 @@
 import java.util.ArrayDeque;
 
 /**
- * Runs all tasks of one incarnation of an instance, and models the signals that a process can get: while it is suspended, as
- * by SIGSTOP, tasks wait; once it is killed, they are dropped. Confined to the instance's loop.
+ * Runs all tasks of one incarnation of an instance and models the signals that a process can get: while it is suspended, as
+ * by SIGSTOP, tasks wait; once it is killed, they are dropped. Confined to the instance's event loop.
  */
 final class SuspendableExecutor {
-    /** How many tasks wait while suspended, as in a socket's buffer; what comes on top is lost, as there. */
+    /** How many tasks wait while suspended; further ones are lost, as when a socket's buffer is full. */
     private static final int MAX_WAITING = 1_000;
 
     private enum State { RUNNING, SUSPENDED, KILLED }
@@ -15,7 +15,7 @@
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
     private State state = State.RUNNING;
 
-    /** Runs a task now, when the process is resumed, or never. */
+    /** Runs the task at once, or on resume if suspended; drops it if killed or if too many wait. */
     void execute(Runnable task) {
         if (state == State.RUNNING) {
             task.run();
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Runs what waits, until a task suspends or kills the process again. */
+    /** Runs the waiting tasks until one of them suspends or kills the process again. */
     void resume() {
         if (state == State.SUSPENDED) {
             state = State.RUNNING;
--- a/src/main/java/kelphollow/scale/TrafficCount.java
+++ b/src/main/java/kelphollow/scale/TrafficCount.java
@@ -2,13 +2,13 @@
 
 import kelphollow.protocol.peer.Traffic;
 
-/** Packets and bytes of one instance by kind, out and in, at one moment or over a span. Confined to one thread. */
+/** Packets and bytes by kind, out and in, as counters at one moment or their growth over a span. Confined to one thread. */
 final class TrafficCount {
-    /** Headers of IPv4 and UDP that a datagram costs on the wire. */
+    /** Bytes of the IPv4 and UDP headers of a datagram. */
     static final int DATAGRAM_HEADERS = 28;
-    /** Segments of each side of an exchange's connection: opening, challenge, both messages, acknowledgements, and end. */
+    /** TCP segments that each side of an exchange sends: handshake, challenge, messages, acknowledgements and close. */
     private static final int EXCHANGE_SEGMENTS = 5;
-    /** Headers of IPv4 and TCP. */
+    /** Bytes of the IPv4 and TCP headers of a segment. */
     private static final int SEGMENT_HEADERS = 40;
     private static final int SEGMENT_BYTES = 1_448;
     private static final int PACKETS_OUT = 0;
@@ -23,7 +23,7 @@
         figures[kind.ordinal()] = packetsOutBytesOutPacketsInBytesIn;
     }
 
-    /** What was added since an earlier count of the same incarnation. */
+    /** Returns the growth since an earlier count of the same incarnation. */
     TrafficCount since(TrafficCount earlier) {
         TrafficCount difference = new TrafficCount();
         for (int k = 0; k < figures.length; k++) {
@@ -50,12 +50,12 @@
         return figures[kind.ordinal()][PACKETS_IN];
     }
 
-    /** Bytes sent, with headers. */
+    /** Returns the bytes sent, with headers. */
     long wireOut(Traffic.Kind kind) {
         return wire(kind, figures[kind.ordinal()][PACKETS_OUT], figures[kind.ordinal()][BYTES_OUT]);
     }
 
-    /** Bytes received, with headers. */
+    /** Returns the bytes received, with headers. */
     long wireIn(Traffic.Kind kind) {
         return wire(kind, figures[kind.ordinal()][PACKETS_IN], figures[kind.ordinal()][BYTES_IN]);
     }
@@ -66,12 +66,12 @@
             : bytes + packets * DATAGRAM_HEADERS;
     }
 
-    /** Bytes of datagrams sent, with headers. */
+    /** Returns the bytes of datagrams sent, with headers. */
     long datagramBytesOut() {
         return wireOut() - wireOut(Traffic.Kind.EXCHANGE);
     }
 
-    /** Mean bytes of this side of an exchange, with headers; 0 without any. */
+    /** Returns the mean bytes sent per full exchange, with headers; 0 if there were none. */
     double bytesPerExchange() {
         return wireOut(Traffic.Kind.EXCHANGE) / (double) Math.max(1, exchangesOut());
     }
--- a/src/test/java/kelphollow/scale/ScaleNamesTest.java
+++ b/src/test/java/kelphollow/scale/ScaleNamesTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Keys and words of scale scenarios, and keys of the figures that a run writes. */
+/** Compares the keys and fault names of scale scenarios, and the keys of a run's figures, with the recorded lists. */
 class ScaleNamesTest {
     private static final Path SCENARIOS = Path.of("src/lab/scale");
-    private static final String UNKNOWN_WORD = "no-such-word";
+    private static final String UNKNOWN_FAULT = "no-such-fault";
     private static final String SMALL = "{\"name\":\"t\",\"instances\":3,\"nodes\":10,\"period_ms\":50,\"fades_ms\":1000,"
         + "\"warmup_ms\":500,\"seconds\":1,\"drain_every_ms\":100}";
 
@@ -55,7 +55,7 @@
         }
     }
 
-    @Test void eachFaultIsUnderstood() throws Exception {
+    @Test void eachRecordedFaultIsAccepted() throws Exception {
         Set<String> outcomes = new HashSet<>();
         List<String> faults = RecordedNames.read("scale-faults.txt");
         for (String fault : faults) {
@@ -63,11 +63,11 @@
             assertTrue(!KeyProbe.isRefused(outcome), fault + ": " + outcome);
             outcomes.add(outcome);
         }
-        assertEquals(faults.size(), outcomes.size(), "each word has a meaning of its own");
-        assertTrue(KeyProbe.isRefused(probe().outcomeWith("steps[].do", UNKNOWN_WORD)));
+        assertEquals(faults.size(), outcomes.size(), "fault names with different effects");
+        assertTrue(KeyProbe.isRefused(probe().outcomeWith("steps[].do", UNKNOWN_FAULT)));
     }
 
-    @Test void keysOfTheFiguresAreThoseRecorded(@TempDir Path folder) throws Exception {
+    @Test void keysOfTheFiguresMatchTheRecordedOnes(@TempDir Path folder) throws Exception {
         Path scenario = Files.writeString(folder.resolve("scenario.json"), SMALL);
         Path figures = folder.resolve("figures.json");
 
--- a/src/test/java/kelphollow/scale/ScaleScenarioTest.java
+++ b/src/test/java/kelphollow/scale/ScaleScenarioTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Scenarios that cannot be played, or exceed the machine, are rejected with the key before anything starts. */
+/** Invalid scenarios and those too large for the machine are rejected, with the key, before anything starts. */
 class ScaleScenarioTest {
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
@@ -41,16 +41,17 @@
         assertTrue(message.startsWith(key), message);
     }
 
-    @Test void aScenarioThatNeedsMoreThanHalfOfTheMachinesMemoryIsRejected() throws Exception {
+    @Test void aScenarioThatNeedsMoreThanHalfTheMachineMemoryIsRejected() throws Exception {
         ScaleScenario simulated = ScenarioReader.read(Map.of("name", "t", "instances", 900.0));
-        assertTrue(assertThrows(ScaleScenario.InvalidScenario.class, () -> Scale.bound(simulated, 1L << 30)).getMessage()
+        assertTrue(assertThrows(ScaleScenario.InvalidScenario.class, () -> Scale.checkMemory(simulated, 1L << 30))
+            .getMessage()
             .startsWith("instances"));
         ScaleScenario real = ScenarioReader.read(Map.of("name", "t", "instances", 200.0, "real", 100.0));
-        assertTrue(assertThrows(ScaleScenario.InvalidScenario.class, () -> Scale.bound(real, 8L << 30)).getMessage()
+        assertTrue(assertThrows(ScaleScenario.InvalidScenario.class, () -> Scale.checkMemory(real, 8L << 30)).getMessage()
             .startsWith("real"));
     }
 
-    @Test void theCommandFailsWithTheNamesOfFileAndKey(@TempDir Path folder) throws Exception {
+    @Test void theCommandReportsFileAndKeyOfAnInvalidScenario(@TempDir Path folder) throws Exception {
         Path file = Files.writeString(folder.resolve("s.json"), "{\"name\":\"t\",\"instances\":20}");
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         Scale.Options options = new Scale.Options(file, List.of(5_000), Double.NaN, 1, null, null, true);
--- a/src/test/java/kelphollow/scale/ScaleSimulationTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSimulationTest.java
@@ -22,14 +22,14 @@
 import kelphollow.routing.Ticker;
 import org.junit.jupiter.api.Test;
 
-/** The fleet on one clock, by seed: what must hold at size and under faults, and injected faults that the checks detect. */
+/** Runs the fleet on a simulated clock: invariants at size and under faults, and injected faults that the checks detect. */
 class ScaleSimulationTest {
     private static final long SEED = 7;
-    /** Protocol periods of a tenth of a second, so that the longest suspicion ends within the run. */
+    /** A protocol period of 100 ms, so that the longest suspicion ends within the run. */
     private static final String SMALL = "'name':'t','instances':24,'nodes':100,'regions':3,'zones':6,'period_ms':100,"
         + "'part':{'drains':2,'silent':1,'refused':1},'warmup_ms':4000,";
 
-    /** Drains go around the instances: the last one is notified of the second drain. */
+    /** Instance that is notified of the second drain; with 24 instances, ScaleRun's stride selects the last one. */
     private static final int NOTIFIED_SECOND = 23;
 
     private static ScaleScenario scenario(String json) throws Exception {
@@ -53,10 +53,10 @@
     private static void assertHolds(String json) throws Exception {
         ScaleRun run = play(scenario(json), SEED, host -> host);
         assertEquals(List.of(), run.failures(), "seed " + SEED);
-        assertTrue(run.drains().notified() > 0, "drains were told");
+        assertTrue(run.drains().notified() > 0, "no instance was notified of a drain, seed " + SEED);
     }
 
-    /** All datagrams that were sent are received, but for those in flight at both ends of the span. */
+    /** All packets that are sent are received, except for those in flight when the measurement starts or ends. */
     @Test void aFleetOf120ConvergesAndLosesNothing() throws Exception {
         ScaleScenario scenario = scenario("'name':'t','instances':120,'nodes':1000,'regions':3,'zones':6,'warmup_ms':2000,"
             + "'seconds':6,'part':{'drains':2,'silent':2,'refused':1}");
@@ -108,7 +108,7 @@
 
     // ---------------------------------------------------------------- injected faults
 
-    /** An instance whose packets carry no state: its drains reach nobody, and the check must report it. */
+    /** The packets of one instance carry no state, so no other instance learns of its drains; the drain check must fail. */
     @Test void anInstanceThatSendsNoStateIsDetected() throws Exception {
         ScaleRun run = play(scenario(SMALL + "'seconds':9"), SEED, host -> new FaultyHost(host, NOTIFIED_SECOND) {
             @Override long send(PeerTransport transport, InetSocketAddress to, Packet packet) {
@@ -125,7 +125,7 @@
         assertTrue(hasFailure(run, "drain:"), run.failures() + ", seed " + SEED);
     }
 
-    /** An instance that sends nothing counts as dead to the others though it runs: a false finding. */
+    /** One running instance sends nothing, so the others declare it failed; the run must report a false failure. */
     @Test void aFalseFailureIsCounted() throws Exception {
         ScaleRun run = play(scenario(SMALL + "'seconds':12"), SEED, host -> new FaultyHost(host, 3) {
             @Override long send(PeerTransport transport, InetSocketAddress to, Packet packet) {
@@ -135,7 +135,7 @@
         assertTrue(hasFailure(run, "false-failure:") || hasFailure(run, "agree:"), run.failures() + ", seed " + SEED);
     }
 
-    /** An instance that receives nothing cannot detect a death. */
+    /** One instance receives no membership updates, so it cannot learn of a death; the run must report it. */
     @Test void anUndetectedDeathIsCounted() throws Exception {
         ScaleRun run = play(scenario(SMALL + "'seconds':14,'steps':[{'at_ms':0,'do':'kill','first':9}]"), SEED,
             host -> new FaultyHost(host, 3) {
@@ -148,7 +148,7 @@
                 }
 
                 @Override void comparisonReceived(PeerListener peers, String from, Packet.Comparison packet) {
-                    // nor does it learn of it by comparing views
+                    // drops comparisons of views, which would also tell it of the death
                 }
             });
         assertTrue(!run.failures().isEmpty(), "seed " + SEED);
@@ -163,7 +163,7 @@
         simulated.set(Traffic.Kind.EXCHANGE, 9, 90_000, 0, 0);
         List<String> failures = new ArrayList<>();
         FidelityCheck.verify(FidelityCheck.ratios(simulated, 10, real, 10), FidelityCheck.MIN_DATAGRAMS - 1, failures);
-        assertEquals(List.of(), failures, "too few to compare");
+        assertEquals(List.of(), failures, "one datagram below the least number to compare");
         FidelityCheck.verify(FidelityCheck.ratios(simulated, 10, real, 10), FidelityCheck.MIN_DATAGRAMS, failures);
         assertEquals(1, failures.size());
         assertTrue(failures.get(0).startsWith("likeness: datagram_bytes_per_second"), failures.get(0));
@@ -183,7 +183,7 @@
         }
     }
 
-    /** A host on which one instance's line is faulty. */
+    /** A host on which one instance's transport is faulty. */
     private abstract static class FaultyHost implements FleetHost {
         private final FleetHost host;
         private final int faulty;
--- a/src/test/java/kelphollow/scale/ScaleSocketTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSocketTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The fleet over sockets beside processes of the program: all are one fleet, and the run leaves no process. */
+/** Simulated instances over sockets and processes of the program form one fleet, and the run leaves no process behind. */
 class ScaleSocketTest {
     private static final String SCENARIO = "{\"name\":\"t\",\"instances\":16,\"real\":3,\"nodes\":200,\"regions\":3,"
         + "\"zones\":6,\"period_ms\":200,\"warmup_ms\":3000,\"seconds\":10,\"loops\":2,"
         + "\"part\":{\"drains\":2,\"silent\":1,\"refused\":1},\"steps\":["
         + "{\"at_ms\":1000,\"do\":\"restart\",\"first\":4,\"count\":2}]}";
 
-    @Test void simulatedAndRealInstancesAreOneFleet(@TempDir Path folder) throws Exception {
+    @Test void simulatedAndRealInstancesFormOneFleet(@TempDir Path folder) throws Exception {
         Path file = Files.writeString(folder.resolve("s.json"), SCENARIO);
         Path json = folder.resolve("out.json");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -37,7 +37,7 @@
 
         Set<Long> after = children();
         after.removeAll(before);
-        assertEquals(Set.of(), after, "no process is left");
+        assertEquals(Set.of(), after, "processes left after the run");
         RecordedNames.assertAmongRecorded("scale-report-processes.txt", RecordedNames.keys(figures));
         assertEquals(16.0, figures.get("instances"));
         assertEquals(13.0, figures.get("hollow"));
@@ -47,16 +47,17 @@
         }
         assertTrue(figures.get("core_share") instanceof Double && figures.get("memory_mb") instanceof Double);
         assertTrue(Files.size(folder.resolve("report/over-time-bytes.png")) > 0);
-        // A host that cannot keep up gives no verdict on time, and the run says so; the rest holds on any host.
+        // On a host that cannot keep up, the run is void; the assertions below hold on any host.
         assertEquals(figures.get("void") == Boolean.TRUE ? Scale.VOID : Scale.PASSED, code, text);
         List<?> failures = (List<?>) figures.get("failures");
         assertTrue(failures.stream().noneMatch(f -> f.toString().startsWith("crash:")), text);
         Map<?, ?> real = (Map<?, ?>) figures.get("real_instances");
         assertTrue((Double) real.get("datagrams_per_second") > 0 && (Double) real.get("bytes_in_per_second") > 0, text);
         ((Map<?, ?>) real.get("hollow_by_real")).forEach((figure, ratio) -> {
-            assertTrue((Double) ratio > 0.5 && (Double) ratio < 2, figure + " of simulated by real ones: " + ratio);
+            assertTrue((Double) ratio > 0.5 && (Double) ratio < 2, figure + ": ratio of simulated to real instances is "
+                + ratio);
         });
-        assertTrue((Double) real.get("discovery_answers") >= 2 * 3, "each process polled clusters and endpoints");
+        assertTrue((Double) real.get("discovery_answers") >= 2 * 3, "each process polls clusters and endpoints");
     }
 
     private static Set<Long> children() {
