--- a/src/main/java/kelphollow/scale/Scale.java
+++ b/src/main/java/kelphollow/scale/Scale.java
@@ -77,7 +77,7 @@
         List<List<Samples.Moment>> moments = new ArrayList<>();
         out.println(ScaleReport.HEADER);
         for (ScaleScenario scenario : scenarios) {
-            ScaleReport report = play(scenario, options, moments);
+            ScaleReport report = runScenario(scenario, options, moments);
             out.println(report.line());
             report.failures().forEach(failure -> out.println("FAIL " + failure));
             report.missed().forEach(objective -> out.println("MISSED " + objective));
@@ -114,23 +114,24 @@
         }
     }
 
-    private static ScaleReport play(ScaleScenario scenario, Options options, List<List<Samples.Moment>> moments)
+    private static ScaleReport runScenario(ScaleScenario scenario, Options options, List<List<Samples.Moment>> moments)
         throws IOException, InterruptedException {
-        return options.simulated() ? simulated(scenario, options.seed(), moments) : withSockets(scenario, options, moments);
+        return options.simulated() ? runSimulated(scenario, options.seed(), moments) : runOverSockets(scenario, options,
+            moments);
     }
 
-    private static ScaleReport simulated(ScaleScenario scenario, long seed, List<List<Samples.Moment>> moments)
+    private static ScaleReport runSimulated(ScaleScenario scenario, long seed, List<List<Samples.Moment>> moments)
         throws IOException, InterruptedException {
         NetworkModel network = new NetworkModel(scenario, seed, SIMULATED_PORT);
         try (FleetHost host = new SimulatedHost(network, SIMULATED_START)) {
             ScaleRun run = new ScaleRun(scenario, host, network, ScaleRun.ExternalInstances.NONE, seed);
-            run.play();
+            run.execute();
             moments.add(run.samples().moments());
             return new ScaleReport(scenario, run, Map.of(), 0, true, seed);
         }
     }
 
-    private static ScaleReport withSockets(ScaleScenario scenario, Options options, List<List<Samples.Moment>> moments)
+    private static ScaleReport runOverSockets(ScaleScenario scenario, Options options, List<List<Samples.Moment>> moments)
         throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("kelphollow-scale");
         NetworkModel network = new NetworkModel(scenario, options.seed(), freePort());
@@ -142,7 +143,7 @@
             try {
                 real.start();
                 ScaleRun run = new ScaleRun(scenario, host, network, real, options.seed());
-                run.play();
+                run.execute();
                 double lateness = host.lateness();
                 moments.add(run.samples().moments());
                 run.end();
--- a/src/main/java/kelphollow/scale/ScaleReport.java
+++ b/src/main/java/kelphollow/scale/ScaleReport.java
@@ -27,7 +27,7 @@
         this.failures = run.failures();
         this.isVoid = lateness > MAX_LATENESS;
         addScenario(scenario, run, simulated, seed);
-        addSpread(run);
+        addDissemination(run);
         addCosts(scenario, run);
         addDeaths(run);
         figures.put("late_p99_ms", Percentiles.rounded(lateness));
@@ -51,7 +51,7 @@
         figures.put("seconds", Percentiles.rounded(run.measuredSpan() / MILLIS_PER_SECOND));
     }
 
-    private void addSpread(ScaleRun run) {
+    private void addDissemination(ScaleRun run) {
         figures.put("parts_fresh_share", run.samples().freshShare());
         figures.put("part_age_ms", run.samples().ages());
         figures.put("drain_ms", run.drains().figures(DrainProbes.Reach.ALL));
--- a/src/main/java/kelphollow/scale/ScaleRun.java
+++ b/src/main/java/kelphollow/scale/ScaleRun.java
@@ -71,7 +71,7 @@
     }
 
     /** Runs the scenario; violated invariants are in {@link #failures} afterwards. */
-    void play() throws IOException, InterruptedException {
+    void execute() throws IOException, InterruptedException {
         resources.beforeStart();
         for (SimulatedInstance instance : instances) {
             start(instance);
@@ -262,7 +262,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- verdict
+    // ---------------------------------------------------------------- checks
 
     /** Checks counts and invariants only; the objectives bound latencies and costs. */
     private void verify() {
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -32,11 +32,11 @@
     private static final int MAX_CALLERS = 32;
 
     /** A task due at a time; tasks of the same time run in the order in which they were scheduled. */
-    private record Due(double at, long order, Runnable task) {}
+    private record ScheduledTask(double at, long order, Runnable task) {}
 
     private final NetworkModel network;
-    private final PriorityQueue<Due> schedule = new PriorityQueue<>(
-        Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledTask> schedule = new PriorityQueue<>(
+        Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
     private final Map<Integer, SimulatedTransport> transports = new HashMap<>();
     private double now;
     private long order;
@@ -48,7 +48,7 @@
     }
 
     private void schedule(double time, Runnable task) {
-        schedule.add(new Due(time, order, task));
+        schedule.add(new ScheduledTask(time, order, task));
         order++;
     }
 
@@ -91,9 +91,9 @@
     @Override public void advance(double millis) {
         double until = now + millis;
         while (!schedule.isEmpty() && schedule.peek().at <= until) {
-            Due due = schedule.poll();
-            now = Math.max(now, due.at);
-            due.task.run();
+            ScheduledTask next = schedule.poll();
+            now = Math.max(now, next.at);
+            next.task.run();
         }
         now = until;
     }
--- a/src/test/java/kelphollow/scale/ScaleNamesTest.java
+++ b/src/test/java/kelphollow/scale/ScaleNamesTest.java
@@ -71,16 +71,16 @@
         Path scenario = Files.writeString(folder.resolve("scenario.json"), SMALL);
         Path figures = folder.resolve("figures.json");
 
-        assertEquals(Scale.PASSED, play(scenario, List.of(), figures));
+        assertEquals(Scale.PASSED, runScenario(scenario, List.of(), figures));
         RecordedNames.assertRecorded("scale-report.txt", RecordedNames.keys(Json.parse(Files.readString(figures))));
 
-        assertEquals(Scale.PASSED, play(scenario, List.of(3, 4), figures));
+        assertEquals(Scale.PASSED, runScenario(scenario, List.of(3, 4), figures));
         Map<?, ?> both = (Map<?, ?>) Json.parse(Files.readString(figures));
         assertEquals(Set.of("runs"), both.keySet());
         RecordedNames.assertRecorded("scale-report.txt", RecordedNames.keys(((List<?>) both.get("runs")).get(1)));
     }
 
-    private static int play(Path scenario, List<Integer> sizes, Path figures) throws Exception {
+    private static int runScenario(Path scenario, List<Integer> sizes, Path figures) throws Exception {
         Scale.Options options = new Scale.Options(scenario, sizes, Double.NaN, 1, null, figures, true);
         return Scale.run(options, new PrintStream(new ByteArrayOutputStream()), System.err);
     }
--- a/src/test/java/kelphollow/scale/ScaleSimulationTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSimulationTest.java
@@ -36,12 +36,12 @@
         return ScenarioReader.read((Map<?, ?>) Json.parse("{" + json.replace('\'', '"') + "}"));
     }
 
-    private static ScaleRun play(ScaleScenario scenario, long seed, UnaryOperator<FleetHost> faultInjection)
+    private static ScaleRun runScenario(ScaleScenario scenario, long seed, UnaryOperator<FleetHost> faultInjection)
         throws Exception {
         NetworkModel network = new NetworkModel(scenario, seed, 7_946);
         try (FleetHost host = faultInjection.apply(new SimulatedHost(network, 1e12))) {
             ScaleRun run = new ScaleRun(scenario, host, network, ScaleRun.ExternalInstances.NONE, seed);
-            run.play();
+            run.execute();
             return run;
         }
     }
@@ -51,7 +51,7 @@
     }
 
     private static void assertHolds(String json) throws Exception {
-        ScaleRun run = play(scenario(json), SEED, host -> host);
+        ScaleRun run = runScenario(scenario(json), SEED, host -> host);
         assertEquals(List.of(), run.failures(), "seed " + SEED);
         assertTrue(run.drains().notified() > 0, "no instance was notified of a drain, seed " + SEED);
     }
@@ -60,7 +60,7 @@
     @Test void aFleetOf120ConvergesAndLosesNothing() throws Exception {
         ScaleScenario scenario = scenario("'name':'t','instances':120,'nodes':1000,'regions':3,'zones':6,'warmup_ms':2000,"
             + "'seconds':6,'part':{'drains':2,'silent':2,'refused':1}");
-        ScaleRun run = play(scenario, SEED, host -> host);
+        ScaleRun run = runScenario(scenario, SEED, host -> host);
         assertEquals(List.of(), run.failures(), "seed " + SEED);
         assertEquals(6, run.drains().notified());
         TrafficCount total = run.samples().total();
@@ -74,8 +74,8 @@
 
     @Test void theSameSeedGivesTheSameRun() throws Exception {
         ScaleScenario scenario = scenario(SMALL + "'seconds':3");
-        Map<String, Object> first = play(scenario, SEED, host -> host).samples().byKind();
-        assertEquals(first, play(scenario, SEED, host -> host).samples().byKind());
+        Map<String, Object> first = runScenario(scenario, SEED, host -> host).samples().byKind();
+        assertEquals(first, runScenario(scenario, SEED, host -> host).samples().byKind());
     }
 
     @Test void deathsAreDetectedAndRestartedInstancesRejoin() throws Exception {
@@ -110,7 +110,7 @@
 
     /** The packets of one instance carry no state, so no other instance learns of its drains; the drain check must fail. */
     @Test void anInstanceThatSendsNoStateIsDetected() throws Exception {
-        ScaleRun run = play(scenario(SMALL + "'seconds':9"), SEED, host -> new FaultyHost(host, NOTIFIED_SECOND) {
+        ScaleRun run = runScenario(scenario(SMALL + "'seconds':9"), SEED, host -> new FaultyHost(host, NOTIFIED_SECOND) {
             @Override long send(PeerTransport transport, InetSocketAddress to, Packet packet) {
                 if (packet instanceof Packet.Comparison comparison) {
                     return comparison.message() instanceof AntiEntropy.Delta ? 0 : transport.send(to, packet);
@@ -125,9 +125,9 @@
         assertTrue(hasFailure(run, "drain:"), run.failures() + ", seed " + SEED);
     }
 
-    /** One running instance sends nothing, so the others declare it failed; the run must report a false failure. */
+    /** One running instance sends nothing, so the others find it dead; the run must report that or a wrong member list. */
     @Test void aFalseFailureIsCounted() throws Exception {
-        ScaleRun run = play(scenario(SMALL + "'seconds':12"), SEED, host -> new FaultyHost(host, 3) {
+        ScaleRun run = runScenario(scenario(SMALL + "'seconds':12"), SEED, host -> new FaultyHost(host, 3) {
             @Override long send(PeerTransport transport, InetSocketAddress to, Packet packet) {
                 return 0;                  // it neither answers nor refutes a suspicion
             }
@@ -135,9 +135,9 @@
         assertTrue(hasFailure(run, "false-failure:") || hasFailure(run, "agree:"), run.failures() + ", seed " + SEED);
     }
 
-    /** One instance receives no membership updates, so it cannot learn of a death; the run must report it. */
+    /** One instance receives no membership updates, so it cannot learn of a death; the run must report a failure. */
     @Test void anUndetectedDeathIsCounted() throws Exception {
-        ScaleRun run = play(scenario(SMALL + "'seconds':14,'steps':[{'at_ms':0,'do':'kill','first':9}]"), SEED,
+        ScaleRun run = runScenario(scenario(SMALL + "'seconds':14,'steps':[{'at_ms':0,'do':'kill','first':9}]"), SEED,
             host -> new FaultyHost(host, 3) {
                 @Override void membershipReceived(PeerListener peers, String from, Packet.Membership packet) {
                     if (packet.message() instanceof Message.Ack) {
