--- a/src/main/java/kelphollow/scale/ProcessConfig.java
+++ b/src/main/java/kelphollow/scale/ProcessConfig.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Writes the operator's files of the processes of a run, in the product's own keys. Confined to the run's thread. */
+/** Builds the configuration files of a run's processes, in the keys of {@code serve}. Confined to the run's thread. */
 final class ProcessConfig {
-    /** How often a process polls discovery, in milliseconds; the response has all endpoints. */
+    /** Interval at which a process polls discovery, in milliseconds; each response lists all endpoints. */
     private static final int REFRESH_MILLIS = 5_000;
 
     private final ScaleScenario scenario;
@@ -24,18 +24,18 @@
         this.discoveryPort = discoveryPort;
     }
 
-    /** A port that is free now. */
+    /** Returns a TCP port that is free now; another process may still take it before it is bound. */
     static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, new InetSocketAddress(RealInstance.LOOPBACK, 0).getAddress())) {
             return socket.getLocalPort();
         }
     }
 
-    /** The operator's file of an instance; {@code key} is the fleet's key file. */
-    Map<String, Object> of(RealInstance instance, Path key) throws IOException {
+    /** Returns the configuration of an instance as JSON values; {@code key} is the fleet's key file. */
+    Map<String, Object> configOf(RealInstance instance, Path key) throws IOException {
         Map<String, Object> peers = new TreeMap<>();
         for (int seed : SimulatedInstance.seeds(scenario)) {
-            peers.put(ScaleScenario.nameOf(seed), text(network.addressOf(seed)));
+            peers.put(ScaleScenario.nameOf(seed), hostAndPort(network.addressOf(seed)));
         }
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", ScaleScenario.nameOf(instance.index()));
@@ -48,8 +48,9 @@
             List.of(instance.folder().resolve("a").toString(), instance.folder().resolve("b").toString())));
         config.put("xds",
             Map.of("cluster", "scale", "server", RealInstance.LOOPBACK + ":" + discoveryPort, "refresh_ms", REFRESH_MILLIS));
-        config.put("fleet", Map.of("listen", text(network.addressOf(instance.index())), "peers", peers, "key_file", key
-            .toString(),
+        config.put("fleet", Map.of("listen", hostAndPort(network.addressOf(instance.index())), "peers", peers, "key_file",
+            key
+                .toString(),
             "period_ms", scenario.period(), "fades_ms", scenario.timeToLive(),
             "events", instance.folder().resolve("events.jsonl").toString()));
         config.put("settings", settings(instance.index()));
@@ -74,7 +75,7 @@
         return settings;
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/src/main/java/kelphollow/scale/SimulatedHost.java
+++ b/src/main/java/kelphollow/scale/SimulatedHost.java
@@ -20,34 +20,35 @@
 import kelphollow.routing.Ticker;
 
 /**
- * Runs instances on one simulated clock without sockets. Packets are encoded, sealed and counted as on the peer line, and
- * delivered as objects, which are immutable: decoding and the check of the seal are left out. Confined to the run's thread.
+ * Runs instances on one simulated clock without sockets. Packets are encoded, sealed and counted as by
+ * {@link SocketPeerTransport}, but delivered as immutable objects, without decoding and authentication. Confined to the
+ * run's thread.
  */
 final class SimulatedHost implements FleetHost {
     private static final byte[] CHALLENGE = new byte[16];
-    /** One-way trips until the called side has the caller's message: SYN, SYN and ACK, ACK, challenge, and the message. */
+    /** One-way trips until the callee has the caller's message: SYN, SYN-ACK, ACK, challenge, message. */
     private static final int TRIPS_TO_MESSAGE = 5;
-    /** Full exchanges that the called side accepts at a time, as the peer line does. */
+    /** Full exchanges that the callee handles at a time, as in {@link SocketPeerTransport}. */
     private static final int MAX_CALLERS = 32;
 
-    /** A task due at a time; {@code order} is that of scheduling among tasks of the same time. */
-    private record Due(double at, long order, Runnable task) {}
+    /** A task due at a time; tasks of the same time run in the order in which they were scheduled. */
+    private record ScheduledTask(double at, long order, Runnable task) {}
 
     private final NetworkModel network;
-    private final PriorityQueue<Due> schedule = new PriorityQueue<>(
-        Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
-    private final Map<Integer, Line> lines = new HashMap<>();
+    private final PriorityQueue<ScheduledTask> schedule = new PriorityQueue<>(
+        Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
+    private final Map<Integer, SimulatedTransport> transports = new HashMap<>();
     private double now;
     private long order;
 
-    /** Starts the clock at {@code start}, in milliseconds. */
+    /** Creates a host whose clock starts at {@code start}, in milliseconds. */
     SimulatedHost(NetworkModel network, double start) {
         this.network = network;
         this.now = start;
     }
 
     private void schedule(double time, Runnable task) {
-        schedule.add(new Due(time, order, task));
+        schedule.add(new ScheduledTask(time, order, task));
         order++;
     }
 
@@ -71,7 +72,8 @@
 
     @Override public Fleet.TransportFactory transports(int instance, SuspendableExecutor process, byte[] key,
         int maxMembers) {
-        return (name, epoch, peers) -> new Line(instance, process, new PacketSealer(name, epoch, key), name, peers);
+        return (name, epoch, peers) -> new SimulatedTransport(instance, process, new PacketSealer(name, epoch, key), name,
+            peers);
     }
 
     @Override public void open(int instance, Fleet fleet) throws IOException {
@@ -89,9 +91,9 @@
     @Override public void advance(double millis) {
         double until = now + millis;
         while (!schedule.isEmpty() && schedule.peek().at <= until) {
-            Due due = schedule.poll();
-            now = Math.max(now, due.at);
-            due.task.run();
+            ScheduledTask next = schedule.poll();
+            now = Math.max(now, next.at);
+            next.task.run();
         }
         now = until;
     }
@@ -102,11 +104,11 @@
 
     @Override public void close() {
         schedule.clear();
-        lines.clear();
+        transports.clear();
     }
 
-    /** The packets of one instance. */
-    private final class Line implements PeerTransport {
+    /** Sends and receives the packets of one instance. */
+    private final class SimulatedTransport implements PeerTransport {
         private final int self;
         private final SuspendableExecutor process;
         private final PacketSealer sealer;
@@ -116,7 +118,7 @@
         private final Map<DropReason, Long> drops = new EnumMap<>(DropReason.class);
         private int callers;
 
-        Line(int self, SuspendableExecutor process, PacketSealer sealer, String name, PeerListener peers) {
+        SimulatedTransport(int self, SuspendableExecutor process, PacketSealer sealer, String name, PeerListener peers) {
             this.self = self;
             this.process = process;
             this.sealer = sealer;
@@ -125,7 +127,7 @@
         }
 
         @Override public InetSocketAddress listen(InetSocketAddress at) {
-            lines.put(self, this);
+            transports.put(self, this);
             return at;
         }
 
@@ -141,25 +143,25 @@
             double delay = target < 0 ? NetworkModel.LOST : network.datagramDelay(self, target);
             Packet arrives = packet instanceof Packet.Membership membership
                 ? new Packet.Membership(membership.message(), membership.states().subList(0, datagram.states())) : packet;
-            deliver(target, delay, line -> {
-                line.traffic.received(Traffic.kind(arrives), bytes);
+            deliver(target, delay, transport -> {
+                transport.traffic.received(Traffic.kind(arrives), bytes);
                 if (arrives instanceof Packet.Membership membership) {
-                    line.peers.membershipReceived(name, membership);
+                    transport.peers.membershipReceived(name, membership);
                 } else if (arrives instanceof Packet.Comparison comparison) {
-                    line.peers.comparisonReceived(name, comparison);
+                    transport.peers.comparisonReceived(name, comparison);
                 }
             });
             return (long) bytes + SocketPeerTransport.HEADER_BYTES;
         }
 
-        private void deliver(int target, double delay, Consumer<Line> arrive) {
+        private void deliver(int target, double delay, Consumer<SimulatedTransport> arrive) {
             if (Double.isNaN(delay)) {
                 return;
             }
             schedule(now + delay, () -> {
-                Line line = lines.get(target);
-                if (line != null) {
-                    line.process.execute(() -> arrive.accept(line));
+                SimulatedTransport transport = transports.get(target);
+                if (transport != null) {
+                    transport.process.execute(() -> arrive.accept(transport));
                 }
             });
         }
@@ -172,11 +174,11 @@
                 return;
             }
             int bytes = sealer.sealed(ours, CHALLENGE).length;
-            deliver(target, delay / 2 * TRIPS_TO_MESSAGE, line -> line.answer(this, bytes, ours, delay / 2));
+            deliver(target, delay / 2 * TRIPS_TO_MESSAGE, transport -> transport.answer(this, bytes, ours, delay / 2));
             traffic.sent(Traffic.Kind.EXCHANGE, bytes);
         }
 
-        private void answer(Line caller, int bytes, Packet.FullExchange theirs, double delayBack) {
+        private void answer(SimulatedTransport caller, int bytes, Packet.FullExchange theirs, double delayBack) {
             if (callers >= MAX_CALLERS) {
                 drops.merge(DropReason.CROWDED, 1L, Long::sum);
                 return;
@@ -188,7 +190,7 @@
             traffic.sent(Traffic.Kind.EXCHANGE, answerBytes);
             schedule(now + delayBack, () -> {
                 callers--;
-                if (lines.get(caller.self) == caller) {
+                if (transports.get(caller.self) == caller) {
                     caller.process.execute(() -> {
                         caller.traffic.received(Traffic.Kind.EXCHANGE, answerBytes);
                         caller.peers.exchangeAnswered(name, ours);
@@ -206,7 +208,7 @@
         }
 
         @Override public void close() {
-            lines.remove(self, this);
+            transports.remove(self, this);
         }
     }
 }
--- a/src/test/java/kelphollow/scale/ScaleSimulationTest.java
+++ b/src/test/java/kelphollow/scale/ScaleSimulationTest.java
@@ -22,26 +22,26 @@
 import kelphollow.routing.Ticker;
 import org.junit.jupiter.api.Test;
 
-/** The fleet on one clock, by seed: what must hold at size and under faults, and injected faults that the checks detect. */
+/** Runs the fleet on a simulated clock: invariants at size and under faults, and injected faults that the checks detect. */
 class ScaleSimulationTest {
     private static final long SEED = 7;
-    /** Protocol periods of a tenth of a second, so that the longest suspicion ends within the run. */
+    /** A protocol period of 100 ms, so that the longest suspicion ends within the run. */
     private static final String SMALL = "'name':'t','instances':24,'nodes':100,'regions':3,'zones':6,'period_ms':100,"
         + "'part':{'drains':2,'silent':1,'refused':1},'warmup_ms':4000,";
 
-    /** Drains go around the instances: the last one is notified of the second drain. */
+    /** Instance that is notified of the second drain; with 24 instances, ScaleRun's stride selects the last one. */
     private static final int NOTIFIED_SECOND = 23;
 
     private static ScaleScenario scenario(String json) throws Exception {
         return ScenarioReader.read((Map<?, ?>) Json.parse("{" + json.replace('\'', '"') + "}"));
     }
 
-    private static ScaleRun play(ScaleScenario scenario, long seed, UnaryOperator<FleetHost> faultInjection)
+    private static ScaleRun runScenario(ScaleScenario scenario, long seed, UnaryOperator<FleetHost> faultInjection)
         throws Exception {
         NetworkModel network = new NetworkModel(scenario, seed, 7_946);
         try (FleetHost host = faultInjection.apply(new SimulatedHost(network, 1e12))) {
             ScaleRun run = new ScaleRun(scenario, host, network, ScaleRun.ExternalInstances.NONE, seed);
-            run.play();
+            run.execute();
             return run;
         }
     }
@@ -51,16 +51,16 @@
     }
 
     private static void assertHolds(String json) throws Exception {
-        ScaleRun run = play(scenario(json), SEED, host -> host);
+        ScaleRun run = runScenario(scenario(json), SEED, host -> host);
         assertEquals(List.of(), run.failures(), "seed " + SEED);
-        assertTrue(run.drains().notified() > 0, "drains were told");
+        assertTrue(run.drains().notified() > 0, "no instance was notified of a drain, seed " + SEED);
     }
 
-    /** All datagrams that were sent are received, but for those in flight at both ends of the span. */
+    /** All packets that are sent are received, except for those in flight when the measurement starts or ends. */
     @Test void aFleetOf120ConvergesAndLosesNothing() throws Exception {
         ScaleScenario scenario = scenario("'name':'t','instances':120,'nodes':1000,'regions':3,'zones':6,'warmup_ms':2000,"
             + "'seconds':6,'part':{'drains':2,'silent':2,'refused':1}");
-        ScaleRun run = play(scenario, SEED, host -> host);
+        ScaleRun run = runScenario(scenario, SEED, host -> host);
         assertEquals(List.of(), run.failures(), "seed " + SEED);
         assertEquals(6, run.drains().notified());
         TrafficCount total = run.samples().total();
@@ -74,8 +74,8 @@
 
     @Test void theSameSeedGivesTheSameRun() throws Exception {
         ScaleScenario scenario = scenario(SMALL + "'seconds':3");
-        Map<String, Object> first = play(scenario, SEED, host -> host).samples().byKind();
-        assertEquals(first, play(scenario, SEED, host -> host).samples().byKind());
+        Map<String, Object> first = runScenario(scenario, SEED, host -> host).samples().byKind();
+        assertEquals(first, runScenario(scenario, SEED, host -> host).samples().byKind());
     }
 
     @Test void deathsAreDetectedAndRestartedInstancesRejoin() throws Exception {
@@ -108,38 +108,38 @@
 
     // ---------------------------------------------------------------- injected faults
 
-    /** An instance whose packets carry no state: its drains reach nobody, and the check must report it. */
+    /** The packets of one instance carry no state, so no other instance learns of its drains; the drain check must fail. */
     @Test void anInstanceThatSendsNoStateIsDetected() throws Exception {
-        ScaleRun run = play(scenario(SMALL + "'seconds':9"), SEED, host -> new FaultyHost(host, NOTIFIED_SECOND) {
-            @Override long send(PeerTransport line, InetSocketAddress to, Packet packet) {
+        ScaleRun run = runScenario(scenario(SMALL + "'seconds':9"), SEED, host -> new FaultyHost(host, NOTIFIED_SECOND) {
+            @Override long send(PeerTransport transport, InetSocketAddress to, Packet packet) {
                 if (packet instanceof Packet.Comparison comparison) {
-                    return comparison.message() instanceof AntiEntropy.Delta ? 0 : line.send(to, packet);
+                    return comparison.message() instanceof AntiEntropy.Delta ? 0 : transport.send(to, packet);
                 }
-                return line.send(to, new Packet.Membership(((Packet.Membership) packet).message(), List.of()));
+                return transport.send(to, new Packet.Membership(((Packet.Membership) packet).message(), List.of()));
             }
 
-            @Override Packet.FullExchange full(Packet.FullExchange packet) {
+            @Override Packet.FullExchange outgoingExchange(Packet.FullExchange packet) {
                 return new Packet.FullExchange(packet.updates(), List.of());
             }
         });
         assertTrue(hasFailure(run, "drain:"), run.failures() + ", seed " + SEED);
     }
 
-    /** An instance that sends nothing counts as dead to the others though it runs: a false finding. */
+    /** One running instance sends nothing, so the others find it dead; the run must report that or a wrong member list. */
     @Test void aFalseFailureIsCounted() throws Exception {
-        ScaleRun run = play(scenario(SMALL + "'seconds':12"), SEED, host -> new FaultyHost(host, 3) {
-            @Override long send(PeerTransport line, InetSocketAddress to, Packet packet) {
+        ScaleRun run = runScenario(scenario(SMALL + "'seconds':12"), SEED, host -> new FaultyHost(host, 3) {
+            @Override long send(PeerTransport transport, InetSocketAddress to, Packet packet) {
                 return 0;                  // it neither answers nor refutes a suspicion
             }
         });
         assertTrue(hasFailure(run, "false-failure:") || hasFailure(run, "agree:"), run.failures() + ", seed " + SEED);
     }
 
-    /** An instance that receives nothing cannot detect a death. */
+    /** One instance receives no membership updates, so it cannot learn of a death; the run must report a failure. */
     @Test void anUndetectedDeathIsCounted() throws Exception {
-        ScaleRun run = play(scenario(SMALL + "'seconds':14,'steps':[{'at_ms':0,'do':'kill','first':9}]"), SEED,
+        ScaleRun run = runScenario(scenario(SMALL + "'seconds':14,'steps':[{'at_ms':0,'do':'kill','first':9}]"), SEED,
             host -> new FaultyHost(host, 3) {
-                @Override void small(PeerListener peers, String from, Packet.Membership packet) {
+                @Override void membershipReceived(PeerListener peers, String from, Packet.Membership packet) {
                     if (packet.message() instanceof Message.Ack) {
                         peers.membershipReceived(from, new Packet.Membership(packet.message(), List.of()));
                     } else {
@@ -147,8 +147,8 @@
                     }
                 }
 
-                @Override void compared(PeerListener peers, String from, Packet.Comparison packet) {
-                    // nor does it learn of it by comparing views
+                @Override void comparisonReceived(PeerListener peers, String from, Packet.Comparison packet) {
+                    // drops comparisons of views, which would also tell it of the death
                 }
             });
         assertTrue(!run.failures().isEmpty(), "seed " + SEED);
@@ -163,7 +163,7 @@
         simulated.set(Traffic.Kind.EXCHANGE, 9, 90_000, 0, 0);
         List<String> failures = new ArrayList<>();
         FidelityCheck.verify(FidelityCheck.ratios(simulated, 10, real, 10), FidelityCheck.MIN_DATAGRAMS - 1, failures);
-        assertEquals(List.of(), failures, "too few to compare");
+        assertEquals(List.of(), failures, "one datagram below the least number to compare");
         FidelityCheck.verify(FidelityCheck.ratios(simulated, 10, real, 10), FidelityCheck.MIN_DATAGRAMS, failures);
         assertEquals(1, failures.size());
         assertTrue(failures.get(0).startsWith("likeness: datagram_bytes_per_second"), failures.get(0));
@@ -183,7 +183,7 @@
         }
     }
 
-    /** A host on which one instance's line is faulty. */
+    /** A host on which one instance's transport is faulty. */
     private abstract static class FaultyHost implements FleetHost {
         private final FleetHost host;
         private final int faulty;
@@ -193,19 +193,19 @@
             this.faulty = faulty;
         }
 
-        long send(PeerTransport line, InetSocketAddress to, Packet packet) {
-            return line.send(to, packet);
+        long send(PeerTransport transport, InetSocketAddress to, Packet packet) {
+            return transport.send(to, packet);
         }
 
-        void compared(PeerListener peers, String from, Packet.Comparison packet) {
+        void comparisonReceived(PeerListener peers, String from, Packet.Comparison packet) {
             peers.comparisonReceived(from, packet);
         }
 
-        void small(PeerListener peers, String from, Packet.Membership packet) {
+        void membershipReceived(PeerListener peers, String from, Packet.Membership packet) {
             peers.membershipReceived(from, packet);
         }
 
-        Packet.FullExchange full(Packet.FullExchange packet) {
+        Packet.FullExchange outgoingExchange(Packet.FullExchange packet) {
             return packet;
         }
 
@@ -213,7 +213,7 @@
             int maxMembers) {
             Fleet.TransportFactory intact = host.transports(instance, process, key, maxMembers);
             return instance != faulty ? intact
-                : (name, epoch, peers) -> new FaultyLine(this, intact.open(name, epoch, new FaultyPeers(this, peers)));
+                : (name, epoch, peers) -> new FaultyTransport(this, intact.open(name, epoch, new FaultyPeers(this, peers)));
         }
 
         @Override public void open(int instance, Fleet fleet) throws IOException {
@@ -247,15 +247,15 @@
 
     private record FaultyPeers(FaultyHost fault, PeerListener peers) implements PeerListener {
         @Override public void membershipReceived(String from, Packet.Membership packet) {
-            fault.small(peers, from, packet);
+            fault.membershipReceived(peers, from, packet);
         }
 
         @Override public void comparisonReceived(String from, Packet.Comparison packet) {
-            fault.compared(peers, from, packet);
+            fault.comparisonReceived(peers, from, packet);
         }
 
         @Override public Packet.FullExchange exchangeRequested(String from, Packet.FullExchange theirs) {
-            return fault.full(peers.exchangeRequested(from, theirs));
+            return fault.outgoingExchange(peers.exchangeRequested(from, theirs));
         }
 
         @Override public void exchangeAnswered(String from, Packet.FullExchange theirs) {
@@ -263,29 +263,29 @@
         }
     }
 
-    private record FaultyLine(FaultyHost fault, PeerTransport line) implements PeerTransport {
+    private record FaultyTransport(FaultyHost fault, PeerTransport transport) implements PeerTransport {
         @Override public InetSocketAddress listen(InetSocketAddress at) throws IOException {
-            return line.listen(at);
+            return transport.listen(at);
         }
 
         @Override public long send(InetSocketAddress to, Packet packet) {
-            return fault.send(line, to, packet);
+            return fault.send(transport, to, packet);
         }
 
         @Override public void exchange(String with, InetSocketAddress at, Packet.FullExchange ours) {
-            line.exchange(with, at, fault.full(ours));
+            transport.exchange(with, at, fault.outgoingExchange(ours));
         }
 
         @Override public Map<DropReason, Long> drops() {
-            return line.drops();
+            return transport.drops();
         }
 
         @Override public Traffic traffic() {
-            return line.traffic();
+            return transport.traffic();
         }
 
         @Override public void close() {
-            line.close();
+            transport.close();
         }
     }
 }
