--- a/src/bench/java/kelphollow/capacity/LineFit.java
+++ b/src/bench/java/kelphollow/capacity/LineFit.java
@@ -3,11 +3,11 @@
 import java.util.Locale;
 
 /**
- * The line {@code slope x size + base} through measured points by ordinary least squares, with its error. Guards against a
- * slope that is quoted without saying how far the measured points lie from it.
+ * The line {@code slope x size + base} fitted to measured points by ordinary least squares, with its error, so that no
+ * slope is quoted without the distance of the measured points from it.
  */
 public record LineFit(double slope, double base, double rootMeanSquare, double rSquared) {
-    /** At least two different sizes; throws {@link IllegalArgumentException} otherwise. */
+    /** Fits a line; throws {@link IllegalArgumentException} unless two sizes differ and each size has a value. */
     public static LineFit through(double[] sizes, double[] values) {
         int count = sizes.length;
         double meanSize = mean(sizes);
@@ -22,7 +22,7 @@
             total += (values[i] - meanValue) * (values[i] - meanValue);
         }
         if (!(variance > 0) || values.length != count) {
-            throw new IllegalArgumentException("a line needs two different sizes with a value each");
+            throw new IllegalArgumentException("a line fit needs two different sizes and one value per size");
         }
         double slope = covariance / variance;
         double base = meanValue - slope * meanSize;
@@ -40,12 +40,12 @@
         return sum / of.length;
     }
 
-    /** The value on the line at this size. */
+    /** Returns the value of the line at this size. */
     public double at(double size) {
         return slope * size + base;
     }
 
-    /** One line of Markdown: what was fitted, the line and its error, in the unit of the values. */
+    /** Returns one line of Markdown with the fitted quantity, the line and its error, in the unit of the values. */
     public String text(String what, String sizeName, String unit) {
         return String.format(Locale.ROOT, "fit: %s = %.4g x %s + %.4g %s (RMS error %.3g %s, R2 %.4f)", what, slope,
             sizeName, base,
--- a/src/bench/java/kelphollow/capacity/Meter.java
+++ b/src/bench/java/kelphollow/capacity/Meter.java
@@ -6,20 +6,19 @@
 import java.util.function.Supplier;
 
 /**
- * Processor time, allocation and live memory of what runs on the calling thread. Guards against wall time, which on a
- * machine
- * that is shared tells of the neighbours.
+ * Measures processor time, allocation and live memory of a task on the calling thread. Wall time is not used, because on a
+ * shared machine it depends on the load of other processes.
  */
 public final class Meter {
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-    private static final int COLLECTIONS = 3;
+    private static final int GC_RUNS = 3;
 
     private Meter() {}
 
     /** Processor time in nanoseconds and allocated bytes of one run. */
     public record Cost(double nanos, double bytes) {}
 
-    /** The median run of an odd number, by processor time; the first {@code warmUps} runs are thrown away. */
+    /** Returns the run with the median processor time; {@code runs} is odd. Discards {@code warmUps} runs before them. */
     public static Cost median(int warmUps, int runs, Runnable task) {
         for (int i = 0; i < warmUps; i++) {
             task.run();
@@ -40,17 +39,17 @@
         return new Cost(THREADS.getCurrentThreadCpuTime() - nanos, THREADS.getThreadAllocatedBytes(thread) - bytes);
     }
 
-    /** Live bytes that only what is supplied keeps reachable: with it, less without it. */
-    public static double retained(Supplier<?> made) {
-        Object[] holder = {made.get()};
-        long with = live();
+    /** Returns the live bytes that only the supplied object keeps reachable: heap use with it minus heap use without it. */
+    public static double retained(Supplier<?> factory) {
+        Object[] holder = {factory.get()};
+        long with = liveBytes();
         java.lang.ref.Reference.reachabilityFence(holder[0]);
         holder[0] = null;
-        return with - live();
+        return with - liveBytes();
     }
 
-    private static long live() {
-        for (int i = 0; i < COLLECTIONS; i++) {
+    private static long liveBytes() {
+        for (int i = 0; i < GC_RUNS; i++) {
             System.gc();
         }
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
--- a/src/bench/java/kelphollow/capacity/NodeListCost.java
+++ b/src/bench/java/kelphollow/capacity/NodeListCost.java
@@ -14,18 +14,18 @@
 import kelphollow.routing.Ticker;
 
 /**
- * A whole node list against a change of one node: bytes, time to parse, memory, time in {@code
+ * Compares a whole node list with an update of one node: bytes, time to parse, memory and time in {@code
  * RequestRouter.updateEndpoints}: {@code mvn -B -q -Pbench test-compile exec:exec@list}.
  */
 public final class NodeListCost {
     private static final int[] NODES = {10, 20, 50, 100, 200, 510, 1_000};
-    private static final int TIMES = 20;
+    private static final int CALLS_PER_RUN = 20;
     private static final int WARM_UPS = 5;
     private static final int RUNS = 5;
 
     private NodeListCost() {}
 
-    /** Discovery's form, as full as it comes: names, zone, cell, state, start and address. */
+    /** Returns a node list in the discovery format with all optional fields: name, zone, shard, state, start and address. */
     static String json(int from, int to, boolean whole) {
         StringBuilder hosts = new StringBuilder();
         for (int n = from; n < to; n++) {
@@ -48,7 +48,7 @@
     private static RequestRouter router() {
         Ticker ticker = new Ticker() {
             @Override public double now() {
-                return ControlPlay.START;
+                return ControlReplay.START;
             }
 
             @Override public Timeout after(double millis, Runnable task) {
@@ -62,18 +62,18 @@
 
             @Override public void closeIdleConnections(String node) {}
         };
-        return new RequestRouter(new Control(ControlPlay.settings(510), 1, ControlPlay.START), ticker, backend);
+        return new RequestRouter(new Control(ControlReplay.settings(510), 1, ControlReplay.START), ticker, backend);
     }
 
     private static double micros(Runnable task) {
         return Meter.median(WARM_UPS, RUNS, () -> {
-            for (int i = 0; i < TIMES; i++) {
+            for (int i = 0; i < CALLS_PER_RUN; i++) {
                 task.run();
             }
-        }).nanos() / 1e3 / TIMES;
+        }).nanos() / 1e3 / CALLS_PER_RUN;
     }
 
-    /** Plays all sizes and prints the figures with their fits. */
+    /** Measures all sizes and prints the table with its fitted lines. */
     public static void main(String[] args) {
         System.out.println("| nodes | bytes, whole | bytes, one changed | us to parse whole | us to learn whole | us to "
             + "learn one changed "
--- a/src/bench/java/kelphollow/capacity/SubUnitShares.java
+++ b/src/bench/java/kelphollow/capacity/SubUnitShares.java
@@ -26,16 +26,16 @@
 import kelphollow.decision.ControlSettings.Rules;
 
 /**
- * What is left of a limit and of a budget of repeats when each of many instances keeps an even part of it:
- * {@code mvn -B -q -Pbench test-compile exec:exec@parts}. One instance is played; all are alike.
+ * Simulates how much of a rate limit and of a retry budget remains usable when each of many instances enforces an equal
+ * share of it: {@code mvn -B -q -Pbench test-compile exec:exec@parts}. Simulates one instance, since all are alike.
  */
 public final class SubUnitShares {
     private static final int[] INSTANCES = {1, 3, 10, 20, 50, 100, 200, 510, 1_000};
     private static final double NODE_RATE = 430;
-    private static final double PLAYED = 600_000;
+    private static final double SIMULATED_MS = 600_000;
     private static final double START = 1_000_000;
-    private static final double SERVICE = 5;
-    private static final double FAILING = 0.05;
+    private static final double SERVICE_MS = 5;
+    private static final double FAILURE_SHARE = 0.05;
     private static final double LIMIT_RATE = 400;
     private static final double LIMIT_BURST = 24;
     private static final double UNITS = 2;
@@ -53,49 +53,51 @@
             rules);
     }
 
-    private record Count(int asked, int firsts, int repeats, int wanted) {}
+    private record Counts(int asked, int firstAttempts, int retries, int retriesWanted) {}
 
-    /** One instance's even part of {@code rate} requests a second; a part of the first attempts is turned away by the
-     * node. */
-    private static Count play(int instances, double rate, String plan, double failing, double repeatShare) {
+    /**
+     * Simulates one instance with its equal share of {@code rate} requests per second; the node rejects the share
+     * {@code failing} of the first attempts.
+     */
+    private static Counts simulate(int instances, double rate, String plan, double failing, double retryShare) {
         Control control = new Control(settings(instances), SEED, START);
-        control.on(START, new RetryBudgetChanged(repeatShare, repeatShare > 0 ? 10_000 : 0));
+        control.on(START, new RetryBudgetChanged(retryShare, retryShare > 0 ? 10_000 : 0));
         control.on(START, new EndpointsReceived(List.of(new Endpoint("n", "a", 0, EndpointState.HEALTHY, 0)), true, false));
         Random random = new Random(SEED);
         Set<String> tried = new HashSet<>();
         int asked = 0;
-        int firsts = 0;
-        int repeats = 0;
-        int wanted = 0;
+        int firstAttempts = 0;
+        int retries = 0;
+        int retriesWanted = 0;
         double next = START;
-        double finished = START + PLAYED;
+        double finished = START + SIMULATED_MS;
         for (double now = START; now < finished; now += 2) {
-            List<ControlAction> did = new ArrayList<>();
+            List<ControlAction> actions = new ArrayList<>();
             if (now >= next) {
                 next = now - Math.log(1 - random.nextDouble()) * 1_000 * instances / rate;
-                did.addAll(control.on(now, new RequestArrived("q" + asked++, "read", plan, null, now + 2_000, "v", UNITS, 0,
-                    instances)));
+                actions.addAll(control.on(now, new RequestArrived("q" + asked++, "read", plan, null, now + 2_000, "v", UNITS,
+                    0, instances)));
             }
             if ((long) now % 10 == 0) {
-                did.addAll(control.on(now, new TimerFired("wake")));
+                actions.addAll(control.on(now, new TimerFired("wake")));
             }
-            for (int i = 0; i < did.size(); i++) {
-                if (did.get(i) instanceof SendAttempt s) {
+            for (int i = 0; i < actions.size(); i++) {
+                if (actions.get(i) instanceof SendAttempt s) {
                     boolean first = tried.add(s.id());
-                    firsts += first ? 1 : 0;
-                    repeats += first ? 0 : 1;
-                    boolean turnedAway = first && random.nextDouble() < failing;
-                    wanted += turnedAway ? 1 : 0;
-                    did.addAll(control.on(now + SERVICE, new AttemptEnded(s.id(), first ? 0 : 1, "n",
-                        turnedAway ? AttemptOutcome.AT_CAPACITY : AttemptOutcome.SERVED, SERVICE, !turnedAway, false, 0, -1,
+                    firstAttempts += first ? 1 : 0;
+                    retries += first ? 0 : 1;
+                    boolean rejected = first && random.nextDouble() < failing;
+                    retriesWanted += rejected ? 1 : 0;
+                    actions.addAll(control.on(now + SERVICE_MS, new AttemptEnded(s.id(), first ? 0 : 1, "n",
+                        rejected ? AttemptOutcome.AT_CAPACITY : AttemptOutcome.SERVED, SERVICE_MS, !rejected, false, 0, -1,
                         Map.of())));
                 }
             }
         }
-        return new Count(asked, firsts, repeats, wanted);
+        return new Counts(asked, firstAttempts, retries, retriesWanted);
     }
 
-    /** Plays all sizes and prints the figures with their fits. */
+    /** Simulates all sizes and prints the table. */
     public static void main(String[] args) {
         System.out.printf(Locale.ROOT, "| instances | limit: part of the burst, units | units let through of the limit's "
             + "rate (asked: half of it) "
@@ -103,11 +105,11 @@
             + "budget is 10%%) |%n"
             + "| --- | --- | --- | --- | --- |%n");
         for (int n : INSTANCES) {
-            Count limit = play(n, LIMIT_RATE / UNITS / 2, "limited", 0, 0);
-            Count repeats = play(n, NODE_RATE, "usual", FAILING, 0.1);
+            Counts limit = simulate(n, LIMIT_RATE / UNITS / 2, "limited", 0, 0);
+            Counts retries = simulate(n, NODE_RATE, "usual", FAILURE_SHARE, 0.1);
             System.out.printf(Locale.ROOT, "| %d | %.3f | %.2f of %d asked | %.1f | %.2f of %d |%n", n, LIMIT_BURST / n,
-                limit.asked == 0 ? 0 : (double) limit.firsts / limit.asked, limit.asked, NODE_RATE * 10 / n,
-                repeats.wanted == 0 ? 0 : (double) repeats.repeats / repeats.wanted, repeats.wanted);
+                limit.asked == 0 ? 0 : (double) limit.firstAttempts / limit.asked, limit.asked, NODE_RATE * 10 / n,
+                retries.retriesWanted == 0 ? 0 : (double) retries.retries / retries.retriesWanted, retries.retriesWanted);
         }
     }
 }
