--- a/src/bench/java/kelphollow/decision/ColdNodeFigures.java
+++ b/src/bench/java/kelphollow/decision/ColdNodeFigures.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * {@link SlowStartSimulation} of a node in slow start, at the sizes to come; the bounds of its test stay as they are:
- * {@code mvn -B -q -Pbench test-compile exec:exec@cold}.
+ * Runs {@link SlowStartSimulation} of a node in slow start at fleet sizes up to 1,000 instances; does not check the bounds
+ * of its test: {@code mvn -B -q -Pbench test-compile exec:exec@cold}.
  */
 public final class ColdNodeFigures {
     private static final int[] INSTANCES = {20, 100, 510, 1_000};
@@ -13,7 +13,7 @@
 
     private ColdNodeFigures() {}
 
-    /** Plays all sizes and prints the figures with their fits. */
+    /** Simulates all sizes and prints the table. */
     public static void main(String[] args) {
         System.out.println("| instances | demand | most sent in a span, of what the rule bears | sent of what came |\n"
             + "| --- | --- | --- | --- |");
--- a/src/bench/java/kelphollow/membership/MembershipFigures.java
+++ b/src/bench/java/kelphollow/membership/MembershipFigures.java
@@ -13,17 +13,17 @@
 import org.knowm.xchart.XYChartBuilder;
 
 /**
- * Time to detect, false accusations and load against size and loss, on the simulation's clock. Prints a table and writes
- * pictures: {@code mvn -B -q -Pbench test-compile exec:exec@membership}.
+ * Measures detection time, false suspicions, false failures and datagrams by size and loss, on the simulated clock. Prints
+ * a table and writes a chart: {@code mvn -B -q -Pbench test-compile exec:exec@membership}.
  */
 public final class MembershipFigures {
     private static final int[] SIZES = {5, 20, 100, 500};
-    private static final int LARGE = 500;
+    private static final int LARGE_SIZE = 500;
     private static final double[] LOSSES = {0, 0.1, 0.3};
 
     private MembershipFigures() {}
 
-    /** Means over the seeds; times in protocol periods. */
+    /** Means over the seeds; times are in protocol periods. */
     private static final class Row {
         private double firstDetection;
         private double lastDetection;
@@ -40,8 +40,8 @@
         Map<Double, List<Double>> lastDetections = new HashMap<>();
         for (int size : SIZES) {
             for (double loss : LOSSES) {
-                if (size >= LARGE && loss > 0) {
-                    continue;              // minutes each: its suspicions are many
+                if (size >= LARGE_SIZE && loss > 0) {
+                    continue;              // takes minutes per run because of the many suspicions
                 }
                 Row row = measure(size, loss);
                 System.out.printf(Locale.ROOT, "| %d | %.1f | %.1f | %.1f | %.2f | %.1f | %.1f |%n", size, loss,
@@ -54,7 +54,7 @@
 
     private static Row measure(int size, double loss) {
         Row row = new Row();
-        int seeds = size >= LARGE ? 1 : 5;
+        int seeds = size >= LARGE_SIZE ? 1 : 5;
         for (int seed = 1; seed <= seeds; seed++) {
             SimulatedFleet fleet = new SimulatedFleet(seed, MembershipSettings.DEFAULTS);
             fleet.startAll(size);
--- a/src/bench/java/kelphollow/program/DataPathCost.java
+++ b/src/bench/java/kelphollow/program/DataPathCost.java
@@ -29,58 +29,56 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * Resting clients and requests a second of one scheduler in memory, descriptors and processor time, by a real process over
- * the
- * loopback: {@code mvn -B -q -Pbench test-compile exec:exec@data-path}. Clients and stand-in nodes run in this process,
- * beside the
- * scheduler's on the same machine: the latencies hold their share too.
+ * Measures memory, descriptors and processor time of one scheduler process by the number of idle clients and by requests
+ * per second, over the loopback interface: {@code mvn -B -q -Pbench test-compile exec:exec@data-path}. Clients and stub
+ * nodes run in this process on the same machine, so the latencies include their processor time too.
  */
 public final class DataPathCost {
-    private static final int[] RESTING = {200, 500, 1_000, 2_000, 3_333};
+    private static final int[] IDLE_CLIENTS = {200, 500, 1_000, 2_000, 3_333};
     private static final int[] RATES = {100, 200, 400, 843};
     private static final int[] NODES = {10, 1_000};
-    private static final int SOCKETS = 16_000;
-    private static final int CLIENTS_A_RATE = 4;
-    private static final int CONNECTS_AT_ONCE = 100;
+    private static final int MAX_DESCRIPTORS = 16_000;
+    private static final int CLIENTS_PER_REQUEST_RATE = 4;
+    private static final int CONNECT_BATCH = 100;
     private static final int SETTLE_MS = 1_500;
     private static final int MEASURED_MS = 4_000;
-    private static final long LONGEST_MICROS = 60_000_000;
+    private static final long MAX_LATENCY_MICROS = 60_000_000;
     private static final byte[] PING = "*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] ANSWER = "*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] REPLY = "*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private static final EventLoopGroup GROUP = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private static final ConcurrentHistogram LATENCY = new ConcurrentHistogram(LONGEST_MICROS, 3);
+    private static final ConcurrentHistogram LATENCY = new ConcurrentHistogram(MAX_LATENCY_MICROS, 3);
     private static final AtomicInteger SERVED = new AtomicInteger();
     private static final AtomicInteger REFUSED = new AtomicInteger();
     private static final AtomicInteger CLOSED = new AtomicInteger();
 
     private DataPathCost() {}
 
-    /** Processor time in milliseconds before and after the collection that the bytes of memory are measured by. */
-    private record Figures(double cpuBefore, double cpuAfter, double heap, double direct, int descriptors) {}
+    /** Processor time in milliseconds before and after the garbage collection, and memory in bytes after it. */
+    private record Measurement(double cpuBefore, double cpuAfter, double heap, double direct, int descriptors) {}
 
-    /** The scheduler's process; killed at the end. */
-    private static final class Child implements AutoCloseable {
+    /** The scheduler process; {@code close} kills it. */
+    private static final class SchedulerChild implements AutoCloseable {
         final Process process;
         final BufferedReader out;
         final int port;
 
-        Child(int standIn, int nodes) throws IOException {
+        SchedulerChild(int stubPort, int nodes) throws IOException {
             process = new ProcessBuilder(List.of(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC",
                 "-Xmx256m",
                 "-XX:MaxDirectMemorySize=256m", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-                "kelphollow.program.SchedulerProcess", "" + standIn, "" + nodes, "" + SOCKETS))
+                "kelphollow.program.SchedulerProcess", "" + stubPort, "" + nodes, "" + MAX_DESCRIPTORS))
                 .redirectError(ProcessBuilder.Redirect.DISCARD).start();
             out = new BufferedReader(new InputStreamReader(process.getInputStream()));
             port = Integer.parseInt(out.readLine());
         }
 
-        Figures figures() throws IOException {
+        Measurement measure() throws IOException {
             OutputStream in = process.getOutputStream();
             in.write('\n');
             in.flush();
             String[] words = out.readLine().split(" ");
-            return new Figures(Long.parseLong(words[0]) / 1e6, Long.parseLong(words[1]) / 1e6, Long.parseLong(words[2]),
+            return new Measurement(Long.parseLong(words[0]) / 1e6, Long.parseLong(words[1]) / 1e6, Long.parseLong(words[2]),
                 Long.parseLong(words[3]), Integer.parseInt(words[4]));
         }
 
@@ -89,20 +87,20 @@
         }
     }
 
-    /** A client's connection; one request at a time. */
+    /** A client connection with one request in flight at a time. */
     private static final class Client extends ChannelInboundHandlerAdapter {
         volatile Channel channel;
-        private volatile long askedAt;
+        private volatile long sentAt;
 
-        void ask(byte[] command) {
-            askedAt = System.nanoTime();
+        void send(byte[] command) {
+            sentAt = System.nanoTime();
             channel.writeAndFlush(Unpooled.wrappedBuffer(command));
         }
 
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
             ByteBuf bytes = (ByteBuf) message;
             (bytes.getByte(bytes.readerIndex()) == '$' ? SERVED : REFUSED).incrementAndGet();
-            LATENCY.recordValue(Math.min(LONGEST_MICROS, (System.nanoTime() - askedAt) / 1_000));
+            LATENCY.recordValue(Math.min(MAX_LATENCY_MICROS, (System.nanoTime() - sentAt) / 1_000));
             ReferenceCountUtil.release(message);
         }
 
@@ -111,14 +109,14 @@
         }
     }
 
-    private static int standInNodes() {
+    private static int startStubNodes() {
         Channel server = new ServerBootstrap().group(GROUP).channel(NioServerSocketChannel.class)
             .childHandler(new ChannelInitializer<Channel>() {
                 @Override protected void initChannel(Channel channel) {
                     channel.pipeline().addLast(new ChannelInboundHandlerAdapter() {
                         @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
                             ReferenceCountUtil.release(message);
-                            ctx.writeAndFlush(Unpooled.wrappedBuffer(ANSWER));
+                            ctx.writeAndFlush(Unpooled.wrappedBuffer(REPLY));
                         }
                     });
                 }
@@ -133,33 +131,34 @@
             client.channel = new Bootstrap().group(GROUP).channel(NioSocketChannel.class).handler(client)
                 .connect("127.0.0.1", port).sync().channel();
             clients.add(client);
-            if (i % CONNECTS_AT_ONCE == 0) {
+            if (i % CONNECT_BATCH == 0) {
                 TimeUnit.MILLISECONDS.sleep(2);
             }
         }
-        clients.forEach(c -> c.ask(PING));
+        clients.forEach(c -> c.send(PING));
         TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
         return clients;
     }
 
-    private static void resting(int standIn) throws Exception {
+    private static void measureIdleClients(int stubPort) throws Exception {
         System.out.println("| resting clients | heap KB | direct KB | descriptors | share of a core at rest | closed "
             + "meanwhile |\n"
             + "| --- | --- | --- | --- | --- | --- |");
-        double[] at = new double[RESTING.length];
-        double[] memory = new double[RESTING.length];
-        double[] cpu = new double[RESTING.length];
-        for (int i = 0; i < RESTING.length; i++) {
-            try (Child child = new Child(standIn, 1_000)) {
-                List<Client> clients = connect(child.port, RESTING[i]);
+        double[] at = new double[IDLE_CLIENTS.length];
+        double[] memory = new double[IDLE_CLIENTS.length];
+        double[] cpu = new double[IDLE_CLIENTS.length];
+        for (int i = 0; i < IDLE_CLIENTS.length; i++) {
+            try (SchedulerChild scheduler = new SchedulerChild(stubPort, 1_000)) {
+                List<Client> clients = connect(scheduler.port, IDLE_CLIENTS[i]);
                 CLOSED.set(0);
-                Figures before = child.figures();
+                Measurement before = scheduler.measure();
                 TimeUnit.MILLISECONDS.sleep(MEASURED_MS);
-                Figures after = child.figures();
-                at[i] = RESTING[i];
+                Measurement after = scheduler.measure();
+                at[i] = IDLE_CLIENTS[i];
                 memory[i] = (after.heap + after.direct) / 1e3;
                 cpu[i] = (after.cpuBefore - before.cpuAfter) / MEASURED_MS * 100;
-                System.out.printf(Locale.ROOT, "| %d | %.0f | %.0f | %d | %.2f%% | %d |%n", RESTING[i], after.heap / 1e3,
+                System.out.printf(Locale.ROOT, "| %d | %.0f | %.0f | %d | %.2f%% | %d |%n", IDLE_CLIENTS[i], after.heap
+                    / 1e3,
                     after.direct / 1e3,
                     after.descriptors, cpu[i], CLOSED.get());
                 clients.forEach(c -> c.channel.close());
@@ -178,7 +177,7 @@
             .getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static void loaded(int standIn) throws Exception {
+    private static void measureLoad(int stubPort) throws Exception {
         System.out.println("| nodes | clients | requests a second asked | served a second | refused a second | ms of "
             + "processor a request "
             + "| share of a core | p50 ms | p99 ms | descriptors | heap and direct KB |\n"
@@ -187,15 +186,15 @@
             double[] at = new double[RATES.length];
             double[] cpu = new double[RATES.length];
             for (int i = 0; i < RATES.length; i++) {
-                try (Child child = new Child(standIn, nodes)) {
-                    List<Client> clients = connect(child.port, Math.min(RATES[i] * CLIENTS_A_RATE, 3_333));
-                    ask(clients, RATES[i], nodes, SETTLE_MS);
+                try (SchedulerChild scheduler = new SchedulerChild(stubPort, nodes)) {
+                    List<Client> clients = connect(scheduler.port, Math.min(RATES[i] * CLIENTS_PER_REQUEST_RATE, 3_333));
+                    sendRequests(clients, RATES[i], nodes, SETTLE_MS);
                     LATENCY.reset();
                     SERVED.set(0);
                     REFUSED.set(0);
-                    Figures before = child.figures();
-                    double seconds = ask(clients, RATES[i], nodes, MEASURED_MS);
-                    Figures after = child.figures();
+                    Measurement before = scheduler.measure();
+                    double seconds = sendRequests(clients, RATES[i], nodes, MEASURED_MS);
+                    Measurement after = scheduler.measure();
                     at[i] = RATES[i];
                     cpu[i] = (after.cpuBefore - before.cpuAfter) / seconds / 10;
                     int answered = SERVED.get() + REFUSED.get();
@@ -213,26 +212,26 @@
         }
     }
 
-    /** Asks in turn at this rate; returns the seconds that passed. */
-    private static double ask(List<Client> clients, int rate, int nodes, int millis) throws InterruptedException {
+    /** Sends requests at this rate, round robin over the clients; returns the elapsed seconds. */
+    private static double sendRequests(List<Client> clients, int rate, int nodes, int millis) throws InterruptedException {
         long from = System.nanoTime();
         long until = from + millis * 1_000_000L;
-        int asked = 0;
+        int sent = 0;
         while (System.nanoTime() < until) {
             long due = (System.nanoTime() - from) * rate / 1_000_000_000L;
-            while (asked < due) {
-                clients.get(asked % clients.size()).ask(get(asked++, nodes));
+            while (sent < due) {
+                clients.get(sent % clients.size()).send(get(sent++, nodes));
             }
             TimeUnit.MILLISECONDS.sleep(1);
         }
         return (System.nanoTime() - from) / 1e9;
     }
 
-    /** Plays all sizes and prints the figures with their fits. */
+    /** Measures all sizes and prints the tables with their fitted lines. */
     public static void main(String[] args) throws Exception {
-        int standIn = standInNodes();
-        resting(standIn);
-        loaded(standIn);
+        int stubPort = startStubNodes();
+        measureIdleClients(stubPort);
+        measureLoad(stubPort);
         System.exit(0);
     }
 }
--- a/src/bench/java/kelphollow/program/SchedulerProcess.java
+++ b/src/bench/java/kelphollow/program/SchedulerProcess.java
@@ -19,33 +19,32 @@
 import kelphollow.transport.WheelTicker;
 
 /**
- * The platform's scheduler in a process of its own, so that {@link DataPathCost} sees its memory and processor time alone.
- * Each
- * line on its input is answered by one with its figures: processor time before and after a collection, memory after it.
- * Ends with its input.
+ * Runs the platform's scheduler in a separate process, so that {@link DataPathCost} measures the memory and processor time
+ * of the scheduler alone. Prints the port first, then one line per input line: processor time before and after a garbage
+ * collection, heap and direct memory after it, and open descriptors. Exits at the end of its input.
  */
 public final class SchedulerProcess {
-    private static final int DIAL_TIMEOUT = 250;
-    private static final double IDLE_TIME = 12_000;
-    private static final long TICK = 2;
+    private static final int DIAL_TIMEOUT_MS = 250;
+    private static final double IDLE_TIME_MS = 12_000;
+    private static final long TICK_MS = 2;
 
     private SchedulerProcess() {}
 
-    /** {@code args}: the stand-in nodes' port, the number of nodes, the limit of descriptors. */
+    /** Arguments: the port of the stub nodes, the number of nodes, the limit of open descriptors. */
     public static void main(String[] args) throws Exception {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        List<ResolvedEndpoint> members = new ArrayList<>();
-        InetSocketAddress standIn = new InetSocketAddress("127.0.0.1", Integer.parseInt(args[0]));
+        List<ResolvedEndpoint> endpoints = new ArrayList<>();
+        InetSocketAddress stubNode = new InetSocketAddress("127.0.0.1", Integer.parseInt(args[0]));
         for (int n = 0; n < Integer.parseInt(args[1]); n++) {
-            members.add(new ResolvedEndpoint(new Endpoint("n" + n, "a", n, EndpointState.HEALTHY, 0), standIn));
+            endpoints.add(new ResolvedEndpoint(new Endpoint("n" + n, "a", n, EndpointState.HEALTHY, 0), stubNode));
         }
-        Map<String, Object> settings = ServerHarness.part(ServerHarness.example(), "settings");
+        Map<String, Object> settings = ServerHarness.section(ServerHarness.example(), "settings");
         PlatformConfig config = new PlatformConfig("capacity", null, new InetSocketAddress("127.0.0.1", 1), 1, Integer
             .parseInt(args[2]),
-            DIAL_TIMEOUT,
-            IDLE_TIME, new DiscoveryList(1, true, members), SettingsConfig.read(settings),
+            DIAL_TIMEOUT_MS,
+            IDLE_TIME_MS, new DiscoveryList(1, true, endpoints), SettingsConfig.read(settings),
             PlatformConfig.Operations.NONE);
-        Scheduler scheduler = PlatformScheduler.start(config, loop, new WheelTicker(loop, TICK));
+        Scheduler scheduler = PlatformScheduler.start(config, loop, new WheelTicker(loop, TICK_MS));
         System.out.println(scheduler.listen(new InetSocketAddress("127.0.0.1", 0)).getPort());
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in));
         while (in.readLine() != null) {
--- a/src/bench/java/kelphollow/store/BenchFolder.java
+++ b/src/bench/java/kelphollow/store/BenchFolder.java
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** The temporary folder of a benchmark, in the one that {@code -Dkelphollow.bench.folder} names or the system's. */
+/** Manages a benchmark's temporary folder, in {@code -Dkelphollow.bench.folder} or else the system's temporary folder. */
 final class BenchFolder {
     private static final String PREFIX = "bench";
 
@@ -17,7 +17,7 @@
         return parent == null ? Files.createTempDirectory(PREFIX) : Files.createTempDirectory(Path.of(parent), PREFIX);
     }
 
-    /** Deletes the folder with all that is in it. */
+    /** Deletes the folder and its contents. */
     static void delete(Path folder) throws IOException {
         try (Stream<Path> contents = Files.walk(folder)) {
             for (Path path : contents.sorted(Comparator.reverseOrder()).toList()) {
--- a/src/bench/java/kelphollow/store/CommitBench.java
+++ b/src/bench/java/kelphollow/store/CommitBench.java
@@ -24,9 +24,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Synced records per second, by how many are in flight, compared with the bare appending and syncing of the same bytes to
- * two files: {@code raw} writes as many records with each sync as there are writers, which is the best that group commit
- * can do.
+ * Measures synced records per second by the number in flight, compared with plain appends and syncs of the same bytes to
+ * two files: {@code raw} writes one record per writer with each sync, which is the upper bound for group commit.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.Throughput)
@@ -45,11 +44,11 @@
     private Store store;
     private FileChannel[] raw;
     private ByteBuffer group;
-    /** A permit for each record that may still be in flight. */
-    private Semaphore free;
+    /** Holds one permit for each further record that may be in flight. */
+    private Semaphore inFlightPermits;
     private final AtomicLong keys = new AtomicLong();
 
-    /** Uses a folder in the one that {@code -Dkelphollow.bench.folder} names, or in the system's temporary folder. */
+    /** Opens the store and the raw files in a new folder; see {@link BenchFolder}. */
     @Setup(Level.Trial) public void open() throws Exception {
         folder = BenchFolder.create();
         store = Store.open(new FolderDisk(folder.resolve("a")), new FolderDisk(folder.resolve("b")),
@@ -60,7 +59,7 @@
         }
         int record = Format.FRAME_HEADER_BYTES + Operation.lengthOf(2 + 8, VALUE.length);
         group = ByteBuffer.allocateDirect(writers * record);
-        free = new Semaphore(writers);
+        inFlightPermits = new Semaphore(writers);
     }
 
     @TearDown(Level.Trial) public void close() throws IOException {
@@ -73,17 +72,17 @@
 
     @Benchmark @OperationsPerInvocation(RECORDS) public void store() throws InterruptedException {
         for (int i = 0; i < RECORDS; i++) {
-            free.acquire();
+            inFlightPermits.acquire();
             byte[] key = ByteBuffer.allocate(8).putLong(keys.incrementAndGet() % 100_000).array();
             store.write(new Batch().put("outcomes", key, VALUE), Durability.SYNCED, Runnable::run, fault -> {
                 if (fault != null) {
                     throw new IllegalStateException(fault);
                 }
-                free.release();
+                inFlightPermits.release();
             });
         }
-        free.acquire(writers);
-        free.release(writers);
+        inFlightPermits.acquire(writers);
+        inFlightPermits.release(writers);
     }
 
     @Benchmark @OperationsPerInvocation(RECORDS) public void raw() throws IOException {
--- a/src/bench/java/kelphollow/store/CommitTurns.java
+++ b/src/bench/java/kelphollow/store/CommitTurns.java
@@ -9,15 +9,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * One writer that waits for each of its records, and the bare appending and syncing of the same bytes to two files, in
- * turn: ten of these, ten of those. The speed of a disk that varies from second to second then varies for both, unlike in
- * two rounds of {@link CommitBench} one after the other. Prints microseconds and the ratio bare to store.
+ * Compares one writer that waits for each of its records with plain appends and syncs of the same bytes to two files, in
+ * alternating groups of ten. A disk whose speed varies from second to second then affects both equally, unlike in two
+ * consecutive runs of {@link CommitBench}. Prints microseconds and the ratio bare to store.
  */
 final class CommitTurns {
     private static final int TURNS = 1_000;
-    /** Turns that are not counted. */
+    /** Number of first turns that are not recorded. */
     private static final int WARM_UP_TURNS = TURNS / 10;
-    private static final int RECORDS_IN_TURN = 10;
+    private static final int RECORDS_PER_TURN = 10;
     private static final int KEYS = 100_000;
     private static final double NANOS_PER_MICRO = 1e3;
     private static final byte[] VALUE = new byte[100];
@@ -37,21 +37,21 @@
             FileChannel[] raw = {first, second};
             ByteBuffer record = ByteBuffer.allocateDirect(Format.FRAME_HEADER_BYTES + Operation.lengthOf(2 + 8,
                 VALUE.length));
-            Semaphore done = new Semaphore(0);
+            Semaphore committed = new Semaphore(0);
             int key = 0;
             for (int turn = 0; turn < TURNS; turn++) {
-                boolean counts = turn >= WARM_UP_TURNS;
-                for (int i = 0; i < RECORDS_IN_TURN; i++) {
-                    long began = System.nanoTime();
+                boolean warmedUp = turn >= WARM_UP_TURNS;
+                for (int i = 0; i < RECORDS_PER_TURN; i++) {
+                    long startNanos = System.nanoTime();
                     writeBare(raw, record);
-                    count(bare, began, counts);
+                    count(bare, startNanos, warmedUp);
                 }
-                for (int i = 0; i < RECORDS_IN_TURN; i++) {
+                for (int i = 0; i < RECORDS_PER_TURN; i++) {
                     byte[] bytes = ByteBuffer.allocate(8).putLong(key % KEYS).array();
                     key++;
-                    long began = System.nanoTime();
-                    write(store, bytes, done);
-                    count(stored, began, counts);
+                    long startNanos = System.nanoTime();
+                    write(store, bytes, committed);
+                    count(stored, startNanos, warmedUp);
                 }
             }
         }
@@ -59,14 +59,14 @@
         BenchFolder.delete(folder);
     }
 
-    private static void write(Store store, byte[] key, Semaphore done) throws InterruptedException {
+    private static void write(Store store, byte[] key, Semaphore committed) throws InterruptedException {
         store.write(new Batch().put("outcomes", key, VALUE), Durability.SYNCED, Runnable::run, fault -> {
             if (fault != null) {
                 throw new IllegalStateException(fault);
             }
-            done.release();
+            committed.release();
         });
-        done.acquire();
+        committed.acquire();
     }
 
     private static void print(Histogram bare, Histogram stored) {
@@ -84,9 +84,9 @@
         return FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    private static void count(Histogram histogram, long began, boolean counts) {
-        if (counts) {
-            histogram.recordValue(System.nanoTime() - began);
+    private static void count(Histogram histogram, long startNanos, boolean warmedUp) {
+        if (warmedUp) {
+            histogram.recordValue(System.nanoTime() - startNanos);
         }
     }
 
--- a/src/bench/java/kelphollow/store/RecoveryBench.java
+++ b/src/bench/java/kelphollow/store/RecoveryBench.java
@@ -17,7 +17,7 @@
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Opening a store of a million records, compared with reading the same bytes and computing their checksum. */
+/** Measures opening a store of a million records, compared with reading the same bytes and computing their checksum. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.SingleShotTime)
 @OutputTimeUnit(TimeUnit.MILLISECONDS)
@@ -26,7 +26,7 @@
 @Measurement(iterations = 10)
 public class RecoveryBench {
     private static final int RECORDS = 1_000_000;
-    /** Bytes of a key in the index: 16 and the number of its table. */
+    /** Bytes of a key in the index: 16 and the table number. */
     private static final int KEY_BYTES = 16 + Tables.NUMBER_BYTES;
     private Path folder;
     private FolderDisk first;
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Keys in no order, as request identities are. */
+    /** Returns keys in no particular order, like request ids. */
     private static byte[] key(long number) {
         return ByteBuffer.allocate(16).putLong(number * 0x9E3779B97F4A7C15L).putLong(number).array();
     }
