--- a/src/bench/java/kelphollow/capacity/ControlCost.java
+++ b/src/bench/java/kelphollow/capacity/ControlCost.java
@@ -87,7 +87,7 @@
         System.out.println(LineFit.through(at, kept).text("kept", name, "KB"));
     }
 
-    /** Measures the call for silent nodes, which {@code Fleet.look} makes every 50 ms. */
+    /** Measures the call for silent nodes, which {@code PeerObservations.publishFindings} makes every 50 ms. */
     private static void printSilentNodes() {
         System.out.printf("%n| nodes | us a call of silentNodes | share of a core at 20 calls a second |%n| --- | --- | "
             + "--- |%n");
--- a/src/bench/java/kelphollow/capacity/ControlReplay.java
+++ b/src/bench/java/kelphollow/capacity/ControlReplay.java
@@ -45,7 +45,7 @@
         false, false);
     private static final Plan PLAN = new Plan("usual", 100, 50, 1, 1, 0, 0, 0);
 
-    /** Whether every requested timer fires, or only one is pending at a time, as if {@code planWake} replaced its timer. */
+    /** Whether every requested timer fires, or only one is pending at a time, as if {@code WakeTimer} replaced its timer. */
     enum Timers {
         AS_ASKED, ONE
     }
--- a/src/bench/java/kelphollow/capacity/Meter.java
+++ b/src/bench/java/kelphollow/capacity/Meter.java
@@ -18,7 +18,7 @@
     /** Processor time in nanoseconds and allocated bytes of one run. */
     public record Cost(double nanos, double bytes) {}
 
-    /** Returns the run with the median processor time; {@code runs} is odd. Discards {@code warmUps} runs before them. */
+    /** Returns the run with the median processor time; {@code runs} is odd. Discards {@code warmUps} earlier runs. */
     public static Cost median(int warmUps, int runs, Runnable task) {
         for (int i = 0; i < warmUps; i++) {
             task.run();
--- a/src/bench/java/kelphollow/fleet/DisseminationFigures.java
+++ b/src/bench/java/kelphollow/fleet/DisseminationFigures.java
@@ -7,7 +7,7 @@
 /**
  * Measures the cost and the delay of dissemination by size, for the previous version ({@code before}) and the current one
  * ({@code after}), on one simulated clock with a seed; prints one line per run. Arguments: the sizes, separated by commas;
- * {@code before}, {@code after} or {@code both}; keys per state part; seconds between two changes of an instance (0: no
+ * {@code before}, {@code after} or {@code both}; keys per instance state; seconds between two changes of an instance (0: no
  * changes); loss; seconds of warm-up; seconds measured; the seed.
  */
 public final class DisseminationFigures {
