--- a/src/main/java/kelphollow/adapter/EventReader.java
+++ b/src/main/java/kelphollow/adapter/EventReader.java
@@ -36,7 +36,7 @@
         List<Endpoint> endpoints = new ArrayList<>();
         int number = (int) number(at(message, 1), "page");
         for (Object row : list(at(message, 2), "rows")) {
-            endpoints.add(endpoint(list(row, "rows element")));
+            endpoints.add(endpoint(list(row, "row")));
         }
         lists.put(number, List.copyOf(endpoints));
     }
--- a/src/main/java/kelphollow/lab/MembershipChecks.java
+++ b/src/main/java/kelphollow/lab/MembershipChecks.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 
 /**
- * Checks membership: no instance that was available and reachable is declared failed, incarnations never decrease, and all
+ * Checks membership: no instance that was available and reachable is declared failed, epochs never decrease, and all
  * instances agree at the end.
  */
 final class MembershipChecks {
@@ -38,7 +38,7 @@
     static List<Finding> check(List<HistoryLine> lines) {
         MembershipChecks checks = new MembershipChecks(lines);
         checks.checkFalseFailures();
-        checks.checkIncarnations();
+        checks.epochsNeverDecrease();
         checks.checkFinalAgreement();
         return checks.findings;
     }
@@ -111,8 +111,8 @@
         return !cut.contains(path(one, other)) && !cut.contains(path(other, one));
     }
 
-    /** The incarnation of an instance never decreases in the view of another. */
-    private void checkIncarnations() {
+    /** The epoch of an instance never decreases in the view of another. */
+    private void epochsNeverDecrease() {
         Map<String, Double> highest = new HashMap<>();
         for (HistoryLine line : lines) {
             if (line.is(HistoryLine.LAB, "start")) {
@@ -122,7 +122,7 @@
                 double epoch = line.number("epoch");
                 if (epoch < highest.getOrDefault(key, -1.0)) {
                     findings.add(Finding.of("epochs",
-                        key + " in incarnation " + (long) epoch + " after incarnation " + highest.get(key).longValue(),
+                        key + " in epoch " + (long) epoch + " after epoch " + highest.get(key).longValue(),
                         line));
                 }
                 highest.put(key, epoch);
--- a/src/main/java/kelphollow/program/FleetConfig.java
+++ b/src/main/java/kelphollow/program/FleetConfig.java
@@ -40,7 +40,7 @@
         boolean findings = fleet.flag("findings", true);
         boolean shed = fleet.flag("shed", true);
         if (!json.has("store")) {
-            throw new ConfigurationException("fleet needs 'store', which keeps this instance's incarnation numbers");
+            throw new ConfigurationException("fleet needs 'store', which keeps this instance's epoch");
         }
         String name = json.text("name");
         if (name.length() > MemberUpdate.MAX_NAME_LENGTH) {
--- a/src/main/java/kelphollow/program/ObjectScheduler.java
+++ b/src/main/java/kelphollow/program/ObjectScheduler.java
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Joins the fleet with the incarnation number from the store. */
+    /** Joins the fleet with the epoch from the store. */
     private void joinFleet(ObjectConfig config) throws ConfigurationException, InterruptedException {
         EventLog events = config.fleet().openEvents();
         loop().submit(() -> {
