--- a/src/main/java/kelphollow/decision/Control.java
+++ b/src/main/java/kelphollow/decision/Control.java
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Units left in this instance's share of each volume's rate limit, by volume, less the outstanding part
-     * of its loan. Volumes without a limit are left out.
+     * Tokens left in this instance's share of each volume's rate limit, by volume, less borrowed tokens not
+     * yet repaid. Volumes without a limit are left out.
      */
     public Map<String, Double> limitTokens() {
         return state.volumes.limitTokens();
--- a/src/main/java/kelphollow/lab/MembershipChecks.java
+++ b/src/main/java/kelphollow/lab/MembershipChecks.java
@@ -38,7 +38,7 @@
     static List<Finding> check(List<HistoryLine> lines) {
         MembershipChecks checks = new MembershipChecks(lines);
         checks.checkFalseFailures();
-        checks.epochsNeverDecrease();
+        checks.checkEpochs();
         checks.checkFinalAgreement();
         return checks.findings;
     }
@@ -112,7 +112,7 @@
     }
 
     /** The epoch of an instance never decreases in the view of another. */
-    private void epochsNeverDecrease() {
+    private void checkEpochs() {
         Map<String, Double> highest = new HashMap<>();
         for (HistoryLine line : lines) {
             if (line.is(HistoryLine.LAB, "start")) {
--- a/src/main/java/kelphollow/lab/soak/ListKnowledge.java
+++ b/src/main/java/kelphollow/lab/soak/ListKnowledge.java
@@ -21,7 +21,7 @@
     static final double NOTIFIED_AFTER_MS = 6_000;
     /** Time after a move of discovery from which earlier changes count as notified. */
     static final double MOVE_NOTIFIED_AFTER_MS = 4_000;
-    /** Stands for no version. */
+    /** Returned instead of a version when none counts as notified, or none was written, by the time asked for. */
     static final long NONE = -1;
 
     /** One process of an instance. */
--- a/src/main/java/kelphollow/lab/soak/ServeProcess.java
+++ b/src/main/java/kelphollow/lab/soak/ServeProcess.java
@@ -65,7 +65,7 @@
             + "\"reserve\":320,\"proportion\":1,\"value_factor\":0.9}],\"request_classes\":" + CLASSES + "}";
     }
 
-    /** The address for clients, the same in all incarnations. */
+    /** The address for clients, the same in all runs of the instance. */
     public InetSocketAddress address() {
         return listen;
     }
@@ -139,7 +139,7 @@
         recordExit(true);
     }
 
-    /** Records the exit of this incarnation, once. */
+    /** Records the exit of the instance's current run, once. */
     private void recordExit(boolean killed) {
         if (!exitRecorded) {
             exitRecorded = true;
--- a/src/main/java/kelphollow/ledger/Ledger.java
+++ b/src/main/java/kelphollow/ledger/Ledger.java
@@ -21,7 +21,7 @@
     private static final Logger LOG = Logger.getLogger(Ledger.class.getName());
     private static final byte[] EPOCH_KEY = RecordCodec.key(StoredNames.EPOCH_KEY);
     private static final byte[] LOST_KEY = RecordCodec.key(StoredNames.LOST_KEY);
-    /** Upper bound on the number of incarnations since a backup was made. */
+    /** Upper bound on the number of runs since a backup was made. */
     private static final long MAX_UNSEEN_EPOCHS = 1_000_000;
     /** One in this many store faults is logged. */
     private static final long FAULTS_PER_LOG_LINE = 1_000;
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Starts an incarnation. Its epoch, one higher than the last, is synced before this method returns.
+     * Starts a run of the gateway. Its epoch, one higher than the last, is synced before this method returns.
      *
      * @param loop executor on which callbacks are called
      */
@@ -51,7 +51,7 @@
         return new Ledger(store, loop, epoch, lost == null ? 0 : RecordCodec.decode(lost).integer(StoredNames.EPOCH));
     }
 
-    /** Returns the epoch of the last incarnation, or 0 if there was none. */
+    /** Returns the epoch of the last run, or 0 if there was none. */
     private static long lastEpoch(Store store) throws IOException, StoreFault {
         byte[] last = store.get(StoredNames.INCARNATIONS, EPOCH_KEY);
         return last == null ? 0 : RecordCodec.decode(last).integer(StoredNames.LAST_EPOCH);
@@ -62,13 +62,13 @@
     }
 
     /**
-     * Records that records of the incarnations so far may be missing, because a loss was accepted or a backup restored. From
+     * Records that records of the runs so far may be missing, because a loss was accepted or a backup restored. From
      * then on the absence of a record of theirs proves nothing.
      *
      * @param at Unix milliseconds
      */
     public static void recordLoss(Store store, long at) throws IOException, StoreFault {
-        // The lost records may include that of the last epoch, and a backup lacks the epochs of later incarnations.
+        // The lost records may include that of the last epoch, and a backup lacks the epochs of later runs.
         long epoch = lastEpoch(store) + MAX_UNSEEN_EPOCHS;
         byte[] loss = RecordCodec.encode(json -> {
             json.writeNumberField(StoredNames.AT, at);
@@ -92,12 +92,12 @@
         }
     }
 
-    /** Returns the epoch of this incarnation. */
+    /** Returns the epoch of this run. */
     public long epoch() {
         return epoch;
     }
 
-    /** Ensures that the next incarnation's epoch is higher than {@code number}. */
+    /** Ensures that the next run's epoch is higher than {@code number}. */
     public void reserveEpochsUpTo(long number) {
         writeBuffered(new Batch().put(StoredNames.INCARNATIONS, EPOCH_KEY, epochRecord(Math.max(number, epoch))));
     }
--- a/src/main/java/kelphollow/ledger/LimitRecords.java
+++ b/src/main/java/kelphollow/ledger/LimitRecords.java
@@ -7,7 +7,7 @@
 import kelphollow.store.Batch;
 import kelphollow.store.StoreFault;
 
-/** Records of the tokens of volumes' limits at the end of the last incarnation. Event loop only. */
+/** Records of the tokens of volumes' limits at the end of the gateway's last run. Event loop only. */
 public final class LimitRecords {
     /** Every limit has refilled after this time. */
     private static final long TIME_TO_LIVE_MS = 24L * 3600 * 1000;
@@ -19,7 +19,7 @@
     }
 
     /**
-     * Returns the tokens of the last incarnation by volume and removes their records, so that a crash of this incarnation is
+     * Returns the tokens of the last run by volume and removes their records, so that a crash in this run is
      * not mistaken for the clean end of the last one. Blocks on the disk, so it may only be called before the event loop
      * serves.
      */
@@ -38,7 +38,7 @@
         return saved;
     }
 
-    /** Records the tokens by volume at the end of this incarnation, after its last request was sent. */
+    /** Records the tokens by volume at the end of this run, after its last request was sent. */
     public void recordFinalTokens(Map<String, Double> tokensByVolume, double now) {
         Batch batch = new Batch();
         tokensByVolume.forEach((volume, tokens) -> batch.put(StoredNames.LIMITS, RecordCodec.key(volume),
--- a/src/main/java/kelphollow/ledger/StoredNames.java
+++ b/src/main/java/kelphollow/ledger/StoredNames.java
@@ -5,7 +5,7 @@
  * {@code store dump}, so older names must not change; code refers to them only through these constants.
  */
 final class StoredNames {
-    /** Table of the gateway's incarnations, with the keys {@link #EPOCH_KEY} and {@link #LOST_KEY}. */
+    /** Table of the gateway's runs, with the keys {@link #EPOCH_KEY} and {@link #LOST_KEY}. */
     static final String INCARNATIONS = "life";
     static final String EPOCH_KEY = "epoch";
     static final String LOST_KEY = "lost";
--- a/src/main/java/kelphollow/program/ObjectScheduler.java
+++ b/src/main/java/kelphollow/program/ObjectScheduler.java
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Returns the stored endpoints of an earlier incarnation that are not too old to be used. */
+    /** Returns the stored endpoints of an earlier run of this gateway that are not too old to be used. */
     private List<ResolvedEndpoint> cachedEndpoints(ObjectConfig config) throws IOException, StoreFault {
         double now = ticker().now();
         EndpointRecords.Saved saved = endpointRecords.read();
--- a/src/main/java/kelphollow/program/StoreConfig.java
+++ b/src/main/java/kelphollow/program/StoreConfig.java
@@ -78,7 +78,7 @@
         return ConfigSection.parsePath(text, key).toAbsolutePath().normalize();
     }
 
-    /** Opens the store, logs what recovery found and repaired, and starts a new incarnation. */
+    /** Opens the store, logs what recovery found and repaired, and starts a new run. */
     Ledger open(Executor loop, Ticker ticker) throws ConfigurationException {
         try {
             Store store = Store.open(new FolderDisk(first), new FolderDisk(second), options,
--- a/src/main/java/kelphollow/scale/FailureDetectionProbes.java
+++ b/src/main/java/kelphollow/scale/FailureDetectionProbes.java
@@ -47,7 +47,7 @@
         firstFalseFailure = "";
     }
 
-    /** Records the start of an incarnation; reports about earlier epochs of the instance no longer count as false. */
+    /** Records the start of an instance's run; reports about its earlier epochs no longer count as false. */
     synchronized void started(int instance, long epoch) {
         String name = ScaleScenario.nameOf(instance);
         epochs.put(name, epoch);
--- a/src/main/java/kelphollow/scale/Samples.java
+++ b/src/main/java/kelphollow/scale/Samples.java
@@ -18,7 +18,7 @@
     /** Significant digits that keep all ten thousand shares exact. */
     private static final int SHARE_DIGITS = 4;
 
-    /** An incarnation's traffic counters at the last sample. */
+    /** Traffic counters of an instance's run at the last sample. */
     private record Baseline(long epoch, TrafficCount traffic) {}
 
     /** Means over instances at one sample, for the plots; {@code bytesOut} is per second. */
@@ -75,7 +75,7 @@
         TrafficCount now = instance.traffic();
         Baseline before = baselines.put(instance.index(), new Baseline(instance.epoch(), now));
         if (before == null || before.epoch != instance.epoch()) {
-            return 0;                      // a new incarnation is counted from its first complete span on
+            return 0;                      // a new run of the instance is counted from its first complete span on
         }
         TrafficCount added = now.since(before.traffic);
         total.add(added);
--- a/src/main/java/kelphollow/scale/SimulatedInstance.java
+++ b/src/main/java/kelphollow/scale/SimulatedInstance.java
@@ -26,8 +26,8 @@
 
 /**
  * One instance of the control plane without clients and data path: the production {@link Fleet} over {@link SimulatedNodes}.
- * A kill ends an incarnation without notice; the next one has a higher epoch at the same address. Confined to the run's
- * thread.
+ * A kill ends the instance's run without notice; the next one has a higher epoch at the same address. Confined to the
+ * scale run's thread.
  */
 final class SimulatedInstance {
     /** The fleet's key in a run. */
@@ -40,7 +40,7 @@
         /** Called when the set of nodes that {@code instance} ejects becomes {@code nodes}. */
         void ejected(int instance, double now, Set<String> nodes);
 
-        /** Called when {@code instance} logs the event {@code kind} about an incarnation of the instance {@code of}. */
+        /** Called when {@code instance} logs the event {@code kind} about a run of the instance {@code of}. */
         void event(int instance, double now, String kind, String of, long epoch);
     }
 
@@ -69,7 +69,7 @@
         return index;
     }
 
-    /** Returns the epoch of the current incarnation. */
+    /** Returns the epoch of the instance's current run. */
     long epoch() {
         return epoch;
     }
@@ -82,7 +82,7 @@
         return process != null && !process.isKilled();
     }
 
-    /** Starts a new incarnation; must not be called on an event loop. */
+    /** Starts a new run of the instance; must not be called on an event loop. */
     void start() throws IOException {
         epoch++;
         SuspendableExecutor newProcess = new SuspendableExecutor();
@@ -167,7 +167,7 @@
         });
     }
 
-    /** Returns what this incarnation has sent and received so far. */
+    /** Returns what the instance has sent and received so far in its current run. */
     TrafficCount traffic() {
         return host.call(index, () -> {
             Traffic traffic = fleet.transport().traffic();
--- a/src/main/java/kelphollow/scale/SocketHost.java
+++ b/src/main/java/kelphollow/scale/SocketHost.java
@@ -100,7 +100,7 @@
                 fleet.transport().listen(at);
                 return;
             } catch (IOException e) {
-                if (attempt == BIND_ATTEMPTS) {   // the previous incarnation holds the port until its channels close
+                if (attempt == BIND_ATTEMPTS) {   // the instance's previous run holds the port until its channels close
                     throw e;
                 }
                 sleep(BIND_PAUSE_MILLIS);
--- a/src/main/java/kelphollow/scale/SuspendableExecutor.java
+++ b/src/main/java/kelphollow/scale/SuspendableExecutor.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 
 /**
- * Runs all tasks of one incarnation of an instance and models the signals that a process can get: while it is suspended, as
+ * Runs all tasks of one run of an instance and models the signals that a process can get: while it is suspended, as
  * by SIGSTOP, tasks wait; once it is killed, they are dropped. Confined to the instance's event loop.
  */
 final class SuspendableExecutor {
--- a/src/main/java/kelphollow/scale/TrafficCount.java
+++ b/src/main/java/kelphollow/scale/TrafficCount.java
@@ -23,7 +23,7 @@
         figures[kind.ordinal()] = packetsOutBytesOutPacketsInBytesIn;
     }
 
-    /** Returns the growth since an earlier count of the same incarnation. */
+    /** Returns the growth since an earlier count in the same run of the instance. */
     TrafficCount since(TrafficCount earlier) {
         TrafficCount difference = new TrafficCount();
         for (int k = 0; k < figures.length; k++) {
--- a/src/test/java/kelphollow/lab/CheckerTest.java
+++ b/src/test/java/kelphollow/lab/CheckerTest.java
@@ -239,7 +239,7 @@
         assertFindings();
     }
 
-    @Test void decreasingIncarnationIsReported() {
+    @Test void decreasingEpochIsReported() {
         addHealthyFleet();
         addEvent(5_000, "i0", "joined", "i1", 3);
         addEvent(6_000, "i0", "joined", "i1", 2);
